--- a/crates/admin/src/history.rs
+++ b/crates/admin/src/history.rs
@@ -10,7 +10,7 @@
 };
 
 use peatdeck_core::{
-    config_log::{Fold, Verdict},
+    config_log::{ConfigReader, Verdict},
     record::{Batch, ConfigRecord, Drain, Entry, Evacuation, Offset, Publish, Snapshot, Version},
 };
 use peatdeck_wire::admin::{Act, ActKind, HistoryReply, PublishVerdict};
@@ -38,7 +38,7 @@
 
 impl History {
     /// Takes in a batch that `fold` has just read.
-    pub fn read(&mut self, batch: &Batch<ConfigRecord>, fold: &Fold) {
+    pub fn read(&mut self, batch: &Batch<ConfigRecord>, fold: &ConfigReader) {
         self.earliest = batch.earliest;
         for entry in &batch.entries {
             match &entry.record {
@@ -152,7 +152,7 @@
 
     /// Asks the fold for what it had not decided before. A fold that lost
     /// records decides only once it has joined the stream again.
-    fn decide(&mut self, fold: &Fold) {
+    fn decide(&mut self, fold: &ConfigReader) {
         let acts = &mut self.acts;
         self.undecided.retain(|offset| {
             let Ok(idx) = acts.binary_search_by_key(offset, |act| act.offset) else { return false };
--- a/crates/admin/src/reader.rs
+++ b/crates/admin/src/reader.rs
@@ -8,7 +8,7 @@
 
 use peatdeck_client::log;
 use peatdeck_core::{
-    config_log::Fold,
+    config_log::ConfigReader,
     record::{ConfigRecord, Snapshot, Stream},
 };
 use peatdeck_util::clock::Clock;
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub struct State {
     /// Which configuration is in force.
-    pub fold: Fold,
+    pub fold: ConfigReader,
     /// Who did what.
     pub history: History,
 }
--- a/crates/cli/src/ops/burn.rs
+++ b/crates/cli/src/ops/burn.rs
@@ -19,7 +19,7 @@
 
 use peatdeck_core::{
     document::Document,
-    model::{DoubtKind, Invalid, RefusalKind},
+    model::{Invalid, RefusalKind, UncertaintyKind},
 };
 use peatdeck_macros::{id, message};
 use peatdeck_wire::{
@@ -236,7 +236,7 @@
     match code {
         ANSWERED => Kind::Answered,
         code if is_one_of::<RefusalKind>(code) => Kind::NotRun,
-        code if is_one_of::<DoubtKind>(code) => Kind::MayHaveRun,
+        code if is_one_of::<UncertaintyKind>(code) => Kind::MayHaveRun,
         code if is_one_of::<Invalid>(code) => Kind::Invalid,
         _ => Kind::Other,
     }
--- a/crates/core/examples/pool/world.rs
+++ b/crates/core/examples/pool/world.rs
@@ -203,7 +203,7 @@
         let Instance { queue, drain, took, table, probe, .. } = &self.instances[instance];
         let deadline = self.now + self.deadline();
         let ahead = queue.cost_ahead("team", deadline);
-        let places = table.pool_places(self.now, POOL);
+        let places = table.pool_slots(self.now, POOL);
         let service = took.quantile(0.5).unwrap_or_default();
         let guess = || admission::wait(ahead, places, service);
         let wait = drain.wait(self.now, ahead).unwrap_or_else(guess);
@@ -236,7 +236,7 @@
     }
 
     fn dispatch(&mut self, instance: usize) {
-        while self.instances[instance].table.pool_free(self.now, POOL) > 0 {
+        while self.instances[instance].table.pool_free_slots(self.now, POOL) > 0 {
             let Some(request) = self.instances[instance].queue.pop(self.now) else { break };
             let inst = &mut self.instances[instance];
             inst.drain.popped(self.now, 1.0);
@@ -268,7 +268,7 @@
         let sent = self.now;
         self.calls.push(Call { request, endpoint, sent, service, began: None, over: false });
         self.requests[request].calls.push(call);
-        self.instances[instance].table.started(self.now, &name);
+        self.instances[instance].table.call_started(self.now, &name);
         self.plan_hedge(request);
         if self.scenario.fault == Fault::Killed && self.is_hit(endpoint, 2) {
             self.after(Duration::from_millis(1), Event::Refuse { call });
@@ -343,7 +343,7 @@
         let Call { request, endpoint, sent, began, .. } = self.calls[call];
         let instance = self.requests[request].instance;
         let end = CallEnd { took: self.now - sent, result, tokens: None };
-        self.instances[instance].table.ended(self.now, &self.names[endpoint], end);
+        self.instances[instance].table.call_ended(self.now, &self.names[endpoint], end);
         if let Some(began) = began {
             self.outcome.work += self.now - began;
             self.endpoints[endpoint].running -= 1;
--- a/crates/core/examples/pool/world/fresh.rs
+++ b/crates/core/examples/pool/world/fresh.rs
@@ -25,7 +25,7 @@
     }
     let mut table = Table::new(settings);
     let entries: Vec<EndpointEntry> = names.iter().map(entry).collect();
-    table.listed(Duration::ZERO, &entries);
+    table.apply_listing(Duration::ZERO, &entries);
     Instance {
         table,
         queue: Queue::new(),
--- a/crates/core/examples/pool/world/reports.rs
+++ b/crates/core/examples/pool/world/reports.rs
@@ -31,7 +31,7 @@
         }
         let load = Load { running, queued, places: PLACES as u32, age_ms: 0 };
         for inst in &mut self.instances {
-            inst.table.reported(self.now, &self.names[endpoint], load);
+            inst.table.load_reported(self.now, &self.names[endpoint], load);
         }
     }
 
@@ -44,7 +44,7 @@
             return;
         }
         let mut total: HashMap<EndpointName, u32> = HashMap::new();
-        for endpoint in self.instances.iter().flat_map(|inst| inst.table.each()) {
+        for endpoint in self.instances.iter().flat_map(|inst| inst.table.iter()) {
             *total.entry(endpoint.name.clone()).or_default() += endpoint.in_flight;
         }
         for inst in &mut self.instances {
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -78,9 +78,9 @@
     /// The claims stream was not read to its end since the start.
     CatchingUp,
     /// A claim within the horizon may have been lost unread.
-    Forgotten,
+    HistoryIncomplete,
     /// Appends to the log fail.
-    LogOut,
+    LogUnavailable,
 }
 
 /// The claim that holds a key.
@@ -106,7 +106,7 @@
 
 /// A decision on an attempt that was waiting.
 #[data]
-pub struct Decided {
+pub struct ClaimDecision {
     /// The request.
     pub key: RequestId,
     /// The attempt.
@@ -153,7 +153,7 @@
     }
 
     /// Takes in what was read of the stream, and decides attempts by it.
-    pub fn read(&mut self, now: Duration, batch: &Batch<ClaimBatch>) -> Vec<Decided> {
+    pub fn read(&mut self, now: Duration, batch: &Batch<ClaimBatch>) -> Vec<ClaimDecision> {
         let mut decided = Vec::new();
         if !self.coverage.start_batch(batch) {
             return decided;
@@ -211,7 +211,7 @@
     }
 
     /// Whether nothing is left to append, so that a stopping instance may exit.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.outbox.is_empty()
     }
 
@@ -236,16 +236,16 @@
             return Some(UnreadyKind::CatchingUp);
         }
         if !self.coverage.covers(self.coverage.log_now()) {
-            return Some(UnreadyKind::Forgotten);
+            return Some(UnreadyKind::HistoryIncomplete);
         }
         if self.outbox.is_failing() || self.coverage.is_failing() {
-            return Some(UnreadyKind::LogOut);
+            return Some(UnreadyKind::LogUnavailable);
         }
         None
     }
 
     /// Number of claims that are remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn claim_count(&self) -> usize {
         self.window.len()
     }
 
@@ -281,7 +281,7 @@
         now: Duration,
         now_ms: u64,
         entry: &Entry<ClaimBatch>,
-        decided: &mut Vec<Decided>,
+        decided: &mut Vec<ClaimDecision>,
     ) {
         let time_ms = self.window.advance(entry.time_ms);
         let batch = &entry.record;
@@ -322,11 +322,11 @@
         };
         match self.attempts.state(nonce)? {
             State::Won | State::Finished => return None,
-            State::GivenUp => return Some(Verdict::Unready(UnreadyKind::Forgotten)),
+            State::GivenUp => return Some(Verdict::Unready(UnreadyKind::HistoryIncomplete)),
             State::Waiting => {}
         }
         if !self.coverage.covers(time_ms) || age_ms > self.settings.max_age_ms() {
-            return Some(Verdict::Unready(UnreadyKind::Forgotten));
+            return Some(Verdict::Unready(UnreadyKind::HistoryIncomplete));
         }
         Some(blocker.map_or(Verdict::Won, |holder| lost_to(holder, digest)))
     }
@@ -338,15 +338,15 @@
         key: &RequestId,
         nonce: u64,
         verdict: Option<Verdict>,
-    ) -> Option<Decided> {
+    ) -> Option<ClaimDecision> {
         let verdict = verdict?;
         if verdict == Verdict::Won {
             self.attempts.win(nonce);
-            return Some(Decided { key: key.clone(), nonce, verdict });
+            return Some(ClaimDecision { key: key.clone(), nonce, verdict });
         }
         let was_wanted = self.attempts.give_up(nonce);
         self.outbox.push(now, ClaimFact::Void { key: key.clone(), nonce });
-        was_wanted.then(|| Decided { key: key.clone(), nonce, verdict })
+        was_wanted.then(|| ClaimDecision { key: key.clone(), nonce, verdict })
     }
 }
 
--- a/crates/core/src/config_log.rs
+++ b/crates/core/src/config_log.rs
@@ -15,7 +15,7 @@
 //!   records before it, nobody can know whether it was accepted.
 //!
 //! A reader that was held up for longer than the retention has a gap. It keeps
-//! the last state it knew, says so by [`Fold::is_gapped`], and joins the stream
+//! the last state it knew, says so by [`ConfigReader::is_gapped`], and joins the stream
 //! again at the next usable snapshot, from the stream or from a peer.
 //!
 //! Traps:
@@ -75,7 +75,7 @@
 }
 
 /// The fold over the configuration stream, for one reader.
-pub struct Fold {
+pub struct ConfigReader {
     reader: Reader,
     position: Offset,
     known: Option<Arc<Snapshot>>,
@@ -88,23 +88,23 @@
 /// Whether what was read continues a known state.
 enum Reader {
     /// The state covers every record before `position`, and maybe later ones.
-    /// Fold began with a state of version `since`.
+    /// The reader began with a state of version `since`.
     Joined { state: Arc<Snapshot>, since: Version },
     /// Records before `start` are lost; what was read from there on waits for
     /// a state to start from.
     Broken { start: Offset, tail: Vec<Entry<ConfigRecord>> },
 }
 
-impl Default for Fold {
-    fn default() -> Fold {
-        Fold::new()
+impl Default for ConfigReader {
+    fn default() -> ConfigReader {
+        ConfigReader::new()
     }
 }
 
-impl Fold {
+impl ConfigReader {
     /// A reader that has read nothing.
-    pub fn new() -> Fold {
-        Fold {
+    pub fn new() -> ConfigReader {
+        ConfigReader {
             reader: Reader::Joined { state: Arc::new(chain::empty()), since: 0 },
             position: 0,
             known: None,
@@ -152,13 +152,13 @@
         self.known.as_deref()
     }
 
-    /// As [`Fold::current`], to be kept or sent on.
+    /// As [`ConfigReader::current`], to be kept or sent on.
     pub fn shared(&self) -> Option<Arc<Snapshot>> {
         self.known.clone()
     }
 
     /// Whether records were lost unread, so that the version in force may be a
-    /// newer one than [`Fold::current`] says.
+    /// newer one than [`ConfigReader::current`] says.
     pub fn is_gapped(&self) -> bool {
         matches!(self.reader, Reader::Broken { .. })
     }
--- a/crates/core/src/content.rs
+++ b/crates/core/src/content.rs
@@ -74,12 +74,12 @@
 }
 
 /// The mark of a text.
-pub fn hashed(text: &str) -> Text {
+pub fn hash_text(text: &str) -> Text {
     Mark::of(text).write()
 }
 
 /// The mark of a request's input.
-pub fn hashed_input(request: &Request) -> Text {
+pub fn hash_input(request: &Request) -> Text {
     Mark { digest: Some(digest(request)), ..Mark::of(&request.input) }.write()
 }
 
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -92,7 +92,7 @@
     /// We cancelled it.
     Cancelled,
     /// With a reply that belongs to another call.
-    Distrusted,
+    Mismatched,
 }
 
 /// All endpoints of all pools.
@@ -127,7 +127,7 @@
     }
 
     /// Takes in the platform's list.
-    pub fn listed(&mut self, now: Duration, entries: &[EndpointEntry]) {
+    pub fn apply_listing(&mut self, now: Duration, entries: &[EndpointEntry]) {
         self.tick(now);
         for entry in entries {
             if entry.presence == Presence::Leaving {
@@ -184,7 +184,7 @@
     }
 
     /// Counts a call that was sent.
-    pub fn started(&mut self, now: Duration, name: &str) {
+    pub fn call_started(&mut self, now: Duration, name: &str) {
         self.tick(now);
         if let Some(endpoint) = self.endpoint_mut(name) {
             endpoint.started(now);
@@ -192,7 +192,7 @@
     }
 
     /// Counts the end of a call.
-    pub fn ended(&mut self, now: Duration, name: &str, end: CallEnd) {
+    pub fn call_ended(&mut self, now: Duration, name: &str, end: CallEnd) {
         self.tick(now);
         let Some(key) = self.names.get(name).copied() else { return };
         let pool = self.pool_view(key);
@@ -205,7 +205,7 @@
     }
 
     /// Takes in a load report, the endpoint's own or one through a peer.
-    pub fn reported(&mut self, now: Duration, name: &str, load: Load) {
+    pub fn load_reported(&mut self, now: Duration, name: &str, load: Load) {
         self.tick(now);
         if let Some(endpoint) = self.endpoint_mut(name) {
             endpoint.reported(now, load);
@@ -219,7 +219,7 @@
     }
 
     /// Every endpoint.
-    pub fn each(&self) -> impl Iterator<Item = &Endpoint> {
+    pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.slots.values()
     }
 
@@ -229,12 +229,12 @@
     }
 
     /// Places free under the limits of a pool's usable endpoints.
-    pub fn pool_free(&self, now: Duration, pool: &str) -> u32 {
+    pub fn pool_free_slots(&self, now: Duration, pool: &str) -> u32 {
         self.pool(pool).map(|endpoint| endpoint.free(now)).sum()
     }
 
     /// Places under the limits of a pool's usable endpoints, free or not.
-    pub fn pool_places(&self, now: Duration, pool: &str) -> u32 {
+    pub fn pool_slots(&self, now: Duration, pool: &str) -> u32 {
         let well = self.pool(pool).filter(|endpoint| endpoint.state() == State::Usable);
         well.map(|endpoint| endpoint.limit(now)).sum()
     }
@@ -292,7 +292,7 @@
 
     fn pool_view(&self, key: Key) -> PoolView {
         let pool = &self.slots[key].pool;
-        let mut times: Vec<Duration> = self.pool(pool).filter_map(Endpoint::took_whole).collect();
+        let mut times: Vec<Duration> = self.pool(pool).filter_map(Endpoint::call_latency).collect();
         times.sort_unstable();
         PoolView { may_eject: self.may_eject(key), usual: times.get(times.len() / 2).copied() }
     }
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -157,7 +157,7 @@
             return State::Evacuated;
         }
         match self.health.phase() {
-            Phase::Well => State::Usable,
+            Phase::Healthy => State::Usable,
             Phase::Ejected { .. } | Phase::Probing { .. } => State::Ejected,
         }
     }
@@ -194,7 +194,7 @@
     }
 
     /// Calls that it reported as waiting, worth less the older the report is.
-    pub fn aged_queue(&self, now: Duration) -> f64 {
+    pub fn decayed_queue(&self, now: Duration) -> f64 {
         let Some((queued, age)) = self.reported_queue(now) else { return 0.0 };
         f64::from(queued) * (-age.as_secs_f64() / REPORT_HALF_LIFE.as_secs_f64()).exp2()
     }
@@ -205,17 +205,17 @@
     }
 
     /// How long its calls took lately, for an engine per token, and when the last one ended.
-    pub fn took(&self) -> Option<(Duration, Duration)> {
+    pub fn latency(&self) -> Option<(Duration, Duration)> {
         self.speed.took.map(|took| (Duration::from_secs_f64(took), self.speed.at))
     }
 
     /// How long its whole calls took lately.
-    pub fn took_whole(&self) -> Option<Duration> {
+    pub fn call_latency(&self) -> Option<Duration> {
         self.speed.whole.map(Duration::from_secs_f64)
     }
 
     /// Share of its recent calls that went well.
-    pub fn good_share(&self) -> f64 {
+    pub fn success_rate(&self) -> f64 {
         self.speed.good
     }
 
@@ -272,7 +272,7 @@
             CallResult::Refused(reason) => self.refused(now, sent, reason),
             CallResult::Failed => self.failed(now, sent, pool.may_eject),
             CallResult::Cancelled => self.cancelled(now, end, in_flight, pool),
-            CallResult::Distrusted => self.distrusted(now),
+            CallResult::Mismatched => self.distrusted(now),
         }
     }
 
@@ -333,7 +333,7 @@
     }
 
     fn refused(&mut self, now: Duration, sent: Duration, reason: RefuseReason) {
-        self.health.undecided(now, sent);
+        self.health.probe_inconclusive(now, sent);
         if reason == RefuseReason::Busy {
             self.limit.refused(now, sent);
         }
@@ -346,7 +346,7 @@
         if hung {
             self.failed(now, sent, pool.may_eject);
         } else {
-            self.health.undecided(now, sent);
+            self.health.probe_inconclusive(now, sent);
         }
         if !self.speed.by_token || end.tokens.is_some() {
             self.limit.cancelled(now, unit(end), in_flight);
--- a/crates/core/src/endpoints/health.rs
+++ b/crates/core/src/endpoints/health.rs
@@ -13,9 +13,9 @@
     /// Failures in a row that eject.
     pub failures: u32,
     /// The first ejection's time; it doubles with each repeat.
-    pub base: Duration,
+    pub base_ejection: Duration,
     /// The longest ejection.
-    pub longest: Duration,
+    pub max_ejection: Duration,
     /// The largest share of a pool that is ejected at once.
     pub max_share: f64,
 }
@@ -24,8 +24,8 @@
     fn default() -> Settings {
         Settings {
             failures: 3,
-            base: Duration::from_secs(2),
-            longest: Duration::from_secs(30),
+            base_ejection: Duration::from_secs(2),
+            max_ejection: Duration::from_secs(30),
             max_share: 0.5,
         }
     }
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Its calls go well.
-    Well,
+    Healthy,
     /// It gets no calls until then, and after that one probe.
     Ejected {
         /// When the probe is allowed.
@@ -63,7 +63,7 @@
 impl Health {
     /// A healthy endpoint.
     pub fn new(settings: Settings) -> Health {
-        Health { settings, failures: 0, repeats: 0, phase: Phase::Well }
+        Health { settings, failures: 0, repeats: 0, phase: Phase::Healthy }
     }
 
     /// Where it stands.
@@ -74,7 +74,7 @@
     /// Whether it may get a call, a probe included.
     pub fn is_open(&self, now: Duration) -> bool {
         match self.phase {
-            Phase::Well => true,
+            Phase::Healthy => true,
             Phase::Ejected { until } => now >= until,
             Phase::Probing { .. } => false,
         }
@@ -95,14 +95,14 @@
     /// A call ended well; true if the endpoint is back by it.
     pub fn succeeded(&mut self, sent: Duration) -> bool {
         match self.phase {
-            Phase::Well => {
+            Phase::Healthy => {
                 self.failures = 0;
                 self.repeats = 0;
                 false
             }
             Phase::Probing { since } if sent >= since => {
                 self.failures = 0;
-                self.phase = Phase::Well;
+                self.phase = Phase::Healthy;
                 true
             }
             Phase::Ejected { .. } | Phase::Probing { .. } => false,
@@ -112,7 +112,7 @@
     /// A call failed; true if the endpoint is ejected by it.
     pub fn failed(&mut self, now: Duration, sent: Duration, may_eject: bool) -> bool {
         match self.phase {
-            Phase::Well => {
+            Phase::Healthy => {
                 self.failures += 1;
                 if self.failures < self.settings.failures || !may_eject {
                     return false;
@@ -129,7 +129,7 @@
     }
 
     /// The probe ended without a verdict: another one is allowed at once.
-    pub fn undecided(&mut self, now: Duration, sent: Duration) {
+    pub fn probe_inconclusive(&mut self, now: Duration, sent: Duration) {
         if matches!(self.phase, Phase::Probing { since } if sent >= since) {
             self.phase = Phase::Ejected { until: now };
         }
@@ -138,7 +138,8 @@
     /// Ejects it, or ejects it again.
     pub fn eject(&mut self, now: Duration) {
         let factor = 1_u32 << self.repeats.min(MAX_DOUBLINGS);
-        let span = self.settings.base.saturating_mul(factor).min(self.settings.longest);
+        let span =
+            self.settings.base_ejection.saturating_mul(factor).min(self.settings.max_ejection);
         self.repeats += 1;
         self.failures = 0;
         self.phase = Phase::Ejected { until: now + span };
--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -14,8 +14,8 @@
         timers::Timer,
     },
     model::{
-        CallerId, Doubt, DoubtKind, Invalid, Outcome, Refusal, RefusalKind, Request, RequestId,
-        StageName,
+        CallerId, Invalid, Outcome, Refusal, RefusalKind, Request, RequestId, StageName,
+        Uncertainty, UncertaintyKind,
     },
 };
 
@@ -145,7 +145,7 @@
         // A non-idempotent request that runs is left to its end: its caller
         // may come back for the outcome.
         if self.held[key].request.idempotent {
-            self.conclude(key, doubt(DoubtKind::TimedOut, None, None));
+            self.conclude(key, doubt(UncertaintyKind::TimedOut, None, None));
         } else if self.held[key].written == 0 {
             self.conclude(key, refused(RefusalKind::Expired));
         }
@@ -190,7 +190,7 @@
 pub(super) fn truthful(request: &Request, won: bool, outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::NotRun(refusal) if request.repeat && !request.idempotent && !won => {
-            doubt(DoubtKind::EarlierUnknown, None, Some(refusal.retry_after))
+            doubt(UncertaintyKind::EarlierUnknown, None, Some(refusal.retry_after))
         }
         outcome => outcome,
     }
@@ -202,15 +202,15 @@
 }
 
 pub(super) fn doubt(
-    kind: DoubtKind,
+    kind: UncertaintyKind,
     stage: Option<StageName>,
     retry_after: Option<Duration>,
 ) -> Outcome {
-    Outcome::MayHaveRun(Doubt { kind, stage, retry_after })
+    Outcome::MayHaveRun(Uncertainty { kind, stage, retry_after })
 }
 
 pub(super) fn in_progress() -> Outcome {
-    doubt(DoubtKind::InProgress, None, Some(RETRY_IN_PROGRESS))
+    doubt(UncertaintyKind::InProgress, None, Some(RETRY_IN_PROGRESS))
 }
 
 pub(super) fn key_reused() -> Outcome {
--- a/crates/core/src/instance/claiming.rs
+++ b/crates/core/src/instance/claiming.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use crate::{
-    claims::{self, Decided, Verdict},
+    claims::{self, ClaimDecision, Verdict},
     instance::{
         Append, Instance,
         action::Action,
@@ -16,7 +16,7 @@
         input::PeerOutcome,
         timers::Timer,
     },
-    model::{AppendId, DoubtKind, Outcome, RefusalKind, RequestId},
+    model::{AppendId, Outcome, RefusalKind, RequestId, UncertaintyKind},
     record::{Batch, ClaimBatch},
 };
 
@@ -50,7 +50,7 @@
         }
     }
 
-    fn decided(&mut self, decided: Decided) {
+    fn decided(&mut self, decided: ClaimDecision) {
         let Some(key) = self.claimant(&decided.key, decided.nonce) else { return };
         match decided.verdict {
             Verdict::Won => self.won(key),
@@ -124,8 +124,12 @@
     /// only while that life of the winner may still answer.
     fn winner_unknown(&self, holder: &claims::Holder) -> Outcome {
         let finished = holder.finished.is_some();
-        let kind = if finished { DoubtKind::AlreadyFinished } else { DoubtKind::ClaimedElsewhere };
-        let lives = self.members.lives(self.now, &holder.instance, holder.incarnation);
+        let kind = if finished {
+            UncertaintyKind::AlreadyFinished
+        } else {
+            UncertaintyKind::ClaimedElsewhere
+        };
+        let lives = self.members.is_alive(self.now, &holder.instance, holder.incarnation);
         doubt(kind, None, lives.then_some(RETRY_IN_PROGRESS))
     }
 
@@ -171,10 +175,10 @@
     /// What a caller is told.
     pub fn refusal(self) -> RefusalKind {
         match self {
-            claims::UnreadyKind::CatchingUp | claims::UnreadyKind::LogOut => {
+            claims::UnreadyKind::CatchingUp | claims::UnreadyKind::LogUnavailable => {
                 RefusalKind::ClaimUnknown
             }
-            claims::UnreadyKind::Forgotten => RefusalKind::ClaimHorizon,
+            claims::UnreadyKind::HistoryIncomplete => RefusalKind::ClaimHorizon,
         }
     }
 }
--- a/crates/core/src/instance/ending.rs
+++ b/crates/core/src/instance/ending.rs
@@ -87,7 +87,7 @@
             return;
         }
         let since = *stop.idle.get_or_insert(self.now);
-        let settled = self.claims.is_settled() || self.now >= since + self.settings.settle;
+        let settled = self.claims.is_flushed() || self.now >= since + self.settings.settle;
         if settled {
             stop.exited = true;
             self.actions.push(Action::Exit);
--- a/crates/core/src/instance/peers.rs
+++ b/crates/core/src/instance/peers.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     instance::{Instance, action::Action},
-    membership::{ConfigMark, EndpointState, Envelope, Gossip, LeavingMark, Local},
+    membership::{ConfigMark, EndpointState, Envelope, Gossip, LeavingMark, LocalState},
     record::Snapshot,
 };
 
@@ -30,11 +30,11 @@
         }
         for state in &message.endpoints {
             if let Some(load) = state.load {
-                self.table.reported(self.now, &state.endpoint, load);
+                self.table.load_reported(self.now, &state.endpoint, load);
             }
         }
         let facts = self.local_facts();
-        let reply = self.members.heard(self.now, message, &facts.local());
+        let reply = self.members.receive(self.now, message, &facts.local());
         if let Some(envelope) = reply {
             self.post(envelope);
         }
@@ -67,8 +67,8 @@
 }
 
 impl Facts {
-    fn local(&self) -> Local<'_> {
-        Local {
+    fn local(&self) -> LocalState<'_> {
+        LocalState {
             mark: self.mark,
             snapshot: self.snapshot.clone(),
             ready: self.ready,
--- a/crates/core/src/instance/platform.rs
+++ b/crates/core/src/instance/platform.rs
@@ -80,7 +80,7 @@
 
     pub(super) fn listed(&mut self, listing: &Listing) {
         self.was_listed = true;
-        self.members.listed(self.now, &listing.instances);
+        self.members.apply_listing(self.now, &listing.instances);
         let before = self.table.leaving_marks().len();
         let chooser = Chooser {
             name: &self.identity.name,
@@ -89,7 +89,7 @@
             evacuated: self.table.evacuated(),
         };
         let endpoints = subset::choose(chooser, &listing.endpoints);
-        self.table.listed(self.now, &endpoints);
+        self.table.apply_listing(self.now, &endpoints);
         let after = self.table.leaving_marks().len();
         self.counters.leaving_learnt += after.saturating_sub(before) as u64;
     }
@@ -106,7 +106,7 @@
 
     /// Whether a newer configuration could be in force without a chance to know.
     pub(super) fn is_isolated(&self) -> bool {
-        let heard = self.last_read.max(self.members.last_heard());
+        let heard = self.last_read.max(self.members.last_received());
         let silent = heard.is_none_or(|at| self.now.saturating_sub(at) > self.settings.isolation);
         silent && self.members.has_listed_peers()
     }
--- a/crates/core/src/instance/policies.rs
+++ b/crates/core/src/instance/policies.rs
@@ -65,7 +65,7 @@
             team: held.request.id.team.clone(),
             pipeline: held.pipeline.name.clone(),
             stage: stage.name.clone(),
-            index: u32::try_from(held.progress.stage).unwrap_or(u32::MAX),
+            stage_index: u32::try_from(held.progress.stage).unwrap_or(u32::MAX),
             idempotent: held.request.idempotent,
             left,
             wait: estimate.wait,
@@ -73,10 +73,10 @@
             cost: cost.iter().sum(),
             spent: spent.iter().sum(),
             waiting: u32::try_from(self.lanes.len(&stage.pool)).unwrap_or(u32::MAX),
-            free: self.table.pool_free(self.now, &stage.pool),
-            held: estimate.share.held,
-            share: estimate.share.weight,
-            feasible: estimate.wait + estimate.work <= left,
+            free: self.table.pool_free_slots(self.now, &stage.pool),
+            team_held: estimate.share.held,
+            team_share: estimate.share.weight,
+            would_admit: estimate.wait + estimate.work <= left,
             retry_after: Duration::ZERO,
         }
     }
@@ -89,9 +89,9 @@
             local: endpoint.data_centre == self.identity.data_centre,
             in_flight: endpoint.in_flight,
             peers: self.members.in_flight(self.now, &endpoint.name),
-            queued: endpoint.aged_queue(self.now),
+            queued: endpoint.decayed_queue(self.now),
             limit: endpoint.limit(self.now),
-            took: endpoint.took().map_or(Duration::ZERO, |(usual, _)| usual),
+            took: endpoint.latency().map_or(Duration::ZERO, |(usual, _)| usual),
         }
     }
 
@@ -115,7 +115,7 @@
             team: request.id.team.clone(),
             pipeline: request.pipeline.clone(),
             stage: first.map_or_else(|| "".into(), |stage| stage.name.clone()),
-            index: 0,
+            stage_index: 0,
             idempotent: request.idempotent,
             left: estimate.left,
             wait: estimate.wait,
@@ -123,10 +123,10 @@
             cost: stages.iter().map(|stage| plan.cost(&stage.pool)).sum(),
             spent: 0.0,
             waiting: u32::try_from(self.lanes.len(pool)).unwrap_or(u32::MAX),
-            free: self.table.pool_free(self.now, pool),
-            held: estimate.share.held,
-            share: estimate.share.weight,
-            feasible: built_in.is_ok(),
+            free: self.table.pool_free_slots(self.now, pool),
+            team_held: estimate.share.held,
+            team_share: estimate.share.weight,
+            would_admit: built_in.is_ok(),
             retry_after: built_in.as_ref().err().map_or(Duration::ZERO, |r| r.retry_after),
         }
     }
--- a/crates/core/src/instance/replies.rs
+++ b/crates/core/src/instance/replies.rs
@@ -50,7 +50,7 @@
     fn report(&mut self, call: CallKey, load: Option<Load>) {
         let Some(load) = load else { return };
         let endpoint = self.calls[call].endpoint.clone();
-        self.table.reported(self.now, &endpoint, load);
+        self.table.load_reported(self.now, &endpoint, load);
     }
 
     /// False, and the endpoint distrusted, if the echo is another call's.
@@ -60,7 +60,7 @@
         }
         self.counters.echo_mismatch += 1;
         self.actions.push(Action::Cancel(call.id()));
-        self.fail(call, CallResult::Distrusted);
+        self.fail(call, CallResult::Mismatched);
         false
     }
 
@@ -151,7 +151,7 @@
         let progress = &self.held[key].progress;
         let pool = self.held[key].stage().pool.clone();
         let tired = progress.attempts >= MAX_ATTEMPTS;
-        if tired || self.table.pool_free(self.now, &pool) == 0 || !self.spend() {
+        if tired || self.table.pool_free_slots(self.now, &pool) == 0 || !self.spend() {
             return self.timers.set(self.now + wait, Timer::Stall(call));
         }
         self.actions.push(Action::Cancel(call.id()));
--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -12,7 +12,7 @@
         held::{CallKey, ClaimState, Flight, RequestKey},
         timers::Timer,
     },
-    model::{DoubtKind, Echo, EndpointName, Outcome, PoolName, Refusal, RefusalKind},
+    model::{Echo, EndpointName, Outcome, PoolName, Refusal, RefusalKind, UncertaintyKind},
     policy::Function,
     queue, routing, timing,
 };
@@ -61,7 +61,7 @@
     }
 
     fn pump(&mut self, pool: &PoolName) {
-        while self.table.pool_free(self.now, pool) > 0 {
+        while self.table.pool_free_slots(self.now, pool) > 0 {
             let Some(key) = self.lanes.pop(self.now, pool) else { return };
             self.held[key].progress.queued = false;
             if self.is_hopeless(key) {
@@ -110,7 +110,7 @@
             early: Default::default(),
         });
         held.progress.calls.push(call);
-        self.table.started(self.now, &endpoint);
+        self.table.call_started(self.now, &endpoint);
         self.count_call(why);
         let call = self.call(call, addr);
         self.set_hedge(key, call.id.into());
@@ -200,7 +200,7 @@
         let outcome = if held.written > 0 {
             let stage = held.stage().name.clone();
             let again = held.request.idempotent.then(|| self.retry_after(key));
-            doubt(DoubtKind::TimedOut, Some(stage), again)
+            doubt(UncertaintyKind::TimedOut, Some(stage), again)
         } else {
             self.unrun(key)
         };
@@ -273,7 +273,7 @@
         let held = &self.held[key];
         let stage = held.stage().name.clone();
         let again = held.request.idempotent.then(|| self.retry_after(key));
-        self.conclude(key, doubt(DoubtKind::StageFailed, Some(stage), again));
+        self.conclude(key, doubt(UncertaintyKind::StageFailed, Some(stage), again));
     }
 
     fn is_repeatable(&self, key: RequestKey) -> bool {
@@ -303,7 +303,7 @@
         }
         let stage = &self.held[key].pipeline.stages[progress.stage];
         let pool = stage.pool.clone();
-        if self.table.pool_free(self.now, &pool) == 0 || !self.lanes.is_empty(&pool) {
+        if self.table.pool_free_slots(self.now, &pool) == 0 || !self.lanes.is_empty(&pool) {
             return;
         }
         if self.spend() {
@@ -322,7 +322,7 @@
     /// Tells the endpoint's record how a call ended.
     pub(super) fn end_call(&mut self, flight: &Flight, result: CallResult, tokens: Option<u32>) {
         let took = self.now.saturating_sub(flight.sent);
-        self.table.ended(self.now, &flight.endpoint, CallEnd { took, result, tokens });
+        self.table.call_ended(self.now, &flight.endpoint, CallEnd { took, result, tokens });
     }
 
     pub(super) fn is_engine(&self, stage: &Stage) -> bool {
--- a/crates/core/src/instance/status.rs
+++ b/crates/core/src/instance/status.rs
@@ -54,7 +54,7 @@
             version: self.plan.as_ref().map_or(0, |plan| plan.version),
             running: u32::try_from(self.held.len()).unwrap_or(u32::MAX),
             peers: self.members.alive(self.now),
-            endpoints: self.table.each().map(|endpoint| self.endpoint_status(endpoint)).collect(),
+            endpoints: self.table.iter().map(|endpoint| self.endpoint_status(endpoint)).collect(),
         }
     }
     fn endpoint_status(&self, endpoint: &Endpoint) -> EndpointStatus {
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -31,7 +31,7 @@
     record::{Offset, Snapshot, Version},
 };
 
-pub use members::{Envelope, Local, Members, PeerVersion};
+pub use members::{Envelope, LocalState, Members, PeerStatus};
 pub use settings::Settings;
 
 /// One message between two instances. Bounded in size; a delta, never the whole state.
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -56,7 +56,7 @@
 }
 
 /// What the instance itself has to tell.
-pub struct Local<'a> {
+pub struct LocalState<'a> {
     /// How far its configuration is.
     pub mark: ConfigMark,
     /// Its configuration; `None` if it is not known.
@@ -83,29 +83,29 @@
 
 /// What a peer is known to have in force.
 #[data]
-pub struct PeerVersion {
+pub struct PeerStatus {
     /// The peer.
     pub name: InstanceName,
     /// The newest version that it said is in force there.
     pub version: Version,
     /// Whether it takes requests.
-    pub ready: bool,
+    pub is_ready: bool,
     /// Whether it is taken for alive.
-    pub alive: bool,
+    pub is_alive: bool,
     /// Whether nothing was heard of it yet, and nothing speaks against it.
-    pub unknown: bool,
+    pub is_unknown: bool,
     /// Whether the newest list names it.
-    pub listed: bool,
+    pub is_listed: bool,
 }
 
-impl PeerVersion {
+impl PeerStatus {
     /// Whether work may be handed to it by an instance that has run for so
     /// long. One that has just started counts on peers which it has not heard
     /// of yet: a peer that is dead is found out by the first hand-over, but if
     /// each did the work itself meanwhile, they would be in each other's way.
     pub fn is_usable(&self, run_time: Duration) -> bool {
-        let is_sound = self.alive && self.ready;
-        is_sound || (run_time < SETTLE_TIME && (self.alive || self.unknown))
+        let is_sound = self.is_alive && self.is_ready;
+        is_sound || (run_time < SETTLE_TIME && (self.is_alive || self.is_unknown))
     }
 }
 
@@ -150,7 +150,7 @@
     }
 
     /// Takes in the platform's list.
-    pub fn listed(&mut self, now: Duration, instances: &[InstanceEntry]) {
+    pub fn apply_listing(&mut self, now: Duration, instances: &[InstanceEntry]) {
         self.observe(now);
         for peer in self.peers.values_mut() {
             peer.presence = None;
@@ -165,7 +165,7 @@
     }
 
     /// Sends the round's messages, if it is time for one.
-    pub fn tick(&mut self, now: Duration, local: &Local<'_>) -> Vec<Envelope> {
+    pub fn tick(&mut self, now: Duration, local: &LocalState<'_>) -> Vec<Envelope> {
         self.observe(now);
         if now < self.next_tick {
             return Vec::new();
@@ -182,11 +182,11 @@
     }
 
     /// Takes in a peer's message; the reply, if it wants one.
-    pub fn heard(
+    pub fn receive(
         &mut self,
         now: Duration,
         message: &Gossip,
-        local: &Local<'_>,
+        local: &LocalState<'_>,
     ) -> Option<Envelope> {
         self.observe(now);
         if message.from == self.identity.name {
@@ -213,7 +213,7 @@
     }
 
     /// A message to a peer failed.
-    pub fn failed(&mut self, now: Duration, peer: &InstanceName) {
+    pub fn send_failed(&mut self, now: Duration, peer: &InstanceName) {
         self.observe(now);
         if let Some(&key) = self.by_name.get(peer) {
             self.peers[key].failed();
@@ -227,7 +227,7 @@
     }
 
     /// Whether that life of a peer is taken for alive.
-    pub fn lives(&self, now: Duration, peer: &str, incarnation: Incarnation) -> bool {
+    pub fn is_alive(&self, now: Duration, peer: &str, incarnation: Incarnation) -> bool {
         let mut alive = self.alive_peers(now);
         alive.any(|known| *known.name == *peer && known.state.incarnation == incarnation)
     }
@@ -244,7 +244,7 @@
     }
 
     /// When any peer was last heard.
-    pub fn last_heard(&self) -> Option<Duration> {
+    pub fn last_received(&self) -> Option<Duration> {
         self.last_heard
     }
 
@@ -254,18 +254,18 @@
     }
 
     /// What each peer has in force, by name.
-    pub fn peer_versions(&self, now: Duration) -> Vec<PeerVersion> {
+    pub fn peer_statuses(&self, now: Duration) -> Vec<PeerStatus> {
         let (time, dead_after) = (self.unpaused(now), self.dead_after());
         let mut versions: Vec<_> = self
             .peers
             .values()
-            .map(|peer| PeerVersion {
+            .map(|peer| PeerStatus {
                 name: peer.name.clone(),
                 version: peer.version(),
-                ready: peer.state.ready,
-                alive: peer.is_alive(time, dead_after),
-                unknown: peer.is_unknown(),
-                listed: peer.presence.is_some(),
+                is_ready: peer.state.ready,
+                is_alive: peer.is_alive(time, dead_after),
+                is_unknown: peer.is_unknown(),
+                is_listed: peer.presence.is_some(),
             })
             .collect();
         versions.sort_unstable_by(|a, b| a.name.cmp(&b.name));
@@ -396,7 +396,7 @@
         if self.asked.as_ref().is_some_and(|asked| now < asked.until) {
             return false;
         }
-        self.asked = Some(Asked { peer, until: now + self.settings.ask_time });
+        self.asked = Some(Asked { peer, until: now + self.settings.snapshot_timeout });
         true
     }
 
@@ -410,7 +410,7 @@
         now: Duration,
         to: PeerKey,
         purpose: Purpose,
-        local: &Local<'_>,
+        local: &LocalState<'_>,
     ) -> Envelope {
         let limit = spread::send_limit(self.peers.len());
         let Settings { max_members, max_leaving, max_endpoints, .. } = self.settings;
@@ -439,7 +439,7 @@
         to: PeerKey,
         limit: u32,
         max: usize,
-        local: &Local<'_>,
+        local: &LocalState<'_>,
     ) -> Vec<MemberState> {
         let dead_after = self.dead_after();
         let others = self.peers.iter().filter(|&(key, peer)| {
@@ -457,7 +457,7 @@
         states
     }
 
-    fn own_state(&self, local: &Local<'_>) -> MemberState {
+    fn own_state(&self, local: &LocalState<'_>) -> MemberState {
         MemberState {
             name: self.identity.name.clone(),
             incarnation: self.identity.incarnation,
--- a/crates/core/src/membership/settings.rs
+++ b/crates/core/src/membership/settings.rs
@@ -20,7 +20,7 @@
     pub count_age: Duration,
     /// Time for a peer to send its configuration before another one is asked: as
     /// long as an exchange with a peer may take.
-    pub ask_time: Duration,
+    pub snapshot_timeout: Duration,
     /// Member states in a message at the most.
     pub max_members: usize,
     /// Leaving marks in a message at the most.
@@ -37,7 +37,7 @@
             dead_after: Duration::from_secs(5),
             forget_after: Duration::from_secs(60),
             count_age: Duration::from_secs(5),
-            ask_time: Duration::from_secs(3),
+            snapshot_timeout: Duration::from_secs(3),
             max_members: 64,
             max_leaving: 32,
             max_endpoints: 32,
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -109,7 +109,7 @@
     /// Nothing of the request ran anywhere.
     NotRun(Refusal),
     /// Something may have run, and the answer is not whole or not known.
-    MayHaveRun(Doubt),
+    MayHaveRun(Uncertainty),
     /// The request itself is wrong; sending it again unchanged cannot help.
     Invalid(Invalid),
 }
@@ -172,9 +172,9 @@
 
 /// What is not known of a request that may have run.
 #[message]
-pub struct Doubt {
+pub struct Uncertainty {
     /// The kind of doubt.
-    pub kind: DoubtKind,
+    pub kind: UncertaintyKind,
     /// The stage whose outcome is unknown, where one is.
     pub stage: Option<StageName>,
     /// When asking again is safe and useful; `None` where a repeat must not be sent.
@@ -185,7 +185,7 @@
 #[message]
 #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
-pub enum DoubtKind {
+pub enum UncertaintyKind {
     /// The deadline passed while a stage ran.
     TimedOut,
     /// A stage failed and may not be tried again.
--- a/crates/core/src/policy/facts.rs
+++ b/crates/core/src/policy/facts.rs
@@ -18,7 +18,7 @@
     /// `ctx.stage`.
     pub stage: StageName,
     /// `ctx.stage_index`, from 0.
-    pub index: u32,
+    pub stage_index: u32,
     /// `ctx.idempotent`.
     pub idempotent: bool,
     /// `ctx.left_ms`: time until the deadline.
@@ -36,11 +36,11 @@
     /// `ctx.free`: places free in that pool.
     pub free: u32,
     /// `ctx.team_held`: requests of the team that the instance holds.
-    pub held: u32,
+    pub team_held: u32,
     /// `ctx.team_share`: the team's weight over the weights of all teams that have requests here.
-    pub share: f64,
+    pub team_share: f64,
     /// `ctx.would_admit`: the built-in decision.
-    pub feasible: bool,
+    pub would_admit: bool,
     /// `ctx.retry_after_ms`: the built-in time to come back; 0 where there is none.
     pub retry_after: Duration,
 }
@@ -72,7 +72,7 @@
         map.insert("team".into(), text(&self.team));
         map.insert("pipeline".into(), text(&self.pipeline));
         map.insert("stage".into(), text(&self.stage));
-        map.insert("stage_index".into(), count(self.index));
+        map.insert("stage_index".into(), count(self.stage_index));
         map.insert("idempotent".into(), Dynamic::from(self.idempotent));
         map.insert("left_ms".into(), ms(self.left));
         map.insert("wait_ms".into(), ms(self.wait));
@@ -81,9 +81,9 @@
         map.insert("spent".into(), Dynamic::from(self.spent));
         map.insert("waiting".into(), count(self.waiting));
         map.insert("free".into(), count(self.free));
-        map.insert("team_held".into(), count(self.held));
-        map.insert("team_share".into(), Dynamic::from(self.share));
-        map.insert("would_admit".into(), Dynamic::from(self.feasible));
+        map.insert("team_held".into(), count(self.team_held));
+        map.insert("team_share".into(), Dynamic::from(self.team_share));
+        map.insert("would_admit".into(), Dynamic::from(self.would_admit));
         map.insert("retry_after_ms".into(), ms(self.retry_after));
         map
     }
@@ -94,7 +94,7 @@
             team: Arc::from("team"),
             pipeline: Arc::from("pipeline"),
             stage: Arc::from("stage"),
-            index: 0,
+            stage_index: 0,
             idempotent: true,
             left: Duration::from_secs(5),
             wait: Duration::ZERO,
@@ -103,13 +103,13 @@
             spent: 0.0,
             waiting: 0,
             free: 8,
-            held: 0,
-            share: 1.0,
-            feasible: true,
+            team_held: 0,
+            team_share: 1.0,
+            would_admit: true,
             retry_after: Duration::ZERO,
         };
         let full = Facts {
-            index: 3,
+            stage_index: 3,
             idempotent: false,
             left: Duration::ZERO,
             wait: Duration::from_secs(9),
@@ -118,9 +118,9 @@
             spent: 12.0,
             waiting: 400,
             free: 0,
-            held: 200,
-            share: 0.0,
-            feasible: false,
+            team_held: 200,
+            team_share: 0.0,
+            would_admit: false,
             retry_after: Duration::from_secs(9),
             ..quiet.clone()
         };
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -108,7 +108,7 @@
             team: exchange.team.clone().unwrap_or_else(|| "".into()),
             pipeline: exchange.route.name.clone(),
             stage: service.clone(),
-            index: next.unwrap_or(stages.len()) as u32,
+            stage_index: next.unwrap_or(stages.len()) as u32,
             idempotent: exchange.route.kind.may_repeat(),
             left,
             wait,
@@ -118,9 +118,9 @@
             spent: made as f64,
             waiting: self.batches.waiting(service) as u32,
             free: self.free_places(now, service),
-            held: of_team.count() as u32,
-            share: 1.0 / teams.len().max(1) as f64,
-            feasible: wait + work <= left,
+            team_held: of_team.count() as u32,
+            team_share: 1.0 / teams.len().max(1) as f64,
+            would_admit: wait + work <= left,
             retry_after,
         }
     }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -185,9 +185,10 @@
 
 impl Scale {
     fn of(table: &Table, pool: &str) -> Scale {
-        let took = table.pool(pool).filter_map(Endpoint::took).map(|(took, _)| took.as_secs_f64());
+        let took =
+            table.pool(pool).filter_map(Endpoint::latency).map(|(took, _)| took.as_secs_f64());
         let places = table.pool(pool).filter_map(Endpoint::places).map(f64::from);
-        let whole = table.pool(pool).filter_map(Endpoint::took_whole);
+        let whole = table.pool(pool).filter_map(Endpoint::call_latency);
         let whole = mean(whole.map(|whole| whole.as_secs_f64())).unwrap_or(1.0);
         Scale {
             took: mean(took).unwrap_or(1.0),
@@ -220,12 +221,12 @@
         .map_or(0.0, |(queued, age)| f64::from(queued) * still_true(age, scale));
     let ahead = f64::from(endpoint.in_flight) + peers + queued + 1.0;
     let places = endpoint.places().map_or(scale.places, f64::from);
-    ahead / places * took(endpoint, now, scale) / endpoint.good_share().max(MIN_GOOD)
+    ahead / places * took(endpoint, now, scale) / endpoint.success_rate().max(MIN_GOOD)
 }
 
 /// The endpoint's usual time; without news it tends to the pool's.
 fn took(endpoint: &Endpoint, now: Duration, scale: &Scale) -> f64 {
-    let Some((took, at)) = endpoint.took() else { return scale.took };
+    let Some((took, at)) = endpoint.latency() else { return scale.took };
     let idle = now.saturating_sub(at).as_secs_f64() / FORGET.as_secs_f64();
     scale.took + (took.as_secs_f64() - scale.took) * (-idle).exp2()
 }
--- a/crates/core/src/trace/invariants.rs
+++ b/crates/core/src/trace/invariants.rs
@@ -29,8 +29,8 @@
 
 /// The account of a trace.
 #[derive(Debug, Default)]
-pub struct Account {
-    callers: HashMap<CallerId, Asked>,
+pub struct InvariantChecker {
+    callers: HashMap<CallerId, CallerRecord>,
     order: Vec<CallerId>,
     open: HashMap<RequestId, Vec<CallerId>>,
     stages: HashMap<(RequestId, StageName), Runs>,
@@ -44,7 +44,7 @@
 
 /// One caller's request.
 #[derive(Debug)]
-pub struct Asked {
+pub struct CallerRecord {
     /// The request.
     pub key: RequestId,
     /// What it was told.
@@ -77,7 +77,7 @@
     single: bool,
 }
 
-impl Account {
+impl InvariantChecker {
     /// Notes an input that an instance is about to take.
     pub fn before(&mut self, input: &Input, instance: &Instance) {
         match input {
@@ -137,12 +137,12 @@
     }
 
     /// Every caller, in the order in which they came.
-    pub fn callers(&self) -> impl Iterator<Item = (CallerId, &Asked)> {
+    pub fn callers(&self) -> impl Iterator<Item = (CallerId, &CallerRecord)> {
         self.order.iter().map(|caller| (*caller, &self.callers[caller]))
     }
 
     /// A caller's request.
-    pub fn asked(&self, caller: CallerId) -> Option<&Asked> {
+    pub fn asked(&self, caller: CallerId) -> Option<&CallerRecord> {
         self.callers.get(&caller)
     }
 
@@ -165,7 +165,7 @@
     fn submitted(&mut self, caller: CallerId, request: &Request, instance: &Instance) {
         let document = instance.in_force().map(|snapshot| &snapshot.document);
         let pipeline = document.and_then(|document| document.pipeline(&request.pipeline));
-        let asked = Asked {
+        let asked = CallerRecord {
             key: request.id.clone(),
             told: None,
             calls: 0,
@@ -276,7 +276,7 @@
 
     /// "Not run" speaks for the request where it is not idempotent, and for
     /// this caller's sending of it otherwise.
-    fn may_have_run(&self, asked: &Asked) -> bool {
+    fn may_have_run(&self, asked: &CallerRecord) -> bool {
         if asked.idempotent {
             return asked.written > 0;
         }
@@ -284,7 +284,7 @@
     }
 }
 
-impl Asked {
+impl CallerRecord {
     fn is_repeatable(&self, stage: &StageName) -> bool {
         let stages = self.pipeline.iter().flat_map(|pipeline| &pipeline.stages);
         let found = stages.filter(|known| known.name == *stage).any(|known| known.repeatable);
--- a/crates/core/src/trace/recorder.rs
+++ b/crates/core/src/trace/recorder.rs
@@ -81,10 +81,12 @@
 /// The input with every caller's text replaced by its mark.
 fn without_text(mut input: Input) -> Input {
     match &mut input {
-        Input::Submit { request, .. } => request.input = content::hashed_input(request),
-        Input::Call { event: CallEvent::Chunk { text, .. }, .. } => *text = content::hashed(text),
+        Input::Submit { request, .. } => request.input = content::hash_input(request),
+        Input::Call { event: CallEvent::Chunk { text, .. }, .. } => {
+            *text = content::hash_text(text)
+        }
         Input::Call { event: CallEvent::Reply { output: Some(text), .. }, .. } => {
-            *text = content::hashed(text);
+            *text = content::hash_text(text);
         }
         Input::OutcomeTold { answer: Some(PeerOutcome::Finished(outcome)), .. } => {
             *outcome = hash_outcome(outcome.clone());
@@ -96,7 +98,7 @@
 
 fn hash_outcome(mut outcome: Outcome) -> Outcome {
     if let Outcome::Answered(answer) = &mut outcome {
-        answer.output = content::hashed(&answer.output);
+        answer.output = content::hash_text(&answer.output);
     }
     outcome
 }
--- a/crates/core/src/trace/replay.rs
+++ b/crates/core/src/trace/replay.rs
@@ -10,8 +10,8 @@
     model::{CallerId, Outcome},
     trace::{
         Expect, Header, Line, OutcomeKind, VERSION,
-        invariants::Account,
-        report::{Caller, Fault, Found, Report},
+        invariants::InvariantChecker,
+        report::{Caller, Fault, Finding, Report},
     },
 };
 
@@ -85,7 +85,7 @@
     instance: Instance,
     content: Content,
     report: Report,
-    account: Account,
+    account: InvariantChecker,
     told: VecDeque<(CallerId, Outcome)>,
     expects: Vec<(u64, Expect)>,
     recorded: Vec<(CallerId, OutcomeKind)>,
@@ -107,7 +107,7 @@
             instance: Instance::new(identity, settings, seed).with_content(content),
             content,
             report,
-            account: Account::default(),
+            account: InvariantChecker::default(),
             told: VecDeque::new(),
             expects: Vec::new(),
             recorded: Vec::new(),
@@ -189,7 +189,7 @@
     }
 
     fn found(&mut self, fault: Fault) {
-        self.report.faults.push(Found { line: self.line, fault });
+        self.report.faults.push(Finding { line: self.line, fault });
     }
 
     /// The answers to the last input may be missing: the process may have been
--- a/crates/core/src/trace/report.rs
+++ b/crates/core/src/trace/report.rs
@@ -23,7 +23,7 @@
     /// The callers, in the order in which they came.
     pub callers: Vec<Caller>,
     /// What differs or must not be, in the order of the trace.
-    pub faults: Vec<Found>,
+    pub faults: Vec<Finding>,
 }
 
 /// One caller.
@@ -43,7 +43,7 @@
 
 /// A fault and where it was found.
 #[message]
-pub struct Found {
+pub struct Finding {
     /// The line of the trace, from 1.
     pub line: u64,
     /// The fault.
--- a/crates/core/tests/testsuite/claims.rs
+++ b/crates/core/tests/testsuite/claims.rs
@@ -106,7 +106,7 @@
     let mut claims = ready_claims();
     claims.request(ms(0), key("x"), 0, 1);
     claims.give_up(ms(1), &key("x"), 1);
-    assert!(claims.is_settled());
+    assert!(claims.is_flushed());
 }
 
 #[test]
@@ -145,7 +145,7 @@
         assert!(claims.flush(ms(at)).is_some());
         claims.append_ended(ms(at + 1), false);
     }
-    let out = Verdict::Unready(UnreadyKind::LogOut);
+    let out = Verdict::Unready(UnreadyKind::LogUnavailable);
     assert_eq!(claims.request(ms(1_100), key("y"), 0, 2), out);
     claims.read(ms(1_200), &batch(0, 0, NOW_MS, vec![(NOW_MS, "a", claim("x", 1))]));
     assert_eq!(claims.request(ms(1_300), key("y"), 0, 3), Verdict::Waiting);
@@ -168,8 +168,8 @@
 fn a_start_is_ready_once_nothing_within_the_horizon_can_be_lost() {
     check_start(24, None, None);
     check_start(24, Some(NOW_MS - HOUR_MS), None);
-    check_start(3, None, Some(UnreadyKind::Forgotten));
-    check_start(3, Some(NOW_MS - 3 * HOUR_MS), Some(UnreadyKind::Forgotten));
+    check_start(3, None, Some(UnreadyKind::HistoryIncomplete));
+    check_start(3, Some(NOW_MS - 3 * HOUR_MS), Some(UnreadyKind::HistoryIncomplete));
     check_start(3, Some(NOW_MS - 7 * HOUR_MS), None);
 }
 
@@ -179,7 +179,7 @@
     let soon = NOW_MS + HOUR_MS;
     claims.read(ms(1), &batch(0, 4, soon, Vec::new()));
     claims.read(ms(2), &batch(4, 4, soon, Vec::new()));
-    assert_eq!(claims.unready(), Some(UnreadyKind::Forgotten));
+    assert_eq!(claims.unready(), Some(UnreadyKind::HistoryIncomplete));
     claims.read(ms(3), &batch(4, 4, soon + 6 * HOUR_MS, Vec::new()));
     assert_eq!(claims.unready(), None);
 }
@@ -192,7 +192,7 @@
         let fact = (at, "b", claim(&hour.to_string(), hour));
         claims.read(ms(hour * HOUR_MS), &batch(hour, 0, at, vec![fact]));
     }
-    assert_eq!(claims.remembered(), 6);
+    assert_eq!(claims.claim_count(), 6);
 }
 
 #[test]
--- a/crates/core/tests/testsuite/config_log.rs
+++ b/crates/core/tests/testsuite/config_log.rs
@@ -6,7 +6,7 @@
 
 use expect_test::expect;
 use peatdeck_core::{
-    config_log::{Change, Fold, MAX_DRAINS, MAX_EVACUATED, Verdict},
+    config_log::{Change, ConfigReader, MAX_DRAINS, MAX_EVACUATED, Verdict},
     document::Document,
     model::Incarnation,
     record::{Batch, ConfigRecord, Drain, Entry, Evacuation, Publish, Snapshot},
@@ -43,12 +43,12 @@
     })
 }
 
-fn evacuated(fold: &Fold) -> Vec<&str> {
+fn evacuated(fold: &ConfigReader) -> Vec<&str> {
     fold.current().unwrap().evacuated.iter().map(|known| &*known.data_centre).collect()
 }
 
-fn fold_of(records: Vec<ConfigRecord>) -> Fold {
-    let mut fold = Fold::new();
+fn fold_of(records: Vec<ConfigRecord>) -> ConfigReader {
+    let mut fold = ConfigReader::new();
     fold.read(&batch(0, 0, records));
     fold.read(&batch(fold.next_offset(), 0, Vec::new()));
     fold
@@ -66,7 +66,7 @@
 
 #[test]
 fn nothing_is_in_force_before_the_end_is_reached() {
-    let mut fold = Fold::new();
+    let mut fold = ConfigReader::new();
     assert_eq!(fold.read(&batch(0, 0, vec![publish("a", 0)])), Vec::new());
     assert!(fold.current().is_none());
     let changes = fold.read(&batch(1, 0, Vec::new()));
@@ -96,9 +96,9 @@
 }
 
 /// A fold that has read to the end, after five records that have expired.
-fn late_fold_of(batches: Vec<Vec<ConfigRecord>>) -> Fold {
+fn late_fold_of(batches: Vec<Vec<ConfigRecord>>) -> ConfigReader {
     let late = |batch| Batch { earliest: 5, ..batch };
-    let mut fold = Fold::new();
+    let mut fold = ConfigReader::new();
     fold.read(&late(Batch { next: 5, ..batch(0, 0, Vec::new()) }));
     for records in batches {
         fold.read(&late(batch(fold.next_offset(), 0, records)));
@@ -166,7 +166,7 @@
 #[test]
 fn a_snapshot_carries_evacuations_to_whoever_starts_from_it() {
     let known = fold_of(vec![publish("p", 0), evacuation("a", false)]);
-    let mut fold = Fold::new();
+    let mut fold = ConfigReader::new();
     let changes = fold.adopt(known.current().unwrap());
     assert!(changes.contains(&Change::Evacuated(vec!["a".into()])), "{changes:?}");
     assert_eq!(evacuated(&fold), ["a"]);
--- a/crates/core/tests/testsuite/endpoint_states.rs
+++ b/crates/core/tests/testsuite/endpoint_states.rs
@@ -23,7 +23,7 @@
     CallResult::Ok,
     CallResult::Failed,
     CallResult::Cancelled,
-    CallResult::Distrusted,
+    CallResult::Mismatched,
     CallResult::Refused(RefuseReason::Busy),
     CallResult::Refused(RefuseReason::Leaving),
 ];
@@ -109,7 +109,7 @@
         assert!(life.0 > marked, "{name} got work in life {life:?}, marked up to {marked}");
         assert!(!self.told.contains(&(name.clone(), life)), "{name} had said that it leaves");
         assert!(endpoint.in_flight < endpoint.limit(self.now), "{name} is at its limit");
-        self.table.started(self.now, &name);
+        self.table.call_started(self.now, &name);
         self.calls.push((name, life, self.now));
     }
 
@@ -124,7 +124,7 @@
             self.told.push((name.clone(), life));
         }
         let end = CallEnd { took: self.now - sent, result, tokens: None };
-        self.table.ended(self.now, &name, end);
+        self.table.call_ended(self.now, &name, end);
     }
 }
 
@@ -149,7 +149,7 @@
         match step {
             Step::List(listed) => {
                 let entries: Vec<EndpointEntry> = listed.iter().map(listed_entry).collect();
-                driven.table.listed(driven.now, &entries);
+                driven.table.apply_listing(driven.now, &entries);
             }
             Step::Mark(name, life) => {
                 driven.table.mark_leaving(NAMES[name], Incarnation(life));
@@ -162,7 +162,7 @@
     }
 
     fn check_invariants(driven: &Driven, _: &Oracle) {
-        for endpoint in driven.table.each() {
+        for endpoint in driven.table.iter() {
             let of_life = |call: &&(EndpointName, Incarnation, Duration)| {
                 call.0 == endpoint.name && call.1 == endpoint.incarnation
             };
--- a/crates/core/tests/testsuite/endpoints.rs
+++ b/crates/core/tests/testsuite/endpoints.rs
@@ -30,14 +30,14 @@
 
 pub fn table(entries: &[EndpointEntry]) -> Table {
     let mut table = Table::new(Settings::default());
-    table.listed(Duration::ZERO, entries);
+    table.apply_listing(Duration::ZERO, entries);
     table
 }
 
 /// One call from `at`, that ends `took` later.
 pub fn run(table: &mut Table, at: Duration, name: &str, took: Duration, result: CallResult) {
-    table.started(at, name);
-    table.ended(at + took, name, CallEnd { took, result, tokens: None });
+    table.call_started(at, name);
+    table.call_ended(at + took, name, CallEnd { took, result, tokens: None });
 }
 
 fn fail_three(table: &mut Table, at: Duration, name: &str) {
@@ -59,7 +59,7 @@
     let mut table = pair();
     assert!(table.mark_leaving("a", Incarnation(1)));
     assert!(!table.mark_leaving("a", Incarnation(1)));
-    table.listed(secs(1.0), &[entry("a", 1), entry("b", 1)]);
+    table.apply_listing(secs(1.0), &[entry("a", 1), entry("b", 1)]);
     assert_eq!(state(&table, "a"), Some(State::Leaving));
     assert_eq!(table.pool_usable(secs(1.0), POOL), 1);
 }
@@ -68,7 +68,7 @@
 fn a_larger_incarnation_ends_leaving_and_starts_slowly() {
     let mut table = pair();
     table.mark_leaving("a", Incarnation(1));
-    table.listed(secs(1.0), &[entry("a", 2)]);
+    table.apply_listing(secs(1.0), &[entry("a", 2)]);
     assert_eq!(state(&table, "a"), Some(State::Usable));
     let endpoint = table.endpoint("a").unwrap();
     let limits = [1.0, 6.0, 11.0].map(|at| endpoint.limit(secs(at)));
@@ -79,11 +79,11 @@
 fn a_mark_before_the_listing_holds() {
     let mut table = table(&[]);
     assert!(table.mark_leaving("a", Incarnation(2)));
-    table.listed(secs(1.0), &[entry("a", 1)]);
+    table.apply_listing(secs(1.0), &[entry("a", 1)]);
     assert_eq!(state(&table, "a"), Some(State::Leaving));
-    table.listed(secs(2.0), &[entry("a", 2)]);
+    table.apply_listing(secs(2.0), &[entry("a", 2)]);
     assert_eq!(state(&table, "a"), Some(State::Leaving));
-    table.listed(secs(3.0), &[entry("a", 3)]);
+    table.apply_listing(secs(3.0), &[entry("a", 3)]);
     assert_eq!(state(&table, "a"), Some(State::Usable));
 }
 
@@ -92,7 +92,7 @@
     let mut table = table(&[entry("a", 2)]);
     let addr = Arc::from("127.0.0.1:2");
     let old = EndpointEntry { presence: Presence::Leaving, addr, ..entry("a", 1) };
-    table.listed(secs(1.0), &[old]);
+    table.apply_listing(secs(1.0), &[old]);
     assert_eq!(&*table.endpoint("a").unwrap().addr, "127.0.0.1:1");
     assert_eq!(table.endpoint("a").unwrap().incarnation, Incarnation(2));
     assert_eq!(state(&table, "a"), Some(State::Usable));
@@ -110,17 +110,17 @@
 fn a_leaving_mark_outlives_a_long_absence() {
     let mut table = pair();
     table.mark_leaving("a", Incarnation(1));
-    table.listed(secs(1.0), &[entry("b", 1)]);
-    table.listed(secs(100.0), &[entry("b", 1)]);
+    table.apply_listing(secs(1.0), &[entry("b", 1)]);
+    table.apply_listing(secs(100.0), &[entry("b", 1)]);
     assert_eq!(state(&table, "a"), None);
-    table.listed(secs(101.0), &[entry("a", 1), entry("b", 1)]);
+    table.apply_listing(secs(101.0), &[entry("a", 1), entry("b", 1)]);
     assert_eq!(state(&table, "a"), Some(State::Leaving));
 }
 
 #[test]
 fn marks_of_unlisted_endpoints_are_bounded_and_the_newest_stay() {
     let mut table = Table::new(Settings { max_marks: 2, ..Settings::default() });
-    table.listed(Duration::ZERO, &[entry("a", 1)]);
+    table.apply_listing(Duration::ZERO, &[entry("a", 1)]);
     for name in ["a", "b", "c", "d"] {
         table.mark_leaving(name, Incarnation(1));
     }
@@ -136,39 +136,39 @@
 #[test]
 fn a_short_absence_is_not_the_end() {
     let mut table = pair();
-    table.listed(secs(100.0), &[entry("b", 1)]);
+    table.apply_listing(secs(100.0), &[entry("b", 1)]);
     assert_eq!(state(&table, "a"), Some(State::Usable));
-    table.listed(secs(110.0), &[entry("a", 1), entry("b", 1)]);
-    table.listed(secs(111.0), &[entry("b", 1)]);
-    table.listed(secs(120.0), &[entry("b", 1)]);
+    table.apply_listing(secs(110.0), &[entry("a", 1), entry("b", 1)]);
+    table.apply_listing(secs(111.0), &[entry("b", 1)]);
+    table.apply_listing(secs(120.0), &[entry("b", 1)]);
     assert_eq!(state(&table, "a"), Some(State::Usable));
-    table.listed(secs(126.0), &[entry("b", 1)]);
+    table.apply_listing(secs(126.0), &[entry("b", 1)]);
     assert_eq!(state(&table, "a"), None);
 }
 
 #[test]
 fn a_gone_endpoint_is_kept_until_its_last_call_ends() {
     let mut table = pair();
-    table.started(secs(0.0), "a");
-    table.listed(secs(1.0), &[entry("b", 1)]);
-    table.listed(secs(20.0), &[entry("b", 1)]);
+    table.call_started(secs(0.0), "a");
+    table.apply_listing(secs(1.0), &[entry("b", 1)]);
+    table.apply_listing(secs(20.0), &[entry("b", 1)]);
     assert_eq!(state(&table, "a"), Some(State::Gone));
     assert_eq!(table.pool_usable(secs(20.0), POOL), 1);
     let end = CallEnd { took: secs(21.0), result: CallResult::Ok, tokens: None };
-    table.ended(secs(21.0), "a", end);
+    table.call_ended(secs(21.0), "a", end);
     assert_eq!(state(&table, "a"), None);
 }
 
 #[test]
 fn calls_of_an_earlier_life_do_not_count_in_the_next() {
     let mut table = pair();
-    table.started(secs(0.0), "a");
-    table.started(secs(0.0), "a");
-    table.listed(secs(1.0), &[entry("a", 2), entry("b", 1)]);
-    table.started(secs(2.0), "a");
+    table.call_started(secs(0.0), "a");
+    table.call_started(secs(0.0), "a");
+    table.apply_listing(secs(1.0), &[entry("a", 2), entry("b", 1)]);
+    table.call_started(secs(2.0), "a");
     for _ in 0..2 {
-        let end = CallEnd { took: secs(3.0), result: CallResult::Distrusted, tokens: None };
-        table.ended(secs(3.0), "a", end);
+        let end = CallEnd { took: secs(3.0), result: CallResult::Mismatched, tokens: None };
+        table.call_ended(secs(3.0), "a", end);
     }
     assert_eq!(table.endpoint("a").unwrap().in_flight, 1);
     assert_eq!(state(&table, "a"), Some(State::Usable));
@@ -182,9 +182,13 @@
     assert_eq!(table.endpoint("a").unwrap().free(secs(1.0)), 0);
     assert_eq!(table.next_wake(), Some(secs(2.1)));
     assert_eq!(table.endpoint("a").unwrap().free(secs(2.1)), 1);
-    table.started(secs(2.1), "a");
+    table.call_started(secs(2.1), "a");
     assert_eq!(table.endpoint("a").unwrap().free(secs(2.1)), 0);
-    table.ended(secs(2.2), "a", CallEnd { took: secs(0.1), result: CallResult::Ok, tokens: None });
+    table.call_ended(
+        secs(2.2),
+        "a",
+        CallEnd { took: secs(0.1), result: CallResult::Ok, tokens: None },
+    );
     assert_eq!(state(&table, "a"), Some(State::Usable));
     assert_eq!(table.endpoint("a").unwrap().limit(secs(2.2)), 1);
 }
@@ -219,7 +223,7 @@
 #[test]
 fn a_reply_for_another_call_ejects_at_once() {
     let mut table = pair();
-    run(&mut table, secs(0.0), "a", secs(0.1), CallResult::Distrusted);
+    run(&mut table, secs(0.0), "a", secs(0.1), CallResult::Mismatched);
     assert_eq!(state(&table, "a"), Some(State::Ejected));
 }
 
@@ -245,11 +249,15 @@
 #[test]
 fn a_probe_needs_a_place_besides_older_calls() {
     let mut table = pair();
-    (0..9).for_each(|_| table.started(secs(0.0), "a"));
-    let end = CallEnd { took: secs(0.1), result: CallResult::Distrusted, tokens: None };
-    table.ended(secs(0.1), "a", end);
+    (0..9).for_each(|_| table.call_started(secs(0.0), "a"));
+    let end = CallEnd { took: secs(0.1), result: CallResult::Mismatched, tokens: None };
+    table.call_ended(secs(0.1), "a", end);
     assert_eq!(table.endpoint("a").unwrap().free(secs(3.0)), 0);
-    table.ended(secs(3.0), "a", CallEnd { took: secs(3.0), result: CallResult::Ok, tokens: None });
+    table.call_ended(
+        secs(3.0),
+        "a",
+        CallEnd { took: secs(3.0), result: CallResult::Ok, tokens: None },
+    );
     assert_eq!(table.endpoint("a").unwrap().free(secs(3.0)), 1);
 }
 
@@ -257,8 +265,8 @@
 fn the_newest_report_stays_and_ages() {
     let mut table = pair();
     let load = |queued, age_ms| Load { running: 4, queued, places: 4, age_ms };
-    table.reported(secs(10.0), "a", load(3, 500));
-    table.reported(secs(10.0), "a", load(9, 2000));
+    table.load_reported(secs(10.0), "a", load(3, 500));
+    table.load_reported(secs(10.0), "a", load(9, 2000));
     let states = table.states(secs(11.0));
     assert_eq!(states.len(), 1);
     assert_eq!(states[0].load, Some(load(3, 1500)));
@@ -284,7 +292,7 @@
         entry_in("north", "c"),
         EndpointEntry { incarnation: Incarnation(2), ..entry_in("north", "a") },
     ];
-    table.listed(Duration::ZERO, &[&later[..], &[entry_in("south", "b")]].concat());
+    table.apply_listing(Duration::ZERO, &[&later[..], &[entry_in("south", "b")]].concat());
     assert_eq!(usable(&table), ["b"]);
     table.evacuate(Vec::new());
     assert_eq!(usable(&table).len(), 3);
--- a/crates/core/tests/testsuite/fuzz/claims/world/exchange.rs
+++ b/crates/core/tests/testsuite/fuzz/claims/world/exchange.rs
@@ -1,7 +1,7 @@
 //! What processes append to the log and read from it.
 
 use peatdeck_core::{
-    claims::{Decided, Verdict},
+    claims::{ClaimDecision, Verdict},
     instance::input::Identity,
     record::{Batch, ClaimBatch, ClaimFact},
 };
@@ -103,7 +103,7 @@
             at(&mut self.processes, idx).claims.next_offset() >= before,
             "the reader went back"
         );
-        for Decided { nonce, verdict, .. } in decided {
+        for ClaimDecision { nonce, verdict, .. } in decided {
             self.decide(idx, nonce, verdict);
         }
     }
--- a/crates/core/tests/testsuite/fuzz/claims/world/settle.rs
+++ b/crates/core/tests/testsuite/fuzz/claims/world/settle.rs
@@ -32,7 +32,7 @@
             }
         }
         for process in self.processes.iter().flatten() {
-            assert!(process.claims.is_settled(), "{:?} is not settled", process.identity);
+            assert!(process.claims.is_flushed(), "{:?} is not settled", process.identity);
         }
         self.check_voids();
         for key in 0..KEYS {
--- a/crates/core/tests/testsuite/fuzz/config/world.rs
+++ b/crates/core/tests/testsuite/fuzz/config/world.rs
@@ -7,10 +7,10 @@
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
 use peatdeck_core::{
-    config_log::{Change, Fold, Verdict},
+    config_log::{Change, ConfigReader, Verdict},
     document::{Document, Team},
     instance::input::Identity,
-    membership::{Envelope, Gossip, Local, Members, Settings},
+    membership::{Envelope, Gossip, LocalState, Members, Settings},
     model::{Incarnation, InstanceEntry, Presence},
     record::{Batch, ConfigRecord, Drain, Offset, Publish, Snapshot, Version},
 };
@@ -46,7 +46,7 @@
 }
 
 struct Process {
-    fold: Fold,
+    fold: ConfigReader,
     members: Members,
     born_ms: u64,
     frozen: bool,
@@ -196,11 +196,11 @@
         };
         let mut members = Members::new(identity, Settings::default(), self.next_life);
         self.next_life += 1;
-        members.listed(Duration::ZERO, &listing());
+        members.apply_listing(Duration::ZERO, &listing());
         self.oracle.follow(&self.log.all);
         let born_version = self.oracle.newest().version;
         self.processes[idx] = Some(Process {
-            fold: Fold::new(),
+            fold: ConfigReader::new(),
             members,
             born_ms: self.clock_ms,
             frozen: false,
@@ -311,12 +311,12 @@
         let process = at(&mut self.processes, to);
         if let Some(snapshot) = &gossip.snapshot {
             if self.setup.fault == Fault::AdoptsOlder {
-                process.fold = Fold::new();
+                process.fold = ConfigReader::new();
             }
             let changes = process.fold.adopt(snapshot);
             process.note(&changes);
         }
-        let reply = process.members.heard(now, &gossip, &local(&process.fold));
+        let reply = process.members.receive(now, &gossip, &local(&process.fold));
         if let Some(reply) = reply {
             self.send(to, reply);
         }
@@ -340,8 +340,14 @@
     }
 }
 
-fn local(fold: &Fold) -> Local<'_> {
-    Local { mark: fold.mark(), snapshot: fold.shared(), ready: true, leaving: &[], endpoints: &[] }
+fn local(fold: &ConfigReader) -> LocalState<'_> {
+    LocalState {
+        mark: fold.mark(),
+        snapshot: fold.shared(),
+        ready: true,
+        leaving: &[],
+        endpoints: &[],
+    }
 }
 
 fn listing() -> Vec<InstanceEntry> {
--- a/crates/core/tests/testsuite/fuzz/config/world/settle.rs
+++ b/crates/core/tests/testsuite/fuzz/config/world/settle.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use peatdeck_core::{config_log::Fold, model::InstanceName};
+use peatdeck_core::{config_log::ConfigReader, model::InstanceName};
 
 use super::{
     HEAL_ROUNDS, HEAL_STEP_MS, KEEP, NAMES, PLACES, Process, READ_ALL, START_STEPS, World, at,
@@ -52,7 +52,7 @@
 
     /// Whether the log alone tells what is in force.
     fn can_start(&self) -> bool {
-        let mut fold = Fold::new();
+        let mut fold = ConfigReader::new();
         for _ in 0..2 {
             let batch = self.log.read(fold.next_offset(), READ_ALL).expect("the log is not out");
             fold.read(&batch);
--- a/crates/core/tests/testsuite/membership.rs
+++ b/crates/core/tests/testsuite/membership.rs
@@ -7,7 +7,7 @@
 use peatdeck_core::{
     instance::input::Identity,
     membership::{
-        ConfigMark, EndpointState, Envelope, Gossip, LeavingMark, Local, Members, Settings,
+        ConfigMark, EndpointState, Envelope, Gossip, LeavingMark, LocalState, Members, Settings,
     },
     model::{Incarnation, InstanceEntry, Presence},
     record::Snapshot,
@@ -27,8 +27,8 @@
     }
 }
 
-fn local<'a>(leaving: &'a [LeavingMark], endpoints: &'a [EndpointState]) -> Local<'a> {
-    Local { mark: ConfigMark::default(), snapshot: None, ready: true, leaving, endpoints }
+fn local<'a>(leaving: &'a [LeavingMark], endpoints: &'a [EndpointState]) -> LocalState<'a> {
+    LocalState { mark: ConfigMark::default(), snapshot: None, ready: true, leaving, endpoints }
 }
 
 /// What is in force where that version is.
@@ -49,7 +49,7 @@
     let identity = Identity { name, incarnation: Incarnation(1), data_centre: Arc::from("dc") };
     let mut members = Members::new(identity, Settings::default(), 1);
     let entries: Vec<_> = all.iter().map(|name| entry(name)).collect();
-    members.listed(secs(0), &entries);
+    members.apply_listing(secs(0), &entries);
     members
 }
 
@@ -64,7 +64,7 @@
 fn a_silent_peer_is_taken_for_dead_but_not_after_a_pause_of_ones_own() {
     let (mut a, mut b) = (member("a", &["a", "b"]), member("b", &["a", "b"]));
     assert!(a.alive(secs(0)).is_empty());
-    a.heard(secs(1), &message(&mut b, secs(1), 0).message, &local(&[], &[]));
+    a.receive(secs(1), &message(&mut b, secs(1), 0).message, &local(&[], &[]));
     assert_eq!(a.alive(secs(1)), [Arc::from("b")]);
     // Paused for long: no time in which the peer could have been heard.
     assert_eq!(a.alive(secs(1_000)), [Arc::from("b")]);
@@ -79,12 +79,12 @@
 #[test]
 fn a_peer_that_cannot_be_reached_is_dead_until_it_is_heard_of() {
     let (mut a, mut b) = (member("a", &["a", "b"]), member("b", &["a", "b"]));
-    a.heard(secs(1), &message(&mut b, secs(1), 0).message, &local(&[], &[]));
+    a.receive(secs(1), &message(&mut b, secs(1), 0).message, &local(&[], &[]));
     for _ in 0..3 {
-        a.failed(secs(1), &Arc::from("b"));
+        a.send_failed(secs(1), &Arc::from("b"));
     }
     assert!(a.alive(secs(1)).is_empty());
-    a.heard(secs(2), &message(&mut b, secs(2), 0).message, &local(&[], &[]));
+    a.receive(secs(2), &message(&mut b, secs(2), 0).message, &local(&[], &[]));
     assert_eq!(a.alive(secs(2)).len(), 1);
 }
 
@@ -95,12 +95,12 @@
     let (old, new) = (message(&mut b, secs(1), 9), message(&mut b, secs(2), 3));
     let other = message(&mut c, secs(2), 4);
     for envelope in [&new, &other, &old] {
-        a.heard(secs(2), &envelope.message, &local(&[], &[]));
+        a.receive(secs(2), &envelope.message, &local(&[], &[]));
     }
     assert_eq!(a.in_flight(secs(2), "endpoint"), 7);
     for at in [4, 6, 8] {
         let heartbeat = b.tick(secs(at), &local(&[], &[])).remove(0);
-        a.heard(secs(at), &heartbeat.message, &local(&[], &[]));
+        a.receive(secs(at), &heartbeat.message, &local(&[], &[]));
     }
     assert_eq!(a.alive(secs(8)), [Arc::from("b")]);
     assert_eq!(a.in_flight(secs(8), "endpoint"), 0);
@@ -114,7 +114,7 @@
     for name in &all {
         let mut hello = message(&mut member(name, &["a"]), secs(1), 0).message;
         hello.wants_reply = false;
-        a.heard(secs(1), &hello, &local(&[], &[]));
+        a.receive(secs(1), &hello, &local(&[], &[]));
     }
     let mark = |idx| LeavingMark {
         endpoint: Arc::from(format!("endpoint-{idx}")),
@@ -135,7 +135,7 @@
 
 /// Whether `a` hands work to its only peer after having run for so long.
 fn is_usable(a: &Members, run_time: Duration) -> bool {
-    a.peer_versions(run_time)[0].is_usable(run_time)
+    a.peer_statuses(run_time)[0].is_usable(run_time)
 }
 
 #[test]
@@ -143,14 +143,14 @@
     let (mut a, mut b) = (member("a", &["a", "b"]), member("b", &["a", "b"]));
     assert!(is_usable(&a, secs(1)));
     assert!(!is_usable(&a, secs(3)), "by then it would have heard of it");
-    a.heard(secs(3), &message(&mut b, secs(3), 0).message, &local(&[], &[]));
+    a.receive(secs(3), &message(&mut b, secs(3), 0).message, &local(&[], &[]));
     assert!(is_usable(&a, secs(3)));
 }
 
 #[test]
 fn a_peer_to_which_a_message_failed_is_not_counted_on() {
     let mut a = member("a", &["a", "b"]);
-    a.failed(secs(1), &Arc::from("b"));
+    a.send_failed(secs(1), &Arc::from("b"));
     assert!(!is_usable(&a, secs(1)));
 }
 
@@ -161,12 +161,12 @@
     let all = ["a", "b", "c", "d", "e"];
     let snapshot = Arc::new(snapshot(2));
     let mark = ConfigMark { version: 2, offset: Some(7) };
-    let ahead = || Local { mark, snapshot: Some(snapshot.clone()), ..local(&[], &[]) };
+    let ahead = || LocalState { mark, snapshot: Some(snapshot.clone()), ..local(&[], &[]) };
     let mut peers: Vec<_> = all[1..].iter().map(|name| member(name, &all)).collect();
     let mut a = member("a", &all);
     for peer in &mut peers {
         let hello = peer.tick(secs(1), &ahead()).remove(0);
-        a.heard(secs(1), &Gossip { wants_reply: false, ..hello.message }, &local(&[], &[]));
+        a.receive(secs(1), &Gossip { wants_reply: false, ..hello.message }, &local(&[], &[]));
     }
     // Nothing that they send arrives.
     let mut sent = Vec::new();
@@ -174,12 +174,12 @@
         let now = Duration::from_millis(tenth * 100);
         for question in a.tick(now, &local(&[], &[])) {
             let peer = peers.iter_mut().find(|peer| peer.identity().name == question.to).unwrap();
-            let reply = peer.heard(now, &question.message, &ahead()).unwrap();
+            let reply = peer.receive(now, &question.message, &ahead()).unwrap();
             sent.extend(reply.message.snapshot.map(|_| now));
         }
     }
     assert!(!sent.is_empty());
-    let limit = Settings::default().ask_time;
+    let limit = Settings::default().snapshot_timeout;
     assert!(sent.windows(2).all(|pair| pair[1] - pair[0] >= limit), "{sent:?}");
 }
 
@@ -188,13 +188,13 @@
     let all = ["a", "b"];
     let snapshot = Arc::new(snapshot(2));
     let mark = ConfigMark { version: 2, offset: Some(7) };
-    let ahead = Local { mark, snapshot: Some(snapshot), ..local(&[], &[]) };
+    let ahead = LocalState { mark, snapshot: Some(snapshot), ..local(&[], &[]) };
     let (mut a, mut b) = (member("a", &all), member("b", &all));
-    a.heard(secs(1), &b.tick(secs(1), &ahead).remove(0).message, &local(&[], &[]));
+    a.receive(secs(1), &b.tick(secs(1), &ahead).remove(0).message, &local(&[], &[]));
     let mut asks = |at: Duration| {
         let sent = a.tick(at, &local(&[], &[]));
         let asks = sent.iter().any(|envelope| envelope.message.wants_snapshot);
-        a.failed(at, &Arc::from("b"));
+        a.send_failed(at, &Arc::from("b"));
         asks
     };
     assert!(asks(secs(2)) && asks(secs(3)));
--- a/crates/core/tests/testsuite/routing.rs
+++ b/crates/core/tests/testsuite/routing.rs
@@ -47,7 +47,7 @@
 #[test]
 fn the_fullest_is_never_chosen_of_two() {
     let mut table = four();
-    table.started(NOW, "a");
+    table.call_started(NOW, "a");
     assert!(!counts(&table, &demand()).contains('a'));
 }
 
@@ -61,15 +61,15 @@
 fn a_reported_queue_counts_while_it_is_news() {
     let mut table = four();
     let load = Load { running: 4, queued: 9, places: 4, age_ms: 0 };
-    table.reported(NOW, "a", load);
+    table.load_reported(NOW, "a", load);
     assert!(!counts(&table, &demand()).contains('a'));
     // A report that is far older than a call is as good as none.
     let mut table = four();
     for name in ["a", "b", "c", "d"] {
         run(&mut table, Duration::ZERO, name, secs(0.01), CallResult::Ok);
     }
-    table.reported(NOW, "a", Load { age_ms: 900, ..load });
-    table.started(NOW, "b");
+    table.load_reported(NOW, "a", Load { age_ms: 900, ..load });
+    table.call_started(NOW, "b");
     let counts = counts(&table, &demand());
     assert!(counts.contains("a ") && !counts.contains("b "), "{counts}");
 }
@@ -107,16 +107,16 @@
     let mut table = table(&[entry("a", 1)]);
     for _ in 0..limits::Settings::default().initial {
         assert_eq!(counts(&table, &demand()), "a 1000");
-        table.started(NOW, "a");
+        table.call_started(NOW, "a");
     }
     assert_eq!(counts(&table, &demand()), "");
-    assert_eq!(table.pool_free(NOW, POOL), 0);
+    assert_eq!(table.pool_free_slots(NOW, POOL), 0);
 }
 
 #[test]
 fn a_due_probe_goes_first_but_never_with_a_repeat() {
     let mut table = four();
-    run(&mut table, Duration::ZERO, "a", secs(0.1), CallResult::Distrusted);
+    run(&mut table, Duration::ZERO, "a", secs(0.1), CallResult::Mismatched);
     let at = secs(3.0);
     let mut rng = SmallRng::seed_from_u64(1);
     let exclude = [EndpointName::from("b")];
@@ -129,7 +129,7 @@
     let score = |_: &Endpoint| Some(0.0);
     let scored = routing::choose_scored(&table, at, &demand(), &mut rng, &score);
     assert_eq!(scored.as_deref(), Some("a"));
-    table.started(at, "a");
+    table.call_started(at, "a");
     assert_ne!(routing::choose(&table, at, &demand(), &mut rng).as_deref(), Some("a"));
 }
 
@@ -139,13 +139,13 @@
     let near = Demand { prefix: Some(42), ..demand() };
     let first = counts(&table, &near);
     let name = first.strip_suffix(" 1000").unwrap().to_owned();
-    table.started(NOW, &name);
+    table.call_started(NOW, &name);
     let second = counts(&table, &near);
     assert!(second.ends_with(" 1000") && second != first, "{first}, then {second}");
     for other in ["a", "b", "c", "d"] {
-        table.started(NOW, other);
+        table.call_started(NOW, other);
     }
-    table.ended(NOW, &name, CallEnd { took: secs(0.1), result: CallResult::Ok, tokens: None });
+    table.call_ended(NOW, &name, CallEnd { took: secs(0.1), result: CallResult::Ok, tokens: None });
     assert_eq!(counts(&table, &near), first);
 }
 
--- a/crates/core/tests/testsuite/trace.rs
+++ b/crates/core/tests/testsuite/trace.rs
@@ -10,7 +10,7 @@
         settings::Settings,
     },
     model::{CallId, CallerId, Echo, Incarnation, Request, RequestId},
-    trace::{self, Header, invariants::Account},
+    trace::{self, Header, invariants::InvariantChecker},
 };
 use serde_json::{Value, json};
 
@@ -90,7 +90,7 @@
 
 fn check<const N: usize>(steps: [Step; N], expected: Expect) {
     let instance = Instance::new(identity(), Settings::default(), 1);
-    let mut account = Account::default();
+    let mut account = InvariantChecker::default();
     for step in steps {
         match step {
             Step::In(input) => {
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_version_that_goes_back_is_found() {
-    let mut account = Account::default();
+    let mut account = InvariantChecker::default();
     for version in [2, 3, 2] {
         let snapshot = json!({
             "as_of": null, "version": version, "publish": null, "document": {}, "drains": [],
@@ -167,13 +167,13 @@
 fn marks_of_pieces_stand_for_the_whole_text() {
     let long = "a long text, whose start is what an engine may hold in its cache, and more";
     let pieces: String =
-        [&long[..3], "", &long[3..]].map(|piece| content::hashed(piece).to_string()).concat();
-    assert!(Content::Hash.is_same(&pieces, &content::hashed(long)));
-    assert!(!Content::Hash.is_same(&pieces, &content::hashed(&long[1..])));
-    let mark = content::hashed(long);
+        [&long[..3], "", &long[3..]].map(|piece| content::hash_text(piece).to_string()).concat();
+    assert!(Content::Hash.is_same(&pieces, &content::hash_text(long)));
+    assert!(!Content::Hash.is_same(&pieces, &content::hash_text(&long[1..])));
+    let mark = content::hash_text(long);
     assert_eq!(Content::Hash.prefix(&mark), Content::Keep.prefix(long));
     let one = request(true, long);
-    let hashed = Request { input: content::hashed_input(&one), ..one.clone() };
+    let hashed = Request { input: content::hash_input(&one), ..one.clone() };
     assert_eq!(Content::Hash.digest(&hashed), Content::Keep.digest(&one));
     assert!(!hashed.input.contains("long"));
 }
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -7,7 +7,7 @@
 
 use ntex::http::StatusCode;
 use peatdeck_core::model::{
-    Answer, Doubt, DoubtKind, Invalid, Outcome, Refusal, RefusalKind, StageReport,
+    Answer, Invalid, Outcome, Refusal, RefusalKind, StageReport, Uncertainty, UncertaintyKind,
 };
 use peatdeck_wire::caller::{
     ANSWERED, AnswerBody, ErrorBody, INVALID, MAY_HAVE_RUN, NOT_RUN, StageBody,
@@ -120,10 +120,10 @@
     Failure { status, body }
 }
 
-fn may_have_run(id: &Arc<str>, doubt: Doubt) -> Failure {
+fn may_have_run(id: &Arc<str>, doubt: Uncertainty) -> Failure {
     let words = doubt_words(doubt.kind);
     let status = match doubt.kind {
-        DoubtKind::TimedOut | DoubtKind::InProgress => StatusCode::GATEWAY_TIMEOUT,
+        UncertaintyKind::TimedOut | UncertaintyKind::InProgress => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     };
     let remedy = match doubt.retry_after {
@@ -203,34 +203,34 @@
     Words { code, message, remedy }
 }
 
-fn doubt_words(kind: DoubtKind) -> Words {
+fn doubt_words(kind: UncertaintyKind) -> Words {
     let (code, message, remedy) = match kind {
-        DoubtKind::TimedOut => (
+        UncertaintyKind::TimedOut => (
             "timed_out",
             "the deadline passed while a stage ran; it may have run",
             "send it again after the given time",
         ),
-        DoubtKind::StageFailed => (
+        UncertaintyKind::StageFailed => (
             "stage_failed",
             "a stage failed and may not be tried again; it may have run",
             "send it again after the given time",
         ),
-        DoubtKind::InProgress => (
+        UncertaintyKind::InProgress => (
             "in_progress",
             "another instance runs this request and has not finished",
             "send it again with the same id after the given time to get its outcome",
         ),
-        DoubtKind::ClaimedElsewhere => (
+        UncertaintyKind::ClaimedElsewhere => (
             "claimed_elsewhere",
             "another instance took this request; its outcome is not known",
             "send it again with the same id after the given time to get its outcome",
         ),
-        DoubtKind::AlreadyFinished => (
+        UncertaintyKind::AlreadyFinished => (
             "already_finished",
             "this request has already run to its end; its answer is not kept here",
             "check whether its effect took place; do not send it again under a new id",
         ),
-        DoubtKind::EarlierUnknown => (
+        UncertaintyKind::EarlierUnknown => (
             "earlier_unknown",
             "nothing of this attempt ran; what became of an earlier one cannot be known now",
             "send it again with the same id and `repeat` true after the given time",
--- a/crates/entry/tests/entry/burn.rs
+++ b/crates/entry/tests/entry/burn.rs
@@ -4,7 +4,9 @@
 };
 
 use expect_test::{Expect, expect};
-use peatdeck_core::model::{Answer, Doubt, DoubtKind, Invalid, Outcome, Refusal, RefusalKind};
+use peatdeck_core::model::{
+    Answer, Invalid, Outcome, Refusal, RefusalKind, Uncertainty, UncertaintyKind,
+};
 use peatdeck_entry::burn::{Burn, MAX_ROWS, MAX_SLOTS, SLOT_SECONDS};
 
 fn at(seconds: u64) -> SystemTime {
@@ -37,7 +39,7 @@
     let mut burn = Burn::default();
     let refusal = Refusal { kind: RefusalKind::Infeasible, retry_after: Duration::ZERO };
     let stage = Some(Arc::from("generate"));
-    let doubt = Doubt { kind: DoubtKind::TimedOut, stage, retry_after: None };
+    let doubt = Uncertainty { kind: UncertaintyKind::TimedOut, stage, retry_after: None };
     count(&mut burn, 60, "p", "t", &answered());
     count(&mut burn, 119, "p", "t", &answered());
     count(&mut burn, 119, "p", "t", &Outcome::NotRun(refusal));
--- a/crates/entry/tests/entry/outcome.rs
+++ b/crates/entry/tests/entry/outcome.rs
@@ -2,7 +2,7 @@
 
 use expect_test::{Expect, expect};
 use peatdeck_core::model::{
-    Answer, Doubt, DoubtKind, Invalid, Outcome, Refusal, RefusalKind, StageReport,
+    Answer, Invalid, Outcome, Refusal, RefusalKind, StageReport, Uncertainty, UncertaintyKind,
 };
 use peatdeck_entry::outcome;
 
@@ -34,8 +34,8 @@
     Outcome::NotRun(Refusal { kind, retry_after: Duration::from_millis(millis) })
 }
 
-fn doubt(kind: DoubtKind, retry_after: Option<Duration>) -> Outcome {
-    Outcome::MayHaveRun(Doubt { kind, stage: Some(Arc::from("generate")), retry_after })
+fn doubt(kind: UncertaintyKind, retry_after: Option<Duration>) -> Outcome {
+    Outcome::MayHaveRun(Uncertainty { kind, stage: Some(Arc::from("generate")), retry_after })
 }
 
 #[test]
@@ -83,7 +83,7 @@
 #[test]
 fn a_doubt_names_the_stage() {
     check(
-        doubt(DoubtKind::TimedOut, Some(Duration::from_millis(250))),
+        doubt(UncertaintyKind::TimedOut, Some(Duration::from_millis(250))),
         expect![[r#"
         504 retry 1
         {"id":"r1","outcome":"may_have_run","code":"timed_out","message":"the deadline passed while a stage ran; it may have run","remedy":"send it again after the given time","stage":"generate","retry_after_ms":250}"#]],
@@ -93,7 +93,7 @@
 #[test]
 fn a_doubt_that_must_not_be_repeated_has_no_retry_after() {
     check(
-        doubt(DoubtKind::StageFailed, None),
+        doubt(UncertaintyKind::StageFailed, None),
         expect![[r#"
         502 retry -
         {"id":"r1","outcome":"may_have_run","code":"stage_failed","message":"a stage failed and may not be tried again; it may have run","remedy":"do not send the request again; find out whether its effect took place","stage":"generate"}"#]],
@@ -129,7 +129,7 @@
 
 #[test]
 fn every_doubt_has_its_status_and_code() {
-    use DoubtKind::*;
+    use UncertaintyKind::*;
     let kinds =
         [TimedOut, StageFailed, InProgress, ClaimedElsewhere, AlreadyFinished, EarlierUnknown];
     expect![[r#"
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -160,7 +160,7 @@
             }
         }
         let entries: Vec<_> = listed.values().map(|listed| listed.entry.clone()).collect();
-        self.members.borrow_mut().listed(now, &entries);
+        self.members.borrow_mut().apply_listing(now, &entries);
     }
 
     /// Whether this instance reads the platform's tables itself: it is one of
@@ -225,7 +225,7 @@
 pub fn update(driver: &Rc<Driver>) {
     let now = driver.now();
     let members = driver.peers.members.borrow();
-    let versions = members.peer_versions(now);
+    let versions = members.peer_statuses(now);
     let usable = versions.into_iter().filter(|peer| peer.is_usable(now));
     let peers = usable.filter(|peer| members.addr(&peer.name).is_some());
     let peers: Vec<_> = peers.map(|peer| driver.peers.peer(peer.name)).collect();
--- a/crates/relay/src/peers/gossip.rs
+++ b/crates/relay/src/peers/gossip.rs
@@ -7,7 +7,7 @@
 };
 
 use peatdeck_core::{
-    membership::{ConfigMark, Envelope, Gossip, Local},
+    membership::{ConfigMark, Envelope, Gossip, LocalState},
     relay::Relay,
 };
 use peatdeck_wire::{peer as peer_wire, relay as wire, relay_capnp::relay};
@@ -89,7 +89,7 @@
             if let Some(reply) = reply {
                 versions::compare(&driver, &addr, &positions, reply.mark.version);
                 let local = local(&driver);
-                driver.peers.members.borrow_mut().heard(driver.now(), &reply, &local);
+                driver.peers.members.borrow_mut().receive(driver.now(), &reply, &local);
             }
         }
         Err(error) => {
@@ -97,15 +97,15 @@
             let took_ms = driver.now().saturating_sub(asked_at).as_millis() as u64;
             let (peer, open) = (&*to, open.get());
             tracing::info!(event = "gossip_failed", peer, took_ms, open, error = %error);
-            driver.peers.members.borrow_mut().failed(driver.now(), &to);
+            driver.peers.members.borrow_mut().send_failed(driver.now(), &to);
         }
     }
 }
 
 /// What this instance tells of itself.
-pub fn local(driver: &Driver) -> Local<'static> {
+pub fn local(driver: &Driver) -> LocalState<'static> {
     let version = driver.look(|machine| machine.config().map_or(0, |config| config.version));
-    Local {
+    LocalState {
         mark: ConfigMark { version, offset: None },
         snapshot: None,
         ready: driver.shared.is_ready.load(Ordering::Relaxed),
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -158,7 +158,7 @@
         driver.metrics.count("relay.learn_failed", 1);
         tracing::info!(event = "learn_failed", peer = source, bytes, took_ms, error = %error);
         if let Some(name) = &teller.name {
-            driver.peers.members.borrow_mut().failed(driver.now(), name);
+            driver.peers.members.borrow_mut().send_failed(driver.now(), name);
         }
     }
 }
--- a/crates/relay/src/peers/service.rs
+++ b/crates/relay/src/peers/service.rs
@@ -48,7 +48,7 @@
         let notices = wire::read_notices(params.get_notices()?).map_err(failed)?;
         driver.feed(|machine, now| machine.noticed(now, &message.from, &notices));
         let local = gossip::local(driver);
-        let reply = driver.peers.members.borrow_mut().heard(driver.now(), &message, &local);
+        let reply = driver.peers.members.borrow_mut().receive(driver.now(), &message, &local);
         if let Some(reply) = reply {
             peer_wire::write_gossip(&reply.message, results.get().init_reply()).map_err(failed)?;
         }
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -51,7 +51,7 @@
                 Err(error) => {
                     driver.metrics.count("relay.handovers_failed", 1);
                     tracing::warn!(event = "handover_failed", handover = ?key, peer = &*peer, error = %error);
-                    driver.peers.members.borrow_mut().failed(driver.now(), &peer);
+                    driver.peers.members.borrow_mut().send_failed(driver.now(), &peer);
                     peers::update(&driver);
                     None
                 }
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -11,7 +11,7 @@
 
 use ntex::web::{self, App, HttpResponse, types};
 use peatdeck_core::{
-    config_log::Fold,
+    config_log::ConfigReader,
     model::{EndpointEntry, Incarnation, InstanceEntry, Listing, Presence},
     record::{Batch, ConfigRecord, Entry},
 };
@@ -141,7 +141,7 @@
             })
             .collect();
         let next = entries.len() as u64;
-        let mut fold = Fold::new();
+        let mut fold = ConfigReader::new();
         fold.read(&Batch { from: 0, earliest: 0, next, now_ms: 0, entries });
         fold.read(&Batch { from: next, earliest: 0, next, now_ms: 0, entries: Vec::new() });
         fold.current().map_or(0, |snapshot| snapshot.version)
--- a/crates/testsuite/tests/testsuite/pages.rs
+++ b/crates/testsuite/tests/testsuite/pages.rs
@@ -16,8 +16,8 @@
         settings::Settings,
     },
     model::{
-        Doubt, DoubtKind, Incarnation, InstanceEntry, Listing, Outcome, Presence, Refusal,
-        RefusalKind,
+        Incarnation, InstanceEntry, Listing, Outcome, Presence, Refusal, RefusalKind, Uncertainty,
+        UncertaintyKind,
     },
 };
 use peatdeck_entry::{counts::Counts, outcome};
@@ -62,15 +62,15 @@
         RefusalKind::ClaimHorizon,
     ];
     let doubts = [
-        DoubtKind::TimedOut,
-        DoubtKind::StageFailed,
-        DoubtKind::InProgress,
-        DoubtKind::ClaimedElsewhere,
-        DoubtKind::AlreadyFinished,
-        DoubtKind::EarlierUnknown,
+        UncertaintyKind::TimedOut,
+        UncertaintyKind::StageFailed,
+        UncertaintyKind::InProgress,
+        UncertaintyKind::ClaimedElsewhere,
+        UncertaintyKind::AlreadyFinished,
+        UncertaintyKind::EarlierUnknown,
     ];
     let refusal = |kind| Outcome::NotRun(Refusal { kind, retry_after: Duration::ZERO });
-    let doubt = |kind| Outcome::MayHaveRun(Doubt { kind, stage: None, retry_after: None });
+    let doubt = |kind| Outcome::MayHaveRun(Uncertainty { kind, stage: None, retry_after: None });
     refusals.into_iter().map(refusal).chain(doubts.into_iter().map(doubt)).collect()
 }
 
--- a/crates/wire/examples/peer_cost/gossip.rs
+++ b/crates/wire/examples/peer_cost/gossip.rs
@@ -12,7 +12,7 @@
 };
 use peatdeck_core::{
     instance::input::Identity,
-    membership::{ConfigMark, EndpointState, Envelope, Gossip, Local, Members, Settings},
+    membership::{ConfigMark, EndpointState, Envelope, Gossip, LocalState, Members, Settings},
     model::{Incarnation, InstanceEntry, Load, Presence},
 };
 use peatdeck_wire::{peer, peer_capnp};
@@ -65,7 +65,7 @@
                 data_centre: Arc::from("dc"),
             };
             let mut members = Members::new(identity, Settings::default(), idx as u64);
-            members.listed(Duration::ZERO, &entries);
+            members.apply_listing(Duration::ZERO, &entries);
             members
         };
         let state = |idx| EndpointState {
@@ -105,7 +105,7 @@
         let started = Instant::now();
         let now = self.network.now;
         let gossip = decode(bytes);
-        let reply = self.members[member].heard(now, &gossip, &local(&self.endpoints));
+        let reply = self.members[member].receive(now, &gossip, &local(&self.endpoints));
         let reply = reply.as_ref().map(encode);
         self.spend(started);
         if let Some(reply) = reply {
@@ -159,9 +159,9 @@
     }
 }
 
-fn local(endpoints: &[EndpointState]) -> Local<'_> {
+fn local(endpoints: &[EndpointState]) -> LocalState<'_> {
     let mark = ConfigMark { version: 3, offset: Some(9) };
-    Local { mark, snapshot: None, ready: true, leaving: &[], endpoints }
+    LocalState { mark, snapshot: None, ready: true, leaving: &[], endpoints }
 }
 
 /// The receiver and the bytes of an envelope.
