--- a/crates/core/src/check.rs
+++ b/crates/core/src/check.rs
@@ -109,7 +109,7 @@
         let pools = &self.document.pools;
         self.names("pool", pools.iter().map(|pool| &pool.name));
         for (idx, pool) in pools.iter().enumerate() {
-            self.within("pool", idx, &pool.name, |checker| checker.pool(pool));
+            self.at_step("pool", idx, &pool.name, |checker| checker.pool(pool));
         }
     }
 
@@ -127,7 +127,7 @@
         let pipelines = &self.document.pipelines;
         self.names("pipeline", pipelines.iter().map(|pipeline| &pipeline.name));
         for (idx, pipeline) in pipelines.iter().enumerate() {
-            self.within("pipeline", idx, &pipeline.name, |checker| checker.pipeline(pipeline));
+            self.at_step("pipeline", idx, &pipeline.name, |checker| checker.pipeline(pipeline));
         }
     }
 
@@ -141,14 +141,14 @@
             );
         }
         if let Some(policy) = &pipeline.policy {
-            self.policy_named(policy);
+            self.policy_reference(policy);
         }
         if pipeline.stages.is_empty() {
             self.report(None, "the pipeline has no stage", "add a [[pipeline.stage]]");
         }
         self.names("stage", pipeline.stages.iter().map(|stage| &stage.name));
         for (idx, stage) in pipeline.stages.iter().enumerate() {
-            self.within("stage", idx, &stage.name, |checker| checker.stage(stage));
+            self.at_step("stage", idx, &stage.name, |checker| checker.stage(stage));
         }
     }
 
@@ -163,18 +163,19 @@
         );
     }
 
-    fn policy_named(&mut self, policy: &str) {
+    fn policy_reference(&mut self, policy: &str) {
         let policies = &self.document.policies;
         if policies.iter().any(|known| &*known.name == policy) {
             return;
         }
-        let remedy = instead("policy", policies.iter().map(|policy| &policy.name));
+        let remedy = reference_remedy("policy", policies.iter().map(|policy| &policy.name));
         self.report(Some("policy"), format!("no policy is named \"{policy}\""), remedy);
     }
 
     fn stage(&mut self, stage: &Stage) {
         let Some(pool) = self.document.pool(&stage.pool) else {
-            let remedy = instead("pool", self.document.pools.iter().map(|pool| &pool.name));
+            let remedy =
+                reference_remedy("pool", self.document.pools.iter().map(|pool| &pool.name));
             let message = format!("no pool is named \"{}\"", stage.pool);
             return self.report(Some("pool"), message, remedy);
         };
@@ -202,7 +203,7 @@
         let teams = &self.document.teams;
         self.names("team", teams.iter().map(|team| &team.name));
         for (idx, team) in teams.iter().enumerate() {
-            self.within("team", idx, &team.name, |checker| checker.team(team));
+            self.at_step("team", idx, &team.name, |checker| checker.team(team));
         }
     }
 
@@ -220,7 +221,7 @@
         let policies = &self.document.policies;
         self.names("policy", policies.iter().map(|policy| &policy.name));
         for (idx, policy) in policies.iter().enumerate() {
-            self.within("policy", idx, &policy.name, |checker| checker.policy(policy, &compile));
+            self.at_step("policy", idx, &policy.name, |checker| checker.policy(policy, &compile));
         }
     }
 
@@ -234,7 +235,7 @@
         let mut first = HashMap::new();
         for (idx, name) in names.enumerate() {
             let earlier = *first.entry(name).or_insert(idx);
-            self.within(table, idx, name, |checker| {
+            self.at_step(table, idx, name, |checker| {
                 checker.name(name);
                 if earlier != idx {
                     checker.report(
@@ -265,7 +266,7 @@
         }
     }
 
-    fn within(&mut self, table: &str, index: usize, name: &Arc<str>, run: impl FnOnce(&mut Self)) {
+    fn at_step(&mut self, table: &str, index: usize, name: &Arc<str>, run: impl FnOnce(&mut Self)) {
         self.path.steps.push(Step { table: table.into(), index, name: Arc::clone(name) });
         run(self);
         self.path.steps.pop();
@@ -283,7 +284,7 @@
 }
 
 /// The remedy for a reference to a table that doesn't exist.
-fn instead<'n>(table: &str, names: impl Iterator<Item = &'n Arc<str>>) -> String {
+fn reference_remedy<'n>(table: &str, names: impl Iterator<Item = &'n Arc<str>>) -> String {
     let names: Vec<String> = names.map(|name| format!("\"{name}\"")).collect();
     match names.as_slice() {
         [] => format!("add a [[{table}]] of that name"),
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -99,7 +99,7 @@
 }
 
 impl Holder {
-    fn instance_life(&self) -> (&InstanceName, Incarnation) {
+    fn owner(&self) -> (&InstanceName, Incarnation) {
         (&self.instance, self.incarnation)
     }
 }
@@ -144,8 +144,8 @@
         if let Some(kind) = self.unready() {
             return Verdict::Unready(kind);
         }
-        if let Some(holder) = self.holder_for(&key) {
-            return lost_to(holder, digest);
+        if let Some(holder) = self.blocker_for(&key) {
+            return losing_verdict(holder, digest);
         }
         self.attempts.start(nonce, &key, digest);
         self.outbox.push(now, ClaimFact::Claim { key, nonce, digest });
@@ -159,7 +159,7 @@
             return decided;
         }
         for entry in &batch.entries {
-            if self.coverage.take(entry.offset, entry.time_ms) {
+            if self.coverage.advance(entry.offset, entry.time_ms) {
                 self.read_entry(now, batch.now_ms, entry, &mut decided);
             }
         }
@@ -174,7 +174,7 @@
             return;
         }
         if self.outbox.withdraw_claim(key, nonce) {
-            self.attempts.forget(nonce);
+            self.attempts.remove(nonce);
             return;
         }
         self.outbox.push(now, ClaimFact::Void { key: key.clone(), nonce });
@@ -252,13 +252,12 @@
     /// The claim in the way of a new attempt: one that waits here, or one of
     /// the stream. Those that this instance has given up are not in the way,
     /// since their voids go out before the new claim.
-    fn holder_for(&self, key: &RequestId) -> Option<Holder> {
+    fn blocker_for(&self, key: &RequestId) -> Option<Holder> {
         if let Some((nonce, digest)) = self.attempts.waiting_for(key) {
             return Some(self.own_holder(nonce, digest));
         }
-        let is_given_up = |claim: &Holder| {
-            self.is_own(claim.instance_life()) && self.attempts.is_given_up(claim.nonce)
-        };
+        let is_given_up =
+            |claim: &Holder| self.is_own(claim.owner()) && self.attempts.is_given_up(claim.nonce);
         self.window.holder(key, self.coverage.log_now(), is_given_up).cloned()
     }
 
@@ -287,7 +286,7 @@
         let batch = &entry.record;
         let is_own = self.is_own((&batch.instance, batch.incarnation));
         for fact in &batch.facts {
-            let place = self.window.take(batch, fact);
+            let place = self.window.apply(batch, fact);
             if !is_own {
                 continue;
             }
@@ -295,11 +294,11 @@
             match fact {
                 ClaimFact::Claim { key, nonce, digest } => {
                     let age_ms = now_ms.saturating_sub(time_ms);
-                    let verdict = self.judge(place, *nonce, *digest, time_ms, age_ms);
-                    decided.extend(self.settle(now, key, *nonce, verdict));
+                    let verdict = self.verdict_for(place, *nonce, *digest, time_ms, age_ms);
+                    decided.extend(self.apply_verdict(now, key, *nonce, verdict));
                 }
                 ClaimFact::Void { nonce, .. } | ClaimFact::Finished { nonce, .. } => {
-                    self.attempts.forget(*nonce);
+                    self.attempts.remove(*nonce);
                 }
             }
         }
@@ -307,18 +306,18 @@
 
     /// What the place where an own claim was read makes of it; `None` where it
     /// was decided before.
-    fn judge(
+    fn verdict_for(
         &self,
-        place: window::Place,
+        place: window::Standing,
         nonce: u64,
         digest: u64,
         time_ms: u64,
         age_ms: u64,
     ) -> Option<Verdict> {
         let blocker = match place {
-            window::Place::Repeat | window::Place::Void => return None,
-            window::Place::First => None,
-            window::Place::Behind(holder) => Some(holder),
+            window::Standing::Repeat | window::Standing::Void => return None,
+            window::Standing::First => None,
+            window::Standing::Blocked(holder) => Some(holder),
         };
         match self.attempts.state(nonce)? {
             State::Won | State::Finished => return None,
@@ -328,11 +327,11 @@
         if !self.coverage.covers(time_ms) || age_ms > self.settings.max_age_ms() {
             return Some(Verdict::Unready(UnreadyKind::HistoryIncomplete));
         }
-        Some(blocker.map_or(Verdict::Won, |holder| lost_to(holder, digest)))
+        Some(blocker.map_or(Verdict::Won, |holder| losing_verdict(holder, digest)))
     }
 
     /// Acts on the verdict on an own claim. One that has not won is voided.
-    fn settle(
+    fn apply_verdict(
         &mut self,
         now: Duration,
         key: &RequestId,
@@ -350,7 +349,7 @@
     }
 }
 
-fn lost_to(holder: Holder, digest: u64) -> Verdict {
+fn losing_verdict(holder: Holder, digest: u64) -> Verdict {
     if holder.digest != digest {
         return Verdict::Mismatch;
     }
--- a/crates/core/src/claims/attempts.rs
+++ b/crates/core/src/claims/attempts.rs
@@ -57,26 +57,26 @@
 
     /// A waiting attempt has won.
     pub fn win(&mut self, nonce: u64) {
-        self.change(nonce, State::Won, |state| state == State::Waiting);
+        self.transition(nonce, State::Won, |state| state == State::Waiting);
     }
 
     /// Gives an attempt up. `false` if there is none that can be.
     pub fn give_up(&mut self, nonce: u64) -> bool {
-        self.change(nonce, State::GivenUp, |state| matches!(state, State::Waiting | State::Won))
+        self.transition(nonce, State::GivenUp, |state| matches!(state, State::Waiting | State::Won))
     }
 
     /// A won attempt has ended. `false` if there is no such.
     pub fn finish(&mut self, nonce: u64) -> bool {
-        self.change(nonce, State::Finished, |state| state == State::Won)
+        self.transition(nonce, State::Finished, |state| state == State::Won)
     }
 
     /// The stream has settled an attempt.
-    pub fn forget(&mut self, nonce: u64) {
+    pub fn remove(&mut self, nonce: u64) {
         let Some(attempt) = self.by_nonce.remove(&nonce) else { return };
         self.stop_waiting(&attempt.key, nonce);
     }
 
-    fn change(&mut self, nonce: u64, to: State, allows: impl Fn(State) -> bool) -> bool {
+    fn transition(&mut self, nonce: u64, to: State, allows: impl Fn(State) -> bool) -> bool {
         let Some(attempt) = self.by_nonce.get_mut(&nonce) else { return false };
         if !allows(attempt.state) {
             return false;
--- a/crates/core/src/claims/coverage.rs
+++ b/crates/core/src/claims/coverage.rs
@@ -19,18 +19,18 @@
 pub struct Coverage {
     position: Offset,
     log_now: u64,
-    reached_end: bool,
+    has_reached_end: bool,
     failed_reads: u32,
     /// No record that was lost unread is younger; `None` if none was lost.
     lost_until: Option<u64>,
     /// Every record older than this was read or lost.
     read_until: u64,
     /// Times of the records that were read and may not have expired yet.
-    kept: VecDeque<(Offset, u64)>,
+    unexpired: VecDeque<(Offset, u64)>,
     trusts_retention: bool,
     retention_ms: u64,
     horizon_ms: u64,
-    at_end: bool,
+    is_at_end: bool,
 }
 
 impl Coverage {
@@ -39,15 +39,15 @@
         Coverage {
             position: 0,
             log_now: 0,
-            reached_end: false,
+            has_reached_end: false,
             failed_reads: 0,
             lost_until: None,
             read_until: 0,
-            kept: VecDeque::new(),
+            unexpired: VecDeque::new(),
             trusts_retention: true,
             retention_ms: settings.retention_ms(),
             horizon_ms: settings.horizon_ms(),
-            at_end: false,
+            is_at_end: false,
         }
     }
 
@@ -63,7 +63,7 @@
 
     /// Whether a read has once shown that there is nothing behind `position`.
     pub fn has_reached_end(&self) -> bool {
-        self.reached_end
+        self.has_reached_end
     }
 
     /// Whether reads fail.
@@ -89,48 +89,48 @@
         }
         self.failed_reads = 0;
         self.log_now = self.log_now.max(batch.now_ms);
-        self.note_expired(batch);
-        self.at_end = batch.shows_end_at(self.position);
+        self.verify_retention(batch);
+        self.is_at_end = batch.shows_end_at(self.position);
         if batch.earliest > self.position {
-            self.lose(batch);
+            self.record_loss(batch);
         }
         true
     }
 
     /// Takes the next record's place. `false` if it was read before.
-    pub fn take(&mut self, offset: Offset, time_ms: u64) -> bool {
+    pub fn advance(&mut self, offset: Offset, time_ms: u64) -> bool {
         if offset < self.position {
             return false;
         }
         self.position = offset + 1;
         self.log_now = self.log_now.max(time_ms);
         self.read_until = self.read_until.max(time_ms);
-        self.kept.push_back((offset, time_ms));
+        self.unexpired.push_back((offset, time_ms));
         true
     }
 
     /// Ends a batch, after its records were taken.
     pub fn end_batch<R>(&mut self, batch: &Batch<R>) {
         self.position = self.position.max(batch.next);
-        if self.at_end {
-            self.reached_end = true;
+        if self.is_at_end {
+            self.has_reached_end = true;
             self.read_until = self.read_until.max(batch.now_ms);
         }
         self.prune();
     }
 
     /// Checks the stated retention against what has gone.
-    fn note_expired<R>(&mut self, batch: &Batch<R>) {
-        while let Some(&(offset, time_ms)) = self.kept.front() {
+    fn verify_retention<R>(&mut self, batch: &Batch<R>) {
+        while let Some(&(offset, time_ms)) = self.unexpired.front() {
             if offset >= batch.earliest {
                 return;
             }
-            self.kept.pop_front();
+            self.unexpired.pop_front();
             self.check_retention(batch.now_ms, time_ms);
         }
     }
 
-    fn lose<R>(&mut self, batch: &Batch<R>) {
+    fn record_loss<R>(&mut self, batch: &Batch<R>) {
         self.check_retention(batch.now_ms, self.read_until);
         let first_kept = batch.entries.iter().find(|entry| entry.offset >= batch.earliest);
         let mut lost_until = first_kept.map_or(batch.now_ms, |entry| entry.time_ms);
@@ -150,11 +150,11 @@
 
     /// Forgets times that can no longer show the retention to be too short.
     fn prune(&mut self) {
-        while let Some(&(_, time_ms)) = self.kept.front() {
+        while let Some(&(_, time_ms)) = self.unexpired.front() {
             if time_ms.saturating_add(self.retention_ms) > self.log_now {
                 return;
             }
-            self.kept.pop_front();
+            self.unexpired.pop_front();
         }
     }
 }
--- a/crates/core/src/claims/outbox.rs
+++ b/crates/core/src/claims/outbox.rs
@@ -17,7 +17,7 @@
     in_flight: bool,
     /// No append starts earlier.
     not_before: Duration,
-    failed: u32,
+    failures: u32,
     linger: Duration,
     interval: Duration,
     max_facts: usize,
@@ -41,7 +41,7 @@
             facts: Vec::new(),
             in_flight: false,
             not_before: Duration::ZERO,
-            failed: 0,
+            failures: 0,
             linger: settings.linger,
             interval: settings.interval,
             max_facts: settings.max_facts,
@@ -58,7 +58,7 @@
 
     /// Whether appends fail.
     pub fn is_failing(&self) -> bool {
-        self.failed >= FAILING_APPENDS
+        self.failures >= FAILING_APPENDS
     }
 
     /// Adds a fact, unless it waits already.
@@ -81,7 +81,7 @@
     /// A fact of this instance was read back.
     pub fn confirm(&mut self, fact: &ClaimFact) {
         self.facts.retain(|pending| pending.fact != *fact);
-        self.failed = 0;
+        self.failures = 0;
     }
 
     /// The facts to append now, if it is time and no append is under way.
@@ -105,7 +105,7 @@
     /// The append under way was acknowledged or failed.
     pub fn append_ended(&mut self, now: Duration, ok: bool) {
         self.in_flight = false;
-        self.failed = if ok { 0 } else { self.failed.saturating_add(1) };
+        self.failures = if ok { 0 } else { self.failures.saturating_add(1) };
         let pause = if ok { self.confirm } else { self.backoff() };
         for pending in self.facts.iter_mut().filter(|pending| pending.in_flight) {
             pending.in_flight = false;
@@ -126,7 +126,7 @@
     }
 
     fn backoff(&self) -> Duration {
-        let doublings = self.failed.saturating_sub(1).min(16);
+        let doublings = self.failures.saturating_sub(1).min(16);
         self.retry.saturating_mul(1 << doublings).min(self.max_retry)
     }
 }
--- a/crates/core/src/claims/window.rs
+++ b/crates/core/src/claims/window.rs
@@ -15,11 +15,11 @@
 
 /// Where a fact stands among those of its key.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Place {
+pub enum Standing {
     /// A claim with no other in its way.
     First,
     /// A claim behind another that is not void.
-    Behind(Holder),
+    Blocked(Holder),
     /// A claim that was read before.
     Repeat,
     /// A claim whose void was read before.
@@ -28,23 +28,23 @@
 
 /// The claims of the last horizon.
 pub struct Window {
-    keys: HashMap<RequestId, Vec<Seen>>,
-    expiry: VecDeque<Touch>,
+    keys: HashMap<RequestId, Vec<TrackedClaim>>,
+    expiry: VecDeque<Expiration>,
     horizon_ms: u64,
     time_ms: u64,
 }
 
 /// One claim, in the order in which the claims of its key were first read.
-struct Seen {
+struct TrackedClaim {
     claim: Holder,
     /// Time of its newest copy; `None` while only its void was read.
-    claimed: Option<u64>,
+    claimed_ms: Option<u64>,
     /// Time of its newest void.
-    voided: Option<u64>,
+    voided_ms: Option<u64>,
 }
 
 /// A fact that keeps a claim in the window until a horizon after it.
-struct Touch {
+struct Expiration {
     time_ms: u64,
     key: RequestId,
     nonce: u64,
@@ -76,20 +76,20 @@
     }
 
     /// Takes in a fact of a record, at the time last advanced to.
-    pub fn take(&mut self, batch: &ClaimBatch, fact: &ClaimFact) -> Place {
+    pub fn apply(&mut self, batch: &ClaimBatch, fact: &ClaimFact) -> Standing {
         match fact {
             ClaimFact::Claim { key, nonce, digest } => {
-                self.touch(key, *nonce);
+                self.schedule_expiration(key, *nonce);
                 self.claim(key, holder_in(batch, *nonce, *digest))
             }
             ClaimFact::Void { key, nonce } => {
-                self.touch(key, *nonce);
+                self.schedule_expiration(key, *nonce);
                 self.void(key, holder_in(batch, *nonce, 0));
-                Place::Void
+                Standing::Void
             }
             ClaimFact::Finished { key, nonce, answered } => {
                 self.finish(key, &holder_in(batch, *nonce, 0), *answered);
-                Place::Repeat
+                Standing::Repeat
             }
         }
     }
@@ -107,70 +107,70 @@
         blocking.find(|claim| !passes(claim))
     }
 
-    fn blocks(&self, seen: &Seen, time_ms: u64) -> bool {
-        let Some(claimed) = seen.claimed else { return false };
-        seen.voided.is_none() && claimed.saturating_add(self.horizon_ms) > time_ms
+    fn blocks(&self, seen: &TrackedClaim, time_ms: u64) -> bool {
+        let Some(claimed) = seen.claimed_ms else { return false };
+        seen.voided_ms.is_none() && claimed.saturating_add(self.horizon_ms) > time_ms
     }
 
-    fn touch(&mut self, key: &RequestId, nonce: u64) {
-        self.expiry.push_back(Touch { time_ms: self.time_ms, key: key.clone(), nonce });
+    fn schedule_expiration(&mut self, key: &RequestId, nonce: u64) {
+        self.expiry.push_back(Expiration { time_ms: self.time_ms, key: key.clone(), nonce });
     }
 
-    fn claim(&mut self, key: &RequestId, claim: Holder) -> Place {
+    fn claim(&mut self, key: &RequestId, claim: Holder) -> Standing {
         let time_ms = self.time_ms;
         let holder = self.holder(key, time_ms, |_| false).cloned();
-        let seen = self.seen(key, claim);
-        let was_claimed = seen.claimed.replace(time_ms).is_some();
+        let seen = self.tracked(key, claim);
+        let was_claimed = seen.claimed_ms.replace(time_ms).is_some();
         if was_claimed {
-            return Place::Repeat;
+            return Standing::Repeat;
         }
-        if seen.voided.is_some() {
-            return Place::Void;
+        if seen.voided_ms.is_some() {
+            return Standing::Void;
         }
-        holder.map_or(Place::First, Place::Behind)
+        holder.map_or(Standing::First, Standing::Blocked)
     }
 
     fn void(&mut self, key: &RequestId, claim: Holder) {
         let time_ms = self.time_ms;
-        let seen = self.seen(key, claim);
+        let seen = self.tracked(key, claim);
         if seen.claim.finished.is_none() {
-            seen.voided = Some(time_ms);
+            seen.voided_ms = Some(time_ms);
         }
     }
 
     fn finish(&mut self, key: &RequestId, claim: &Holder, answered: bool) {
         let Some(all) = self.keys.get_mut(key) else { return };
         let Some(seen) = all.iter_mut().find(|seen| is_same(&seen.claim, claim)) else { return };
-        if seen.claimed.is_some() && seen.voided.is_none() {
+        if seen.claimed_ms.is_some() && seen.voided_ms.is_none() {
             seen.claim.finished = Some(answered);
         }
     }
 
     /// What is known of a claim, added where it is new.
-    fn seen(&mut self, key: &RequestId, claim: Holder) -> &mut Seen {
+    fn tracked(&mut self, key: &RequestId, claim: Holder) -> &mut TrackedClaim {
         let all = self.keys.entry(key.clone()).or_default();
         let idx = match all.iter().position(|seen| is_same(&seen.claim, &claim)) {
             Some(idx) => idx,
             None => {
-                all.push(Seen { claim, claimed: None, voided: None });
+                all.push(TrackedClaim { claim, claimed_ms: None, voided_ms: None });
                 all.len() - 1
             }
         };
         &mut all[idx]
     }
 
-    fn drop_expired(&mut self, touch: &Touch) {
+    fn drop_expired(&mut self, touch: &Expiration) {
         let Some(all) = self.keys.get_mut(&touch.key) else { return };
-        all.retain(|seen| seen.claim.nonce != touch.nonce || seen.newest() > touch.time_ms);
+        all.retain(|seen| seen.claim.nonce != touch.nonce || seen.newest_ms() > touch.time_ms);
         if all.is_empty() {
             self.keys.remove(&touch.key);
         }
     }
 }
 
-impl Seen {
-    fn newest(&self) -> u64 {
-        self.claimed.max(self.voided).unwrap_or(0)
+impl TrackedClaim {
+    fn newest_ms(&self) -> u64 {
+        self.claimed_ms.max(self.voided_ms).unwrap_or(0)
     }
 }
 
--- a/crates/core/src/config_log.rs
+++ b/crates/core/src/config_log.rs
@@ -76,23 +76,23 @@
 
 /// The fold over the configuration stream, for one reader.
 pub struct ConfigReader {
-    reader: Reader,
+    continuity: Continuity,
     position: Offset,
-    known: Option<Arc<Snapshot>>,
-    reached_end: bool,
+    newest: Option<Arc<Snapshot>>,
+    has_reached_end: bool,
     log_now: u64,
-    cover: cover::Cover,
+    coverage: cover::SnapshotCoverage,
     verdicts: verdicts::Verdicts,
 }
 
 /// Whether what was read continues a known state.
-enum Reader {
+enum Continuity {
     /// The state covers every record before `position`, and maybe later ones.
     /// The reader began with a state of version `since`.
-    Joined { state: Arc<Snapshot>, since: Version },
+    Contiguous { state: Arc<Snapshot>, since: Version },
     /// Records before `start` are lost; what was read from there on waits for
     /// a state to start from.
-    Broken { start: Offset, tail: Vec<Entry<ConfigRecord>> },
+    Gapped { start: Offset, tail: Vec<Entry<ConfigRecord>> },
 }
 
 impl Default for ConfigReader {
@@ -105,12 +105,12 @@
     /// A reader that has read nothing.
     pub fn new() -> ConfigReader {
         ConfigReader {
-            reader: Reader::Joined { state: Arc::new(chain::empty()), since: 0 },
+            continuity: Continuity::Contiguous { state: Arc::new(chain::empty_state()), since: 0 },
             position: 0,
-            known: None,
-            reached_end: false,
+            newest: None,
+            has_reached_end: false,
             log_now: 0,
-            cover: cover::Cover::default(),
+            coverage: cover::SnapshotCoverage::default(),
             verdicts: verdicts::Verdicts::default(),
         }
     }
@@ -121,52 +121,52 @@
             return Vec::new();
         }
         self.log_now = self.log_now.max(batch.now_ms);
-        self.cover.expired_to(batch.earliest);
+        self.coverage.set_earliest(batch.earliest);
         let at_end = batch.shows_end_at(self.position);
         if batch.earliest > self.position {
-            self.lose_to(batch.earliest);
+            self.skip_to(batch.earliest);
         }
         let fresh = batch.entries.iter().filter(|entry| entry.offset < batch.next);
         for entry in fresh {
             self.take(entry);
         }
         self.position = self.position.max(batch.next);
-        self.join();
-        self.reached_end |= at_end;
-        self.publish_state()
+        self.rejoin();
+        self.has_reached_end |= at_end;
+        self.adopt_own_state()
     }
 
     /// Takes in a snapshot that a peer has in force. Only ever moves forward.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> Vec<Change> {
-        if !self.is_forward(snapshot) {
+        if !self.is_newer(snapshot) {
             return Vec::new();
         }
-        let changes = self.change_known(Arc::new(snapshot.clone()));
-        self.join();
+        let changes = self.replace_newest(Arc::new(snapshot.clone()));
+        self.rejoin();
         changes
     }
 
     /// The newest state known; `None` before the stream was read to its end
     /// once or a peer told.
     pub fn current(&self) -> Option<&Snapshot> {
-        self.known.as_deref()
+        self.newest.as_deref()
     }
 
     /// As [`ConfigReader::current`], to be kept or sent on.
     pub fn shared(&self) -> Option<Arc<Snapshot>> {
-        self.known.clone()
+        self.newest.clone()
     }
 
     /// Whether records were lost unread, so that the version in force may be a
     /// newer one than [`ConfigReader::current`] says.
     pub fn is_gapped(&self) -> bool {
-        matches!(self.reader, Reader::Broken { .. })
+        matches!(self.continuity, Continuity::Gapped { .. })
     }
 
     /// How far this reader is, for its peers. The lowest mark where it does not
     /// know what is in force, so that peers send their snapshot.
     pub fn mark(&self) -> ConfigMark {
-        match &self.known {
+        match &self.newest {
             Some(known) if !self.is_gapped() => {
                 ConfigMark { version: known.version, offset: known.as_of }
             }
@@ -182,7 +182,7 @@
     /// Whether the stream was once read to its end. Until then a reader should
     /// not wait for new records: only a read that gives none shows the end.
     pub fn has_reached_end(&self) -> bool {
-        self.reached_end
+        self.has_reached_end
     }
 
     /// The log's own clock at the newest read, in milliseconds.
@@ -197,7 +197,7 @@
         if let Some(verdict) = self.verdicts.find(publish) {
             return Some(verdict);
         }
-        let known = self.known.as_ref()?;
+        let known = self.newest.as_ref()?;
         let made_known = known.publish.as_deref() == Some(publish);
         made_known.then_some(Verdict::Accepted { version: known.version })
     }
@@ -211,23 +211,23 @@
     /// appended snapshot was read back, it gives one again; the caller spaces
     /// its attempts.
     pub fn snapshot_due(&self, now_ms: u64, keep: Duration, rank: u32) -> Option<Snapshot> {
-        if self.is_gapped() || !self.reached_end {
+        if self.is_gapped() || !self.has_reached_end {
             return None;
         }
-        if !self.cover.is_due(now_ms, keep, rank) {
+        if !self.coverage.is_due(now_ms, keep, rank) {
             return None;
         }
-        self.known.as_deref().cloned()
+        self.newest.as_deref().cloned()
     }
 
-    fn lose_to(&mut self, earliest: Offset) {
+    fn skip_to(&mut self, earliest: Offset) {
         self.position = earliest;
-        let needs_break = match &self.reader {
-            Reader::Joined { state, .. } => chain::next_of(state) < earliest,
-            Reader::Broken { .. } => true,
+        let needs_break = match &self.continuity {
+            Continuity::Contiguous { state, .. } => chain::first_uncovered(state) < earliest,
+            Continuity::Gapped { .. } => true,
         };
         if needs_break {
-            self.reader = Reader::Broken { start: earliest, tail: Vec::new() };
+            self.continuity = Continuity::Gapped { start: earliest, tail: Vec::new() };
         }
     }
 
@@ -236,28 +236,30 @@
             return;
         }
         self.position = entry.offset + 1;
-        self.cover.note(entry);
-        match &mut self.reader {
-            Reader::Joined { state, since } => fold(state, *since, entry, &mut self.verdicts),
-            Reader::Broken { tail, .. } => tail.push(entry.clone()),
+        self.coverage.record(entry);
+        match &mut self.continuity {
+            Continuity::Contiguous { state, since } => {
+                apply_entry(state, *since, entry, &mut self.verdicts)
+            }
+            Continuity::Gapped { tail, .. } => tail.push(entry.clone()),
         }
     }
 
     /// Joins the stream again if a state to start from is at hand.
-    fn join(&mut self) {
-        let Reader::Broken { start, tail } = &self.reader else { return };
-        let Some(mut state) = self.joining_state(*start, tail) else { return };
+    fn rejoin(&mut self) {
+        let Continuity::Gapped { start, tail } = &self.continuity else { return };
+        let Some(mut state) = self.rejoin_state(*start, tail) else { return };
         let since = state.version;
         for entry in tail {
-            fold(&mut state, since, entry, &mut self.verdicts);
+            apply_entry(&mut state, since, entry, &mut self.verdicts);
         }
-        self.reader = Reader::Joined { state, since };
+        self.continuity = Continuity::Contiguous { state, since };
     }
 
-    fn joining_state(&self, start: Offset, tail: &[Entry<ConfigRecord>]) -> Option<Arc<Snapshot>> {
+    fn rejoin_state(&self, start: Offset, tail: &[Entry<ConfigRecord>]) -> Option<Arc<Snapshot>> {
         let read = tail.iter().filter_map(chain::snapshot_in).map(|state| Arc::new(state.clone()));
-        let usable = read.chain(self.known.clone()).filter(|state| {
-            let is_joined = chain::next_of(state) >= start;
+        let usable = read.chain(self.newest.clone()).filter(|state| {
+            let is_joined = chain::first_uncovered(state) >= start;
             is_joined && state.version >= self.version()
         });
         // The first of equal ones, which a reader of single records joins at, too.
@@ -265,28 +267,29 @@
     }
 
     /// Makes the folded state the known one where it is newer.
-    fn publish_state(&mut self) -> Vec<Change> {
-        let Reader::Joined { state, .. } = &self.reader else { return Vec::new() };
-        if !self.reached_end || !self.is_forward(state) {
+    fn adopt_own_state(&mut self) -> Vec<Change> {
+        let Continuity::Contiguous { state, .. } = &self.continuity else { return Vec::new() };
+        if !self.has_reached_end || !self.is_newer(state) {
             return Vec::new();
         }
         let state = state.clone();
-        self.change_known(state)
+        self.replace_newest(state)
     }
 
-    fn is_forward(&self, state: &Snapshot) -> bool {
-        let Some(known) = &self.known else { return true };
+    fn is_newer(&self, state: &Snapshot) -> bool {
+        let Some(known) = &self.newest else { return true };
         state.as_of > known.as_of && state.version >= known.version
     }
 
-    fn change_known(&mut self, state: Arc<Snapshot>) -> Vec<Change> {
+    fn replace_newest(&mut self, state: Arc<Snapshot>) -> Vec<Change> {
         let mut changes = Vec::new();
-        let old = self.known.replace(state.clone());
+        let old = self.newest.replace(state.clone());
         if old.as_ref().is_none_or(|old| old.version < state.version) {
             changes.push(Change::InForce(state.document.clone(), state.version));
         }
         let old_drains = old.as_ref().map_or(&[][..], |old| &old.drains);
-        let is_new = |drain: &&Drain| !old_drains.iter().any(|old| chain::same_life(old, drain));
+        let is_new =
+            |drain: &&Drain| !old_drains.iter().any(|old| chain::is_same_incarnation(old, drain));
         let drained = state.drains.iter().filter(is_new);
         changes.extend(drained.cloned().map(Change::Drained));
         let names = |state: &Snapshot| -> Vec<DataCentre> {
@@ -300,7 +303,7 @@
     }
 
     fn version(&self) -> Version {
-        self.known.as_ref().map_or(0, |known| known.version)
+        self.newest.as_ref().map_or(0, |known| known.version)
     }
 }
 
@@ -309,18 +312,18 @@
 /// A conflict is certain only for a base that was in force since the fold
 /// began. A publish from an older base may be the repeat of one that was
 /// accepted before, in a record that was not folded here.
-fn fold(
+fn apply_entry(
     state: &mut Arc<Snapshot>,
     since: Version,
     entry: &Entry<ConfigRecord>,
     verdicts: &mut verdicts::Verdicts,
 ) {
-    if entry.offset < chain::next_of(state) {
+    if entry.offset < chain::first_uncovered(state) {
         return;
     }
-    let Some(publish) = chain::step(Arc::make_mut(state), entry) else { return };
+    let Some(publish) = chain::apply(Arc::make_mut(state), entry) else { return };
     let is_accepted = matches!(publish.verdict, Verdict::Accepted { .. });
     if is_accepted || publish.base >= since {
-        verdicts.note(publish.id, publish.verdict);
+        verdicts.record(publish.id, publish.verdict);
     }
 }
--- a/crates/core/src/config_log/chain.rs
+++ b/crates/core/src/config_log/chain.rs
@@ -18,7 +18,7 @@
 pub const MAX_EVACUATED: usize = 1024;
 
 /// The state before the first record.
-pub fn empty() -> Snapshot {
+pub fn empty_state() -> Snapshot {
     Snapshot {
         as_of: None,
         version: 0,
@@ -31,25 +31,27 @@
 }
 
 /// The first offset that a state does not cover.
-pub fn next_of(state: &Snapshot) -> Offset {
+pub fn first_uncovered(state: &Snapshot) -> Offset {
     state.as_of.map_or(0, |offset| offset + 1)
 }
 
 /// The snapshot in a record; one that claims to cover its own place is none.
 pub fn snapshot_in(entry: &Entry<ConfigRecord>) -> Option<&Snapshot> {
     match &entry.record {
-        ConfigRecord::Snapshot(snapshot) if next_of(snapshot) <= entry.offset => Some(snapshot),
+        ConfigRecord::Snapshot(snapshot) if first_uncovered(snapshot) <= entry.offset => {
+            Some(snapshot)
+        }
         _ => None,
     }
 }
 
 /// Whether two drains hold for the same life of the same endpoint.
-pub fn same_life(a: &Drain, b: &Drain) -> bool {
+pub fn is_same_incarnation(a: &Drain, b: &Drain) -> bool {
     a.endpoint == b.endpoint && a.incarnation == b.incarnation
 }
 
 /// A publish that a step has decided.
-pub struct Decided {
+pub struct DecidedPublish {
     /// The publish's own id.
     pub id: Arc<str>,
     /// The version it was made from.
@@ -59,19 +61,19 @@
 }
 
 /// Folds one record into the state. Gives the publish it decided, if any.
-pub fn step(state: &mut Snapshot, entry: &Entry<ConfigRecord>) -> Option<Decided> {
+pub fn apply(state: &mut Snapshot, entry: &Entry<ConfigRecord>) -> Option<DecidedPublish> {
     state.as_of = Some(entry.offset);
     match &entry.record {
         ConfigRecord::Publish(publish) => {
             let verdict = decide(state, publish);
-            Some(Decided { id: publish.id.clone(), base: publish.base, verdict })
+            Some(DecidedPublish { id: publish.id.clone(), base: publish.base, verdict })
         }
         ConfigRecord::Drain(drain) => {
             add_drain(&mut state.drains, drain);
             None
         }
         ConfigRecord::Evacuation(evacuation) => {
-            note_evacuation(&mut state.evacuated, evacuation);
+            apply_evacuation(&mut state.evacuated, evacuation);
             None
         }
         ConfigRecord::Snapshot(_) => None,
@@ -90,7 +92,7 @@
 }
 
 /// The newest order for a data centre counts.
-fn note_evacuation(evacuated: &mut Vec<Evacuated>, order: &Evacuation) {
+fn apply_evacuation(evacuated: &mut Vec<Evacuated>, order: &Evacuation) {
     let Evacuation { data_centre, is_over, author } = order;
     let is_meant = |known: &Evacuated| known.data_centre == *data_centre;
     if *is_over {
--- a/crates/core/src/config_log/cover.rs
+++ b/crates/core/src/config_log/cover.rs
@@ -20,38 +20,38 @@
 
 /// What of the stream the snapshots in it cover.
 #[derive(Default)]
-pub struct Cover {
+pub struct SnapshotCoverage {
     /// The first offset that no snapshot in the stream covers.
-    next: Offset,
+    first_uncovered: Offset,
     /// The records from there on, with the log's time of each.
-    open: VecDeque<(Offset, u64)>,
+    uncovered: VecDeque<(Offset, u64)>,
     /// The oldest offset that the log keeps.
     earliest: Offset,
 }
 
-impl Cover {
+impl SnapshotCoverage {
     /// Notes a record that was read.
-    pub fn note(&mut self, entry: &Entry<ConfigRecord>) {
-        self.open.push_back((entry.offset, entry.time_ms));
+    pub fn record(&mut self, entry: &Entry<ConfigRecord>) {
+        self.uncovered.push_back((entry.offset, entry.time_ms));
         if let Some(snapshot) = chain::snapshot_in(entry) {
-            self.next = self.next.max(chain::next_of(snapshot));
+            self.first_uncovered = self.first_uncovered.max(chain::first_uncovered(snapshot));
         }
-        while self.open.front().is_some_and(|&(offset, _)| offset < self.next) {
-            self.open.pop_front();
+        while self.uncovered.front().is_some_and(|&(offset, _)| offset < self.first_uncovered) {
+            self.uncovered.pop_front();
         }
     }
 
     /// Notes the oldest offset that is kept.
-    pub fn expired_to(&mut self, earliest: Offset) {
+    pub fn set_earliest(&mut self, earliest: Offset) {
         self.earliest = self.earliest.max(earliest);
     }
 
     /// Whether a snapshot is due for the instance of that rank.
     pub fn is_due(&self, now_ms: u64, keep: Duration, rank: u32) -> bool {
-        if self.earliest > self.next {
+        if self.earliest > self.first_uncovered {
             return true;
         }
-        let Some(&(_, time_ms)) = self.open.front() else { return false };
+        let Some(&(_, time_ms)) = self.uncovered.front() else { return false };
         let keep_ms = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
         let wait = keep_ms / FIRST_DUE_DIVISOR;
         let extra = (keep_ms / RANK_STEP_DIVISOR).saturating_mul(u64::from(rank));
--- a/crates/core/src/config_log/verdicts.rs
+++ b/crates/core/src/config_log/verdicts.rs
@@ -24,7 +24,7 @@
     }
 
     /// Notes a verdict, unless the publish has one already.
-    pub fn note(&mut self, publish: Arc<str>, verdict: Verdict) {
+    pub fn record(&mut self, publish: Arc<str>, verdict: Verdict) {
         if self.by_id.contains_key(&publish) {
             return;
         }
--- a/crates/core/src/content.rs
+++ b/crates/core/src/content.rs
@@ -49,7 +49,7 @@
     pub fn digest(self, request: &Request) -> u64 {
         let marked = match self {
             Content::Keep => None,
-            Content::Hash => Mark::read(&request.input).and_then(|mark| mark.digest),
+            Content::Hash => TextHash::parse(&request.input).and_then(|mark| mark.digest),
         };
         marked.unwrap_or_else(|| digest(request))
     }
@@ -58,14 +58,14 @@
     pub fn prefix(self, text: &str) -> u64 {
         let marked = match self {
             Content::Keep => None,
-            Content::Hash => Mark::read(text).map(|mark| mark.prefix),
+            Content::Hash => TextHash::parse(text).map(|mark| mark.prefix),
         };
         marked.unwrap_or_else(|| prefix(text))
     }
 
     /// Whether two texts are the same, however they are cut into pieces.
     pub fn is_same(self, one: &str, other: &str) -> bool {
-        let whole = |text| Mark::read(text).map(|mark| (mark.hash, mark.bytes));
+        let whole = |text| TextHash::parse(text).map(|mark| (mark.hash, mark.bytes));
         match self {
             Content::Keep => one == other,
             Content::Hash => one == other || whole(one).is_some_and(|w| Some(w) == whole(other)),
@@ -75,12 +75,12 @@
 
 /// The mark of a text.
 pub fn hash_text(text: &str) -> Text {
-    Mark::of(text).write()
+    TextHash::of(text).to_text()
 }
 
 /// The mark of a request's input.
 pub fn hash_input(request: &Request) -> Text {
-    Mark { digest: Some(digest(request)), ..Mark::of(&request.input) }.write()
+    TextHash { digest: Some(digest(request)), ..TextHash::of(&request.input) }.to_text()
 }
 
 fn digest(request: &Request) -> u64 {
@@ -98,17 +98,17 @@
 
 /// What stands for a text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Mark {
+struct TextHash {
     hash: u64,
     bytes: u64,
     prefix: u64,
     digest: Option<u64>,
 }
 
-impl Mark {
-    fn of(text: &str) -> Mark {
+impl TextHash {
+    fn of(text: &str) -> TextHash {
         let step = |hash, byte: &u8| add(multiply(hash, BASE), u64::from(*byte) + 1);
-        Mark {
+        TextHash {
             hash: text.as_bytes().iter().fold(0, step),
             bytes: text.len() as u64,
             prefix: prefix(text),
@@ -117,24 +117,24 @@
     }
 
     /// Reads one mark or several in a row; `None` for any other text.
-    fn read(text: &str) -> Option<Mark> {
-        let marks = text.strip_suffix(';')?.split(';').map(Mark::read_one);
+    fn parse(text: &str) -> Option<TextHash> {
+        let marks = text.strip_suffix(';')?.split(';').map(TextHash::parse_one);
         marks.reduce(|one, next| Some(one?.join(next?)))?
     }
 
-    fn read_one(text: &str) -> Option<Mark> {
+    fn parse_one(text: &str) -> Option<TextHash> {
         let mut parts = text.strip_prefix('#')?.split('.');
         let mut hex = || u64::from_str_radix(parts.next()?, 16).ok();
-        Some(Mark { hash: hex()?, bytes: hex()?, prefix: hex()?, digest: hex() })
+        Some(TextHash { hash: hex()?, bytes: hex()?, prefix: hex()?, digest: hex() })
     }
 
-    fn join(self, next: Mark) -> Mark {
+    fn join(self, next: TextHash) -> TextHash {
         let hash = add(multiply(self.hash, power(next.bytes)), next.hash);
         let prefix = if self.bytes == 0 { next.prefix } else { self.prefix };
-        Mark { hash, bytes: self.bytes + next.bytes, prefix, digest: None }
+        TextHash { hash, bytes: self.bytes + next.bytes, prefix, digest: None }
     }
 
-    fn write(self) -> Text {
+    fn to_text(self) -> Text {
         let mut text = format!("#{:x}.{:x}.{:x}", self.hash, self.bytes, self.prefix);
         if let Some(digest) = self.digest {
             write!(text, ".{digest:x}").expect("a string takes everything");
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -106,7 +106,7 @@
     /// Data centres whose endpoints get no new work.
     evacuated: BTreeSet<DataCentre>,
     /// Whether a list with an endpoint was seen.
-    seen: bool,
+    has_listing: bool,
     now: Duration,
 }
 
@@ -121,7 +121,7 @@
             pools: HashMap::new(),
             marks,
             evacuated: BTreeSet::new(),
-            seen: false,
+            has_listing: false,
             now: Duration::ZERO,
         }
     }
@@ -133,16 +133,16 @@
             if entry.presence == Presence::Leaving {
                 self.mark_leaving(&entry.name, entry.incarnation);
             }
-            self.list_one(now, entry);
+            self.apply_entry(now, entry);
         }
         let names: HashSet<&str> = entries.iter().map(|entry| &*entry.name).collect();
         let after = self.settings.absent_after;
         for endpoint in self.slots.values_mut() {
             endpoint.set_listed(now, names.contains(&*endpoint.name), after);
         }
-        self.note_evacuated();
-        self.forget_gone();
-        self.seen |= !entries.is_empty();
+        self.update_evacuated();
+        self.remove_gone();
+        self.has_listing |= !entries.is_empty();
     }
 
     /// Marks an endpoint as leaving, for this and every earlier incarnation.
@@ -159,7 +159,7 @@
     /// Just the endpoints of these data centres get no new work until it is said anew.
     pub fn evacuate(&mut self, data_centres: Vec<DataCentre>) {
         self.evacuated = data_centres.into_iter().collect();
-        self.note_evacuated();
+        self.update_evacuated();
     }
 
     /// The data centres whose endpoints get no new work.
@@ -167,7 +167,7 @@
         &self.evacuated
     }
 
-    fn note_evacuated(&mut self) {
+    fn update_evacuated(&mut self) {
         for endpoint in self.slots.values_mut() {
             endpoint.set_evacuated(self.evacuated.contains(&endpoint.data_centre));
         }
@@ -201,7 +201,7 @@
             let incarnation = self.slots[key].incarnation;
             self.mark_leaving(name, incarnation);
         }
-        self.forget_gone();
+        self.remove_gone();
     }
 
     /// Takes in a load report, the endpoint's own or one through a peer.
@@ -214,8 +214,8 @@
 
     /// What peers should know.
     pub fn states(&self, now: Duration) -> Vec<EndpointState> {
-        let known = self.slots.values().filter(|endpoint| endpoint.is_worth_telling());
-        known.map(|endpoint| endpoint.told(now)).collect()
+        let known = self.slots.values().filter(|endpoint| endpoint.has_news());
+        known.map(|endpoint| endpoint.to_state(now)).collect()
     }
 
     /// Every endpoint.
@@ -259,19 +259,19 @@
         self.names.get(name).map(|key| &mut self.slots[*key])
     }
 
-    fn list_one(&mut self, now: Duration, entry: &EndpointEntry) {
+    fn apply_entry(&mut self, now: Duration, entry: &EndpointEntry) {
         let Some(key) = self.names.get(&entry.name).copied() else {
             self.insert(now, entry);
             return;
         };
         let old_pool = self.slots[key].pool.clone();
-        self.slots[key].list(now, entry, &self.settings);
+        self.slots[key].update(now, entry, &self.settings);
         if let Some(mark) = self.marks.incarnation(&entry.name) {
             self.slots[key].mark_leaving(mark);
         }
         let pool = self.slots[key].pool.clone();
         if pool != old_pool {
-            self.leave_pool(&old_pool, key);
+            self.remove_from_pool(&old_pool, key);
             self.pools.entry(pool).or_default().push(key);
         }
     }
@@ -281,7 +281,7 @@
         if let Some(mark) = self.marks.incarnation(&entry.name) {
             endpoint.mark_leaving(mark);
         }
-        if !self.seen {
+        if !self.has_listing {
             endpoint.skip_slow_start();
         }
         let key = self.slots.insert(endpoint);
@@ -294,7 +294,10 @@
         let pool = &self.slots[key].pool;
         let mut times: Vec<Duration> = self.pool(pool).filter_map(Endpoint::call_latency).collect();
         times.sort_unstable();
-        PoolView { may_eject: self.may_eject(key), usual: times.get(times.len() / 2).copied() }
+        PoolView {
+            may_eject: self.may_eject(key),
+            median_latency: times.get(times.len() / 2).copied(),
+        }
     }
 
     /// Whether ejecting one more endpoint leaves enough of its pool.
@@ -310,18 +313,18 @@
         f64::from(ejected + 1) <= most
     }
 
-    fn forget_gone(&mut self) {
-        let gone = self.slots.iter().filter(|(_, endpoint)| endpoint.is_forgettable());
+    fn remove_gone(&mut self) {
+        let gone = self.slots.iter().filter(|(_, endpoint)| endpoint.is_removable());
         let keys: Vec<Key> = gone.map(|(key, _)| key).collect();
         for key in keys {
             let Some(endpoint) = self.slots.remove(key) else { continue };
             self.names.remove(&endpoint.name);
-            self.leave_pool(&endpoint.pool, key);
+            self.remove_from_pool(&endpoint.pool, key);
             self.marks.set_listed(&endpoint.name, false);
         }
     }
 
-    fn leave_pool(&mut self, pool: &PoolName, key: Key) {
+    fn remove_from_pool(&mut self, pool: &PoolName, key: Key) {
         let Some(keys) = self.pools.get_mut(pool) else { return };
         keys.retain(|other| *other != key);
         if keys.is_empty() {
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -57,20 +57,20 @@
     /// Calls of this instance that are under way there, in this life.
     pub in_flight: u32,
     /// Calls under way that were sent to an earlier life.
-    stale: u32,
-    leaving: bool,
-    evacuated: bool,
-    gone: bool,
+    stale_calls: u32,
+    is_leaving: bool,
+    is_evacuated: bool,
+    is_gone: bool,
     /// Since when the list has missed it.
-    absent: Option<Duration>,
+    absent_since: Option<Duration>,
     /// When this life began, as far as this instance knows.
-    since: Duration,
+    started_at: Duration,
     /// When its slow start began; `None` if it had none.
-    ramp: Option<Duration>,
+    ramp_start: Option<Duration>,
     slow_start: Duration,
     health: Health,
     limit: Limit,
-    speed: Speed,
+    latency: LatencyStats,
     report: Option<Report>,
 }
 
@@ -80,7 +80,7 @@
     /// Whether one more endpoint may be ejected.
     pub may_eject: bool,
     /// How long whole calls take in the pool; `None` if not known.
-    pub usual: Option<Duration>,
+    pub median_latency: Option<Duration>,
 }
 
 /// A load report, and when it was true.
@@ -92,28 +92,28 @@
 
 /// How long calls take, as a moving average.
 #[derive(Debug, Clone, Copy, Default)]
-struct Speed {
+struct LatencyStats {
     /// Seconds a call, or a token for an engine.
-    took: Option<f64>,
+    unit_secs: Option<f64>,
     /// Seconds a whole call.
-    whole: Option<f64>,
+    call_secs: Option<f64>,
     at: Duration,
     /// Whether the endpoint says how many tokens it made.
-    by_token: bool,
+    is_per_token: bool,
     /// Share of calls that went well.
-    good: f64,
+    success_rate: f64,
 }
 
 /// Weight of the newest call in the averages.
-const NEWEST: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 /// Times the pool's usual time after which a cancelled call counts as failed.
 const HUNG_FACTOR: f64 = 5.0;
 /// Share of its limit that a new endpoint starts with.
-const FIRST_SHARE: f64 = 0.1;
+const INITIAL_SHARE: f64 = 0.1;
 /// Age at which a reported queue counts half, where nothing else is known.
 const REPORT_HALF_LIFE: Duration = Duration::from_secs(2);
 /// Steps of a slow start, for waking up.
-const RAMP_STEPS: u32 = 10;
+const SLOW_START_STEPS: u32 = 10;
 
 impl Endpoint {
     /// A new life, with a slow start.
@@ -125,35 +125,35 @@
             data_centre: entry.data_centre.clone(),
             incarnation: entry.incarnation,
             in_flight: 0,
-            stale: 0,
-            leaving: false,
-            evacuated: false,
-            gone: false,
-            absent: None,
-            since: now,
-            ramp: Some(now),
+            stale_calls: 0,
+            is_leaving: false,
+            is_evacuated: false,
+            is_gone: false,
+            absent_since: None,
+            started_at: now,
+            ramp_start: Some(now),
             slow_start: settings.slow_start,
             health: Health::new(settings.health),
             limit: Limit::new(settings.limit),
-            speed: Speed { good: 1.0, ..Speed::default() },
+            latency: LatencyStats { success_rate: 1.0, ..LatencyStats::default() },
             report: None,
         }
     }
 
     /// Starts at full speed: it isn't new, this instance is.
     pub(super) fn skip_slow_start(&mut self) {
-        self.ramp = None;
+        self.ramp_start = None;
     }
 
     /// Whether it gets calls.
     pub fn state(&self) -> State {
-        if self.leaving {
+        if self.is_leaving {
             return State::Leaving;
         }
-        if self.gone {
+        if self.is_gone {
             return State::Gone;
         }
-        if self.evacuated {
+        if self.is_evacuated {
             return State::Evacuated;
         }
         match self.health.phase() {
@@ -164,7 +164,7 @@
 
     /// Whether it may get a call now, but for its limit. True for one probe of an ejected one.
     pub fn is_usable(&self, now: Duration) -> bool {
-        !self.leaving && !self.evacuated && !self.gone && self.health.is_open(now)
+        !self.is_leaving && !self.is_evacuated && !self.is_gone && self.health.is_open(now)
     }
 
     /// Whether its next call is the probe that may bring it back.
@@ -175,7 +175,7 @@
     /// Calls of this instance that may run there at once.
     pub fn limit(&self, now: Duration) -> u32 {
         let full = f64::from(self.limit.value());
-        let share = self.ramp_share(now);
+        let share = self.slow_start_share(now);
         ((full * share) as u32).max(1)
     }
 
@@ -206,27 +206,27 @@
 
     /// How long its calls took lately, for an engine per token, and when the last one ended.
     pub fn latency(&self) -> Option<(Duration, Duration)> {
-        self.speed.took.map(|took| (Duration::from_secs_f64(took), self.speed.at))
+        self.latency.unit_secs.map(|took| (Duration::from_secs_f64(took), self.latency.at))
     }
 
     /// How long its whole calls took lately.
     pub fn call_latency(&self) -> Option<Duration> {
-        self.speed.whole.map(Duration::from_secs_f64)
+        self.latency.call_secs.map(Duration::from_secs_f64)
     }
 
     /// Share of its recent calls that went well.
     pub fn success_rate(&self) -> f64 {
-        self.speed.good
+        self.latency.success_rate
     }
 
     /// Takes in its entry of the list; a larger incarnation starts a new life.
-    pub(super) fn list(&mut self, now: Duration, entry: &EndpointEntry, settings: &Settings) {
+    pub(super) fn update(&mut self, now: Duration, entry: &EndpointEntry, settings: &Settings) {
         if entry.incarnation < self.incarnation {
             return;
         }
         if entry.incarnation > self.incarnation {
-            let stale = self.stale + self.in_flight;
-            *self = Endpoint { stale, ..Endpoint::new(now, entry, settings) };
+            let stale = self.stale_calls + self.in_flight;
+            *self = Endpoint { stale_calls: stale, ..Endpoint::new(now, entry, settings) };
             return;
         }
         self.pool = entry.pool.clone();
@@ -237,20 +237,20 @@
     /// Says whether the newest list has it.
     pub(super) fn set_listed(&mut self, now: Duration, listed: bool, after: Duration) {
         if listed {
-            self.absent = None;
-            self.gone = false;
+            self.absent_since = None;
+            self.is_gone = false;
             return;
         }
-        let since = *self.absent.get_or_insert(now);
-        self.gone = now.saturating_sub(since) >= after;
+        let since = *self.absent_since.get_or_insert(now);
+        self.is_gone = now.saturating_sub(since) >= after;
     }
 
     pub(super) fn set_evacuated(&mut self, is_evacuated: bool) {
-        self.evacuated = is_evacuated;
+        self.is_evacuated = is_evacuated;
     }
 
     pub(super) fn mark_leaving(&mut self, incarnation: Incarnation) {
-        self.leaving |= incarnation >= self.incarnation;
+        self.is_leaving |= incarnation >= self.incarnation;
     }
 
     pub(super) fn started(&mut self, now: Duration) {
@@ -260,9 +260,9 @@
 
     pub(super) fn ended(&mut self, now: Duration, end: &CallEnd, pool: PoolView) {
         let sent = now.saturating_sub(end.took);
-        let is_stale = self.stale > 0 && (sent < self.since || self.in_flight == 0);
+        let is_stale = self.stale_calls > 0 && (sent < self.started_at || self.in_flight == 0);
         if is_stale {
-            self.stale -= 1;
+            self.stale_calls -= 1;
             return;
         }
         let in_flight = self.in_flight;
@@ -272,7 +272,7 @@
             CallResult::Refused(reason) => self.refused(now, sent, reason),
             CallResult::Failed => self.failed(now, sent, pool.may_eject),
             CallResult::Cancelled => self.cancelled(now, end, in_flight, pool),
-            CallResult::Mismatched => self.distrusted(now),
+            CallResult::Mismatched => self.mismatched(now),
         }
     }
 
@@ -285,11 +285,11 @@
         self.limit.reported(now, at, load.queued, load.places.max(1));
     }
 
-    pub(super) fn is_worth_telling(&self) -> bool {
+    pub(super) fn has_news(&self) -> bool {
         self.in_flight > 0 || self.report.is_some()
     }
 
-    pub(super) fn told(&self, now: Duration) -> EndpointState {
+    pub(super) fn to_state(&self, now: Duration) -> EndpointState {
         let load = self.report.map(|report| {
             let age = now.saturating_sub(report.at).as_millis();
             Load { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..report.load }
@@ -297,39 +297,39 @@
         EndpointState { endpoint: self.name.clone(), in_flight: self.in_flight, load }
     }
 
-    pub(super) fn is_forgettable(&self) -> bool {
-        self.gone && self.in_flight == 0 && self.stale == 0
+    pub(super) fn is_removable(&self) -> bool {
+        self.is_gone && self.in_flight == 0 && self.stale_calls == 0
     }
 
     pub(super) fn next_wake(&self, now: Duration) -> Option<Duration> {
-        if self.leaving || self.gone {
+        if self.is_leaving || self.is_gone {
             return None;
         }
         if let Phase::Ejected { until } = self.health.phase() {
             return (until > now).then_some(until);
         }
-        let end = self.ramp? + self.slow_start;
-        (now < end).then(|| end.min(now + self.slow_start / RAMP_STEPS))
+        let end = self.ramp_start? + self.slow_start;
+        (now < end).then(|| end.min(now + self.slow_start / SLOW_START_STEPS))
     }
 
     /// Share of the limit that a slow start allows by now.
-    fn ramp_share(&self, now: Duration) -> f64 {
-        let Some(ramp) = self.ramp else { return 1.0 };
+    fn slow_start_share(&self, now: Duration) -> f64 {
+        let Some(ramp) = self.ramp_start else { return 1.0 };
         if self.slow_start.is_zero() {
             return 1.0;
         }
         let done = now.saturating_sub(ramp).as_secs_f64() / self.slow_start.as_secs_f64();
-        (FIRST_SHARE + (1.0 - FIRST_SHARE) * done).min(1.0)
+        (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * done).min(1.0)
     }
 
     fn succeeded(&mut self, now: Duration, sent: Duration, end: &CallEnd, in_flight: u32) {
         if self.health.succeeded(sent) {
-            self.ramp = Some(now);
+            self.ramp_start = Some(now);
         }
         let unit = unit(end);
-        self.speed.by_token |= end.tokens.is_some();
+        self.latency.is_per_token |= end.tokens.is_some();
         self.limit.ended(now, unit, in_flight);
-        self.speed.record(now, unit, end.took);
+        self.latency.record(now, unit, end.took);
     }
 
     fn refused(&mut self, now: Duration, sent: Duration, reason: RefuseReason) {
@@ -342,38 +342,38 @@
     /// A cancelled call tells nothing, unless it took so long that it hung.
     fn cancelled(&mut self, now: Duration, end: &CallEnd, in_flight: u32, pool: PoolView) {
         let sent = now.saturating_sub(end.took);
-        let hung = pool.usual.is_some_and(|usual| end.took > usual.mul_f64(HUNG_FACTOR));
+        let hung = pool.median_latency.is_some_and(|usual| end.took > usual.mul_f64(HUNG_FACTOR));
         if hung {
             self.failed(now, sent, pool.may_eject);
         } else {
             self.health.probe_inconclusive(now, sent);
         }
-        if !self.speed.by_token || end.tokens.is_some() {
+        if !self.latency.is_per_token || end.tokens.is_some() {
             self.limit.cancelled(now, unit(end), in_flight);
         }
     }
 
     fn failed(&mut self, now: Duration, sent: Duration, may_eject: bool) {
-        self.speed.failed();
+        self.latency.failed();
         self.health.failed(now, sent, may_eject);
     }
 
-    fn distrusted(&mut self, now: Duration) {
-        self.speed.failed();
+    fn mismatched(&mut self, now: Duration) {
+        self.latency.failed();
         self.health.eject(now);
     }
 }
 
-impl Speed {
+impl LatencyStats {
     fn record(&mut self, now: Duration, unit: Duration, whole: Duration) {
-        self.took = Some(averaged(self.took, unit.as_secs_f64()));
-        self.whole = Some(averaged(self.whole, whole.as_secs_f64()));
+        self.unit_secs = Some(averaged(self.unit_secs, unit.as_secs_f64()));
+        self.call_secs = Some(averaged(self.call_secs, whole.as_secs_f64()));
         self.at = now;
-        self.good += (1.0 - self.good) * NEWEST;
+        self.success_rate += (1.0 - self.success_rate) * NEWEST_WEIGHT;
     }
 
     fn failed(&mut self) {
-        self.good -= self.good * NEWEST;
+        self.success_rate -= self.success_rate * NEWEST_WEIGHT;
     }
 }
 
@@ -384,5 +384,5 @@
 
 fn averaged(old: Option<f64>, new: f64) -> f64 {
     let old = old.unwrap_or(new);
-    old + (new - old) * NEWEST
+    old + (new - old) * NEWEST_WEIGHT
 }
--- a/crates/core/src/endpoints/marks.rs
+++ b/crates/core/src/endpoints/marks.rs
@@ -14,7 +14,7 @@
 /// Marks by endpoint.
 #[derive(Debug)]
 pub struct Marks {
-    max: usize,
+    max_unlisted: usize,
     marks: BTreeMap<EndpointName, Mark>,
     /// Endpoints that aren't listed, by the age of their marks.
     unlisted: VecDeque<EndpointName>,
@@ -23,13 +23,13 @@
 #[derive(Debug)]
 struct Mark {
     incarnation: Incarnation,
-    listed: bool,
+    is_listed: bool,
 }
 
 impl Marks {
     /// No marks; at most `max` of endpoints that aren't listed.
     pub fn new(max: usize) -> Marks {
-        Marks { max, marks: BTreeMap::new(), unlisted: VecDeque::new() }
+        Marks { max_unlisted: max, marks: BTreeMap::new(), unlisted: VecDeque::new() }
     }
 
     /// Adds a mark; true if it says something new.
@@ -40,7 +40,7 @@
             return is_new;
         }
         let name = EndpointName::from(endpoint);
-        self.marks.insert(name.clone(), Mark { incarnation, listed });
+        self.marks.insert(name.clone(), Mark { incarnation, is_listed: listed });
         if !listed {
             self.add_unlisted(name);
         }
@@ -55,12 +55,12 @@
     /// Says whether an endpoint is listed.
     pub fn set_listed(&mut self, endpoint: &str, listed: bool) {
         let Some((name, mark)) = self.marks.get_key_value(endpoint) else { return };
-        if mark.listed == listed {
+        if mark.is_listed == listed {
             return;
         }
         let name = name.clone();
         if let Some(mark) = self.marks.get_mut(endpoint) {
-            mark.listed = listed;
+            mark.is_listed = listed;
         }
         if listed {
             self.unlisted.retain(|other| *other != name);
@@ -81,7 +81,7 @@
 
     fn add_unlisted(&mut self, name: EndpointName) {
         self.unlisted.push_back(name);
-        if self.unlisted.len() <= self.max {
+        if self.unlisted.len() <= self.max_unlisted {
             return;
         }
         if let Some(oldest) = self.unlisted.pop_front() {
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -11,7 +11,7 @@
     membership::{
         ConfigMark, EndpointState, Gossip, LeavingMark, MemberState, Settings,
         peer::Peer,
-        spread::{self, EndpointSpread, LeavingSpread},
+        spread::{self, EndpointSelector, LeavingSelector},
     },
     model::{Incarnation, InstanceEntry, InstanceName, Presence},
     record::{Snapshot, Version},
@@ -25,18 +25,18 @@
 const PAUSE_ROUNDS: u32 = 4;
 
 /// A counter reaches everybody in time while this many messages hold them all.
-const SPREAD_MESSAGES: usize = 2;
+const FULL_MESSAGES: usize = 2;
 
 /// Time until gossip has told an instance that has just started of all peers
 /// that live: six rounds of 400 ms.
-const SETTLE_TIME: Duration = Duration::from_millis(2500);
+const DISCOVERY_TIME: Duration = Duration::from_millis(2500);
 
 slotmap::new_key_type! {
     struct PeerKey;
 }
 
 /// A peer that was asked for its configuration.
-struct Asked {
+struct SnapshotRequest {
     peer: PeerKey,
     until: Duration,
 }
@@ -47,12 +47,12 @@
     /// A round of gossip.
     Round,
     /// A round of gossip; the peer is asked for its configuration besides.
-    Ask,
+    RequestSnapshot,
     /// A reply.
     Reply,
     /// A reply to a peer that lacks this instance's configuration and asks for
     /// it.
-    Give,
+    SendSnapshot,
 }
 
 /// What the instance itself has to tell.
@@ -105,7 +105,7 @@
     /// each did the work itself meanwhile, they would be in each other's way.
     pub fn is_usable(&self, run_time: Duration) -> bool {
         let is_sound = self.is_alive && self.is_ready;
-        is_sound || (run_time < SETTLE_TIME && (self.is_alive || self.is_unknown))
+        is_sound || (run_time < DISCOVERY_TIME && (self.is_alive || self.is_unknown))
     }
 }
 
@@ -116,13 +116,13 @@
     rng: SmallRng,
     peers: SlotMap<PeerKey, Peer>,
     by_name: HashMap<InstanceName, PeerKey>,
-    leaving: LeavingSpread,
-    endpoints: EndpointSpread,
+    leaving: LeavingSelector,
+    endpoints: EndpointSelector,
     heartbeat: u64,
     next_tick: Duration,
     last_now: Duration,
-    last_heard: Option<Duration>,
-    asked: Option<Asked>,
+    last_received: Option<Duration>,
+    snapshot_request: Option<SnapshotRequest>,
 }
 
 impl Members {
@@ -134,13 +134,13 @@
             rng: SmallRng::seed_from_u64(seed),
             peers: SlotMap::with_key(),
             by_name: HashMap::new(),
-            leaving: LeavingSpread::default(),
-            endpoints: EndpointSpread::default(),
+            leaving: LeavingSelector::default(),
+            endpoints: EndpointSelector::default(),
             heartbeat: 0,
             next_tick: Duration::ZERO,
             last_now: Duration::ZERO,
-            last_heard: None,
-            asked: None,
+            last_received: None,
+            snapshot_request: None,
         }
     }
 
@@ -151,7 +151,7 @@
 
     /// Takes in the platform's list.
     pub fn apply_listing(&mut self, now: Duration, instances: &[InstanceEntry]) {
-        self.observe(now);
+        self.record_time(now);
         for peer in self.peers.values_mut() {
             peer.presence = None;
         }
@@ -166,17 +166,18 @@
 
     /// Sends the round's messages, if it is time for one.
     pub fn tick(&mut self, now: Duration, local: &LocalState<'_>) -> Vec<Envelope> {
-        self.observe(now);
+        self.record_time(now);
         if now < self.next_tick {
             return Vec::new();
         }
         self.next_tick = now + self.jittered_tick();
         self.heartbeat += 1;
-        self.forget(now);
-        let ahead = self.one_ahead(now, local.mark);
+        self.remove_expired(now);
+        let ahead = self.choose_ahead(now, local.mark);
         let targets = self.targets(now, ahead);
-        let asked = ahead.filter(|key| self.begin_ask(now, *key));
-        let purpose = |key| if asked == Some(key) { Purpose::Ask } else { Purpose::Round };
+        let asked = ahead.filter(|key| self.begin_request(now, *key));
+        let purpose =
+            |key| if asked == Some(key) { Purpose::RequestSnapshot } else { Purpose::Round };
         let envelopes = targets.into_iter().map(|key| self.envelope(now, key, purpose(key), local));
         envelopes.collect()
     }
@@ -188,36 +189,36 @@
         message: &Gossip,
         local: &LocalState<'_>,
     ) -> Option<Envelope> {
-        self.observe(now);
+        self.record_time(now);
         if message.from == self.identity.name {
             return None;
         }
-        self.last_heard = Some(now);
+        self.last_received = Some(now);
         for state in &message.members {
-            self.heard_of(now, state);
+            self.update_member(now, state);
         }
         let key = self.known_key(now, &message.from)?;
         if message.snapshot.is_some() {
-            self.end_ask(key);
+            self.end_request(key);
         }
         let peer = &mut self.peers[key];
         peer.mark = Some(message.mark);
         peer.seen_at = now;
         let sent = message.members.iter().find(|state| state.name == message.from);
         if let Some(sent) = sent {
-            peer.tell_counts(now, sent, &message.endpoints);
+            peer.update_counts(now, sent, &message.endpoints);
         }
         let is_given = message.wants_snapshot && peer.is_behind(local.mark);
-        let purpose = if is_given { Purpose::Give } else { Purpose::Reply };
+        let purpose = if is_given { Purpose::SendSnapshot } else { Purpose::Reply };
         message.wants_reply.then(|| self.envelope(now, key, purpose, local))
     }
 
     /// A message to a peer failed.
     pub fn send_failed(&mut self, now: Duration, peer: &InstanceName) {
-        self.observe(now);
+        self.record_time(now);
         if let Some(&key) = self.by_name.get(peer) {
-            self.peers[key].failed();
-            self.end_ask(key);
+            self.peers[key].record_failure();
+            self.end_request(key);
         }
     }
 
@@ -245,7 +246,7 @@
 
     /// When any peer was last heard.
     pub fn last_received(&self) -> Option<Duration> {
-        self.last_heard
+        self.last_received
     }
 
     /// When [`Members::tick`] should be called next.
@@ -255,7 +256,7 @@
 
     /// What each peer has in force, by name.
     pub fn peer_statuses(&self, now: Duration) -> Vec<PeerStatus> {
-        let (time, dead_after) = (self.unpaused(now), self.dead_after());
+        let (time, dead_after) = (self.time_before_pause(now), self.dead_after());
         let mut versions: Vec<_> = self
             .peers
             .values()
@@ -274,44 +275,44 @@
 
     /// The peers' calls in flight to an endpoint, as they told lately.
     pub fn in_flight(&self, now: Duration, endpoint: &str) -> u32 {
-        let time = self.unpaused(now);
+        let time = self.time_before_pause(now);
         let age = self.settings.count_age;
         let counts = self.alive_peers(now).map(|peer| peer.in_flight(time, endpoint, age));
         counts.fold(0, u32::saturating_add)
     }
 
     fn alive_peers(&self, now: Duration) -> impl Iterator<Item = &Peer> {
-        let (time, dead_after) = (self.unpaused(now), self.dead_after());
+        let (time, dead_after) = (self.time_before_pause(now), self.dead_after());
         self.peers.values().filter(move |peer| peer.is_alive(time, dead_after))
     }
 
     /// Notes the time. While this instance was paused it could hear nobody, so
     /// a long step does not count against the peers.
-    fn observe(&mut self, now: Duration) {
+    fn record_time(&mut self, now: Duration) {
         let step = now.saturating_sub(self.last_now);
-        if step > self.pause() {
+        if step > self.pause_threshold() {
             for peer in self.peers.values_mut() {
-                peer.skip(step);
+                peer.shift_times(step);
             }
         }
         self.last_now = self.last_now.max(now);
     }
 
     /// The time by which peers are judged before a pause was noted.
-    fn unpaused(&self, now: Duration) -> Duration {
+    fn time_before_pause(&self, now: Duration) -> Duration {
         let step = now.saturating_sub(self.last_now);
-        if step > self.pause() { self.last_now } else { now }
+        if step > self.pause_threshold() { self.last_now } else { now }
     }
 
     /// The silence that makes a peer dead. A message has room for a limited
     /// number of counters, so in a large group each one takes longer to spread.
     fn dead_after(&self) -> Duration {
-        let room = SPREAD_MESSAGES * self.settings.max_members;
+        let room = FULL_MESSAGES * self.settings.max_members;
         let crowding = self.peers.len() as f64 / room as f64;
         self.settings.dead_after.mul_f64(crowding.max(1.0))
     }
 
-    fn pause(&self) -> Duration {
+    fn pause_threshold(&self) -> Duration {
         self.settings.tick * PAUSE_ROUNDS
     }
 
@@ -319,7 +320,7 @@
         self.settings.tick.mul_f64(self.rng.random_range(0.9..1.1))
     }
 
-    fn heard_of(&mut self, now: Duration, state: &MemberState) {
+    fn update_member(&mut self, now: Duration, state: &MemberState) {
         if state.name == self.identity.name {
             return;
         }
@@ -346,7 +347,7 @@
     }
 
     /// Forgets peers that are neither listed nor heard of, and old counts.
-    fn forget(&mut self, now: Duration) {
+    fn remove_expired(&mut self, now: Duration) {
         let Settings { forget_after, count_age, .. } = self.settings;
         let by_name = &mut self.by_name;
         self.peers.retain(|_, peer| {
@@ -371,7 +372,7 @@
     }
 
     /// A peer that has a newer configuration, if there is one.
-    fn one_ahead(&mut self, now: Duration, mark: ConfigMark) -> Option<PeerKey> {
+    fn choose_ahead(&mut self, now: Duration, mark: ConfigMark) -> Option<PeerKey> {
         let (live, _) = self.reachable(now);
         let ahead = live.into_iter().filter(|key| self.peers[*key].is_ahead(mark));
         ahead.choose(&mut self.rng)
@@ -392,17 +393,18 @@
     /// Notes that a peer is asked for its configuration. False if another one
     /// may still be sending its own: copies under way together would keep each
     /// other from arriving in time.
-    fn begin_ask(&mut self, now: Duration, peer: PeerKey) -> bool {
-        if self.asked.as_ref().is_some_and(|asked| now < asked.until) {
+    fn begin_request(&mut self, now: Duration, peer: PeerKey) -> bool {
+        if self.snapshot_request.as_ref().is_some_and(|asked| now < asked.until) {
             return false;
         }
-        self.asked = Some(Asked { peer, until: now + self.settings.snapshot_timeout });
+        self.snapshot_request =
+            Some(SnapshotRequest { peer, until: now + self.settings.snapshot_timeout });
         true
     }
 
     /// A peer has sent its configuration, or cannot.
-    fn end_ask(&mut self, peer: PeerKey) {
-        self.asked.take_if(|asked| asked.peer == peer);
+    fn end_request(&mut self, peer: PeerKey) {
+        self.snapshot_request.take_if(|asked| asked.peer == peer);
     }
 
     fn envelope(
@@ -419,10 +421,10 @@
         let endpoints = self.endpoints.pick(local.endpoints, limit, max_endpoints);
         let message = Gossip {
             from: self.identity.name.clone(),
-            wants_reply: matches!(purpose, Purpose::Round | Purpose::Ask),
+            wants_reply: matches!(purpose, Purpose::Round | Purpose::RequestSnapshot),
             mark: local.mark,
-            snapshot: local.snapshot.clone().filter(|_| purpose == Purpose::Give),
-            wants_snapshot: purpose == Purpose::Ask,
+            snapshot: local.snapshot.clone().filter(|_| purpose == Purpose::SendSnapshot),
+            wants_snapshot: purpose == Purpose::RequestSnapshot,
             members,
             leaving,
             endpoints,
@@ -443,7 +445,7 @@
     ) -> Vec<MemberState> {
         let dead_after = self.dead_after();
         let others = self.peers.iter().filter(|&(key, peer)| {
-            let is_told = peer.heard_at.is_some();
+            let is_told = peer.updated_at.is_some();
             key != to && is_told && peer.is_alive(now, dead_after)
         });
         let news = others.map(|(key, peer)| (key, peer.sends));
--- a/crates/core/src/membership/peer.rs
+++ b/crates/core/src/membership/peer.rs
@@ -22,7 +22,7 @@
     /// The newest counter that was heard of.
     pub state: MemberState,
     /// When the counter last rose, or the peer was first listed.
-    pub heard_at: Option<Duration>,
+    pub updated_at: Option<Duration>,
     /// When the peer was last listed or heard of.
     pub seen_at: Duration,
     /// How often the newest counter was sent on.
@@ -31,12 +31,12 @@
     pub mark: Option<ConfigMark>,
     failures: u32,
     counts: HashMap<EndpointName, Count>,
-    counts_from: (Incarnation, u64),
+    counts_version: (Incarnation, u64),
 }
 
 struct Count {
     in_flight: u32,
-    told_at: Duration,
+    received_at: Duration,
 }
 
 impl Peer {
@@ -54,13 +54,13 @@
             addr: None,
             presence: None,
             state,
-            heard_at: None,
+            updated_at: None,
             seen_at: now,
             sends: 0,
             mark: None,
             failures: 0,
             counts: HashMap::new(),
-            counts_from: (Incarnation(0), 0),
+            counts_version: (Incarnation(0), 0),
         }
     }
 
@@ -73,7 +73,7 @@
 
     /// Takes in its counter. Returns whether that was news.
     pub fn heard_of(&mut self, now: Duration, state: &MemberState) -> bool {
-        if age_of(state) <= age_of(&self.state) {
+        if state_version(state) <= state_version(&self.state) {
             return false;
         }
         if state.incarnation != self.state.incarnation {
@@ -81,7 +81,7 @@
             self.mark = None;
         }
         self.state = state.clone();
-        self.heard_at = Some(now);
+        self.updated_at = Some(now);
         self.seen_at = now;
         self.sends = 0;
         self.failures = 0;
@@ -89,43 +89,48 @@
     }
 
     /// Takes in the counts of its own message, unless a later one was heard.
-    pub fn tell_counts(&mut self, now: Duration, sent: &MemberState, endpoints: &[EndpointState]) {
-        if age_of(sent) < self.counts_from {
+    pub fn update_counts(
+        &mut self,
+        now: Duration,
+        sent: &MemberState,
+        endpoints: &[EndpointState],
+    ) {
+        if state_version(sent) < self.counts_version {
             return;
         }
-        self.counts_from = age_of(sent);
+        self.counts_version = state_version(sent);
         for state in endpoints {
-            let count = Count { in_flight: state.in_flight, told_at: now };
+            let count = Count { in_flight: state.in_flight, received_at: now };
             self.counts.insert(state.endpoint.clone(), count);
         }
     }
 
     /// Forgets counts that are too old to be used.
     pub fn prune_counts(&mut self, now: Duration, age: Duration) {
-        self.counts.retain(|_, count| now.saturating_sub(count.told_at) <= age);
+        self.counts.retain(|_, count| now.saturating_sub(count.received_at) <= age);
     }
 
     /// Its calls in flight to an endpoint, if it told lately.
     pub fn in_flight(&self, now: Duration, endpoint: &str, age: Duration) -> u32 {
         let Some(count) = self.counts.get(endpoint) else { return 0 };
-        let is_fresh = now.saturating_sub(count.told_at) <= age;
+        let is_fresh = now.saturating_sub(count.received_at) <= age;
         if is_fresh { count.in_flight } else { 0 }
     }
 
     /// A message to it failed.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
     /// Whether its counter rose lately.
     pub fn is_alive(&self, now: Duration, dead_after: Duration) -> bool {
-        let Some(heard_at) = self.heard_at else { return false };
+        let Some(heard_at) = self.updated_at else { return false };
         self.failures < DEAD_FAILURES && now.saturating_sub(heard_at) <= dead_after
     }
 
     /// Whether nothing was heard of it and nothing speaks against it.
     pub fn is_unknown(&self) -> bool {
-        self.heard_at.is_none() && self.failures == 0
+        self.updated_at.is_none() && self.failures == 0
     }
 
     /// Whether it lacks a configuration that this instance has.
@@ -148,12 +153,12 @@
     }
 
     /// Moves its times on, since this instance was paused.
-    pub fn skip(&mut self, pause: Duration) {
-        self.heard_at = self.heard_at.map(|at| at + pause);
+    pub fn shift_times(&mut self, pause: Duration) {
+        self.updated_at = self.updated_at.map(|at| at + pause);
         self.seen_at += pause;
     }
 }
 
-fn age_of(state: &MemberState) -> (Incarnation, u64) {
+fn state_version(state: &MemberState) -> (Incarnation, u64) {
     (state.incarnation, state.heartbeat)
 }
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/spread.rs
@@ -38,12 +38,12 @@
 /// Which leaving marks go out next. New ones go first; one old one goes with
 /// each message, so that an instance that starts late learns them too.
 #[derive(Default)]
-pub struct LeavingSpread {
+pub struct LeavingSelector {
     sends: HashMap<(EndpointName, Incarnation), u32>,
     cursor: usize,
 }
 
-impl LeavingSpread {
+impl LeavingSelector {
     /// Chooses marks for a message.
     pub fn pick(
         &mut self,
@@ -88,12 +88,12 @@
 /// Which endpoint states go out next: those with calls in flight or a fresh
 /// load, in turn, and for a while those whose calls have just ended.
 #[derive(Default)]
-pub struct EndpointSpread {
+pub struct EndpointSelector {
     idle_sends: HashMap<EndpointName, u32>,
     cursor: usize,
 }
 
-impl EndpointSpread {
+impl EndpointSelector {
     /// Chooses states for a message.
     pub fn pick(&mut self, states: &[EndpointState], limit: u32, max: usize) -> Vec<EndpointState> {
         let mut picked = Vec::new();
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -210,11 +210,11 @@
 
     fn try_samples(&self) -> Result<(), Error> {
         for facts in Facts::samples() {
-            check(ADMIT, self.admit(&facts))?;
-            check(ORDER, self.order(&facts))?;
-            check(REFUSE, self.refuse(&facts))?;
+            check_sample(ADMIT, self.admit(&facts))?;
+            check_sample(ORDER, self.order(&facts))?;
+            check_sample(REFUSE, self.refuse(&facts))?;
             for endpoint in EndpointFacts::samples() {
-                check(ROUTE, self.route(&facts, &endpoint))?;
+                check_sample(ROUTE, self.route(&facts, &endpoint))?;
             }
         }
         Ok(())
@@ -243,7 +243,7 @@
     Ok(known)
 }
 
-fn check<T>(function: &'static str, decision: Decision<T>) -> Result<(), Error> {
+fn check_sample<T>(function: &'static str, decision: Decision<T>) -> Result<(), Error> {
     match decision {
         Decision::Failed(reason) => Err(Error::Trial(function, reason.to_string())),
         Decision::BuiltIn | Decision::Given(_) => Ok(()),
--- a/crates/core/src/trace/invariants.rs
+++ b/crates/core/src/trace/invariants.rs
@@ -32,11 +32,11 @@
 pub struct InvariantChecker {
     callers: HashMap<CallerId, CallerRecord>,
     order: Vec<CallerId>,
-    open: HashMap<RequestId, Vec<CallerId>>,
+    waiting: HashMap<RequestId, Vec<CallerId>>,
     stages: HashMap<(RequestId, StageName), Runs>,
-    calls: HashMap<CallId, Sent>,
+    calls: HashMap<CallId, OpenCall>,
     leaving: BTreeMap<EndpointName, Incarnation>,
-    lives: HashMap<EndpointName, Incarnation>,
+    incarnations: HashMap<EndpointName, Incarnation>,
     version: Version,
     faults: Vec<Fault>,
     count: u64,
@@ -52,7 +52,7 @@
     /// Calls made for it.
     pub calls: u32,
     /// Of those, the ones that may have run.
-    written: u32,
+    possible_runs: u32,
     idempotent: bool,
     pipeline: Option<Pipeline>,
 }
@@ -65,11 +65,11 @@
     /// Those of a request that is not idempotent, which may have run.
     single: u32,
     /// Those that may have run.
-    pub written: u32,
+    pub possible_runs: u32,
 }
 
 #[derive(Debug)]
-struct Sent {
+struct OpenCall {
     key: RequestId,
     stage: StageName,
     endpoint: EndpointName,
@@ -79,30 +79,31 @@
 
 impl InvariantChecker {
     /// Notes an input that an instance is about to take.
-    pub fn before(&mut self, input: &Input, instance: &Instance) {
+    pub fn before_input(&mut self, input: &Input, instance: &Instance) {
         match input {
             Input::Submit { caller, request } => self.submitted(*caller, request, instance),
-            Input::CallerGone(caller) => self.gone(*caller),
+            Input::CallerGone(caller) => self.disconnected(*caller),
             Input::Call { call, event } => self.call_event(*call, event),
             _ => {}
         }
     }
 
     /// Notes what an input says of endpoints.
-    pub fn learn(&mut self, input: &Input) {
+    pub fn update_endpoints(&mut self, input: &Input) {
         match input {
             Input::Listed(listing) => {
                 for entry in &listing.endpoints {
-                    let life = self.lives.entry(entry.name.clone()).or_insert(entry.incarnation);
+                    let life =
+                        self.incarnations.entry(entry.name.clone()).or_insert(entry.incarnation);
                     *life = entry.incarnation.max(*life);
                     if entry.presence == Presence::Leaving {
-                        self.leaves(&entry.name, entry.incarnation);
+                        self.mark_leaving(&entry.name, entry.incarnation);
                     }
                 }
             }
             Input::Gossip(message) => {
                 for mark in &message.leaving {
-                    self.leaves(&mark.endpoint, mark.incarnation);
+                    self.mark_leaving(&mark.endpoint, mark.incarnation);
                 }
             }
             _ => {}
@@ -110,19 +111,19 @@
     }
 
     /// Notes what the instance has in force after an input.
-    pub fn in_force(&mut self, snapshot: Option<&Snapshot>) {
+    pub fn check_version(&mut self, snapshot: Option<&Snapshot>) {
         let version = snapshot.map_or(0, |snapshot| snapshot.version);
         if version < self.version {
             self.faults.push(Fault::Back { from: self.version, to: version });
         }
         self.version = version;
         for drain in snapshot.iter().flat_map(|snapshot| &snapshot.drains) {
-            self.leaves(&drain.endpoint, drain.incarnation);
+            self.mark_leaving(&drain.endpoint, drain.incarnation);
         }
     }
 
     /// Notes what an instance wants done.
-    pub fn action(&mut self, action: &Action) {
+    pub fn apply_action(&mut self, action: &Action) {
         match action {
             Action::Call(call) => self.called(call),
             Action::Cancel(call) => drop(self.calls.remove(call)),
@@ -142,23 +143,23 @@
     }
 
     /// A caller's request.
-    pub fn asked(&self, caller: CallerId) -> Option<&CallerRecord> {
+    pub fn caller(&self, caller: CallerId) -> Option<&CallerRecord> {
         self.callers.get(&caller)
     }
 
     /// Calls of one stage of a request.
-    pub fn runs(&self, key: &RequestId, stage: &StageName) -> Runs {
+    pub fn stage_runs(&self, key: &RequestId, stage: &StageName) -> Runs {
         self.stages.get(&(key.clone(), stage.clone())).copied().unwrap_or_default()
     }
 
     /// Calls of all stages of a request.
-    pub fn calls(&self, key: &RequestId) -> u32 {
+    pub fn call_count(&self, key: &RequestId) -> u32 {
         let stages = self.stages.iter().filter(|((of, _), _)| of == key);
         stages.map(|(_, runs)| runs.calls).sum()
     }
 
     /// Calls of all requests.
-    pub fn count(&self) -> u64 {
+    pub fn total_calls(&self) -> u64 {
         self.count
     }
 
@@ -169,17 +170,17 @@
             key: request.id.clone(),
             told: None,
             calls: 0,
-            written: 0,
+            possible_runs: 0,
             idempotent: request.idempotent,
             pipeline: pipeline.cloned(),
         };
-        self.open.entry(request.id.clone()).or_default().push(caller);
+        self.waiting.entry(request.id.clone()).or_default().push(caller);
         self.callers.insert(caller, asked);
         self.order.push(caller);
     }
 
     /// A non-idempotent request may run on without its caller.
-    fn gone(&mut self, caller: CallerId) {
+    fn disconnected(&mut self, caller: CallerId) {
         if self.callers.get(&caller).is_some_and(|asked| asked.idempotent) {
             self.close(caller);
         }
@@ -187,7 +188,7 @@
 
     fn close(&mut self, caller: CallerId) {
         let Some(asked) = self.callers.get(&caller) else { return };
-        if let Some(open) = self.open.get_mut(&asked.key) {
+        if let Some(open) = self.waiting.get_mut(&asked.key) {
             open.retain(|other| *other != caller);
         }
     }
@@ -199,29 +200,29 @@
         let Some(sent) = self.calls.remove(&call) else { return };
         match event {
             CallEvent::Refused { reason, .. } => {
-                self.unwritten(&sent);
+                self.record_not_run(&sent);
                 if *reason == RefuseReason::Leaving
-                    && let Some(life) = self.lives.get(&sent.endpoint).copied()
+                    && let Some(life) = self.incarnations.get(&sent.endpoint).copied()
                 {
-                    self.leaves(&sent.endpoint, life);
+                    self.mark_leaving(&sent.endpoint, life);
                 }
             }
-            CallEvent::Failed(CallFailure::NotSent) => self.unwritten(&sent),
+            CallEvent::Failed(CallFailure::NotSent) => self.record_not_run(&sent),
             _ => {}
         }
     }
 
     /// Nothing of a call ran.
-    fn unwritten(&mut self, sent: &Sent) {
+    fn record_not_run(&mut self, sent: &OpenCall) {
         if let Some(asked) = sent.caller.and_then(|caller| self.callers.get_mut(&caller)) {
-            asked.written -= 1;
+            asked.possible_runs -= 1;
         }
         let runs = self.stages.entry((sent.key.clone(), sent.stage.clone())).or_default();
-        runs.written -= 1;
+        runs.possible_runs -= 1;
         runs.single -= u32::from(sent.single);
     }
 
-    fn leaves(&mut self, endpoint: &EndpointName, life: Incarnation) {
+    fn mark_leaving(&mut self, endpoint: &EndpointName, life: Incarnation) {
         let newest = self.leaving.entry(endpoint.clone()).or_insert(life);
         *newest = life.max(*newest);
     }
@@ -230,11 +231,11 @@
         self.count += 1;
         let Call { endpoint, stage, .. } = call;
         let key = &call.echo.request;
-        let life = self.lives.get(endpoint);
+        let life = self.incarnations.get(endpoint);
         if life.is_some() && self.leaving.get(endpoint) >= life {
             self.faults.push(Fault::Leaving { endpoint: endpoint.clone() });
         }
-        let open = self.open.get(key).map_or(&[][..], Vec::as_slice);
+        let open = self.waiting.get(key).map_or(&[][..], Vec::as_slice);
         if open.is_empty() {
             self.faults.push(Fault::AfterEnd { key: key.clone(), stage: stage.clone() });
         }
@@ -247,14 +248,14 @@
             self.faults.push(Fault::SecondRun { key: key.clone(), stage: stage.clone() });
         }
         runs.calls += 1;
-        runs.written += 1;
+        runs.possible_runs += 1;
         runs.single += u32::from(single);
         if let Some(asked) = caller.and_then(|caller| self.callers.get_mut(&caller)) {
             asked.calls += 1;
-            asked.written += 1;
+            asked.possible_runs += 1;
         }
         let (key, stage, endpoint) = (key.clone(), stage.clone(), endpoint.clone());
-        self.calls.insert(call.id, Sent { key, stage, endpoint, caller, single });
+        self.calls.insert(call.id, OpenCall { key, stage, endpoint, caller, single });
     }
 
     fn answered(&mut self, caller: CallerId, outcome: &Outcome) {
@@ -278,7 +279,7 @@
     /// this caller's sending of it otherwise.
     fn may_have_run(&self, asked: &CallerRecord) -> bool {
         if asked.idempotent {
-            return asked.written > 0;
+            return asked.possible_runs > 0;
         }
         self.stages.iter().any(|((key, _), runs)| *key == asked.key && runs.single > 0)
     }
--- a/crates/core/src/trace/replay.rs
+++ b/crates/core/src/trace/replay.rs
@@ -39,17 +39,17 @@
 /// # Errors
 /// If it cannot be read. What a replay finds is in the [`Report`].
 pub fn replay(trace: impl BufRead) -> Result<Report, Error> {
-    let mut lines = Lines { trace, line: 0, text: String::new(), torn: false };
-    let header: Header = lines.next()?.ok_or_else(|| lines.wrong("the header is missing"))?;
+    let mut lines = Lines { trace, line: 0, text: String::new(), is_truncated: false };
+    let header: Header = lines.next()?.ok_or_else(|| lines.line_error("the header is missing"))?;
     if header.peatdeck_inputs != VERSION {
         return Err(Error::Version(header.peatdeck_inputs));
     }
     let mut replay = Replay::new(header);
     while let Some(record) = lines.next::<Line>()? {
         replay.line = lines.line;
-        replay.take(record).map_err(|cause| lines.wrong(cause))?;
+        replay.apply(record).map_err(|cause| lines.line_error(cause))?;
     }
-    Ok(replay.finish(lines.torn))
+    Ok(replay.finish(lines.is_truncated))
 }
 
 /// The lines of a trace.
@@ -57,7 +57,7 @@
     trace: R,
     line: u64,
     text: String,
-    torn: bool,
+    is_truncated: bool,
 }
 
 impl<R: BufRead> Lines<R> {
@@ -69,14 +69,14 @@
         }
         self.line += 1;
         if !self.text.ends_with('\n') {
-            self.torn = true;
+            self.is_truncated = true;
             return Ok(None);
         }
         let record = serde_json::from_str(&self.text);
-        record.map(Some).map_err(|cause| self.wrong(&cause.to_string()))
+        record.map(Some).map_err(|cause| self.line_error(&cause.to_string()))
     }
 
-    fn wrong(&self, cause: &str) -> Error {
+    fn line_error(&self, cause: &str) -> Error {
         Error::Line { line: self.line, cause: cause.to_owned() }
     }
 }
@@ -85,8 +85,8 @@
     instance: Instance,
     content: Content,
     report: Report,
-    account: InvariantChecker,
-    told: VecDeque<(CallerId, Outcome)>,
+    checker: InvariantChecker,
+    unmatched: VecDeque<(CallerId, Outcome)>,
     expects: Vec<(u64, Expect)>,
     recorded: Vec<(CallerId, OutcomeKind)>,
     line: u64,
@@ -107,15 +107,15 @@
             instance: Instance::new(identity, settings, seed).with_content(content),
             content,
             report,
-            account: InvariantChecker::default(),
-            told: VecDeque::new(),
+            checker: InvariantChecker::default(),
+            unmatched: VecDeque::new(),
             expects: Vec::new(),
             recorded: Vec::new(),
             line: 0,
         }
     }
 
-    fn take(&mut self, record: Line) -> Result<(), &'static str> {
+    fn apply(&mut self, record: Line) -> Result<(), &'static str> {
         match record {
             Line {
                 at_us: Some(at),
@@ -124,7 +124,7 @@
                 outcome: None,
                 expect: None,
             } => {
-                self.check_no_more();
+                self.check_no_unmatched();
                 self.feed(Duration::from_micros(at), input);
             }
             Line {
@@ -152,43 +152,43 @@
 
     fn feed(&mut self, now: Duration, input: Input) {
         self.report.inputs += 1;
-        self.account.before(&input, &self.instance);
+        self.checker.before_input(&input, &self.instance);
         let is_timer_due = self.instance.next_wake().is_some_and(|wake| wake <= now);
         if !is_timer_due {
-            self.account.learn(&input);
+            self.checker.update_endpoints(&input);
         }
         for action in self.instance.handle(now, input.clone()) {
-            self.account.action(&action);
+            self.checker.apply_action(&action);
             if let Action::Answer { caller, outcome } = action {
-                self.told.push_back((caller, outcome));
+                self.unmatched.push_back((caller, outcome));
             }
         }
-        self.account.learn(&input);
-        self.account.in_force(self.instance.in_force());
-        let faults = self.account.take_faults();
-        faults.into_iter().for_each(|fault| self.found(fault));
+        self.checker.update_endpoints(&input);
+        self.checker.check_version(self.instance.in_force());
+        let faults = self.checker.take_faults();
+        faults.into_iter().for_each(|fault| self.record_fault(fault));
     }
 
     /// Compares an answer of the trace with the next one of the replay.
     fn answer(&mut self, caller: CallerId, outcome: &Outcome) {
         self.recorded.push((caller, OutcomeKind::of(outcome)));
-        let Some((other, replayed)) = self.told.pop_front() else {
-            return self.found(Fault::Missing { caller, recorded: shown(outcome) });
+        let Some((other, replayed)) = self.unmatched.pop_front() else {
+            return self.record_fault(Fault::Missing { caller, recorded: summary(outcome) });
         };
         if caller != other || !is_same(self.content, outcome, &replayed) {
-            let (recorded, replayed) = (shown(outcome), shown(&replayed));
-            self.found(Fault::Differs { caller, other, recorded, replayed });
+            let (recorded, replayed) = (summary(outcome), summary(&replayed));
+            self.record_fault(Fault::Differs { caller, other, recorded, replayed });
         }
     }
 
     /// Every answer of the replay must have been in the trace by now.
-    fn check_no_more(&mut self) {
-        while let Some((caller, outcome)) = self.told.pop_front() {
-            self.found(Fault::Added { caller, replayed: shown(&outcome) });
+    fn check_no_unmatched(&mut self) {
+        while let Some((caller, outcome)) = self.unmatched.pop_front() {
+            self.record_fault(Fault::Added { caller, replayed: summary(&outcome) });
         }
     }
 
-    fn found(&mut self, fault: Fault) {
+    fn record_fault(&mut self, fault: Fault) {
         self.report.faults.push(Finding { line: self.line, fault });
     }
 
@@ -200,9 +200,9 @@
             self.check(&expect);
         }
         self.report.torn = torn;
-        self.report.calls = self.account.count();
+        self.report.calls = self.checker.total_calls();
         let recorded = |caller| self.recorded.iter().find(|(other, _)| *other == caller);
-        let callers = self.account.callers().map(|(caller, asked)| Caller {
+        let callers = self.checker.callers().map(|(caller, asked)| Caller {
             caller,
             key: asked.key.clone(),
             calls: asked.calls,
@@ -216,18 +216,18 @@
     fn check(&mut self, expect: &Expect) {
         let (stated, found, is_met) = match expect {
             Expect::Told { caller, kind } => {
-                let told = self.account.asked(*caller).and_then(|asked| asked.told);
+                let told = self.checker.caller(*caller).and_then(|asked| asked.told);
                 let found = told.map_or("nothing", OutcomeKind::name).to_owned();
                 let stated = format!("caller {} is told {}", caller.0, kind.name());
                 (stated, found, told == Some(*kind))
             }
             Expect::RunsOnce { key, stage } => {
-                let runs = self.account.runs(key, stage).written;
+                let runs = self.checker.stage_runs(key, stage).possible_runs;
                 let stated = format!("stage {stage} of {} runs at most once", key.id);
                 (stated, format!("{runs} calls that may have run"), runs <= 1)
             }
             Expect::Calls { key, least, most } => {
-                let calls = self.account.calls(key);
+                let calls = self.checker.call_count(key);
                 let stated = format!("{least} to {most} calls for {}", key.id);
                 (stated, format!("{calls}"), (*least..=*most).contains(&calls))
             }
@@ -238,7 +238,7 @@
             }
         };
         if !is_met {
-            self.found(Fault::Unmet { stated, found });
+            self.record_fault(Fault::Unmet { stated, found });
         }
     }
 }
@@ -253,7 +253,7 @@
 }
 
 /// An outcome in short, without the caller's text.
-fn shown(outcome: &Outcome) -> String {
+fn summary(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Answered(answer) => {
             let stages = answer.stages.iter();
--- a/crates/core/tests/testsuite/trace.rs
+++ b/crates/core/tests/testsuite/trace.rs
@@ -94,10 +94,10 @@
     for step in steps {
         match step {
             Step::In(input) => {
-                account.before(&input, &instance);
-                account.learn(&input);
+                account.before_input(&input, &instance);
+                account.update_endpoints(&input);
             }
-            Step::Out(action) => account.action(&action),
+            Step::Out(action) => account.apply_action(&action),
         }
     }
     let faults: Vec<String> = account.take_faults().iter().map(ToString::to_string).collect();
@@ -157,7 +157,7 @@
             "as_of": null, "version": version, "publish": null, "document": {}, "drains": [],
         });
         assert_eq!(account.take_faults(), []);
-        account.in_force(Some(&serde_json::from_value(snapshot).unwrap()));
+        account.check_version(Some(&serde_json::from_value(snapshot).unwrap()));
     }
     let [fault] = &account.take_faults()[..] else { panic!("one fault") };
     assert_eq!(fault.to_string(), "the version in force goes back from 3 to 2");
