--- a/crates/core/src/claims/window.rs
+++ b/crates/core/src/claims/window.rs
@@ -140,9 +140,7 @@
 
     fn finish(&mut self, key: &RequestId, claim: &Holder, answered: bool) {
         let Some(all) = self.keys.get_mut(key) else { return };
-        let Some(tracked) = all.iter_mut().find(|tracked| is_same(&tracked.claim, claim)) else {
-            return;
-        };
+        let Some(tracked) = all.iter_mut().find(|it| is_same(&it.claim, claim)) else { return };
         if tracked.claimed_ms.is_some() && tracked.voided_ms.is_none() {
             tracked.claim.finished = Some(answered);
         }
@@ -151,7 +149,7 @@
     /// The entry of a claim, which is added if it is new.
     fn tracked(&mut self, key: &RequestId, claim: Holder) -> &mut TrackedClaim {
         let all = self.keys.entry(key.clone()).or_default();
-        let idx = match all.iter().position(|tracked| is_same(&tracked.claim, &claim)) {
+        let idx = match all.iter().position(|it| is_same(&it.claim, &claim)) {
             Some(idx) => idx,
             None => {
                 all.push(TrackedClaim { claim, claimed_ms: None, voided_ms: None });
