--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -47,18 +47,18 @@
     let mut relay = relay(room);
     // Every endpoint gets a call, or all the results that it has room for.
     for ticket in 0..ENDPOINTS as u64 {
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_000_000));
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_000_000));
     }
     relay.take_actions();
     for ticket in 1000..1000 + waiting {
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
     }
     relay.take_actions();
     let mut ticket = 1_000_000;
     cost::of(EFFORT, || {
         ticket += 1;
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
-        relay.recalled(ticket);
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
+        relay.on_handover_recall(ticket);
         relay.take_actions()
     })
 }
@@ -102,7 +102,7 @@
             is_leaving: false,
             cold_left: None,
         };
-        relay.change(Duration::ZERO, Change::Put(entry));
+        relay.apply_change(Duration::ZERO, Change::Put(entry));
     }
     relay
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -9,7 +9,7 @@
 //!
 //! An exchange goes through these phases:
 //!
-//! 1. [`Relay::arrive`]: route, team and service are looked up, or the
+//! 1. [`Relay::on_request`]: route, team and service are looked up, or the
 //!    exchange is refused.
 //! 2. Its stages, if the route has any: pieces of work at other services,
 //!    batched with those of other exchanges ([`batch`]). Their results are
@@ -59,4 +59,4 @@
 mod exchange;
 mod machine;
 
-pub use machine::{Relay, Settings, Taken};
+pub use machine::{ExchangeSummary, Relay, Settings};
--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -145,7 +145,7 @@
 
 /// What an arrival was taken in as.
 #[data]
-pub struct Taken {
+pub struct ExchangeSummary {
     /// The route.
     pub route: Arc<str>,
     /// The service that is to answer.
@@ -243,9 +243,9 @@
 
     /// What became of an arrival, for a log line: its route, service, team and
     /// whether it was taken in at all.
-    pub fn describe(&self, key: ExchangeKey) -> Option<Taken> {
+    pub fn describe(&self, key: ExchangeKey) -> Option<ExchangeSummary> {
         let exchange = self.exchanges.get(key)?;
-        Some(Taken {
+        Some(ExchangeSummary {
             route: exchange.route.name.clone(),
             service: exchange.service.clone(),
             team: exchange.team.clone(),
@@ -294,7 +294,7 @@
     }
 
     /// Takes in a change of the directory.
-    pub fn change(&mut self, now: Duration, change: Change) -> Changed {
+    pub fn apply_change(&mut self, now: Duration, change: Change) -> Changed {
         let change = self.unless_strange(change);
         let changed = self.directory.change(now, change);
         if let Some(Ended { endpoint, is_planned }) = changed.ended {
@@ -345,33 +345,33 @@
     /// restart of 295 instances, 173 of them sent calls for pieces themselves in
     /// the fifth of a second before they knew each other, and 8,000 of these found
     /// their endpoint full.
-    pub fn await_peers(&mut self, until: Duration) {
+    pub fn hold_for_peers(&mut self, until: Duration) {
         self.peers_by = until;
     }
 
     /// This instance stood still and does not know what is in force: until it does,
     /// or until that time, all requests wait. An instance that was suspended for half
     /// a minute sent by the routes of before until its first look at the tables.
-    pub fn await_news(&mut self, until: Duration) {
+    pub fn hold_for_tables(&mut self, until: Duration) {
         self.news_by = until;
     }
 
     /// What is in force is known again.
-    pub fn know_news(&mut self, now: Duration) {
+    pub fn mark_tables_read(&mut self, now: Duration) {
         if now < std::mem::take(&mut self.news_by) {
             self.search(now);
         }
     }
 
     /// The peers are known now.
-    pub fn know_peers(&mut self, now: Duration) {
+    pub fn mark_peers_known(&mut self, now: Duration) {
         if now < std::mem::take(&mut self.peers_by) {
             self.search(now);
         }
     }
 
     /// A caller's request has been read whole.
-    pub fn arrive(&mut self, now: Duration, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
+    pub fn on_request(&mut self, now: Duration, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
         let config = self.config.clone().filter(|_| self.knows_quarantine);
         let config = config.ok_or(Refusal::NotReady)?;
         let route = config.route(&arrival.host, &arrival.path).ok_or(Refusal::NoRoute)?;
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -26,10 +26,10 @@
 
 impl Relay {
     /// The head of a reply came. True if its body is a stream whose events are
-    /// to be asked about one by one with [`Relay::pass_event`]; false if the
+    /// to be asked about one by one with [`Relay::on_stream_event`]; false if the
     /// body is to be read whole first.
-    pub fn opened(&mut self, now: Duration, call: CallKey, head: &ReplyHead) -> bool {
-        self.heard(now, call, head);
+    pub fn on_reply_head(&mut self, now: Duration, call: CallKey, head: &ReplyHead) -> bool {
+        self.on_reply_terms(now, call, head);
         let Some(exchange) = self.exchange_of(call) else { return false };
         let is_stream = self.exchanges[exchange].route.kind.is_stream();
         let is_success = (200..300).contains(&head.status);
@@ -41,7 +41,7 @@
     }
 
     /// Whether a stream's event goes to the caller.
-    pub fn pass_event(&mut self, now: Duration, call: CallKey, id: Option<u64>) -> bool {
+    pub fn on_stream_event(&mut self, now: Duration, call: CallKey, id: Option<u64>) -> bool {
         let Some(key) = self.exchange_of(call) else { return false };
         let exchange = &mut self.exchanges[key];
         if let (Some(id), Some(last)) = (id, exchange.last_event)
@@ -61,7 +61,7 @@
     }
 
     /// A stream ended whole.
-    pub fn ended(&mut self, now: Duration, call: CallKey) {
+    pub fn on_stream_end(&mut self, now: Duration, call: CallKey) {
         let Some(key) = self.exchange_of(call) else { return };
         self.quarantine.note_answer(now, self.exchanges[key].content);
         self.end_call(now, call, Step::Ended);
@@ -73,7 +73,7 @@
     }
 
     /// A reply came whole.
-    pub fn replied(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
+    pub fn on_reply(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
         let Some(key) = self.exchange_of(call) else { return };
         let endpoint = self.calls[call].endpoint;
         if head.is_turned_away() {
@@ -115,7 +115,7 @@
     }
 
     /// A call failed without a whole reply.
-    pub fn failed(&mut self, now: Duration, call: CallKey, failure: Failure) {
+    pub fn on_call_failure(&mut self, now: Duration, call: CallKey, failure: Failure) {
         let Some(key) = self.exchange_of(call) else { return };
         if failure == Failure::Cut {
             let runs = self.runs_of(now, call);
@@ -361,7 +361,7 @@
         let (endpoint, took) = (*endpoint, now.saturating_sub(*started));
         let (run, placer) = (*run, placer.clone());
         match (run, self.directory.get_mut(endpoint)) {
-            (Some(number), _) => self.progressed(now, Progress { number, step }),
+            (Some(number), _) => self.on_progress(now, Progress { number, step }),
             (None, Some(endpoint)) => endpoint.note(now, took, step),
             (None, None) => {}
         }
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -22,7 +22,7 @@
 impl Relay {
     /// Ends all exchanges: the instance is about to end. Callers that hold no
     /// part of an answer are told, instead of being cut off.
-    pub fn end_all(&mut self, now: Duration) {
+    pub fn end_all_exchanges(&mut self, now: Duration) {
         for key in self.exchanges.keys().collect::<Vec<_>>() {
             self.stop_work(now, key);
             self.give_up(now, key, Refusal::Unserved);
@@ -41,7 +41,7 @@
     }
 
     /// A caller has gone before its answer was whole.
-    pub fn leave(&mut self, now: Duration, key: ExchangeKey) {
+    pub fn on_caller_disconnect(&mut self, now: Duration, key: ExchangeKey) {
         if let Some(call) = self.exchanges.get(key).and_then(|exchange| exchange.call) {
             self.cancel(now, call);
         }
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -32,8 +32,8 @@
         for (call, exchange) in open {
             self.actions.push(Action::Cancel(call));
             match exchange {
-                ExchangeOf::Exchange(_) => self.failed(now, call, Failure::Cut),
-                ExchangeOf::Pieces => self.make_failed(now, call, Failure::Cut, false),
+                ExchangeOf::Exchange(_) => self.on_call_failure(now, call, Failure::Cut),
+                ExchangeOf::Pieces => self.on_pieces_failure(now, call, Failure::Cut, false),
             }
         }
     }
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -88,12 +88,12 @@
     }
 
     /// A placer did not answer.
-    pub fn placer_failed(&mut self, now: Duration, peer: &InstanceName) {
+    pub fn on_placer_failure(&mut self, now: Duration, peer: &InstanceName) {
         self.mute_placers.insert(peer.clone(), now + AVOID_TIME);
     }
 
     /// A placer answered, or did not: `None` then, or if it found no engine.
-    pub fn placed(
+    pub fn on_placement(
         &mut self,
         now: Duration,
         key: ExchangeKey,
@@ -137,7 +137,7 @@
 
     /// An engine told which parts it holds. What another life of it holds says
     /// nothing.
-    pub fn parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &Listed) {
+    pub fn on_parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &Listed) {
         let Some(engine) = self.directory.get(endpoint) else { return };
         if listed.incarnation.is_none_or(|told| told == engine.entry.incarnation) {
             self.memory.holds_parts(now, endpoint, listed.parts.iter().copied());
@@ -145,7 +145,7 @@
     }
 
     /// Chooses for a peer. `None` if no engine can take the prompt.
-    pub fn place(&mut self, now: Duration, question: &Question) -> Option<Placement> {
+    pub fn place_prompt(&mut self, now: Duration, question: &Question) -> Option<Placement> {
         if self.transfer(&question.service).is_some() {
             self.list_parts(now, &question.service);
         }
@@ -199,7 +199,7 @@
     }
 
     /// Takes in how a call goes on that this instance placed.
-    pub fn progressed(&mut self, now: Duration, progress: Progress) {
+    pub fn on_progress(&mut self, now: Duration, progress: Progress) {
         let Progress { number, step } = progress;
         let Some(&key) = self.runs.get(&number) else { return };
         let Some(endpoint) = self.directory.get_mut(key) else { return };
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -55,12 +55,12 @@
 impl Relay {
     /// The platform's table of contents that are held back has been read: requests
     /// may be sent.
-    pub fn know_quarantine(&mut self) {
+    pub fn mark_quarantine_read(&mut self) {
         self.knows_quarantine = true;
     }
 
     /// Everything that is held back.
-    pub fn held_back(&self) -> impl Iterator<Item = (Fingerprint, &Hold)> {
+    pub fn quarantined(&self) -> impl Iterator<Item = (Fingerprint, &Hold)> {
         self.quarantine.all()
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// A new connection told whether an endpoint that cut runs is there.
-    pub fn probed(&mut self, now: Duration, endpoint: EndpointKey, probed: Probed) {
+    pub fn on_probe(&mut self, now: Duration, endpoint: EndpointKey, probed: Probed) {
         let Some(cuts) = self.cuts.get_mut(&endpoint) else { return };
         cuts.is_probed = false;
         if probed == Probed::Gone {
@@ -132,13 +132,13 @@
         self.tell_keepers(&crashes);
         self.actions.push(Action::Crashed { life, crashes: crashes.clone() });
         for crash in &crashes {
-            self.suspect(now, crash);
+            self.on_crash(now, crash);
         }
     }
 
     /// Takes in a crash, seen here or by a peer. Where the content is held back already,
     /// somebody has not heard of it: all are told again.
-    pub fn suspect(&mut self, now: Duration, crash: &Crash) {
+    pub fn on_crash(&mut self, now: Duration, crash: &Crash) {
         if let Some(Hold { crashes, .. }) = self.quarantine.held(crash.content) {
             let (content, crashes) = (crash.content, *crashes);
             self.actions.push(Action::Quarantine { content, crashes });
@@ -148,7 +148,7 @@
             return;
         };
         match self.was_answered(content, since) {
-            true => self.consulted(now, content, true),
+            true => self.on_consultation(now, content, true),
             false => self.actions.push(Action::Consult { content, since }),
         }
     }
@@ -161,31 +161,31 @@
 
     /// All instances that could be asked have said whether they had a content answered
     /// meanwhile.
-    pub fn consulted(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
+    pub fn on_consultation(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
         if was_answered {
             self.actions.push(Action::Acquitted(content));
         }
         if let Some(crashes) = self.quarantine.consulted(content, was_answered) {
-            self.hold_back(now, content, crashes);
+            self.quarantine_content(now, content, crashes);
             self.actions.push(Action::Quarantine { content, crashes });
         }
     }
 
     /// The platform's table says that a content is held back.
-    pub fn recorded(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
-        self.hold_back(now, content, crashes);
+    pub fn on_quarantine_record(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
+        self.quarantine_content(now, content, crashes);
         self.quarantine.note_recorded(content);
     }
 
     /// The platform's table has no record of a content any more.
-    pub fn unrecorded(&mut self, content: Fingerprint) {
+    pub fn on_quarantine_removal(&mut self, content: Fingerprint) {
         if self.quarantine.release(content).is_some() {
             self.actions.push(Action::Released(content));
         }
     }
 
     /// An operator releases a content. False if it is not held back.
-    pub fn lift(&mut self, content: Fingerprint) -> bool {
+    pub fn release_content(&mut self, content: Fingerprint) -> bool {
         let is_held = self.quarantine.release(content).is_some();
         if is_held {
             self.actions.push(Action::Released(content));
@@ -235,7 +235,7 @@
     }
 
     /// Holds a content back from now on.
-    pub fn hold_back(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
+    pub fn quarantine_content(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
         let jitter = self.rng.random();
         if self.quarantine.hold(now, content, crashes, jitter) {
             self.actions.push(Action::HeldBack { content, crashes });
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -24,7 +24,7 @@
 
 impl Relay {
     /// Whoever batches a service says that pieces wait there.
-    pub fn queue_told(&mut self, now: Duration, service: ServiceName) {
+    pub fn on_backlog_notice(&mut self, now: Duration, service: ServiceName) {
         self.queues.insert(service, now);
     }
 
@@ -46,7 +46,7 @@
         }
         let peers = self.other_batchers();
         for service in waited_for {
-            self.queue_told(now, service.clone());
+            self.on_backlog_notice(now, service.clone());
             let words = peers
                 .iter()
                 .map(|peer| Action::TellQueue { peer: peer.clone(), service: service.clone() });
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -81,12 +81,12 @@
                 let is_spare = true;
                 self.actions.push(Action::FreeThrough { peer, handles, is_spare });
             }
-            None => self.spare_here(handles),
+            None => self.mark_evictable(handles),
         }
     }
 
     /// Results that this instance's calls made are spare.
-    pub fn spare_here(&mut self, handles: Vec<Handle>) {
+    pub fn mark_evictable(&mut self, handles: Vec<Handle>) {
         self.batches.spared(&handles);
         self.has_room = true;
     }
@@ -126,12 +126,12 @@
                 let is_spare = false;
                 self.actions.push(Action::FreeThrough { peer, handles, is_spare });
             }
-            None => self.free_here(handles),
+            None => self.free_at_endpoints(handles),
         }
     }
 
     /// Gives results up at the endpoints that hold them.
-    pub fn free_here(&mut self, handles: Vec<Handle>) {
+    pub fn free_at_endpoints(&mut self, handles: Vec<Handle>) {
         self.batches.freed(&handles);
         self.has_room = true;
         let mut by_addr: Vec<(Arc<str>, Vec<Handle>)> = Vec::new();
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -29,7 +29,7 @@
 
 impl Relay {
     /// A call for pieces brought results.
-    pub fn made(
+    pub fn on_pieces_made(
         &mut self,
         now: Duration,
         call: CallKey,
@@ -65,7 +65,13 @@
 
     /// A call for pieces failed; `is_unrun` if the endpoint said that it did
     /// not run.
-    pub fn make_failed(&mut self, now: Duration, call: CallKey, failure: Failure, is_unrun: bool) {
+    pub fn on_pieces_failure(
+        &mut self,
+        now: Duration,
+        call: CallKey,
+        failure: Failure,
+        is_unrun: bool,
+    ) {
         let step = if is_unrun { Step::Refused(None) } else { Step::Failed(failure) };
         let is_cut = !is_unrun && failure == Failure::Cut;
         if let Some(state) = self.calls.get(call).filter(|_| is_cut) {
@@ -84,7 +90,7 @@
     }
 
     /// A peer hands over pieces. Their results are returned under `ticket`.
-    pub fn take_over(&mut self, now: Duration, ticket: u64, pieces: Vec<Piece>) {
+    pub fn on_handover(&mut self, now: Duration, ticket: u64, pieces: Vec<Piece>) {
         self.tickets.insert(ticket, Ticket { results: vec![None; pieces.len()] });
         for piece in &pieces {
             self.earn(now, &piece.service, 1);
@@ -99,13 +105,18 @@
     }
 
     /// A peer does not want its pieces any more.
-    pub fn recalled(&mut self, ticket: u64) {
+    pub fn on_handover_recall(&mut self, ticket: u64) {
         self.tickets.remove(&ticket);
         self.batches.drop_waiting(Holder::Ticket(ticket));
     }
 
     /// A peer returned the results of pieces; `None` if it cannot be reached.
-    pub fn returned(&mut self, now: Duration, key: HandoverKey, results: Option<Vec<PieceResult>>) {
+    pub fn on_handover_return(
+        &mut self,
+        now: Duration,
+        key: HandoverKey,
+        results: Option<Vec<PieceResult>>,
+    ) {
         let Some(Handover { exchange, peer, pieces }) = self.handovers.remove(key) else { return };
         let Some(state) = self.exchanges.get_mut(exchange) else { return };
         state.handovers.retain(|other| *other != key);
@@ -254,7 +265,7 @@
         let Some(shape) = self.shape(service) else { return };
         let spares = self.batches.spares_in_the_way(now, service, &shape, &self.directory);
         if !spares.is_empty() {
-            self.free_here(spares);
+            self.free_at_endpoints(spares);
         }
         let late = match self.directory.is_evacuated(now, service) {
             true => self.batches.take_waiting(service),
--- a/crates/core/src/relay/machine/terms.rs
+++ b/crates/core/src/relay/machine/terms.rs
@@ -23,7 +23,7 @@
 impl Relay {
     /// The head of a reply came. What its endpoint says of itself counts whatever
     /// becomes of the call, but where another one has its address.
-    pub fn heard(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
+    pub fn on_reply_terms(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
         if head.status == 421 {
             return;
         }
@@ -54,7 +54,7 @@
     }
 
     /// What peers should know of endpoints.
-    pub fn notices(&mut self, now: Duration) -> Vec<Notice> {
+    pub fn peer_notices(&mut self, now: Duration) -> Vec<Notice> {
         let is_fresh = |at: Duration| now < at + NEWS_FOR;
         let is_news = |endpoint: &&Endpoint| {
             let has_left = endpoint.left_at.is_some_and(is_fresh);
@@ -72,7 +72,7 @@
     }
 
     /// A peer told of endpoints.
-    pub fn noticed(&mut self, now: Duration, peer: &InstanceName, notices: &[Notice]) {
+    pub fn on_peer_notices(&mut self, now: Duration, peer: &InstanceName, notices: &[Notice]) {
         for notice in notices {
             let Some(key) = self.directory.by_life(&notice.life) else { continue };
             let Some(endpoint) = self.directory.get_mut(key) else { continue };
--- a/crates/core/tests/testsuite/relay/batch.rs
+++ b/crates/core/tests/testsuite/relay/batch.rs
@@ -186,7 +186,7 @@
     for pause in [60, 120, 240, 400, 400] {
         let order = world.orders().remove(0);
         let failure = peatdeck_core::relay::model::Failure::Cut;
-        world.relay.make_failed(world.now, order.call, failure, true);
+        world.relay.on_pieces_failure(world.now, order.call, failure, true);
         world.advance(ms(pause - 1));
         assert!(world.orders().is_empty());
         world.advance(ms(1));
@@ -245,7 +245,7 @@
     world.advance(ms(1100));
     let second = world.orders().remove(0);
     let failure = peatdeck_core::relay::model::Failure::Cut;
-    world.relay.make_failed(world.now, hung.call, failure, false);
+    world.relay.on_pieces_failure(world.now, hung.call, failure, false);
     world.collect();
     assert!(world.orders().is_empty());
     world.make(&second);
--- a/crates/core/tests/testsuite/relay/calls.rs
+++ b/crates/core/tests/testsuite/relay/calls.rs
@@ -243,7 +243,7 @@
     let mut world = World::plain(Kind::Once);
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    world.relay.end_all(world.now);
+    world.relay.end_all_exchanges(world.now);
     world.collect();
     assert_eq!(world.refusals(), ["502 failed never"]);
     assert_eq!(world.actions, [Action::Cancel(call.key)]);
@@ -299,8 +299,8 @@
         world.arrive(asking_engine(&format!("before-{idx}"), "resumable"));
         let call = world.call();
         world.advance(ms(100));
-        world.relay.opened(world.now, call.key, &head(200));
-        world.relay.ended(world.now, call.key);
+        world.relay.on_reply_head(world.now, call.key, &head(200));
+        world.relay.on_stream_end(world.now, call.key);
         world.collect();
     }
     world.actions.clear();
@@ -346,7 +346,7 @@
     let mut world = engines();
     world.arrive(asking_engine("1", "resumable"));
     let call = world.call();
-    assert!(world.relay.opened(world.now, call.key, &head(200)));
+    assert!(world.relay.on_reply_head(world.now, call.key, &head(200)));
     world.advance(ms(3000));
     assert!(world.calls().is_empty());
 }
--- a/crates/core/tests/testsuite/relay/cold.rs
+++ b/crates/core/tests/testsuite/relay/cold.rs
@@ -89,10 +89,10 @@
     world.put(cold("a", "llm", None));
     assert_eq!(calls_of_a_second(&mut world).len(), 50, "it says nothing");
     let entry = cold("a", "llm", Some(3000));
-    let changed = world.relay.change(world.now, Change::Put(entry.clone()));
+    let changed = world.relay.apply_change(world.now, Change::Put(entry.clone()));
     assert!(changed.has_cooled);
     assert!(calls_of_a_second(&mut world).len() <= 6);
-    assert!(!world.relay.change(world.now, Change::Put(entry)).has_cooled);
+    assert!(!world.relay.apply_change(world.now, Change::Put(entry)).has_cooled);
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let call = world.call();
     let terms = Terms { cold: Some(ms(2000)), ..Terms::default() };
     let told = ReplyHead { terms, ..head(200) };
-    world.relay.opened(world.now, call.key, &told);
+    world.relay.on_reply_head(world.now, call.key, &told);
     assert!(calls_of_a_second(&mut world).len() <= 6);
 }
 
@@ -123,7 +123,7 @@
             avoided: Vec::new(),
         };
         let placed = (0..200).filter_map(|shared| {
-            let placement = world.relay.place(world.now, &question(shared))?;
+            let placement = world.relay.place_prompt(world.now, &question(shared))?;
             Some(placement.engine.name.to_string())
         });
         let mut placed: Vec<_> = placed.collect();
@@ -139,7 +139,7 @@
     let mut world = engines(&["a"], 5000);
     let peer = Peer { name: "peer".into(), strength: 500 };
     world.relay.set_peers(world.now, vec![peer], 2);
-    world.relay.placer_failed(world.now, &"peer".into());
+    world.relay.on_placer_failure(world.now, &"peer".into());
     ask(&mut world, 1);
     world.advance(ms(100));
     assert!(world.calls().is_empty());
@@ -206,7 +206,7 @@
     world.put(cold("m", "maker", Some(5000)));
     world.arrive(Arrival { pieces: vec![1], ..arrival("1", "r") });
     let order = world.orders().remove(0);
-    world.relay.make_failed(world.now, order.call, Failure::Unsent, true);
+    world.relay.on_pieces_failure(world.now, order.call, Failure::Unsent, true);
     world.collect();
     world.advance(ms(499));
     assert!(world.orders().is_empty());
--- a/crates/core/tests/testsuite/relay/evacuation.rs
+++ b/crates/core/tests/testsuite/relay/evacuation.rs
@@ -92,7 +92,10 @@
     world.obey(evacuate("east"));
     world.obey(evacuate("west"));
     world.try_arrive(arrival("1", "r")).unwrap();
-    world.relay.obey(world.now, vec![restore("east"), restore("west"), evacuate("east")]);
+    world.relay.apply_operator_changes(
+        world.now,
+        vec![restore("east"), restore("west"), evacuate("east")],
+    );
     world.collect();
     assert_eq!(called(&mut world, 40), ["b"]);
 }
@@ -128,7 +131,7 @@
     world.obey(evacuate("west"));
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    world.relay.opened(world.now, call.key, &head(200));
+    world.relay.on_reply_head(world.now, call.key, &head(200));
     world.event(call.key, 1);
     world.obey(restore("west"));
     world.put(entry_in("east", "c", "desk"));
@@ -251,7 +254,7 @@
     world.obey(evacuate("east"));
     let engine = Life { name: "a".into(), incarnation: Incarnation(1) };
     let placement = Placement { engine, source: None, tokens: 10, wait: ms(0), number: 7 };
-    world.relay.placed(world.now, key, &"peer".into(), Some(placement));
+    world.relay.on_placement(world.now, key, &"peer".into(), Some(placement));
     world.collect();
     assert_eq!(&*world.call().endpoint, "b");
 }
@@ -266,10 +269,10 @@
         avoided: Vec::new(),
     };
     world.obey(evacuate("west"));
-    assert_eq!(&*world.relay.place(world.now, &question).unwrap().engine.name, "a");
+    assert_eq!(&*world.relay.place_prompt(world.now, &question).unwrap().engine.name, "a");
     world.obey(restore("west"));
     world.obey(evacuate("east"));
-    let placement = world.relay.place(world.now, &question).unwrap();
+    let placement = world.relay.place_prompt(world.now, &question).unwrap();
     assert_eq!((&*placement.engine.name, placement.source), ("b", None));
     assert!(world.relay.take_actions().iter().all(|action| match action {
         Action::ListParts { addr, .. } => &**addr != "a:80",
@@ -281,7 +284,7 @@
 fn an_endpoint_that_lapsed_there_is_no_last_resort() {
     let mut world = two_places(Kind::Idempotent);
     for name in ["a", "b"] {
-        world.relay.change(world.now, Change::Removed(name.into()));
+        world.relay.apply_change(world.now, Change::Removed(name.into()));
     }
     world.obey(evacuate("east"));
     assert_eq!(called(&mut world, 10), ["b"]);
@@ -291,7 +294,7 @@
 #[test]
 fn what_is_left_elsewhere_is_used_before_callers_are_refused() {
     let mut world = two_places(Kind::Idempotent);
-    world.relay.change(world.now, Change::Removed("b".into()));
+    world.relay.apply_change(world.now, Change::Removed("b".into()));
     world.obey(evacuate("east"));
     assert_eq!(called(&mut world, 10), ["b"]);
     world.advance(ms(2000));
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -190,7 +190,7 @@
         };
         let mut relay = Relay::new(settings, 7);
         relay.configure(config);
-        relay.know_quarantine();
+        relay.mark_quarantine_read();
         World { relay, now: Duration::ZERO, actions: Vec::new() }
     }
 
@@ -204,7 +204,7 @@
     }
 
     pub fn put(&mut self, entry: Entry) {
-        self.relay.change(self.now, Change::Put(entry));
+        self.relay.apply_change(self.now, Change::Put(entry));
         self.collect();
     }
 
@@ -214,13 +214,13 @@
 
     /// Operators order something.
     pub fn obey(&mut self, act: Act) -> bool {
-        let taken = self.relay.obey(self.now, vec![act]);
+        let taken = self.relay.apply_operator_changes(self.now, vec![act]);
         self.collect();
         taken[0]
     }
 
     pub fn try_arrive(&mut self, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
-        let arrived = self.relay.arrive(self.now, arrival);
+        let arrived = self.relay.on_request(self.now, arrival);
         self.collect();
         arrived
     }
@@ -232,28 +232,28 @@
     }
 
     pub fn replied(&mut self, call: CallKey, head: &ReplyHead) {
-        self.relay.replied(self.now, call, head);
+        self.relay.on_reply(self.now, call, head);
         self.collect();
     }
 
     pub fn failed(&mut self, call: CallKey, failure: Failure) {
-        self.relay.failed(self.now, call, failure);
+        self.relay.on_call_failure(self.now, call, failure);
         self.collect();
     }
 
     pub fn leave(&mut self, exchange: ExchangeKey) {
-        self.relay.leave(self.now, exchange);
+        self.relay.on_caller_disconnect(self.now, exchange);
         self.collect();
     }
 
     pub fn event(&mut self, call: CallKey, id: u64) -> bool {
-        let is_passed = self.relay.pass_event(self.now, call, Some(id));
+        let is_passed = self.relay.on_stream_event(self.now, call, Some(id));
         self.collect();
         is_passed
     }
 
     pub fn made(&mut self, call: CallKey, results: Vec<PieceResult>) {
-        self.relay.made(self.now, call, results, None);
+        self.relay.on_pieces_made(self.now, call, results, None);
         self.collect();
     }
 
--- a/crates/core/tests/testsuite/relay/forgotten.rs
+++ b/crates/core/tests/testsuite/relay/forgotten.rs
@@ -19,7 +19,7 @@
 }
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
-    world.relay.opened(world.now, call.key, head);
+    world.relay.on_reply_head(world.now, call.key, head);
     world.replied(call.key, head);
 }
 
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -207,7 +207,7 @@
         }
         for content in consults {
             let was_answered = content.0 % 2 == 0;
-            world.relay.consulted(world.now, content, was_answered);
+            world.relay.on_consultation(world.now, content, was_answered);
             world.collect();
             self.check(world);
         }
@@ -300,7 +300,7 @@
                 let pieces = if is_staged { vec![u16::from(pick % 3), 1, 2] } else { Vec::new() };
                 let id = idx.to_string();
                 let asking = Arrival { pieces, ..arrival(&id, &format!("{name}{kind}")) };
-                let key = world.relay.arrive(world.now, asking).unwrap();
+                let key = world.relay.on_request(world.now, asking).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
                 world.collect();
             }
@@ -316,7 +316,7 @@
                 if head.status != 421 {
                     oracle.limited.remove(&oracle.called[&call]);
                 }
-                if world.relay.opened(world.now, call, &head) {
+                if world.relay.on_reply_head(world.now, call, &head) {
                     oracle.ran.insert(exchange);
                     continue;
                 }
@@ -344,7 +344,7 @@
                 }
                 oracle.ran.insert(exchange);
                 oracle.forget(call);
-                world.relay.ended(world.now, call);
+                world.relay.on_stream_end(world.now, call);
                 world.collect();
             }
             Step::Fail(pick, how) => {
@@ -368,8 +368,8 @@
                 match how % 8 {
                     0 => world.made(order.call, order.all(PieceFailure::NoRoom)),
                     1 => world.made(order.call, order.all(PieceFailure::InputGone)),
-                    2 => world.relay.make_failed(world.now, order.call, Failure::Cut, false),
-                    3 => world.relay.make_failed(world.now, order.call, Failure::Cut, true),
+                    2 => world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false),
+                    3 => world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, true),
                     _ => {
                         world.make(&order);
                     }
@@ -411,7 +411,7 @@
                 let content = common(content);
                 let asking =
                     Arrival { content, ..arrival(&idx.to_string(), &format!("plain{kind}")) };
-                let key = world.relay.arrive(world.now, asking).unwrap();
+                let key = world.relay.on_request(world.now, asking).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
                 oracle.contents.insert(key, content.from_team(None));
                 world.collect();
@@ -431,7 +431,7 @@
                     _ => None,
                 });
                 for endpoint in probes {
-                    world.relay.probed(world.now, endpoint, probed);
+                    world.relay.on_probe(world.now, endpoint, probed);
                     world.collect();
                 }
             }
@@ -462,8 +462,8 @@
             Step::Hold(content, is_held) => {
                 let content = common(content).from_team(None);
                 match is_held {
-                    true => world.relay.recorded(world.now, content, 3),
-                    false => world.relay.unrecorded(content),
+                    true => world.relay.on_quarantine_record(world.now, content, 3),
+                    false => world.relay.on_quarantine_removal(content),
                 }
                 world.collect();
             }
@@ -516,7 +516,7 @@
     if !head.is_unrun {
         oracle.ran.insert(exchange);
     }
-    if !world.relay.opened(world.now, call, &head) {
+    if !world.relay.on_reply_head(world.now, call, &head) {
         oracle.forget(call);
         world.replied(call, &head);
     }
--- a/crates/core/tests/testsuite/relay/leaving.rs
+++ b/crates/core/tests/testsuite/relay/leaving.rs
@@ -29,7 +29,7 @@
 }
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
-    world.relay.opened(world.now, call.key, head);
+    world.relay.on_reply_head(world.now, call.key, head);
     world.replied(call.key, head);
 }
 
@@ -80,7 +80,7 @@
     let mut world = World::plain(Kind::Stream);
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    assert!(world.relay.opened(world.now, call.key, &leaving(head(200))));
+    assert!(world.relay.on_reply_head(world.now, call.key, &leaving(head(200))));
     let other = if &*call.endpoint == "a" { "b" } else { "a" };
     assert!(world.event(call.key, 1), "what it streams goes on");
     assert_eq!(called(&mut world), [other]);
@@ -93,12 +93,12 @@
     answer_of(&mut world, "a", &leaving(head(200)));
     world.put(entry("a", "desk"));
     assert_eq!(called(&mut world), ["b"]);
-    world.relay.change(world.now, Change::Removed("a".into()));
+    world.relay.apply_change(world.now, Change::Removed("a".into()));
     world.put(entry("a", "desk"));
     assert_eq!(called(&mut world), ["b"]);
     world.put(Entry { incarnation: Incarnation(2), ..entry("a", "desk") });
     world.calls();
-    world.relay.change(world.now, Change::Removed("b".into()));
+    world.relay.apply_change(world.now, Change::Removed("b".into()));
     assert_eq!(called(&mut world), ["a"], "it has started again");
 }
 
@@ -123,13 +123,13 @@
         world.arrive(arrival(&idx.to_string(), "r"));
         let call = world.call();
         world.advance(ms(20));
-        world.relay.opened(world.now, call.key, &head(200));
+        world.relay.on_reply_head(world.now, call.key, &head(200));
         world.event(call.key, 1);
         open.push(call);
     }
     world.arrive(arrival("told", "r"));
     let told = world.call();
-    world.relay.opened(world.now, told.key, &leaving(head(200)));
+    world.relay.on_reply_head(world.now, told.key, &leaving(head(200)));
     for call in open.into_iter().filter(|call| call.endpoint != told.endpoint) {
         world.failed(call.key, Failure::Cut);
     }
@@ -151,12 +151,12 @@
         world.arrive(Arrival { pieces: vec![1], ..arrival("1", "r") });
         let order = world.orders().remove(0);
         let told = if is_made { head(200) } else { unrun(503) };
-        world.relay.heard(world.now, order.call, &leaving(told));
+        world.relay.on_reply_terms(world.now, order.call, &leaving(told));
         match is_made {
             true => world.make(&order),
             false => {
                 let failure = Failure::Cut;
-                world.relay.make_failed(world.now, order.call, failure, true);
+                world.relay.on_pieces_failure(world.now, order.call, failure, true);
                 world.collect();
             }
         }
@@ -185,7 +185,7 @@
     };
     ask(&mut world, "1");
     let call = world.call();
-    world.relay.opened(world.now, call.key, &leaving(head(200)));
+    world.relay.on_reply_head(world.now, call.key, &leaving(head(200)));
     let peer = Peer { name: "peer".into(), strength: 900 };
     world.relay.set_peers(world.now, vec![peer], 2);
     let key = ask(&mut world, "2");
@@ -196,7 +196,7 @@
     assert_eq!(asked.len(), 1);
     let engine = Life { name: call.endpoint.clone(), incarnation: Incarnation(1) };
     let placement = Placement { engine, source: None, tokens: 10, wait: ms(0), number: 1 };
-    world.relay.placed(world.now, key, &"peer".into(), Some(placement));
+    world.relay.on_placement(world.now, key, &"peer".into(), Some(placement));
     world.collect();
     assert_ne!(world.call().endpoint, call.endpoint);
 }
@@ -206,9 +206,9 @@
 fn peers_are_told() {
     let mut world = World::plain(Kind::Idempotent);
     answer_of(&mut world, "a", &leaving(head(200)));
-    let notices = world.relay.notices(world.now);
+    let notices = world.relay.peer_notices(world.now);
     let mut peer = World::plain(Kind::Idempotent);
-    peer.relay.noticed(peer.now, &"own".into(), &notices);
+    peer.relay.on_peer_notices(peer.now, &"own".into(), &notices);
     peer.collect();
     assert_eq!(called(&mut peer), ["b"]);
 }
--- a/crates/core/tests/testsuite/relay/limits.rs
+++ b/crates/core/tests/testsuite/relay/limits.rs
@@ -30,7 +30,7 @@
 }
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
-    world.relay.opened(world.now, call.key, head);
+    world.relay.on_reply_head(world.now, call.key, head);
     world.replied(call.key, head);
 }
 
@@ -101,7 +101,7 @@
     let life = Life { name: "a".into(), incarnation: Incarnation(1) };
     let limit = Rate::per_second(0.0);
     let notice = Notice { life, limit, is_leaving: false, age: ms(0) };
-    world.relay.noticed(world.now, &"peer".into(), &[notice]);
+    world.relay.on_peer_notices(world.now, &"peer".into(), &[notice]);
     assert_eq!(calls_in(&mut world, 1000, &head(200)), 50);
 }
 
@@ -123,7 +123,7 @@
     let mut world = alone();
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    world.relay.opened(world.now, call.key, &naming(0.0, head(200)));
+    world.relay.on_reply_head(world.now, call.key, &naming(0.0, head(200)));
     world.failed(call.key, peatdeck_core::relay::model::Failure::Cut);
     world.calls();
     assert_eq!(calls_in(&mut world, 1000, &naming(0.0, head(200))), 0);
@@ -137,9 +137,9 @@
     let life = Life { name: "a".into(), incarnation: Incarnation(1) };
     let notice = |limit, age| Notice { life: life.clone(), limit, is_leaving: false, age: ms(age) };
     let told = [notice(Rate::per_second(0.0), 1000), notice(None, 3000)];
-    world.relay.noticed(world.now, &"peer".into(), &told);
+    world.relay.on_peer_notices(world.now, &"peer".into(), &told);
     assert_eq!(calls_in(&mut world, 1000, &head(200)), 0);
-    world.relay.noticed(world.now, &"peer".into(), &[notice(None, 500)]);
+    world.relay.on_peer_notices(world.now, &"peer".into(), &[notice(None, 500)]);
     // Those that were waiting come besides.
     assert!(calls_in(&mut world, 1000, &head(200)) >= 50);
 }
@@ -158,7 +158,7 @@
         world.arrive(Arrival { pieces: vec![1], ..arrival(&idx.to_string(), "r") });
         for order in world.orders() {
             started.push(world.now);
-            world.relay.heard(world.now, order.call, &told);
+            world.relay.on_reply_terms(world.now, order.call, &told);
             world.make(&order);
         }
         world.advance(ms(20));
@@ -243,10 +243,10 @@
         let count = self.worlds.len();
         for idx in 0..count {
             let now = self.worlds[idx].now;
-            let notices = self.worlds[idx].relay.notices(now);
+            let notices = self.worlds[idx].relay.peer_notices(now);
             let other = (idx + 1 + (step / 20 * 31 + idx as u64 * 7) as usize) % count;
             let from = Arc::from(format!("i{idx}"));
-            self.worlds[other].relay.noticed(now, &from, &notices);
+            self.worlds[other].relay.on_peer_notices(now, &from, &notices);
         }
     }
 
@@ -304,7 +304,7 @@
     let life = Life { name: "a".into(), incarnation: Incarnation(1) };
     let limit = Rate::per_second(1.0);
     let notice = Notice { life, limit, is_leaving: false, age: ms(0) };
-    world.relay.noticed(world.now, &"peer".into(), &[notice]);
+    world.relay.on_peer_notices(world.now, &"peer".into(), &[notice]);
     world.arrive(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
     let asked = world.take(|action| match action {
         Action::ListParts { addr, .. } => Some(addr.to_string()),
--- a/crates/core/tests/testsuite/relay/load/fleet.rs
+++ b/crates/core/tests/testsuite/relay/load/fleet.rs
@@ -163,7 +163,7 @@
     pub fn restarted(instances: usize, engines: usize) -> Fleet {
         let mut fleet = Fleet::starting(instances, engines);
         for idx in 0..instances {
-            fleet.relays[idx].await_peers(ms(1500));
+            fleet.relays[idx].hold_for_peers(ms(1500));
             fleet.schedule(ms(200 + idx as u64 * 7 % 200), Event::Introduce(idx));
         }
         fleet
@@ -187,7 +187,7 @@
         };
         for relay in &mut fleet.relays {
             for entry in endpoints(engines) {
-                relay.change(Duration::ZERO, Change::Put(entry));
+                relay.apply_change(Duration::ZERO, Change::Put(entry));
             }
         }
         fleet
@@ -200,7 +200,7 @@
         let peers = peers.map(|idx| Peer { name: name(idx), strength: 250 }).collect();
         self.tell(idx, |relay| {
             relay.set_peers(now, peers, count);
-            relay.know_peers(now);
+            relay.mark_peers_known(now);
         });
     }
 
@@ -232,8 +232,8 @@
     fn gossip(&mut self, idx: usize) {
         let (now, count) = (self.now, self.relays.len());
         let other = (idx + 1 + (self.count * 31 % (count as u64 - 1)) as usize) % count;
-        let notices = self.relays[idx].notices(now);
-        self.tell(other, |relay| relay.noticed(now, &name(idx), &notices));
+        let notices = self.relays[idx].peer_notices(now);
+        self.tell(other, |relay| relay.on_peer_notices(now, &name(idx), &notices));
         if now < ms(30_000) {
             self.schedule(now + ms(400), Event::Gossip(idx));
         }
@@ -278,43 +278,43 @@
                 self.wakes[idx] = None;
                 self.tell(idx, |relay| relay.tick(now));
             }
-            Event::Ended { to, call } => self.tell(to, |relay| relay.ended(now, call)),
+            Event::Ended { to, call } => self.tell(to, |relay| relay.on_stream_end(now, call)),
             Event::Introduce(idx) => self.introduce(idx),
             Event::Queue { to, service } => {
-                self.tell(to, |relay| relay.queue_told(now, service));
+                self.tell(to, |relay| relay.on_backlog_notice(now, service));
             }
             Event::Change { to, change } => self.tell(to, |relay| {
-                relay.change(now, change);
+                relay.apply_change(now, change);
             }),
             Event::TakeOver { to, from, key, pieces } => {
                 let ticket = self.count;
                 self.tickets.insert(ticket, (from, key));
-                self.tell(to, |relay| relay.take_over(now, ticket, pieces));
+                self.tell(to, |relay| relay.on_handover(now, ticket, pieces));
             }
             Event::Returned { to, key, results } => {
-                self.tell(to, |relay| relay.returned(now, key, Some(results)));
+                self.tell(to, |relay| relay.on_handover_return(now, key, Some(results)));
             }
             Event::Ask { to, from, key, question } => self.ask(to, from, key, &question),
             Event::Placed { to, by, key, placement, is_answer } => self.tell(to, |relay| {
                 if !is_answer {
-                    relay.placer_failed(now, &name(by));
+                    relay.on_placer_failure(now, &name(by));
                 }
-                relay.placed(now, key, &name(by), placement);
+                relay.on_placement(now, key, &name(by), placement);
             }),
             Event::Gossip(idx) => self.gossip(idx),
             Event::Report { to, from, progress, notices } => self.tell(to, |relay| {
-                relay.noticed(now, &name(from), &notices);
+                relay.on_peer_notices(now, &name(from), &notices);
                 for one in progress {
-                    relay.progressed(now, one);
+                    relay.on_progress(now, one);
                 }
             }),
             Event::FreeThrough { to, handles, is_spare } => self.tell(to, |relay| match is_spare {
-                true => relay.spare_here(handles),
-                false => relay.free_here(handles),
+                true => relay.mark_evictable(handles),
+                false => relay.free_at_endpoints(handles),
             }),
             Event::Make { from, call, addr, pieces } => self.make(from, call, &addr, &pieces),
             Event::Made { to, call, results } => {
-                self.tell(to, |relay| relay.made(now, call, results, None));
+                self.tell(to, |relay| relay.on_pieces_made(now, call, results, None));
             }
             Event::Free { addr, handles } => {
                 let maker = self.makers.entry(addr).or_default();
@@ -322,16 +322,16 @@
             }
             Event::Send { from, call } => self.send(from, call),
             Event::InputsGone { to, call } => {
-                self.tell(to, |relay| relay.replied(now, call, &unrun(409)));
+                self.tell(to, |relay| relay.on_reply(now, call, &unrun(409)));
             }
             Event::FirstToken { to, call, terms } => self.tell(to, |relay| {
-                if relay.opened(now, call, &ReplyHead { terms, ..head(200) }) {
-                    relay.pass_event(now, call, Some(1));
+                if relay.on_reply_head(now, call, &ReplyHead { terms, ..head(200) }) {
+                    relay.on_stream_event(now, call, Some(1));
                 }
             }),
             Event::Listed { to, endpoint } => {
                 self.tell(to, |relay| {
-                    relay.parts_listed(
+                    relay.on_parts_listed(
                         now,
                         endpoint,
                         &Listed { incarnation: None, parts: Vec::new() },
@@ -352,7 +352,7 @@
             deadline: Some(DEADLINE),
             ..arrival(&request.id.to_string(), "r")
         };
-        let key = self.relays[idx].arrive(self.now, arrival).expect("it is configured");
+        let key = self.relays[idx].on_request(self.now, arrival).expect("it is configured");
         self.waiting.insert((idx, key), Waiting { request, since: self.now });
         self.tell(idx, |_| ());
     }
@@ -438,7 +438,7 @@
         }
         let mut placement = None;
         let now = self.now;
-        self.tell(to, |relay| placement = relay.place(now, question));
+        self.tell(to, |relay| placement = relay.place_prompt(now, question));
         self.after_hop(Event::Placed { to: from, by: to, key, placement, is_answer: true });
     }
 
@@ -542,7 +542,7 @@
         strength: 250,
     };
     let mut relay = Relay::new(settings, idx as u64);
-    relay.know_quarantine();
+    relay.mark_quarantine_read();
     let pieces = Pieces {
         slots: 1,
         queue: 2,
--- a/crates/core/tests/testsuite/relay/peers.rs
+++ b/crates/core/tests/testsuite/relay/peers.rs
@@ -76,7 +76,7 @@
     let (key, pieces) = handed(&mut world).remove(0);
     assert_eq!(pieces.len(), 2);
     let results = vec![Ok(Arc::from("l1:80/x")), Ok(Arc::from("l1:80/y"))];
-    world.relay.returned(world.now, key, Some(results));
+    world.relay.on_handover_return(world.now, key, Some(results));
     world.collect();
     assert_eq!(world.call().inputs.len(), 2);
 }
@@ -87,7 +87,7 @@
     world.arrive(asking("1", 2));
     let (key, _) = handed(&mut world).remove(0);
     assert!(world.orders().is_empty());
-    world.relay.returned(world.now, key, None);
+    world.relay.on_handover_return(world.now, key, None);
     world.collect();
     assert_eq!(world.orders()[0].names(), ["1/0/0", "1/0/1"]);
 }
@@ -112,7 +112,7 @@
     world.relay.set_peers(world.now, peers.clone(), 3);
     world.arrive(asking("1", 2));
     let (key, pieces) = handed(&mut world).remove(0);
-    world.relay.returned(world.now, key, None);
+    world.relay.on_handover_return(world.now, key, None);
     world.collect();
     let next = world.take(|action| match action {
         Action::HandOver { peer, pieces, .. } => Some((peer.clone(), pieces.clone())),
@@ -158,7 +158,7 @@
 #[test]
 fn a_peers_pieces_are_returned_together() {
     let mut world = world();
-    world.relay.take_over(world.now, 9, vec![piece(0), piece(1)]);
+    world.relay.on_handover(world.now, 9, vec![piece(0), piece(1)]);
     world.collect();
     let order = world.orders().remove(0);
     assert_eq!(order.pieces.len(), 2);
@@ -170,7 +170,7 @@
 fn a_peers_late_pieces_are_returned_at_once() {
     let mut world = world();
     let late = Piece { due: world.now, ..piece(0) };
-    world.relay.take_over(world.now, 9, vec![late]);
+    world.relay.on_handover(world.now, 9, vec![late]);
     world.collect();
     assert_eq!(returned(&mut world), [(9, 1)]);
     assert!(world.orders().is_empty());
@@ -181,7 +181,7 @@
 fn a_peers_piece_that_was_tried_any_number_of_times_is_returned() {
     let mut world = world();
     let tried = Piece { tries: u8::MAX, ..piece(0) };
-    world.relay.take_over(world.now, 9, vec![tried]);
+    world.relay.on_handover(world.now, 9, vec![tried]);
     world.collect();
     let order = world.orders().remove(0);
     world.made(order.call, order.all(PieceFailure::Failed));
@@ -191,12 +191,12 @@
 #[test]
 fn what_a_peer_recalls_is_not_made_and_not_kept() {
     let mut world = world();
-    world.relay.take_over(world.now, 1, vec![piece(0)]);
+    world.relay.on_handover(world.now, 1, vec![piece(0)]);
     world.collect();
     let running = world.orders().remove(0);
-    world.relay.take_over(world.now, 2, vec![piece(0)]);
-    world.relay.recalled(1);
-    world.relay.recalled(2);
+    world.relay.on_handover(world.now, 2, vec![piece(0)]);
+    world.relay.on_handover_recall(1);
+    world.relay.on_handover_recall(2);
     world.make(&running);
     assert!(world.orders().is_empty());
     assert_eq!(world.freed().len(), 1);
@@ -206,7 +206,7 @@
 #[test]
 fn a_peers_piece_that_fails_is_tried_again_and_then_returned() {
     let mut world = world();
-    world.relay.take_over(world.now, 3, vec![piece(0)]);
+    world.relay.on_handover(world.now, 3, vec![piece(0)]);
     world.collect();
     for _ in 0..3 {
         let order = world.orders().remove(0);
@@ -219,12 +219,12 @@
 #[test]
 fn pieces_wait_until_an_instance_that_has_just_started_knows_its_peers() {
     let mut world = world();
-    world.relay.await_peers(ms(1500));
+    world.relay.hold_for_peers(ms(1500));
     world.arrive(asking("1", 2));
     world.advance(ms(300));
     assert!(world.orders().is_empty() && handed(&mut world).is_empty());
     world.relay.set_peers(world.now, vec![peer("strong", 500)], 2);
-    world.relay.know_peers(world.now);
+    world.relay.mark_peers_known(world.now);
     world.collect();
     assert_eq!(receivers(&mut world), [Arc::from("strong")]);
 }
@@ -232,7 +232,7 @@
 #[test]
 fn an_instance_that_hears_of_no_peers_makes_its_pieces_itself() {
     let mut world = world();
-    world.relay.await_peers(ms(1500));
+    world.relay.hold_for_peers(ms(1500));
     world.arrive(asking("1", 2));
     world.advance(ms(1500));
     assert_eq!(world.orders().len(), 1);
--- a/crates/core/tests/testsuite/relay/placing.rs
+++ b/crates/core/tests/testsuite/relay/placing.rs
@@ -48,7 +48,7 @@
     let source = Some("b:80".into());
     let engine = life(endpoint, 1);
     let placement = Placement { engine, source, tokens: 1000, wait: ms(5), number: 77 };
-    world.relay.placed(world.now, key, &"peer".into(), Some(placement));
+    world.relay.on_placement(world.now, key, &"peer".into(), Some(placement));
     world.collect();
 }
 
@@ -72,7 +72,7 @@
     world.arrive(asking("1"));
     let (key, _) = questions(&mut world).remove(0);
     let leaving = Entry { is_leaving: true, ..entry("a", "llm") };
-    world.relay.change(world.now, Change::Put(leaving));
+    world.relay.apply_change(world.now, Change::Put(leaving));
     answer(&mut world, key, "a");
     assert_eq!(&*world.call().endpoint, "b");
 }
@@ -82,8 +82,8 @@
     let mut world = beside_a_placer();
     world.arrive(asking("1"));
     let (key, _) = questions(&mut world).remove(0);
-    world.relay.placer_failed(world.now, &"peer".into());
-    world.relay.placed(world.now, key, &"peer".into(), None);
+    world.relay.on_placer_failure(world.now, &"peer".into());
+    world.relay.on_placement(world.now, key, &"peer".into(), None);
     world.collect();
     assert_eq!(world.calls().len(), 1);
     world.arrive(asking("2"));
@@ -116,10 +116,10 @@
         avoided: vec![life("a", 1)],
     };
     for _ in 0..3 {
-        assert_eq!(&*world.relay.place(world.now, &question).unwrap().engine.name, "b");
+        assert_eq!(&*world.relay.place_prompt(world.now, &question).unwrap().engine.name, "b");
     }
     let none = Question { avoided: vec![life("a", 1), life("b", 1)], ..question };
-    assert_eq!(world.relay.place(world.now, &none), None);
+    assert_eq!(world.relay.place_prompt(world.now, &none), None);
 }
 
 #[test]
@@ -159,7 +159,7 @@
         inputs: Vec::new(),
         avoided: vec![life("a", 1), life("b", 1)],
     };
-    let placement = world.relay.place(world.now, &question).unwrap();
+    let placement = world.relay.place_prompt(world.now, &question).unwrap();
     assert_eq!(placement.engine, life("a", 2), "what failed is over");
 }
 
@@ -170,14 +170,14 @@
         world.relay.set_peers(world.now, Vec::new(), 1);
         let engine = world.relay.directory().by_name("a").unwrap();
         let listed = Listed { incarnation: Some(Incarnation(told)), parts: vec![1] };
-        world.relay.parts_listed(world.now, engine, &listed);
+        world.relay.on_parts_listed(world.now, engine, &listed);
         let question = Question {
             service: "llm".into(),
             prompt: prompt(1, 2),
             inputs: Vec::new(),
             avoided: vec![life("b", 1)],
         };
-        world.relay.place(world.now, &question).unwrap().tokens
+        world.relay.place_prompt(world.now, &question).unwrap().tokens
     };
     assert_eq!((tokens(2), tokens(1)), (7000, 1000));
 }
@@ -198,16 +198,16 @@
         avoided: vec![life(avoided, 1)],
     };
     for own in 0..10 {
-        let placement = world.relay.place(world.now, &question(100 + own, "b")).unwrap();
+        let placement = world.relay.place_prompt(world.now, &question(100 + own, "b")).unwrap();
         let step = Step::Answered(None);
-        world.relay.progressed(world.now, Progress { number: placement.number, step });
+        world.relay.on_progress(world.now, Progress { number: placement.number, step });
     }
     world.advance(ms(2000));
     for own in 0..backlog {
-        world.relay.place(world.now, &question(200 + own, "b")).unwrap();
+        world.relay.place_prompt(world.now, &question(200 + own, "b")).unwrap();
     }
     let next = Question { avoided: Vec::new(), ..question(300, "b") };
-    world.relay.place(world.now, &next).unwrap().engine.name
+    world.relay.place_prompt(world.now, &next).unwrap().engine.name
 }
 
 /// Each prompt takes 30 ms to read at `a`, and 210 ms at `b`.
--- a/crates/core/tests/testsuite/relay/quarantine.rs
+++ b/crates/core/tests/testsuite/relay/quarantine.rs
@@ -60,7 +60,7 @@
 fn cut(world: &mut World, call: &Call, probed: Probed) {
     world.failed(call.key, Failure::Cut);
     for endpoint in probes(world) {
-        world.relay.probed(world.now, endpoint, probed);
+        world.relay.on_probe(world.now, endpoint, probed);
         world.collect();
     }
 }
@@ -82,7 +82,7 @@
 
 fn answer_consult(world: &mut World, was_answered: bool) {
     for content in consulted(world) {
-        world.relay.consulted(world.now, content, was_answered);
+        world.relay.on_consultation(world.now, content, was_answered);
         world.collect();
     }
 }
@@ -238,7 +238,7 @@
     }
     let probed = probes(&mut world);
     assert_eq!(probed.len(), 1, "one probe tells for all");
-    world.relay.probed(world.now, probed[0], Probed::Gone);
+    world.relay.on_probe(world.now, probed[0], Probed::Gone);
     world.collect();
     assert!(consulted(&mut world).is_empty());
 }
@@ -296,7 +296,7 @@
         assert!(consulted(&mut world).is_empty(), "{id} crashes");
         world.arrive(poison(&id.to_string()));
         let call = world.call();
-        world.relay.opened(world.now, call.key, &head(200));
+        world.relay.on_reply_head(world.now, call.key, &head(200));
         world.event(call.key, 1);
         world.advance(BEGINNING);
         cut(&mut world, &call, Probed::Gone);
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -45,8 +45,8 @@
         assert!(consulted(&mut world).is_empty(), "after {idx}");
         let life = Life { name: Arc::from(name), incarnation: Incarnation(1) };
         let crash = Crash { content: held(), life, age: ms(5), is_late: false };
-        world.relay.suspect(world.now, &crash);
-        world.relay.suspect(world.now, &crash);
+        world.relay.on_crash(world.now, &crash);
+        world.relay.on_crash(world.now, &crash);
         world.collect();
     }
     answer_consult(&mut world, false);
@@ -69,7 +69,7 @@
     assert_eq!(told(&mut world), 1);
     let life = Life { name: Arc::from("x"), incarnation: Incarnation(1) };
     let crash = Crash { content: held(), life, age: ms(5), is_late: false };
-    world.relay.suspect(world.now, &crash);
+    world.relay.on_crash(world.now, &crash);
     world.collect();
     assert_eq!(told(&mut world), 1);
 }
@@ -83,7 +83,7 @@
     world.collect();
     assert_eq!(told(&mut world), 1);
     world.relay.set_peers(world.now, vec![peer("x")], 2);
-    world.relay.recorded(world.now, held(), 3);
+    world.relay.on_quarantine_record(world.now, held(), 3);
     world.relay.set_peers(world.now, vec![peer("x"), peer("y")], 3);
     world.collect();
     assert_eq!(told(&mut world), 0);
@@ -96,7 +96,7 @@
         let life = Life { name: Arc::from(name), incarnation: Incarnation(1) };
         let content = Fingerprint::UNKNOWN;
         let crash = Crash { content, life, age: ms(5), is_late: false };
-        world.relay.suspect(world.now, &crash);
+        world.relay.on_crash(world.now, &crash);
     }
     world.collect();
     assert!(consulted(&mut world).is_empty());
@@ -117,16 +117,16 @@
     world.relay = peatdeck_core::relay::Relay::new(settings, 1);
     world.relay.configure(ConfigBuilder::new(1).build());
     assert_eq!(world.try_arrive(poison("1")), Err(Refusal::NotReady));
-    world.relay.know_quarantine();
+    world.relay.mark_quarantine_read();
     assert_eq!(world.try_arrive(poison("1")), Err(Refusal::NoRoute));
 }
 
 #[test]
 fn what_the_table_holds_back_is_held_back_until_its_record_is_gone() {
     let mut world = world(Kind::Once);
-    world.relay.recorded(world.now, held(), 3);
+    world.relay.on_quarantine_record(world.now, held(), 3);
     assert!(is_refused(&mut world));
-    world.relay.unrecorded(held());
+    world.relay.on_quarantine_removal(held());
     assert!(!is_refused(&mut world));
 }
 
@@ -142,7 +142,7 @@
 #[test]
 fn content_that_nobody_sends_any_more_has_its_record_removed() {
     let mut world = world(Kind::Once);
-    world.relay.recorded(world.now, held(), 3);
+    world.relay.on_quarantine_record(world.now, held(), 3);
     world.advance(WINDOW - ms(1));
     assert!(unrecorded(&mut world).is_empty());
     for _ in 0..20 {
@@ -150,14 +150,14 @@
     }
     assert_eq!(unrecorded(&mut world)[0], held());
     assert!(is_refused(&mut world), "its record is still there");
-    world.relay.unrecorded(held());
+    world.relay.on_quarantine_removal(held());
     assert!(!is_refused(&mut world));
 }
 
 #[test]
 fn content_without_a_record_is_forgotten_after_a_while() {
     let mut world = world(Kind::Once);
-    world.relay.hold_back(world.now, held(), 3);
+    world.relay.quarantine_content(world.now, held(), 3);
     world.advance(WINDOW + ms(70_000));
     world.advance(ms(5000));
     assert!(!is_refused(&mut world));
@@ -167,7 +167,7 @@
 #[test]
 fn its_record_is_written_anew_while_it_is_still_sent() {
     let mut world = world(Kind::Once);
-    world.relay.recorded(world.now, held(), 3);
+    world.relay.on_quarantine_record(world.now, held(), 3);
     let mut written = 0;
     for id in 0..30 {
         world.advance(Duration::from_secs(60));
@@ -188,13 +188,13 @@
 fn an_operator_releases_a_content() {
     let mut world = held_world(Kind::Once);
     let shown: Vec<_> =
-        world.relay.held_back().map(|(content, hold)| (content, hold.crashes)).collect();
+        world.relay.quarantined().map(|(content, hold)| (content, hold.crashes)).collect();
     assert_eq!(shown, [(held(), 3)]);
-    assert!(world.relay.lift(held()));
+    assert!(world.relay.release_content(held()));
     world.collect();
     assert_eq!(unrecorded(&mut world), [held()]);
     assert!(!is_refused(&mut world));
-    assert!(!world.relay.lift(held()));
+    assert!(!world.relay.release_content(held()));
 }
 
 /// Any number of contents may be in crashes, and any number of endpoints may end.
@@ -209,12 +209,12 @@
         is_late: false,
     };
     for content in 1..=6000 {
-        world.relay.suspect(world.now, &crash(content, "x", 6000 - content as u64));
+        world.relay.on_crash(world.now, &crash(content, "x", 6000 - content as u64));
     }
     // The newest are remembered, the oldest are not.
     for name in ["y", "z"] {
-        world.relay.suspect(world.now, &crash(6000, name, 0));
-        world.relay.suspect(world.now, &crash(1, name, 0));
+        world.relay.on_crash(world.now, &crash(6000, name, 0));
+        world.relay.on_crash(world.now, &crash(1, name, 0));
     }
     world.collect();
     assert_eq!(consulted(&mut world), [Fingerprint(6000)]);
@@ -227,10 +227,10 @@
         for name in ["x", "y", "z"] {
             let life = Life { name: Arc::from(name), incarnation: Incarnation(1) };
             let crash = Crash { content: Fingerprint(content), life, age: ms(0), is_late: false };
-            world.relay.suspect(world.now, &crash);
+            world.relay.on_crash(world.now, &crash);
         }
         world.collect();
         answer_consult(&mut world, false);
     }
-    assert_eq!(world.relay.held_back().count(), 1024);
+    assert_eq!(world.relay.quarantined().count(), 1024);
 }
--- a/crates/core/tests/testsuite/relay/quarantine/work.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/work.rs
@@ -15,7 +15,7 @@
     let mut world = world(Kind::Idempotent);
     world.arrive(poison("1"));
     let call = world.call();
-    world.relay.hold_back(world.now, held(), 3);
+    world.relay.quarantine_content(world.now, held(), 3);
     world.collect();
     let cancelled = world.take(|action| match action {
         Action::Cancel(key) => Some(*key),
@@ -31,9 +31,9 @@
     let mut world = world(Kind::Resumable);
     world.arrive(poison("1"));
     let call = world.call();
-    world.relay.opened(world.now, call.key, &head(200));
+    world.relay.on_reply_head(world.now, call.key, &head(200));
     world.event(call.key, 1);
-    world.relay.hold_back(world.now, held(), 3);
+    world.relay.quarantine_content(world.now, held(), 3);
     assert!(world.event(call.key, 2));
     world.failed(call.key, Failure::Cut);
     assert!(world.calls().is_empty());
@@ -45,7 +45,7 @@
     let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Once, "desk"));
     let mut world = World::new(config.build());
     world.arrive(poison("1"));
-    world.relay.hold_back(world.now, held(), 3);
+    world.relay.quarantine_content(world.now, held(), 3);
     world.collect();
     assert!(world.refusals()[0].starts_with("503 quarantined "));
 }
@@ -58,8 +58,8 @@
     let prompt = Some(crate::relay::fixture::prompt(1, 2));
     let key = world.arrive(Arrival { prompt, ..poison("1") });
     assert!(world.actions.iter().any(|action| matches!(action, Action::Ask { .. })));
-    world.relay.hold_back(world.now, held(), 3);
-    world.relay.placed(world.now, key, &stronger.name, None);
+    world.relay.quarantine_content(world.now, held(), 3);
+    world.relay.on_placement(world.now, key, &stronger.name, None);
     world.collect();
     assert!(world.calls().is_empty());
     assert!(world.refusals()[0].starts_with("503 quarantined "));
@@ -98,10 +98,10 @@
     world.make(&stalled[0]);
     let together = world.orders().remove(0);
     assert_eq!(together.names(), ["culprit/0/0", "sound/0/0"]);
-    world.relay.make_failed(world.now, together.call, Failure::Cut, false);
+    world.relay.on_pieces_failure(world.now, together.call, Failure::Cut, false);
     world.collect();
     let probed = probes(&mut world);
-    world.relay.probed(world.now, probed[0], Probed::Gone);
+    world.relay.on_probe(world.now, probed[0], Probed::Gone);
     for order in &stalled[1..] {
         world.make(order);
     }
@@ -123,8 +123,8 @@
         other.arrive(Arrival { pieces: vec![1], ..poison("theirs") });
         other.orders().remove(0).pieces.remove(0)
     };
-    world.relay.hold_back(world.now, held(), 3);
-    world.relay.take_over(world.now, 7, vec![piece]);
+    world.relay.quarantine_content(world.now, held(), 3);
+    world.relay.on_handover(world.now, 7, vec![piece]);
     world.collect();
     assert!(world.orders().is_empty());
     let returned = world.take(|action| match action {
@@ -142,9 +142,9 @@
     }
     let piece = world.orders().remove(0).pieces.remove(0);
     let theirs = peatdeck_core::relay::model::Piece { content: held(), ..piece };
-    world.relay.take_over(world.now, 7, vec![theirs]);
+    world.relay.on_handover(world.now, 7, vec![theirs]);
     world.collect();
-    world.relay.hold_back(world.now, held(), 3);
+    world.relay.quarantine_content(world.now, held(), 3);
     world.collect();
     let returned = world.take(|action| match action {
         Action::Return { ticket, .. } => Some(*ticket),
@@ -169,13 +169,13 @@
     let order = world.orders().remove(0);
     world.make(&order);
     let call = world.call();
-    world.relay.opened(world.now, call.key, &head(200));
+    world.relay.on_reply_head(world.now, call.key, &head(200));
     world.event(call.key, 1);
     world.arrive(Arrival { pieces: vec![4], ..arrival("busy", "r") });
     let busy = world.orders().remove(0);
     world.failed(call.key, Failure::Cut);
     assert!(world.orders().is_empty(), "its pieces wait behind another request's");
-    world.relay.hold_back(world.now, held(), 3);
+    world.relay.quarantine_content(world.now, held(), 3);
     world.collect();
     assert!(world.actions.iter().any(|action| matches!(action, Action::Break(_))));
     world.make(&busy);
@@ -192,11 +192,11 @@
     let busy = world.orders();
     let piece = busy[0].pieces[0].clone();
     let theirs = peatdeck_core::relay::model::Piece { content: held(), ..piece };
-    world.relay.take_over(world.now, 7, vec![theirs]);
+    world.relay.on_handover(world.now, 7, vec![theirs]);
     world.make(&busy[0]);
     let order = world.orders().remove(0);
-    world.relay.hold_back(world.now, held(), 3);
-    world.relay.make_failed(world.now, order.call, Failure::Cut, false);
+    world.relay.quarantine_content(world.now, held(), 3);
+    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false);
     world.collect();
     assert!(world.orders().iter().all(|order| order.pieces[0].content != held()));
     let returned = world.take(|action| match action {
--- a/crates/core/tests/testsuite/relay/reads.rs
+++ b/crates/core/tests/testsuite/relay/reads.rs
@@ -163,7 +163,7 @@
             ..piece_for("second")
         };
         let ticket = world.now.as_millis() as u64;
-        world.relay.take_over(world.now, ticket, vec![piece]);
+        world.relay.on_handover(world.now, ticket, vec![piece]);
         world.collect();
         world.advance(ms(60));
         let order = order_at(world, "n").unwrap();
@@ -171,7 +171,7 @@
         spared(world)
     };
     assert!(made(&mut world, "1").is_empty());
-    world.relay.queue_told(world.now, "first".into());
+    world.relay.on_backlog_notice(world.now, "first".into());
     assert_eq!(made(&mut world, "2").join(" "), "m:80/2");
     world.advance(ms(400));
     assert!(made(&mut world, "3").is_empty(), "that was a while ago");
@@ -188,10 +188,10 @@
         });
         told.len()
     };
-    world.relay.take_over(world.now, 1, pieces(4).collect());
+    world.relay.on_handover(world.now, 1, pieces(4).collect());
     world.advance(ms(10));
     assert_eq!(told(&mut world), 0, "all are being made");
-    world.relay.take_over(world.now, 2, pieces(8).collect());
+    world.relay.on_handover(world.now, 2, pieces(8).collect());
     world.advance(ms(100));
     assert_eq!(told(&mut world), 1);
     world.advance(ms(50));
--- a/crates/core/tests/testsuite/relay/rests.rs
+++ b/crates/core/tests/testsuite/relay/rests.rs
@@ -34,7 +34,7 @@
 }
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
-    world.relay.opened(world.now, call.key, head);
+    world.relay.on_reply_head(world.now, call.key, head);
     world.replied(call.key, head);
 }
 
@@ -131,9 +131,9 @@
 #[test]
 fn peers_go_on() {
     let mut world = told(&resting(3000, unrun(503)));
-    let notices = world.relay.notices(world.now);
+    let notices = world.relay.peer_notices(world.now);
     let mut peer = World::plain(Kind::Idempotent);
-    peer.relay.noticed(peer.now, &"own".into(), &notices);
+    peer.relay.on_peer_notices(peer.now, &"own".into(), &notices);
     assert!(!called(&mut peer, 1000).is_empty());
 }
 
@@ -184,7 +184,7 @@
         world.arrive(arrival(&idx.to_string(), "r"));
         let call = world.call();
         world.advance(ms(20));
-        world.relay.opened(world.now, call.key, &head(200));
+        world.relay.on_reply_head(world.now, call.key, &head(200));
         world.event(call.key, 1);
         open.push(call);
     }
@@ -211,8 +211,8 @@
     world.put(entry("m2", "maker"));
     world.arrive(Arrival { pieces: vec![1], ..arrival("1", "r") });
     let order = world.orders().remove(0);
-    world.relay.heard(world.now, order.call, &resting(3000, unrun(503)));
-    world.relay.make_failed(world.now, order.call, Failure::Cut, true);
+    world.relay.on_reply_terms(world.now, order.call, &resting(3000, unrun(503)));
+    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, true);
     world.collect();
     let told = world.now;
     for idx in 0..20 {
@@ -251,7 +251,7 @@
     let engine = Life { name: call.endpoint.clone(), incarnation: Incarnation(1) };
     assert_eq!(asked[0].avoided, vec![engine.clone()]);
     let placement = Placement { engine, source: None, tokens: 10, wait: ms(0), number: 1 };
-    world.relay.placed(world.now, key, &"peer".into(), Some(placement));
+    world.relay.on_placement(world.now, key, &"peer".into(), Some(placement));
     world.collect();
     assert_ne!(world.call().endpoint, call.endpoint);
 }
--- a/crates/core/tests/testsuite/relay/stages.rs
+++ b/crates/core/tests/testsuite/relay/stages.rs
@@ -68,7 +68,7 @@
     world.make(&second);
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
     let call = world.call();
-    world.relay.opened(world.now, call.key, &head(200));
+    world.relay.on_reply_head(world.now, call.key, &head(200));
     assert!(world.freed().is_empty());
     world.event(call.key, 1);
     assert_eq!(world.freed(), [Arc::from("m1:80/1-1-0")]);
@@ -117,7 +117,7 @@
     let call = called(&mut world, "1");
     world.advance(ms(500));
     assert!(world.freed().is_empty());
-    world.relay.opened(world.now, call, &head(200));
+    world.relay.on_reply_head(world.now, call, &head(200));
     world.event(call, 1);
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
 }
@@ -226,7 +226,7 @@
     world.arrive(asking("1", &[1]));
     let first = world.orders().remove(0);
     let failure = Failure::Cut;
-    world.relay.make_failed(world.now, first.call, failure, false);
+    world.relay.on_pieces_failure(world.now, first.call, failure, false);
     world.collect();
     let second = world.orders().remove(0);
     assert_ne!(first.endpoint, second.endpoint);
@@ -297,9 +297,9 @@
         world.arrive(asking);
         let call = world.call();
         engines.push(call.endpoint.clone());
-        world.relay.opened(world.now, call.key, &head(200));
+        world.relay.on_reply_head(world.now, call.key, &head(200));
         world.event(call.key, 1);
-        world.relay.ended(world.now, call.key);
+        world.relay.on_stream_end(world.now, call.key);
         world.collect();
         world.advance(ms(300));
     }
@@ -336,9 +336,9 @@
             world.make(&order);
         }
         for call in world.calls() {
-            world.relay.opened(world.now, call.key, &head(200));
+            world.relay.on_reply_head(world.now, call.key, &head(200));
             world.event(call.key, 1);
-            world.relay.ended(world.now, call.key);
+            world.relay.on_stream_end(world.now, call.key);
             world.collect();
         }
         freed.extend(world.freed());
@@ -358,7 +358,7 @@
     let mut world = world_of_one_maker();
     world.arrive(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("1", "r") });
     let order = world.orders().remove(0);
-    world.relay.make_failed(world.now, order.call, Failure::Cut, false);
+    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false);
     world.collect();
     world.advance(ms(1900));
     let refusals = world.refusals();
@@ -371,10 +371,10 @@
     world.arrive(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("theirs", "r") });
     let theirs = world.orders().remove(0).pieces.remove(0);
     let mut world = world_of_one_maker();
-    world.relay.take_over(world.now, 9, vec![theirs]);
+    world.relay.on_handover(world.now, 9, vec![theirs]);
     world.collect();
     let order = world.orders().remove(0);
-    world.relay.make_failed(world.now, order.call, Failure::Cut, false);
+    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false);
     world.collect();
     world.advance(ms(1900));
     let returned = world.take(|action| match action {
--- a/crates/core/tests/testsuite/relay/streams.rs
+++ b/crates/core/tests/testsuite/relay/streams.rs
@@ -11,7 +11,7 @@
     let mut world = World::plain(kind);
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    assert!(world.relay.opened(world.now, call.key, &head(200)));
+    assert!(world.relay.on_reply_head(world.now, call.key, &head(200)));
     assert!(world.event(call.key, 1));
     assert!(world.event(call.key, 2));
     (world, call)
@@ -22,12 +22,12 @@
     let mut world = World::plain(Kind::Stream);
     let exchange = world.arrive(arrival("1", "r"));
     let call = world.call().key;
-    assert!(world.relay.opened(world.now, call, &head(200)));
+    assert!(world.relay.on_reply_head(world.now, call, &head(200)));
     assert!(world.actions.is_empty());
     world.event(call, 1);
     world.event(call, 2);
     assert_eq!(world.actions, [Action::Begin { exchange, call }]);
-    world.relay.ended(world.now, call);
+    world.relay.on_stream_end(world.now, call);
     world.collect();
     assert_eq!(world.actions[1..], [Action::Finish(exchange)]);
 }
@@ -37,7 +37,7 @@
     let mut world = World::plain(Kind::Stream);
     world.arrive(arrival("1", "r"));
     let call = world.call().key;
-    assert!(!world.relay.opened(world.now, call, &head(500)));
+    assert!(!world.relay.on_reply_head(world.now, call, &head(500)));
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let second = world.call();
     assert_eq!(second.resume, Some(2));
     assert_ne!(second.endpoint, call.endpoint);
-    world.relay.opened(world.now, second.key, &head(200));
+    world.relay.on_reply_head(world.now, second.key, &head(200));
     assert!(!world.event(second.key, 2), "an event that the caller holds is not sent again");
     assert!(world.event(second.key, 3));
 }
@@ -67,7 +67,7 @@
     let mut world = World::plain(Kind::Stream);
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    world.relay.opened(world.now, call.key, &head(200));
+    world.relay.on_reply_head(world.now, call.key, &head(200));
     world.failed(call.key, Failure::Cut);
     assert_eq!(world.refusals(), ["502 failed never"]);
 }
@@ -80,7 +80,7 @@
     world.arrive(again);
     let call = world.call();
     assert_eq!(call.resume, Some(5));
-    world.relay.opened(world.now, call.key, &head(200));
+    world.relay.on_reply_head(world.now, call.key, &head(200));
     assert!(!world.event(call.key, 5));
     assert!(world.event(call.key, 6));
 }
--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -50,7 +50,7 @@
     let probed = driver.pool.probe(&addr).await;
     driver.metrics.count("relay.endpoints_probed", 1);
     tracing::info!(event = "endpoint_probed", addr = &*addr, probed = ?probed);
-    driver.feed(|machine, now| machine.probed(now, endpoint, probed));
+    driver.feed(|machine, now| machine.on_probe(now, endpoint, probed));
 }
 
 async fn exchange(
@@ -72,7 +72,7 @@
     }
     let headers = dialect.told_headers(parts.headers);
     let mut reply = Reply { status: parts.status, headers, body: Bytes::new() };
-    if driver.feed(|machine, now| machine.opened(now, call.key, &head)) {
+    if driver.feed(|machine, now| machine.on_reply_head(now, call.key, &head)) {
         driver.hold_head(call.key, reply);
         return pump(driver, call, body, lease).await;
     }
@@ -95,7 +95,7 @@
         let Ok(data) = frame.into_data() else { continue };
         splitter.push(&data);
         while let Some(event) = splitter.next_event() {
-            if driver.feed(|machine, now| machine.pass_event(now, call.key, event.id)) {
+            if driver.feed(|machine, now| machine.on_stream_event(now, call.key, event.id)) {
                 driver.send_event(call.exchange, event.bytes);
             }
         }
@@ -105,7 +105,7 @@
     }
     driver.pool.keep(lease);
     driver.forget_call(call.key);
-    driver.feed(|machine, now| machine.ended(now, call.key));
+    driver.feed(|machine, now| machine.on_stream_end(now, call.key));
     Ok(())
 }
 
@@ -128,16 +128,16 @@
     let took = (driver.now() - started).as_millis() as u64;
     driver.forget_call(call);
     if let Ok((head, _)) = &made {
-        driver.feed(|machine, now| machine.heard(now, call, head));
+        driver.feed(|machine, now| machine.on_reply_terms(now, call, head));
     }
     match made {
         Err((failure, cause)) => {
             tracing::warn!(event = "make_failed", call = ?call, endpoint = &*endpoint, failure = ?failure, cause, took_ms = took);
-            driver.feed(|machine, now| machine.make_failed(now, call, failure, false));
+            driver.feed(|machine, now| machine.on_pieces_failure(now, call, failure, false));
         }
         Ok((head, _)) if head.is_unrun => {
             tracing::info!(event = "make_refused", call = ?call, endpoint = &*endpoint, status = head.status, took_ms = took);
-            driver.feed(|machine, now| machine.make_failed(now, call, Failure::Cut, true));
+            driver.feed(|machine, now| machine.on_pieces_failure(now, call, Failure::Cut, true));
         }
         Ok((head, body)) => take_made(&driver, call, &endpoint, &pieces, head, &body, took),
     }
@@ -157,12 +157,12 @@
     let Some(results) = results else {
         let status = head.status;
         tracing::warn!(event = "make_unreadable", call = ?call, endpoint, status, took_ms);
-        driver.feed(|machine, now| machine.make_failed(now, call, Failure::Foreign, false));
+        driver.feed(|machine, now| machine.on_pieces_failure(now, call, Failure::Foreign, false));
         return;
     };
     log_made(call, endpoint, &results, head.load, took_ms);
     driver.metrics.time("relay.piece_call", Duration::from_millis(took_ms));
-    driver.feed(|machine, now| machine.made(now, call, results, head.load));
+    driver.feed(|machine, now| machine.on_pieces_made(now, call, results, head.load));
 }
 
 fn log_made(
@@ -203,7 +203,7 @@
     let count = listed.as_ref().map(|listed| listed.parts.len());
     tracing::debug!(event = "parts_listed", addr = &*addr, count);
     match listed {
-        Some(listed) => driver.feed(|machine, now| machine.parts_listed(now, endpoint, &listed)),
+        Some(listed) => driver.feed(|machine, now| machine.on_parts_listed(now, endpoint, &listed)),
         None => driver.metrics.count("relay.lists_failed", 1),
     }
 }
--- a/crates/relay/src/decisions.rs
+++ b/crates/relay/src/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use peatdeck_core::relay::{
-    Taken,
+    ExchangeSummary,
     model::{Action, Call, Failure, Life, Refusal, ReplyHead},
     quarantine::Crash,
     terms::Rate,
@@ -24,7 +24,7 @@
 }
 
 /// Logs that a request was taken in.
-pub fn log_taken(id: &str, taken: &Taken, belief: Belief) {
+pub fn log_taken(id: &str, taken: &ExchangeSummary, belief: Belief) {
     tracing::info!(
         event = "arrive",
         id,
--- a/crates/relay/src/driver.rs
+++ b/crates/relay/src/driver.rs
@@ -234,7 +234,7 @@
         self.metrics.count("relay.resumed", 1);
         self.pool.clear();
         self.resumed.set(Some(now));
-        self.machine.borrow_mut().await_news(now + NEWS_WITHIN);
+        self.machine.borrow_mut().hold_for_tables(now + NEWS_WITHIN);
         ntex::rt::spawn(follow::look(self.clone()));
         now
     }
@@ -247,7 +247,7 @@
         let is_fresh = |age: Duration| age <= now.saturating_sub(resumed);
         if self.peers.tables.age(now).is_some_and(is_fresh) {
             self.resumed.set(None);
-            self.feed(Relay::know_news);
+            self.feed(Relay::mark_tables_read);
             self.news.notify_waiters();
         }
     }
@@ -298,7 +298,7 @@
         let request = Rc::new(request);
         let now = self.turn();
         let mut machine = self.machine.borrow_mut();
-        let arrived = machine.arrive(now, arrival);
+        let arrived = machine.on_request(now, arrival);
         let actions = machine.take_actions();
         drop(machine);
         let key = arrived.inspect_err(|refusal| self.note_refusal(&id, *refusal))?;
@@ -357,14 +357,14 @@
     pub fn replied(self: &Rc<Self>, call: CallKey, head: &ReplyHead, reply: Reply) {
         self.replies.borrow_mut().insert(call, reply);
         self.forget_call(call);
-        self.feed(|machine, now| machine.replied(now, call, head));
+        self.feed(|machine, now| machine.on_reply(now, call, head));
         self.replies.borrow_mut().remove(&call);
     }
 
     /// A call failed.
     pub fn failed(self: &Rc<Self>, call: CallKey, failure: Failure) {
         self.forget_call(call);
-        self.feed(|machine, now| machine.failed(now, call, failure));
+        self.feed(|machine, now| machine.on_call_failure(now, call, failure));
     }
 
     /// A call's task has ended by itself.
@@ -481,7 +481,7 @@
                 ntex::rt::spawn(records::write(self.clone(), content, None));
             }
             Action::HeldBack { .. } | Action::Released(_) => {
-                let held = self.look(|machine| machine.held_back().count());
+                let held = self.look(|machine| machine.quarantined().count());
                 self.metrics.gauge("relay.quarantined", held as u64);
             }
             Action::Acquitted(_) => self.metrics.count("relay.quarantines_dropped", 1),
@@ -539,12 +539,12 @@
         let Some(caller) = self.callers.borrow_mut().remove(key) else { return };
         self.metrics.count("relay.callers_gone", 1);
         tracing::info!(event = "caller_gone", id = &*caller.request.id);
-        self.feed(|machine, now| machine.leave(now, key));
+        self.feed(|machine, now| machine.on_caller_disconnect(now, key));
     }
 
     /// A peer returned pieces, or cannot be reached.
     pub fn handed_back(self: &Rc<Self>, key: HandoverKey, results: Option<Vec<PieceResult>>) {
-        self.feed(|machine, now| machine.returned(now, key, results));
+        self.feed(|machine, now| machine.on_handover_return(now, key, results));
     }
 }
 
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -119,7 +119,7 @@
                 answer.send(terms(&driver)).ok();
             }
             Question::Release(content, answer) => {
-                let was_held = driver.feed(|machine, _| machine.lift(content));
+                let was_held = driver.feed(|machine, _| machine.release_content(content));
                 tracing::warn!(event = "quarantine_lifted", %content, was_held);
                 answer.send(was_held).ok();
             }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -237,7 +237,7 @@
     driver.feed(|machine, now| {
         machine.set_peers(now, peers, announced);
         if are_known {
-            machine.know_peers(now);
+            machine.mark_peers_known(now);
         }
     });
 }
--- a/crates/relay/src/peers/gossip.rs
+++ b/crates/relay/src/peers/gossip.rs
@@ -61,7 +61,7 @@
 async fn send(driver: Rc<Driver>, envelope: Envelope) {
     let Envelope { to, addr, message } = envelope;
     let asked_at = driver.now();
-    let notices = driver.feed(Relay::notices);
+    let notices = driver.feed(Relay::peer_notices);
     let exchange = async |client: relay::Client| {
         let mut request = client.gossip_request();
         peer_wire::write_gossip(&message, request.get().init_message())?;
@@ -84,7 +84,7 @@
     open.set(open.get() - 1);
     match result {
         Ok((reply, positions, age, heard)) => {
-            driver.feed(|machine, now| machine.noticed(now, &to, &heard));
+            driver.feed(|machine, now| machine.on_peer_notices(now, &to, &heard));
             learn::compare(&driver, &addr, &positions, asked_at.checked_sub(age));
             if let Some(reply) = reply {
                 versions::compare(&driver, &addr, &positions, reply.mark.version);
--- a/crates/relay/src/peers/service.rs
+++ b/crates/relay/src/peers/service.rs
@@ -46,13 +46,13 @@
         let params = params.get()?;
         let message = peer_wire::read_gossip(params.get_message()?).map_err(failed)?;
         let notices = wire::read_notices(params.get_notices()?).map_err(failed)?;
-        driver.feed(|machine, now| machine.noticed(now, &message.from, &notices));
+        driver.feed(|machine, now| machine.on_peer_notices(now, &message.from, &notices));
         let local = gossip::local(driver);
         let reply = driver.peers.members.borrow_mut().heard(driver.now(), &message, &local);
         if let Some(reply) = reply {
             peer_wire::write_gossip(&reply.message, results.get().init_reply()).map_err(failed)?;
         }
-        let notices = driver.feed(Relay::notices);
+        let notices = driver.feed(Relay::peer_notices);
         wire::write_notices(&notices, results.get().init_notices(notices.len() as u32));
         results.get().set_age_ms(age_ms(driver));
         let positions = driver.peers.tables.positions();
@@ -102,7 +102,7 @@
             let (id, stage, count) = (&*first.request, first.stage, pieces.len());
             tracing::info!(event = "take_over", id, ticket, stage, count);
         }
-        driver.feed(|machine, now| machine.take_over(now, ticket, pieces));
+        driver.feed(|machine, now| machine.on_handover(now, ticket, pieces));
         let made = rx.await.map_err(failed)?;
         drop(guard);
         wire::write_results(&made, results.get().init_results(made.len() as u32));
@@ -118,8 +118,8 @@
         let handles = wire::read_handles(params.get_handles()?).map_err(failed)?;
         let is_spare = params.get_is_spare();
         self.driver.feed(|machine, _| match is_spare {
-            true => machine.spare_here(handles),
-            false => machine.free_here(handles),
+            true => machine.mark_evictable(handles),
+            false => machine.free_at_endpoints(handles),
         });
         Ok(())
     }
@@ -130,7 +130,7 @@
         mut results: relay::PlaceResults,
     ) -> Result<(), capnp::Error> {
         let question = wire::read_question(params.get()?.get_question()?).map_err(failed)?;
-        let placement = self.driver.feed(|machine, now| machine.place(now, &question));
+        let placement = self.driver.feed(|machine, now| machine.place_prompt(now, &question));
         if let Some(placement) = placement {
             wire::write_placement(&placement, results.get().init_placement());
         }
@@ -148,9 +148,9 @@
         let notices = wire::read_notices(params.get_notices()?).map_err(failed)?;
         let from = wire::read_name(params.get_from()?).map_err(failed)?;
         self.driver.feed(|machine, now| {
-            machine.noticed(now, &from, &notices);
+            machine.on_peer_notices(now, &from, &notices);
             for one in progress {
-                machine.progressed(now, one);
+                machine.on_progress(now, one);
             }
         });
         Ok(())
@@ -163,7 +163,7 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let service = Arc::from(params.get_service()?.to_str()?);
-        self.driver.feed(|machine, now| machine.queue_told(now, service));
+        self.driver.feed(|machine, now| machine.on_backlog_notice(now, service));
         Ok(())
     }
 
@@ -176,7 +176,7 @@
         let crashes = crashes.collect::<Result<Vec<_>, _>>().map_err(failed)?;
         self.driver.feed(|machine, now| {
             for crash in &crashes {
-                machine.suspect(now, crash);
+                machine.on_crash(now, crash);
             }
         });
         Ok(())
@@ -204,7 +204,7 @@
         let params = params.get()?;
         let content = wire::read_content(params.get_content()?);
         let crashes = params.get_crashes();
-        self.driver.feed(|machine, now| machine.hold_back(now, content, crashes));
+        self.driver.feed(|machine, now| machine.quarantine_content(now, content, crashes));
         Ok(())
     }
 
@@ -244,7 +244,7 @@
     fn drop(&mut self) {
         let was_waiting = self.driver.peers.tickets.borrow_mut().remove(&self.ticket).is_some();
         if was_waiting {
-            self.driver.feed(|machine, _| machine.recalled(self.ticket));
+            self.driver.feed(|machine, _| machine.on_handover_recall(self.ticket));
         }
     }
 }
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -77,12 +77,12 @@
                 Err(error) => {
                     driver.metrics.count("relay.placements_failed", 1);
                     tracing::warn!(event = "place_failed", peer = &*peer, error = %error);
-                    driver.feed(|machine, now| machine.placer_failed(now, &peer));
+                    driver.feed(|machine, now| machine.on_placer_failure(now, &peer));
                     None
                 }
             };
             driver.metrics.time("relay.placement", driver.now().saturating_sub(asked));
-            driver.feed(|machine, now| machine.placed(now, key, &peer, placement));
+            driver.feed(|machine, now| machine.on_placement(now, key, &peer, placement));
         });
     }
 
@@ -135,7 +135,7 @@
         let driver = driver.clone();
         ntex::rt::spawn(async move {
             if free(&driver, &peer, &handles, is_spare).await.is_err() && !is_spare {
-                driver.feed(|machine, _| machine.free_here(handles));
+                driver.feed(|machine, _| machine.free_at_endpoints(handles));
             }
         });
     }
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -50,7 +50,7 @@
         left_ms: millis(hold.until.saturating_sub(now)),
         refused: hold.refused,
     };
-    let mut all: Vec<_> = driver.look(|machine| machine.held_back().map(listed).collect());
+    let mut all: Vec<_> = driver.look(|machine| machine.quarantined().map(listed).collect());
     all.sort_by_key(|listed| Reverse(listed.held_ms));
     all
 }
@@ -60,7 +60,7 @@
 /// that peers hear of it from here.
 pub async fn write(driver: Rc<Driver>, content: Fingerprint, crashes: Option<u32>) {
     let mut pause = FIRST_PAUSE;
-    let is_held = || driver.look(|machine| machine.held_back().any(|(held, _)| held == content));
+    let is_held = || driver.look(|machine| machine.quarantined().any(|(held, _)| held == content));
     let mut removals = 0..MOST_REMOVALS;
     while if crashes.is_some() { is_held() } else { removals.next().is_some() } {
         match try_write(&driver, content, crashes).await {
@@ -110,9 +110,9 @@
     };
     let value = record.value.as_deref().map(serde_json::from_slice::<Quarantined>);
     match value {
-        None => driver.feed(|machine, _| machine.unrecorded(content)),
+        None => driver.feed(|machine, _| machine.on_quarantine_removal(content)),
         Some(Ok(held)) => {
-            driver.feed(|machine, now| machine.recorded(now, content, held.crashes));
+            driver.feed(|machine, now| machine.on_quarantine_record(now, content, held.crashes));
         }
         Some(Err(error)) => {
             let error = error.to_string();
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -248,7 +248,7 @@
         ntex::rt::spawn(follow::run(driver.clone(), table));
     }
     ntex::rt::spawn(driver.clone().run_timer());
-    driver.feed(|machine, now| machine.await_peers(now + PEERS_WITHIN));
+    driver.feed(|machine, now| machine.hold_for_peers(now + PEERS_WITHIN));
     ntex::rt::spawn(repair::announce(driver.clone()));
     ntex::rt::spawn(repair::run(driver.clone()));
     ntex::rt::spawn(peers::gossip::run(driver.clone()));
@@ -278,7 +278,7 @@
     tracing::info!(event = "stopping", open);
     driver.stop();
     finish(&driver).await;
-    driver.feed(Relay::end_all);
+    driver.feed(Relay::end_all_exchanges);
     tokio::time::sleep(FLUSH).await;
     // The receiver waits for as long as the process runs.
     exited.send(()).ok();
--- a/crates/relay/src/tables.rs
+++ b/crates/relay/src/tables.rs
@@ -181,7 +181,7 @@
         TableName::Quarantine => changed.iter().for_each(|record| records::apply(driver, record)),
     }
     if name == TableName::Quarantine && driver.peers.tables.is_known(name) {
-        driver.feed(|machine, _| machine.know_quarantine());
+        driver.feed(|machine, _| machine.mark_quarantine_read());
     }
     if is_told && name == TableName::Instances {
         peers::update(driver);
@@ -209,7 +209,7 @@
         return;
     }
     let orders = acts.iter().map(|(_, act)| act.clone()).collect();
-    let taken = driver.feed(|machine, now| machine.obey(now, orders));
+    let taken = driver.feed(|machine, now| machine.apply_operator_changes(now, orders));
     for ((record, act), taken) in acts.iter().zip(taken) {
         if taken && matches!(act, Act::Configure(_)) {
             driver.peers.set_config((*record).clone());
@@ -289,13 +289,13 @@
             let error = brief(&error);
             tracing::warn!(event = "endpoint_unreadable", name, offset, source, error);
             let change = Change::Unreadable(record.key.clone());
-            driver.feed(|machine, now| machine.change(now, change));
+            driver.feed(|machine, now| machine.apply_change(now, change));
             return;
         }
     };
     let is_join = matches!(&change, Change::Put(entry) if !entry.is_leaving);
     let change_text = format!("{change:?}");
-    let changed = driver.feed(|machine, now| machine.change(now, change));
+    let changed = driver.feed(|machine, now| machine.apply_change(now, change));
     driver.metrics.count("relay.endpoints_cooled", u64::from(changed.has_cooled));
     match bulk {
         Some(bulk) if is_join => {
