--- a/crates/core/examples/instance_cost.rs
+++ b/crates/core/examples/instance_cost.rs
@@ -218,7 +218,7 @@
 
     fn request(&mut self, idx: u64, input: &Text, pieces: u32) {
         // The isolation check wants to hear the log now and then.
-        let next = self.instance.config_from();
+        let next = self.instance.next_config_offset();
         let empty = Batch { from: next, earliest: 0, next, now_ms: 0, entries: Vec::new() };
         if idx.is_multiple_of(64) {
             self.feed(Input::ConfigRead(empty));
--- a/crates/core/examples/pool/world.rs
+++ b/crates/core/examples/pool/world.rs
@@ -11,13 +11,13 @@
 };
 
 use peatdeck_core::{
-    admission::{self, Estimate, Share, drain::Drain, probe::Probe},
-    budget::Budget,
+    admission::{self, Estimate, Share, drain::DrainRate, probe::ProbePacer},
+    budget::RetryBudget,
     endpoints::{CallEnd, CallResult, Table},
     latency::Estimator,
     model::EndpointName,
-    queue::{Queue, Waiting},
-    routing::{self, Demand},
+    queue::{Queue, WaitingCall},
+    routing::{self, Criteria},
     timing,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
@@ -78,10 +78,10 @@
 struct Instance {
     table: Table,
     queue: Queue<usize>,
-    drain: Drain,
-    probe: Probe,
+    drain: DrainRate,
+    probe: ProbePacer,
     took: Estimator,
-    budget: Budget,
+    budget: RetryBudget,
     peers: HashMap<EndpointName, u32>,
 }
 
@@ -190,7 +190,7 @@
         let arrived = self.now;
         let calls = Vec::new();
         self.requests.push(Request { instance, arrived, service, calls, done: false, probe });
-        self.instances[instance].budget.earn();
+        self.instances[instance].budget.deposit();
         self.after(self.deadline(), Event::Expire { request });
         self.enqueue(request);
     }
@@ -205,16 +205,16 @@
         let ahead = queue.cost_ahead("team", deadline);
         let places = table.pool_places(self.now, POOL);
         let service = took.quantile(0.5).unwrap_or_default();
-        let guess = || admission::wait(ahead, places, service);
-        let wait = drain.wait(self.now, ahead).unwrap_or_else(guess);
-        let (work, quick) = (timing::work(&[took]), timing::quick_work(&[took]));
+        let guess = || admission::expected_wait(ahead, places, service);
+        let wait = drain.time_to_drain(self.now, ahead).unwrap_or_else(guess);
+        let (work, quick) = (timing::work(&[took]), timing::min_work(&[took]));
         let left = self.deadline();
-        let estimate = Estimate { left, wait, work, quick, share: Share::default() };
+        let estimate = Estimate { left, wait, work, min_work: quick, share: Share::default() };
         let fits = admission::decide(&estimate).is_ok();
         if !fits && !probe.is_due(self.now) {
             return None;
         }
-        self.instances[instance].probe.admitted(self.now);
+        self.instances[instance].probe.record_admission(self.now);
         Some(!fits)
     }
 
@@ -223,7 +223,7 @@
         let now = self.now;
         let deadline = arrived + self.deadline();
         let inst = &mut self.instances[instance];
-        inst.queue.push(Waiting {
+        inst.queue.push(WaitingCall {
             key: request,
             team: Arc::from("team"),
             weight: 1,
@@ -231,7 +231,7 @@
             cost: 1.0,
             priority: 0.0,
         });
-        inst.drain.waiting(now, true);
+        inst.drain.set_waiting(now, true);
         self.dispatch(instance);
     }
 
@@ -239,8 +239,8 @@
         while self.instances[instance].table.pool_free(self.now, POOL) > 0 {
             let Some(request) = self.instances[instance].queue.pop(self.now) else { break };
             let inst = &mut self.instances[instance];
-            inst.drain.popped(self.now, 1.0);
-            inst.drain.waiting(self.now, !inst.queue.is_empty());
+            inst.drain.record_dispatch(self.now, 1.0);
+            inst.drain.set_waiting(self.now, !inst.queue.is_empty());
             if self.requests[request].done || !self.is_in_time(request) {
                 continue;
             }
@@ -305,7 +305,7 @@
             return names.choose(&mut self.choices).map(|name| (*name).clone());
         }
         let peers = |name: &str| inst.peers.get(name).copied().unwrap_or(0);
-        let demand = Demand { pool: POOL, prefix: None, exclude: &tried, peers: &peers };
+        let demand = Criteria { pool: POOL, prefix: None, exclude: &tried, peers: &peers };
         routing::choose(&inst.table, self.now, &demand, &mut self.choices)
     }
 
@@ -374,7 +374,7 @@
         if done || calls.len() >= MAX_ATTEMPTS {
             return;
         }
-        if self.instances[instance].budget.spend() {
+        if self.instances[instance].budget.try_withdraw() {
             self.call(request);
         }
     }
@@ -385,7 +385,7 @@
         }
         let inst = &mut self.instances[self.requests[request].instance];
         inst.queue.remove(request);
-        inst.drain.waiting(self.now, !inst.queue.is_empty());
+        inst.drain.set_waiting(self.now, !inst.queue.is_empty());
 
         self.cancel_all(request);
     }
--- a/crates/core/examples/pool/world/fresh.rs
+++ b/crates/core/examples/pool/world/fresh.rs
@@ -3,8 +3,8 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use peatdeck_core::{
-    admission::{drain::Drain, probe::Probe},
-    budget::{self, Budget},
+    admission::{drain::DrainRate, probe::ProbePacer},
+    budget::{self, RetryBudget},
     endpoints::{self, Table},
     latency::Estimator,
     limits,
@@ -29,10 +29,10 @@
     Instance {
         table,
         queue: Queue::new(),
-        drain: Drain::new(),
-        probe: Probe::new(),
+        drain: DrainRate::new(),
+        probe: ProbePacer::new(),
         took: Estimator::new(),
-        budget: Budget::new(budget::Settings::default()),
+        budget: RetryBudget::new(budget::Settings::default()),
         peers: HashMap::new(),
     }
 }
--- a/crates/core/examples/subset_spread.rs
+++ b/crates/core/examples/subset_spread.rs
@@ -11,7 +11,7 @@
 
 use peatdeck_core::{
     model::{EndpointEntry, Incarnation, Presence},
-    subset::{self, Chooser},
+    subset::{self, Params},
 };
 
 /// Instances at the planned size.
@@ -48,7 +48,7 @@
     let of = |idx: usize| {
         let (name, data_centre) = (format!("entry-{idx}"), centre(idx));
         let chooser =
-            Chooser { name: &name, data_centre: &data_centre, size, evacuated: &BTreeSet::new() };
+            Params { name: &name, data_centre: &data_centre, size, evacuated: &BTreeSet::new() };
         subset::choose(chooser, entries).iter().map(|entry| entry.name.to_string()).collect()
     };
     (0..INSTANCES).map(of).collect()
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -32,8 +32,8 @@
     pub wait: Duration,
     /// Time that the remaining stages need, at a high quantile: [`timing::work`].
     pub work: Duration,
-    /// Time that they need at least: [`timing::quick_work`].
-    pub quick: Duration,
+    /// Time that they need at least: [`timing::min_work`].
+    pub min_work: Duration,
     /// How the team stands.
     pub share: Share,
 }
@@ -42,15 +42,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Share {
     /// Requests of the team that the instance holds.
-    pub held: u32,
+    pub active: u32,
     /// Requests of it that the configuration allows at the most.
-    pub max_held: Option<u32>,
+    pub max_active: Option<u32>,
     /// Requests that the instance holds of all teams.
     pub total: u32,
     /// The team's weight over the weights of all teams that have requests here, itself included.
     pub weight: f64,
     /// Whether requests of other teams wait long for places that this one needs.
-    pub contended: bool,
+    pub is_contended: bool,
 }
 
 /// How far beyond its share a team may go while others wait.
@@ -80,7 +80,7 @@
 
 /// While nothing waits, a try costs nobody anything: it needs a chance only.
 fn needed(estimate: &Estimate) -> Duration {
-    if estimate.wait.is_zero() { estimate.quick } else { estimate.wait + estimate.work }
+    if estimate.wait.is_zero() { estimate.min_work } else { estimate.wait + estimate.work }
 }
 
 /// A refusal whose time to come back is kept within sensible bounds.
@@ -90,14 +90,14 @@
 
 /// Stretches the time to come back at random, so that callers refused together
 /// don't return together.
-pub fn spread(refusal: Refusal, rng: &mut SmallRng) -> Refusal {
+pub fn add_jitter(refusal: Refusal, rng: &mut SmallRng) -> Refusal {
     let factor = 1.0 + rng.random::<f64>() * SPREAD;
     Refusal { retry_after: refusal.retry_after.mul_f64(factor), ..refusal }
 }
 
 /// How long `ahead` calls keep a new one waiting when `places` work on them
 /// at once and a call takes `service` on average.
-pub fn wait(ahead: f64, places: u32, service: Duration) -> Duration {
+pub fn expected_wait(ahead: f64, places: u32, service: Duration) -> Duration {
     // Without places it is for ever, which the bound below cuts off.
     let rounds = ahead.max(0.0) / f64::from(places);
     Duration::try_from_secs_f64(service.as_secs_f64() * rounds).unwrap_or(MAX_RETRY).min(MAX_RETRY)
@@ -118,19 +118,19 @@
 fn until_within_share(estimate: &Estimate) -> Duration {
     let share = &estimate.share;
     let allowed = allowed(share);
-    let excess = (f64::from(share.held) + 1.0 - allowed).max(1.0);
-    let turnover = (estimate.wait + estimate.work).as_secs_f64() / f64::from(share.held.max(1));
+    let excess = (f64::from(share.active) + 1.0 - allowed).max(1.0);
+    let turnover = (estimate.wait + estimate.work).as_secs_f64() / f64::from(share.active.max(1));
     Duration::try_from_secs_f64(turnover * excess).unwrap_or(MAX_RETRY)
 }
 
 fn is_over_share(share: &Share) -> bool {
-    f64::from(share.held) + 1.0 > allowed(share)
+    f64::from(share.active) + 1.0 > allowed(share)
 }
 
 /// Requests that the team may hold now.
 fn allowed(share: &Share) -> f64 {
-    let most = share.max_held.map_or(f64::INFINITY, f64::from);
-    if !share.contended {
+    let most = share.max_active.map_or(f64::INFINITY, f64::from);
+    if !share.is_contended {
         return most;
     }
     let fair = share.weight * f64::from(share.total + 1) * LENT_SHARE;
--- a/crates/core/src/admission/drain.rs
+++ b/crates/core/src/admission/drain.rs
@@ -12,7 +12,7 @@
 
 /// Measures the rate at which cost leaves a queue while calls wait in it.
 #[derive(Debug, Clone, Default)]
-pub struct Drain {
+pub struct DrainRate {
     /// Cost that left, faded.
     served: f64,
     /// Busy seconds, faded alike.
@@ -21,14 +21,14 @@
     from: Option<Duration>,
 }
 
-impl Drain {
+impl DrainRate {
     /// A meter that has seen nothing.
-    pub fn new() -> Drain {
-        Drain::default()
+    pub fn new() -> DrainRate {
+        DrainRate::default()
     }
 
     /// Says whether calls wait; after each push, pop and removal.
-    pub fn waiting(&mut self, now: Duration, any: bool) {
+    pub fn set_waiting(&mut self, now: Duration, any: bool) {
         if any {
             self.from.get_or_insert(now);
         } else {
@@ -38,7 +38,7 @@
     }
 
     /// A waiting call of that cost got a place.
-    pub fn popped(&mut self, now: Duration, cost: f64) {
+    pub fn record_dispatch(&mut self, now: Duration, cost: f64) {
         self.advance(now);
         if self.from.is_some() {
             self.served += cost;
@@ -46,7 +46,7 @@
     }
 
     /// Time until `ahead` has left; `None` if too little is known.
-    pub fn wait(&self, now: Duration, ahead: f64) -> Option<Duration> {
+    pub fn time_to_drain(&self, now: Duration, ahead: f64) -> Option<Duration> {
         let open = self.from.map_or(0.0, |from| now.saturating_sub(from).as_secs_f64());
         let busy = self.busy + open;
         if busy < MIN_BUSY.as_secs_f64() || self.served <= 0.0 {
--- a/crates/core/src/admission/probe.rs
+++ b/crates/core/src/admission/probe.rs
@@ -7,18 +7,18 @@
 
 /// Paces probes of one pipeline.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Probe {
+pub struct ProbePacer {
     last: Option<Duration>,
 }
 
-impl Probe {
+impl ProbePacer {
     /// A pace that allows one at once.
-    pub fn new() -> Probe {
-        Probe::default()
+    pub fn new() -> ProbePacer {
+        ProbePacer::default()
     }
 
     /// A request was admitted, by the estimate or as a probe.
-    pub fn admitted(&mut self, now: Duration) {
+    pub fn record_admission(&mut self, now: Duration) {
         self.last = Some(now);
     }
 
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -21,7 +21,7 @@
 
 /// A token bucket that traffic itself fills.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct RetryBudget {
     settings: Settings,
     tokens: f64,
 }
@@ -29,19 +29,19 @@
 /// Rounding slack, so that ten tenths make one token.
 const SLACK: f64 = 1e-9;
 
-impl Budget {
+impl RetryBudget {
     /// A full budget.
-    pub fn new(settings: Settings) -> Budget {
-        Budget { settings, tokens: settings.burst }
+    pub fn new(settings: Settings) -> RetryBudget {
+        RetryBudget { settings, tokens: settings.burst }
     }
 
     /// Counts a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.settings.ratio).min(self.settings.burst);
     }
 
     /// Pays for one repetition; false if the budget doesn't allow it.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.tokens + SLACK < 1.0 {
             return false;
         }
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     instance::input::RefuseReason,
-    limits::Limit,
+    limits::AdaptiveLimit,
     membership::EndpointState,
     model::{DataCentre, EndpointEntry, EndpointName, Incarnation, Load, PoolName},
 };
@@ -69,7 +69,7 @@
     ramp: Option<Duration>,
     slow_start: Duration,
     health: Health,
-    limit: Limit,
+    limit: AdaptiveLimit,
     speed: Speed,
     report: Option<Report>,
 }
@@ -134,7 +134,7 @@
             ramp: Some(now),
             slow_start: settings.slow_start,
             health: Health::new(settings.health),
-            limit: Limit::new(settings.limit),
+            limit: AdaptiveLimit::new(settings.limit),
             speed: Speed { good: 1.0, ..Speed::default() },
             report: None,
         }
@@ -282,7 +282,7 @@
             return;
         }
         self.report = Some(Report { load, at });
-        self.limit.reported(now, at, load.queued, load.places.max(1));
+        self.limit.record_report(now, at, load.queued, load.places.max(1));
     }
 
     pub(super) fn is_worth_telling(&self) -> bool {
@@ -328,14 +328,14 @@
         }
         let unit = unit(end);
         self.speed.by_token |= end.tokens.is_some();
-        self.limit.ended(now, unit, in_flight);
+        self.limit.record_completion(now, unit, in_flight);
         self.speed.record(now, unit, end.took);
     }
 
     fn refused(&mut self, now: Duration, sent: Duration, reason: RefuseReason) {
         self.health.undecided(now, sent);
         if reason == RefuseReason::Busy {
-            self.limit.refused(now, sent);
+            self.limit.record_refusal(now, sent);
         }
     }
 
@@ -349,7 +349,7 @@
             self.health.undecided(now, sent);
         }
         if !self.speed.by_token || end.tokens.is_some() {
-            self.limit.cancelled(now, unit(end), in_flight);
+            self.limit.record_cancellation(now, unit(end), in_flight);
         }
     }
 
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -48,7 +48,7 @@
 use slotmap::SlotMap;
 
 use crate::{
-    admission::probe::Probe,
+    admission::probe::ProbePacer,
     budget, claims, config_log,
     content::Content,
     endpoints,
@@ -59,7 +59,7 @@
         finished::Finished,
         held::{CallKey, Flight, Held, RequestKey},
         input::{Identity, Input},
-        lanes::Lanes,
+        lanes::PoolQueues,
         plan::Plan,
         settings::Settings,
         timers::{Timer, Timers},
@@ -86,11 +86,11 @@
     calls: SlotMap<CallKey, Flight>,
     callers: HashMap<CallerId, RequestKey>,
     single: HashMap<RequestId, RequestKey>,
-    probes: HashMap<PipelineName, Probe>,
+    probes: HashMap<PipelineName, ProbePacer>,
     teams: HashMap<TeamName, TeamUse>,
-    lanes: Lanes,
+    lanes: PoolQueues,
     latencies: Latencies,
-    budget: budget::Budget,
+    budget: budget::RetryBudget,
     timers: Timers,
     finished: Finished,
     counters: Counters,
@@ -137,9 +137,9 @@
             single: HashMap::new(),
             probes: HashMap::new(),
             teams: HashMap::new(),
-            lanes: Lanes::new(settings.decisions.fair_queue),
+            lanes: PoolQueues::new(settings.decisions.fair_queue),
             latencies: Latencies::new(),
-            budget: budget::Budget::new(budget::Settings::default()),
+            budget: budget::RetryBudget::new(budget::Settings::default()),
             timers: Timers::default(),
             finished: Finished::new(settings.finished),
             counters: Counters::default(),
@@ -190,12 +190,12 @@
     }
 
     /// Where the next read of the configuration stream starts.
-    pub fn config_from(&self) -> Offset {
+    pub fn next_config_offset(&self) -> Offset {
         self.fold.next_offset()
     }
 
     /// Where the next read of the claims stream starts.
-    pub fn claims_from(&self) -> Offset {
+    pub fn next_claims_offset(&self) -> Offset {
         self.claims.next_offset()
     }
 
--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -100,14 +100,14 @@
         let probe = self.probes.entry(pipeline.name.clone()).or_default();
         match decision {
             Ok(()) => {
-                probe.admitted(self.now);
+                probe.record_admission(self.now);
                 Ok(false)
             }
             Err(refusal) if refusal.kind == RefusalKind::Infeasible && probe.is_due(self.now) => {
-                probe.admitted(self.now);
+                probe.record_admission(self.now);
                 Ok(true)
             }
-            Err(refusal) => Err(Outcome::NotRun(admission::spread(refusal, &mut self.rng))),
+            Err(refusal) => Err(Outcome::NotRun(admission::add_jitter(refusal, &mut self.rng))),
         }
     }
 
@@ -181,7 +181,7 @@
 }
 
 /// What a request is told that arrives after the instance's exit.
-pub fn closed(request: &Request) -> Outcome {
+pub fn outcome_after_exit(request: &Request) -> Outcome {
     truthful(request, false, refused(RefusalKind::Stopping))
 }
 
--- a/crates/core/src/instance/estimates.rs
+++ b/crates/core/src/instance/estimates.rs
@@ -66,10 +66,10 @@
             left,
             wait: stages.map(|stage| self.wait(stage, &request.id.team, self.now + left)).sum(),
             work: timing::work(&self.known(pipeline, 0)),
-            quick: timing::quick_work(&self.known(pipeline, 0)),
+            min_work: timing::min_work(&self.known(pipeline, 0)),
             share: admission::Share {
-                max_held,
-                contended: self.is_contended(pipeline, &request.id.team, left),
+                max_active: max_held,
+                is_contended: self.is_contended(pipeline, &request.id.team, left),
                 ..self.share(&request.id.team, weight)
             },
         }
@@ -80,7 +80,7 @@
         let others = self.teams.iter().filter(|(name, using)| *name != team && using.held > 0);
         let others: u32 = others.map(|(_, using)| using.weight).sum();
         admission::Share {
-            held,
+            active: held,
             total: u32::try_from(self.held.len()).unwrap_or(u32::MAX),
             weight: f64::from(weight) / f64::from((weight + others).max(1)),
             ..Default::default()
@@ -95,14 +95,14 @@
         let mut pools = pipeline.stages.iter().map(|stage| &*stage.pool);
         pools.any(|pool| {
             let backlog = self.lanes.backlog(self.now, pool).unwrap_or_default();
-            backlog > long && self.lanes.others_wait(pool, team)
+            backlog > long && self.lanes.has_other_teams(pool, team)
         })
     }
 
     /// How long a new call would wait for a place in a stage's pool.
     fn wait(&self, stage: &Stage, team: &TeamName, deadline: Duration) -> Duration {
         let cost = self.cost(&stage.pool);
-        self.lanes.wait(self.now, &stage.pool, &lanes::Ahead { team, deadline, cost })
+        self.lanes.wait(self.now, &stage.pool, &lanes::NewCall { team, deadline, cost })
     }
 
     /// When to come back: once what waits ahead now has drained.
--- a/crates/core/src/instance/peers.rs
+++ b/crates/core/src/instance/peers.rs
@@ -50,7 +50,7 @@
         Facts {
             mark: self.fold.mark(),
             snapshot: self.fold.shared(),
-            ready: self.ready().is_empty(),
+            ready: self.unready_reasons().is_empty(),
             leaving: self.table.leaving_marks(),
             endpoints: self.table.states(self.now),
         }
--- a/crates/core/src/instance/platform.rs
+++ b/crates/core/src/instance/platform.rs
@@ -8,7 +8,7 @@
     instance::{Append, Instance, action::Action, plan::Plan},
     model::{AppendId, Incarnation, Listing},
     record::{Batch, ConfigRecord, Stream, Version},
-    subset::{self, Chooser},
+    subset::{self, Params},
 };
 
 impl Instance {
@@ -82,7 +82,7 @@
         self.was_listed = true;
         self.members.listed(self.now, &listing.instances);
         let before = self.table.leaving_marks().len();
-        let chooser = Chooser {
+        let chooser = Params {
             name: &self.identity.name,
             data_centre: &self.identity.data_centre,
             size: self.settings.subset,
@@ -112,7 +112,7 @@
     }
 
     /// Reasons for not being ready; empty when ready.
-    pub fn ready(&self) -> Vec<Arc<str>> {
+    pub fn unready_reasons(&self) -> Vec<Arc<str>> {
         let mut reasons: Vec<Arc<str>> = Vec::new();
         if self.stopping.is_some() {
             reasons.push("the instance is stopping".into());
--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -49,7 +49,7 @@
         let (weight, deadline) = (held.weight, held.due);
         let pool = held.stage().pool.clone();
         let cost = self.cost(&pool);
-        let waiting = queue::Waiting { key, team, weight, deadline, cost, priority };
+        let waiting = queue::WaitingCall { key, team, weight, deadline, cost, priority };
         self.lanes.push(self.now, &pool, waiting);
     }
 
@@ -77,7 +77,7 @@
                 return;
             }
             let team = &self.held[key].request.id.team;
-            self.lanes.sent(self.now, pool, team, self.cost(pool));
+            self.lanes.record_dispatch(self.now, pool, team, self.cost(pool));
         }
     }
 
@@ -86,7 +86,7 @@
         let held = &self.held[key];
         // Past its deadline it came out at no cost.
         let cost = if held.due <= self.now { 0.0 } else { self.cost(pool) };
-        self.lanes.left(self.now, pool, &held.request.id.team, cost);
+        self.lanes.refund(self.now, pool, &held.request.id.team, cost);
     }
 
     /// Sends one call. False if no endpoint may take it now.
@@ -141,7 +141,7 @@
         let prefix = prefixed.then(|| self.content.prefix(&held.progress.input));
         let mut rng = self.rng.clone();
         let peers = |name: &str| self.members.in_flight(self.now, name);
-        let demand = routing::Demand { pool: &stage.pool, prefix, exclude, peers: &peers };
+        let demand = routing::Criteria { pool: &stage.pool, prefix, exclude, peers: &peers };
         let chosen = if !decisions.load_aware {
             routing::choose_scored(&self.table, self.now, &demand, &mut rng, &|_| Some(0.0))
         } else if let Some(program) =
@@ -154,7 +154,7 @@
         } else if why == Why::First {
             routing::choose(&self.table, self.now, &demand, &mut rng)
         } else {
-            routing::choose_proven(&self.table, self.now, &demand, &mut rng)
+            routing::choose_avoiding_probes(&self.table, self.now, &demand, &mut rng)
         };
         self.rng = rng;
         chosen
@@ -264,7 +264,7 @@
 
     /// Takes a repetition out of the shared budget.
     pub(super) fn spend(&mut self) -> bool {
-        let allowed = self.budget.spend();
+        let allowed = self.budget.try_withdraw();
         self.counters.budget_denied += u64::from(!allowed);
         allowed
     }
@@ -333,7 +333,7 @@
     fn count_call(&mut self, why: Why) {
         self.counters.calls += 1;
         match why {
-            Why::First => self.budget.earn(),
+            Why::First => self.budget.deposit(),
             Why::Retry => self.counters.retries += 1,
             Why::Hedge => self.counters.hedges += 1,
         }
--- a/crates/core/src/instance/status.rs
+++ b/crates/core/src/instance/status.rs
@@ -50,7 +50,7 @@
     pub fn status(&self) -> Status {
         Status {
             identity: self.identity.clone(),
-            reasons: self.ready(),
+            reasons: self.unready_reasons(),
             version: self.plan.as_ref().map_or(0, |plan| plan.version),
             running: u32::try_from(self.held.len()).unwrap_or(u32::MAX),
             peers: self.members.alive(self.now),
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,6 +1,6 @@
 //! How many calls one instance lets run at an endpoint at once.
 //!
-//! A [`Limit`] learns from the endpoint's own times and load reports, so that
+//! An [`AdaptiveLimit`] learns from the endpoint's own times and load reports, so that
 //! instances needn't know each other's plans. It grows by one a round while
 //! all of it is in use, and shrinks by a factor on a sign of congestion: times
 //! well above their usual level, a long queue in a report, or a refusal
@@ -54,7 +54,7 @@
 
 /// An adaptive limit.
 #[derive(Debug, Clone)]
-pub struct Limit {
+pub struct AdaptiveLimit {
     settings: Settings,
     value: f64,
     usual: Option<f64>,
@@ -66,10 +66,10 @@
     shrunk: Option<Duration>,
 }
 
-impl Limit {
+impl AdaptiveLimit {
     /// A limit at its start.
-    pub fn new(settings: Settings) -> Limit {
-        Limit {
+    pub fn new(settings: Settings) -> AdaptiveLimit {
+        AdaptiveLimit {
             settings,
             value: f64::from(settings.initial),
             usual: None,
@@ -85,7 +85,7 @@
     }
 
     /// Takes in the time of a call that ended well. `in_flight` counts it.
-    pub fn ended(&mut self, now: Duration, unit: Duration, in_flight: u32) {
+    pub fn record_completion(&mut self, now: Duration, unit: Duration, in_flight: u32) {
         self.used |= in_flight >= self.value();
         self.round.push(unit.as_secs_f64());
         let size = (self.value() as usize).clamp(MIN_ROUND, MAX_ROUND);
@@ -97,22 +97,22 @@
     /// Takes in a call that was cancelled after `unit`. A quick end tells nothing,
     /// a late one that the call would have taken longer still. Without these, an
     /// endpoint that answers few calls in time would be judged by those few.
-    pub fn cancelled(&mut self, now: Duration, unit: Duration, in_flight: u32) {
+    pub fn record_cancellation(&mut self, now: Duration, unit: Duration, in_flight: u32) {
         let is_slow = self.usual.is_some_and(|usual| unit.as_secs_f64() > usual * TOLERANCE);
         if is_slow {
-            self.ended(now, unit, in_flight);
+            self.record_completion(now, unit, in_flight);
         }
     }
 
     /// Takes in a refusal because the endpoint is busy, of a call sent at `sent`.
-    pub fn refused(&mut self, now: Duration, sent: Duration) {
+    pub fn record_refusal(&mut self, now: Duration, sent: Duration) {
         if !self.is_old_news(sent) {
             self.shrink(now);
         }
     }
 
     /// Takes in a report that was true at `at`.
-    pub fn reported(&mut self, now: Duration, at: Duration, queued: u32, places: u32) {
+    pub fn record_report(&mut self, now: Duration, at: Duration, queued: u32, places: u32) {
         let is_long = f64::from(queued) > f64::from(places) * QUEUE_SHARE;
         if is_long && !self.is_old_news(at) {
             self.shrink(now);
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -15,7 +15,7 @@
 
 /// One waiting call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Waiting<K> {
+pub struct WaitingCall<K> {
     /// What the instance knows it by.
     pub key: K,
     /// The team it is for.
@@ -104,7 +104,7 @@
     }
 
     /// Adds a call. Its key must not be waiting already.
-    pub fn push(&mut self, waiting: Waiting<K>) {
+    pub fn push(&mut self, waiting: WaitingCall<K>) {
         let rank = Rank { priority: waiting.priority, deadline: waiting.deadline, seq: self.seq };
         self.seq += 1;
         self.len += 1;
@@ -139,7 +139,7 @@
 
     /// Gives a team back what a call cost that came out and got no place. A call
     /// whose deadline had passed cost nothing: nothing is given back for it.
-    pub fn give_back(&mut self, name: &str, cost: f64) {
+    pub fn refund(&mut self, name: &str, cost: f64) {
         let Some(team) = self.teams.iter_mut().find(|team| &*team.name == name) else { return };
         team.deficit += cost;
         team.settle(self.round);
@@ -169,18 +169,18 @@
     }
 
     /// Whether calls of a team wait.
-    pub fn team_waits(&self, name: &str) -> bool {
+    pub fn has_team(&self, name: &str) -> bool {
         self.teams.iter().any(|team| &*team.name == name && !team.waiting.is_empty())
     }
 
     /// Cost of a team's waiting calls that would go before its new one with that deadline.
-    pub fn own_ahead(&self, name: &str, deadline: Duration) -> f64 {
+    pub fn own_cost_ahead(&self, name: &str, deadline: Duration) -> f64 {
         let own = self.teams.iter().find(|team| &*team.name == name);
         own.map_or(0.0, |own| own.cost_before(deadline))
     }
 
     /// Whether calls of any other team wait.
-    pub fn others_wait(&self, name: &str) -> bool {
+    pub fn has_other_teams(&self, name: &str) -> bool {
         self.teams.iter().any(|team| &*team.name != name && !team.waiting.is_empty())
     }
 
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -26,7 +26,7 @@
 };
 
 /// What a call asks for.
-pub struct Demand<'a> {
+pub struct Criteria<'a> {
     /// The pool.
     pub pool: &'a str,
     /// Hash of the prompt's start, for engines.
@@ -58,18 +58,18 @@
 pub fn choose(
     table: &Table,
     now: Duration,
-    demand: &Demand<'_>,
+    demand: &Criteria<'_>,
     rng: &mut SmallRng,
 ) -> Option<EndpointName> {
-    probe(table, now, demand).or_else(|| choose_proven(table, now, demand, rng))
+    probe(table, now, demand).or_else(|| choose_avoiding_probes(table, now, demand, rng))
 }
 
 /// As [`choose`], for a call that mustn't be risked: it is a probe only where
 /// nothing else is free.
-pub fn choose_proven(
+pub fn choose_avoiding_probes(
     table: &Table,
     now: Duration,
-    demand: &Demand<'_>,
+    demand: &Criteria<'_>,
     rng: &mut SmallRng,
 ) -> Option<EndpointName> {
     let free = proven(table, now, demand);
@@ -88,7 +88,7 @@
 pub fn choose_scored(
     table: &Table,
     now: Duration,
-    demand: &Demand<'_>,
+    demand: &Criteria<'_>,
     rng: &mut SmallRng,
     score: &dyn Fn(&Endpoint) -> Option<f64>,
 ) -> Option<EndpointName> {
@@ -99,13 +99,13 @@
     let drawn = free.choose_multiple(rng, SCORED);
     let scores: Option<Vec<(f64, &Endpoint)>> =
         drawn.map(|endpoint| Some((score(endpoint)?, *endpoint))).collect();
-    let Some(scores) = scores else { return choose_proven(table, now, demand, rng) };
+    let Some(scores) = scores else { return choose_avoiding_probes(table, now, demand, rng) };
     let best = scores.into_iter().max_by(|a, b| a.0.total_cmp(&b.0));
     best.map(|(_, endpoint)| endpoint.name.clone())
 }
 
 /// An endpoint that waits for its probe, unless the call is a repeat.
-fn probe(table: &Table, now: Duration, demand: &Demand<'_>) -> Option<EndpointName> {
+fn probe(table: &Table, now: Duration, demand: &Criteria<'_>) -> Option<EndpointName> {
     if !demand.exclude.is_empty() {
         return None;
     }
@@ -114,7 +114,7 @@
 }
 
 /// Free endpoints that aren't to be probed; those too if there are no others.
-fn proven<'t>(table: &'t Table, now: Duration, demand: &Demand<'_>) -> Vec<&'t Endpoint> {
+fn proven<'t>(table: &'t Table, now: Duration, demand: &Criteria<'_>) -> Vec<&'t Endpoint> {
     let free: Vec<&Endpoint> = candidates(table, now, demand).collect();
     let proven = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
     let proven: Vec<&Endpoint> = proven.collect();
@@ -124,7 +124,7 @@
 fn candidates<'t>(
     table: &'t Table,
     now: Duration,
-    demand: &Demand<'_>,
+    demand: &Criteria<'_>,
 ) -> impl Iterator<Item = &'t Endpoint> {
     let pool = table.pool(demand.pool);
     pool.filter(move |endpoint| endpoint.free(now) > 0 && !demand.exclude.contains(&endpoint.name))
@@ -151,7 +151,7 @@
 /// The endpoint that likely holds the prefix, if it isn't too full or too slow.
 fn nearest<'t>(
     free: &[&'t Endpoint],
-    demand: &Demand<'_>,
+    demand: &Criteria<'_>,
     prefix: u64,
     cost: impl Fn(&Endpoint) -> f64,
 ) -> Option<&'t Endpoint> {
@@ -213,7 +213,7 @@
 }
 
 /// Expected time of a call, up to a factor that all of the pool share.
-fn cost(endpoint: &Endpoint, now: Duration, demand: &Demand<'_>, scale: &Scale) -> f64 {
+fn cost(endpoint: &Endpoint, now: Duration, demand: &Criteria<'_>, scale: &Scale) -> f64 {
     let peers = f64::from((demand.peers)(&endpoint.name)) * still_true(PEERS_AGE, scale);
     let queued = endpoint
         .reported_queue(now)
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -29,7 +29,7 @@
 
 /// Who chooses.
 #[derive(Debug, Clone, Copy)]
-pub struct Chooser<'a> {
+pub struct Params<'a> {
     /// The instance.
     pub name: &'a str,
     /// Its data centre.
@@ -42,7 +42,7 @@
 
 /// The endpoints that an instance keeps to, out of the whole list. A pool that
 /// is no larger than the subset is kept whole.
-pub fn choose(chooser: Chooser<'_>, entries: &[EndpointEntry]) -> Vec<EndpointEntry> {
+pub fn choose(chooser: Params<'_>, entries: &[EndpointEntry]) -> Vec<EndpointEntry> {
     let mut pools: BTreeMap<&PoolName, Vec<&EndpointEntry>> = BTreeMap::new();
     for entry in entries {
         pools.entry(&entry.pool).or_default().push(entry);
@@ -50,7 +50,7 @@
     pools.into_values().flat_map(|pool| of_pool(chooser, pool)).cloned().collect()
 }
 
-fn of_pool<'a>(chooser: Chooser<'_>, mut pool: Vec<&'a EndpointEntry>) -> Vec<&'a EndpointEntry> {
+fn of_pool<'a>(chooser: Params<'_>, mut pool: Vec<&'a EndpointEntry>) -> Vec<&'a EndpointEntry> {
     if pool.len() <= chooser.size {
         return pool;
     }
--- a/crates/core/src/timing.rs
+++ b/crates/core/src/timing.rs
@@ -49,7 +49,7 @@
 }
 
 /// Time that a request's stages need at least to have a chance.
-pub fn quick_work(stages: &[&Estimator]) -> Duration {
+pub fn min_work(stages: &[&Estimator]) -> Duration {
     sum(stages, QUICK)
 }
 
--- a/crates/core/tests/testsuite/endpoint_states.rs
+++ b/crates/core/tests/testsuite/endpoint_states.rs
@@ -10,7 +10,7 @@
     endpoints::{CallEnd, CallResult, Settings, State, Table},
     instance::input::RefuseReason,
     model::{EndpointEntry, EndpointName, Incarnation, Presence},
-    routing::{self, Demand},
+    routing::{self, Criteria},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -98,7 +98,7 @@
 
 impl Driven {
     fn call(&mut self, oracle: &Oracle) {
-        let demand = Demand { pool: POOL, prefix: None, exclude: &[], peers: &|_| 0 };
+        let demand = Criteria { pool: POOL, prefix: None, exclude: &[], peers: &|_| 0 };
         let Some(name) = routing::choose(&self.table, self.now, &demand, &mut self.rng) else {
             return;
         };
--- a/crates/core/tests/testsuite/instances/world.rs
+++ b/crates/core/tests/testsuite/instances/world.rs
@@ -342,7 +342,12 @@
             let Some(machine) = &self.nodes[node].machine else { continue };
             let version = machine.status().version;
             assert_eq!(version, chain.len() as u64, "{} is behind", name(node));
-            assert_eq!(machine.ready(), Vec::<Arc<str>>::new(), "{} is not ready", name(node));
+            assert_eq!(
+                machine.unready_reasons(),
+                Vec::<Arc<str>>::new(),
+                "{} is not ready",
+                name(node)
+            );
         }
         let before = self.last;
         for (node, single) in (0..NODES).flat_map(|node| [(node, false), (node, true)]) {
--- a/crates/core/tests/testsuite/instances/world/steps.rs
+++ b/crates/core/tests/testsuite/instances/world/steps.rs
@@ -156,7 +156,7 @@
     pub(super) fn close(&mut self, life: Life) {
         for input in std::mem::take(&mut self.nodes[life.0].inbox) {
             if let Input::Submit { caller, request } = input {
-                self.oracle.answered(self.now, caller, admit::closed(&request));
+                self.oracle.answered(self.now, caller, admit::outcome_after_exit(&request));
             }
         }
     }
@@ -229,10 +229,10 @@
         let input = match stream {
             _ if self.log.is_out => Input::ReadFailed(stream),
             Stream::Config => {
-                Input::ConfigRead(self.log.config.read(machine.config_from(), now_ms))
+                Input::ConfigRead(self.log.config.read(machine.next_config_offset(), now_ms))
             }
             Stream::Claims => {
-                Input::ClaimsRead(self.log.claims.read(machine.claims_from(), now_ms))
+                Input::ClaimsRead(self.log.claims.read(machine.next_claims_offset(), now_ms))
             }
         };
         let delay = self.delay();
--- a/crates/core/tests/testsuite/lanes.rs
+++ b/crates/core/tests/testsuite/lanes.rs
@@ -5,9 +5,9 @@
 use peatdeck_core::{
     instance::{
         held::RequestKey,
-        lanes::{Ahead, Lanes},
+        lanes::{NewCall, PoolQueues},
     },
-    queue::Waiting,
+    queue::WaitingCall,
 };
 use slotmap::KeyData;
 
@@ -18,27 +18,27 @@
     Duration::from_millis(ms)
 }
 
-fn push(lanes: &mut Lanes, now: Duration, number: u64, team: &str) {
+fn push(lanes: &mut PoolQueues, now: Duration, number: u64, team: &str) {
     let key = RequestKey::from(KeyData::from_ffi((1 << 32) | number));
     let team = team.into();
-    let waiting = Waiting { key, team, weight: 1, deadline: DUE, cost: 1.0, priority: 0.0 };
+    let waiting = WaitingCall { key, team, weight: 1, deadline: DUE, cost: 1.0, priority: 0.0 };
     lanes.push(now, &POOL.into(), waiting);
 }
 
-fn wait(lanes: &Lanes, now: Duration, team: &str) -> Duration {
-    lanes.wait(now, POOL, &Ahead { team, deadline: DUE, cost: 1.0 })
+fn wait(lanes: &PoolQueues, now: Duration, team: &str) -> Duration {
+    lanes.wait(now, POOL, &NewCall { team, deadline: DUE, cost: 1.0 })
 }
 
 #[test]
 fn calls_that_get_no_place_say_nothing_of_the_rate() {
-    let mut lanes = Lanes::new(true);
+    let mut lanes = PoolQueues::new(true);
     (0..40).for_each(|number| push(&mut lanes, ms(0), number, "a"));
     for round in 1..=10 {
         let now = ms(round * 100);
         lanes.pop(now, POOL).unwrap();
-        lanes.sent(now, POOL, "a", 1.0);
+        lanes.record_dispatch(now, POOL, "a", 1.0);
         lanes.pop(now, POOL).unwrap();
-        lanes.left(now, POOL, "a", 1.0);
+        lanes.refund(now, POOL, "a", 1.0);
     }
     // Twenty wait, and one in 100 ms gets a place: 2 s and a fifth more for chance.
     let wait = wait(&lanes, ms(1000), "a");
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_team_waits_for_what_others_will_send_too() {
-    let mut lanes = Lanes::new(true);
+    let mut lanes = PoolQueues::new(true);
     (0..40).for_each(|number| push(&mut lanes, ms(0), number, "a"));
     for round in 1..=40 {
         let now = ms(round * 100);
@@ -56,7 +56,7 @@
         }
         let key = lanes.pop(now, POOL).unwrap();
         let is_late = slotmap::Key::data(&key).as_ffi() & 0xff >= 100;
-        lanes.sent(now, POOL, if is_late { "b" } else { "a" }, 1.0);
+        lanes.record_dispatch(now, POOL, if is_late { "b" } else { "a" }, 1.0);
     }
     // Nineteen of "a" wait, and 21 got a place in 4 s, since the others went to
     // "b", of which none waits now: 3.6 s and a sixth more for chance.
@@ -66,13 +66,13 @@
 
 #[test]
 fn a_team_without_waiting_calls_goes_by_the_pool() {
-    let mut lanes = Lanes::new(true);
+    let mut lanes = PoolQueues::new(true);
     (0..40).for_each(|number| push(&mut lanes, ms(0), number, "a"));
     for round in 1..=10 {
         lanes.pop(ms(round * 100), POOL).unwrap();
-        lanes.sent(ms(round * 100), POOL, "a", 1.0);
+        lanes.record_dispatch(ms(round * 100), POOL, "a", 1.0);
     }
     // One of "a" goes first at the most, and as much again for chance.
     assert!(wait(&lanes, ms(1000), "b") <= ms(250));
-    assert!(lanes.others_wait(POOL, "b") && !lanes.others_wait(POOL, "a"));
+    assert!(lanes.has_other_teams(POOL, "b") && !lanes.has_other_teams(POOL, "a"));
 }
--- a/crates/core/tests/testsuite/queue.rs
+++ b/crates/core/tests/testsuite/queue.rs
@@ -5,10 +5,10 @@
 use std::{sync::Arc, time::Duration};
 
 use expect_test::expect;
-use peatdeck_core::queue::{Queue, Waiting};
+use peatdeck_core::queue::{Queue, WaitingCall};
 
-pub fn waiting(key: u32, team: &str, deadline: u64) -> Waiting<u32> {
-    Waiting {
+pub fn waiting(key: u32, team: &str, deadline: u64) -> WaitingCall<u32> {
+    WaitingCall {
         key,
         team: Arc::from(team),
         weight: 1,
@@ -35,8 +35,8 @@
 fn a_policys_priority_goes_before_the_deadline() {
     let mut queue = Queue::new();
     queue.push(waiting(1, "a", 100));
-    queue.push(Waiting { priority: 1.5, ..waiting(2, "a", 200) });
-    queue.push(Waiting { priority: -1.0, ..waiting(3, "a", 50) });
+    queue.push(WaitingCall { priority: 1.5, ..waiting(2, "a", 200) });
+    queue.push(WaitingCall { priority: -1.0, ..waiting(3, "a", 50) });
     assert_eq!(drain(&mut queue), [2, 1, 3]);
 }
 
@@ -51,7 +51,7 @@
 fn teams_share_by_weight() {
     let mut queue = Queue::new();
     for key in 0..20 {
-        queue.push(Waiting { weight: 3, ..waiting(key, "large", 100) });
+        queue.push(WaitingCall { weight: 3, ..waiting(key, "large", 100) });
         queue.push(waiting(100 + key, "small", 100));
     }
     let first: Vec<u32> = drain(&mut queue).into_iter().take(12).collect();
@@ -62,7 +62,7 @@
 fn teams_share_by_cost() {
     let mut queue = Queue::new();
     for key in 0..20 {
-        queue.push(Waiting { cost: 4.0, ..waiting(key, "costly", 100) });
+        queue.push(WaitingCall { cost: 4.0, ..waiting(key, "costly", 100) });
         queue.push(waiting(100 + key, "cheap", 100));
     }
     let first: Vec<u32> = drain(&mut queue).into_iter().take(10).collect();
@@ -85,7 +85,7 @@
 #[test]
 fn a_small_team_that_comes_back_goes_first_once() {
     let mut queue = Queue::new();
-    (0..60).for_each(|key| queue.push(Waiting { weight: 4, ..waiting(key, "large", 100) }));
+    (0..60).for_each(|key| queue.push(WaitingCall { weight: 4, ..waiting(key, "large", 100) }));
     queue.push(waiting(100, "small", 100));
     (0..20).for_each(|_| assert!(queue.pop(Duration::ZERO).is_some()));
     (101..104).for_each(|key| queue.push(waiting(key, "small", 100)));
@@ -98,7 +98,7 @@
 #[test]
 fn credit_that_an_urgent_call_leaves_over_is_kept() {
     let mut queue = Queue::new();
-    queue.push(Waiting { cost: 10.0, ..waiting(1, "a", 200) });
+    queue.push(WaitingCall { cost: 10.0, ..waiting(1, "a", 200) });
     (100..120).for_each(|key| queue.push(waiting(key, "b", 100)));
     (0..5).for_each(|_| assert!(queue.pop(Duration::ZERO).is_some()));
     queue.push(waiting(2, "a", 100));
@@ -111,7 +111,7 @@
 #[test]
 fn an_expired_call_comes_out_first_and_costs_nothing() {
     let mut queue = Queue::new();
-    queue.push(Waiting { cost: 100.0, ..waiting(1, "a", 10) });
+    queue.push(WaitingCall { cost: 100.0, ..waiting(1, "a", 10) });
     queue.push(waiting(2, "a", 500));
     queue.push(waiting(3, "b", 500));
     queue.push(waiting(4, "b", 600));
@@ -131,7 +131,7 @@
     while served.len() < 10 {
         match queue.pop(Duration::ZERO) {
             // Every other call of "a" is given up.
-            Some(key) if key < 100 && key % 2 == 0 => queue.give_back("a", 1.0),
+            Some(key) if key < 100 && key % 2 == 0 => queue.refund("a", 1.0),
             Some(key) => served.push(key),
             None => break,
         }
@@ -144,7 +144,7 @@
     let mut queue = Queue::new();
     queue.push(waiting(1, "a", 100));
     queue.pop(Duration::ZERO);
-    queue.give_back("a", 50.0);
+    queue.refund("a", 50.0);
     for key in 0..10 {
         queue.push(waiting(key, "a", 100));
         queue.push(waiting(100 + key, "b", 100));
--- a/crates/core/tests/testsuite/queue_states.rs
+++ b/crates/core/tests/testsuite/queue_states.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use peatdeck_core::queue::{Queue, Waiting};
+use peatdeck_core::queue::{Queue, WaitingCall};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 const TEAMS: [&str; 4] = ["a", "b", "c", "d"];
@@ -41,9 +41,9 @@
     }
 }
 
-fn waiting(key: u32, team: usize, weight: u32, cost: f64) -> Waiting<u32> {
+fn waiting(key: u32, team: usize, weight: u32, cost: f64) -> WaitingCall<u32> {
     let deadline = Duration::from_secs(1000);
-    Waiting { key, team: Arc::from(TEAMS[team]), weight, deadline, cost, priority: 0.0 }
+    WaitingCall { key, team: Arc::from(TEAMS[team]), weight, deadline, cost, priority: 0.0 }
 }
 
 proptest! {
@@ -58,7 +58,7 @@
                 Step::Push { team, deadline, cost, priority } => {
                     let deadline = Duration::from_millis(deadline);
                     let priority = f64::from(priority);
-                    queue.push(Waiting { deadline, priority, ..waiting(key, team, 1, cost) });
+                    queue.push(WaitingCall { deadline, priority, ..waiting(key, team, 1, cost) });
                     inside.insert(key);
                 }
                 Step::Pop { at } => match queue.pop(Duration::from_millis(at)) {
--- a/crates/core/tests/testsuite/routing.rs
+++ b/crates/core/tests/testsuite/routing.rs
@@ -9,7 +9,7 @@
     endpoints::{CallEnd, CallResult, Endpoint, Table},
     limits,
     model::{EndpointName, Incarnation, Load},
-    routing::{self, Demand},
+    routing::{self, Criteria},
 };
 use rand::{SeedableRng, rngs::SmallRng};
 
@@ -18,8 +18,8 @@
 const DRAWS: usize = 1000;
 const NOW: Duration = Duration::from_secs(1);
 
-fn demand() -> Demand<'static> {
-    Demand { pool: POOL, prefix: None, exclude: &[], peers: &|_| 0 }
+fn demand() -> Criteria<'static> {
+    Criteria { pool: POOL, prefix: None, exclude: &[], peers: &|_| 0 }
 }
 
 fn four() -> Table {
@@ -27,7 +27,7 @@
 }
 
 /// How often each endpoint is chosen, in a thousand draws.
-fn counts(table: &Table, demand: &Demand<'_>) -> String {
+fn counts(table: &Table, demand: &Criteria<'_>) -> String {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts: BTreeMap<EndpointName, usize> = BTreeMap::new();
     for _ in 0..DRAWS {
@@ -53,7 +53,7 @@
 
 #[test]
 fn peers_calls_count() {
-    let busy = Demand { peers: &|name| if name == "a" { 9 } else { 0 }, ..demand() };
+    let busy = Criteria { peers: &|name| if name == "a" { 9 } else { 0 }, ..demand() };
     assert!(!counts(&four(), &busy).contains('a'));
 }
 
@@ -96,7 +96,7 @@
     let mut table = four();
     table.mark_leaving("a", Incarnation(1));
     let exclude = ["b", "c"].map(EndpointName::from);
-    let repeat = Demand { exclude: &exclude, ..demand() };
+    let repeat = Criteria { exclude: &exclude, ..demand() };
     assert_eq!(counts(&table, &repeat), "d 1000");
     table.mark_leaving("d", Incarnation(1));
     assert_eq!(counts(&table, &repeat), "");
@@ -120,10 +120,13 @@
     let at = secs(3.0);
     let mut rng = SmallRng::seed_from_u64(1);
     let exclude = [EndpointName::from("b")];
-    let repeat = Demand { exclude: &exclude, ..demand() };
+    let repeat = Criteria { exclude: &exclude, ..demand() };
     for _ in 0..20 {
         assert_ne!(routing::choose(&table, at, &repeat, &mut rng).as_deref(), Some("a"));
-        assert_ne!(routing::choose_proven(&table, at, &demand(), &mut rng).as_deref(), Some("a"));
+        assert_ne!(
+            routing::choose_avoiding_probes(&table, at, &demand(), &mut rng).as_deref(),
+            Some("a")
+        );
     }
     assert_eq!(routing::choose(&table, at, &demand(), &mut rng).as_deref(), Some("a"));
     let score = |_: &Endpoint| Some(0.0);
@@ -136,7 +139,7 @@
 #[test]
 fn a_prefix_stays_on_one_endpoint_until_that_is_too_full() {
     let mut table = four();
-    let near = Demand { prefix: Some(42), ..demand() };
+    let near = Criteria { prefix: Some(42), ..demand() };
     let first = counts(&table, &near);
     let name = first.strip_suffix(" 1000").unwrap().to_owned();
     table.started(NOW, &name);
@@ -151,7 +154,7 @@
 
 #[test]
 fn a_prefix_does_not_stay_on_a_straggler() {
-    let near = Demand { prefix: Some(42), ..demand() };
+    let near = Criteria { prefix: Some(42), ..demand() };
     let first = counts(&four(), &near);
     let slow = first.strip_suffix(" 1000").unwrap();
     let mut table = four();
@@ -168,7 +171,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts: BTreeMap<EndpointName, usize> = BTreeMap::new();
     for prefix in 0..400 {
-        let near = Demand { prefix: Some(prefix), ..demand() };
+        let near = Criteria { prefix: Some(prefix), ..demand() };
         let name = routing::choose(&table, NOW, &near, &mut rng).unwrap();
         *counts.entry(name).or_default() += 1;
     }
--- a/crates/core/tests/testsuite/subset.rs
+++ b/crates/core/tests/testsuite/subset.rs
@@ -4,7 +4,7 @@
 
 use peatdeck_core::{
     model::{EndpointEntry, Incarnation, Presence},
-    subset::{self, Chooser},
+    subset::{self, Params},
 };
 
 /// Endpoints of one pool, dealt over data centres.
@@ -22,7 +22,7 @@
 
 fn names(instance: usize, size: usize, entries: &[EndpointEntry]) -> BTreeSet<String> {
     let name = format!("entry-{instance}");
-    let chooser = Chooser { name: &name, data_centre: "dc-0", size, evacuated: &BTreeSet::new() };
+    let chooser = Params { name: &name, data_centre: "dc-0", size, evacuated: &BTreeSet::new() };
     subset::choose(chooser, entries).iter().map(|entry| entry.name.to_string()).collect()
 }
 
@@ -48,7 +48,7 @@
 fn half_of_a_subset_is_near_where_there_are_enough() {
     let entries = pool(400, 4);
     let chooser =
-        Chooser { name: "entry-1", data_centre: "dc-0", size: 40, evacuated: &BTreeSet::new() };
+        Params { name: "entry-1", data_centre: "dc-0", size: 40, evacuated: &BTreeSet::new() };
     let kept = subset::choose(chooser, &entries);
     let near = kept.iter().filter(|entry| &*entry.data_centre == "dc-0").count();
     assert_eq!(kept.len(), 40);
@@ -83,7 +83,7 @@
 fn evacuated_endpoints_come_last() {
     let entries = pool(400, 4);
     let evacuated = BTreeSet::from(["dc-0".into()]);
-    let chooser = Chooser { name: "entry-1", data_centre: "dc-0", size: 40, evacuated: &evacuated };
+    let chooser = Params { name: "entry-1", data_centre: "dc-0", size: 40, evacuated: &evacuated };
     let kept = subset::choose(chooser, &entries);
     assert_eq!(kept.len(), 40);
     assert!(kept.iter().all(|entry| &*entry.data_centre != "dc-0"));
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -135,7 +135,7 @@
             self.callers.borrow_mut().add(request.pipeline.clone(), request.id.team.clone());
         let waiter = Waiter { parts, _guard: Guard { driver: self.clone(), key } };
         match self.is_closed.get() {
-            true => self.answer(key.id(), admit::closed(&request)),
+            true => self.answer(key.id(), admit::outcome_after_exit(&request)),
             false => self.feed(Input::Submit { caller: key.id(), request }),
         }
         waiter
@@ -178,8 +178,8 @@
     /// Where the next read of a stream starts.
     pub fn read_from(&self, stream: Stream) -> Offset {
         match stream {
-            Stream::Config => self.machine.borrow().config_from(),
-            Stream::Claims => self.machine.borrow().claims_from(),
+            Stream::Config => self.machine.borrow().next_config_offset(),
+            Stream::Claims => self.machine.borrow().next_claims_offset(),
         }
     }
 
--- a/crates/entry/src/report.rs
+++ b/crates/entry/src/report.rs
@@ -21,7 +21,8 @@
 
 /// The instance's status, with outcomes of slots from `since` on.
 pub fn status(driver: &Driver, identity: &Identity, since: u64) -> EntryStatus {
-    let (status, reasons) = driver.with_machine(|machine| (machine.status(), machine.ready()));
+    let (status, reasons) =
+        driver.with_machine(|machine| (machine.status(), machine.unready_reasons()));
     let endpoints = status.endpoints.into_iter().map(|endpoint| EndpointStatus {
         endpoint: endpoint.name,
         pool: endpoint.pool,
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -231,7 +231,7 @@
 }
 
 async fn ready(app: types::State<App>) -> HttpResponse {
-    let reasons = app.driver.with_machine(|machine| machine.ready());
+    let reasons = app.driver.with_machine(|machine| machine.unready_reasons());
     let readiness = Readiness { ready: reasons.is_empty(), reasons };
     let status = match readiness.ready {
         true => StatusCode::OK,
--- a/crates/testsuite/tests/testsuite/pages.rs
+++ b/crates/testsuite/tests/testsuite/pages.rs
@@ -85,7 +85,7 @@
 #[test]
 fn runbook_has_every_reason_for_not_being_ready() {
     let page = page("runbook.md");
-    let reasons = unready().into_iter().flat_map(|instance| instance.ready());
+    let reasons = unready().into_iter().flat_map(|instance| instance.unready_reasons());
     let missing: Vec<_> = reasons.filter(|reason| !page.contains(&**reason)).collect();
     assert!(missing.is_empty(), "docs/runbook.md must name {missing:?}");
 }
