--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -13,7 +13,7 @@
     model::Incarnation,
     relay::{
         Relay, Settings,
-        allowance::Bound,
+        allowance::RetryBudgetConfig,
         config::{Config, Limits, Pieces, Service},
         directory::{Change, Entry},
         fingerprint::Fingerprint,
@@ -64,7 +64,7 @@
 }
 
 fn relay(room: u64) -> Relay {
-    let bound = Bound { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
+    let bound = RetryBudgetConfig { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
--- a/crates/core/src/relay/allowance.rs
+++ b/crates/core/src/relay/allowance.rs
@@ -20,7 +20,7 @@
 /// The bound on repetition.
 #[data]
 #[derive(Copy)]
-pub struct Bound {
+pub struct RetryBudgetConfig {
     /// Repeated calls for each request.
     pub ratio: f64,
     /// Repeated calls on top, for the whole system.
@@ -38,25 +38,25 @@
 
 /// The counts of one service within the last window.
 #[derive(Debug, Clone)]
-pub struct Allowance {
-    bound: Bound,
+pub struct RetryBudget {
+    bound: RetryBudgetConfig,
     steps: VecDeque<Step>,
 }
 
-impl Allowance {
+impl RetryBudget {
     /// An allowance that has seen nothing.
-    pub fn new(bound: Bound) -> Allowance {
-        Allowance { bound, steps: VecDeque::new() }
+    pub fn new(bound: RetryBudgetConfig) -> RetryBudget {
+        RetryBudget { bound, steps: VecDeque::new() }
     }
 
     /// Counts a request or a piece that is sent for the first time.
-    pub fn earn(&mut self, now: Duration, count: u32) {
+    pub fn deposit(&mut self, now: Duration, count: u32) {
         self.step(now).requests += count;
     }
 
     /// Pays for repeated calls; false if the bound does not allow them.
     /// `instances` share the slack.
-    pub fn spend(&mut self, now: Duration, count: u32, instances: usize) -> bool {
+    pub fn try_withdraw(&mut self, now: Duration, count: u32, instances: usize) -> bool {
         self.step(now);
         let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
         let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
--- a/crates/core/src/relay/backoff.rs
+++ b/crates/core/src/relay/backoff.rs
@@ -11,23 +11,23 @@
 
 /// The pauses of a backoff.
 #[derive(Debug, Clone, Copy)]
-pub struct Pauses {
+pub struct Delays {
     /// After the first failure in a row.
-    pub first: Duration,
+    pub initial: Duration,
     /// At the most.
-    pub longest: Duration,
+    pub max: Duration,
 }
 
 impl Backoff {
     /// It failed.
-    pub fn failed(&mut self, now: Duration, pauses: Pauses) {
-        let pause = pauses.first * 2_u32.saturating_pow(self.failures.min(8));
+    pub fn record_failure(&mut self, now: Duration, pauses: Delays) {
+        let pause = pauses.initial * 2_u32.saturating_pow(self.failures.min(8));
         self.failures += 1;
-        self.until = self.until.max(now + pause.min(pauses.longest));
+        self.until = self.until.max(now + pause.min(pauses.max));
     }
 
     /// It did well: the next failure is the first one.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Backoff::default();
     }
 
@@ -49,5 +49,5 @@
 
 /// An endpoint that refused a call is busy with others' for about so long: a call for
 /// pieces takes 0.2 s and more.
-pub const REFUSED: Pauses =
-    Pauses { first: Duration::from_millis(60), longest: Duration::from_millis(400) };
+pub const REFUSAL_DELAYS: Delays =
+    Delays { initial: Duration::from_millis(60), max: Duration::from_millis(400) };
--- a/crates/core/src/relay/batch.rs
+++ b/crates/core/src/relay/batch.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// An exchange of this instance.
-    Own(ExchangeKey),
+    Local(ExchangeKey),
     /// A peer's pieces, and the piece's position among them.
     Peer {
         /// The event loop's number for the peer's pieces.
@@ -66,25 +66,25 @@
 /// Who holds pieces: all of them go when it does.
 #[id]
 #[derive(Copy)]
-pub enum Holder {
+pub enum Requester {
     /// An exchange of this instance.
-    Own(ExchangeKey),
+    Local(ExchangeKey),
     /// A peer's hand-over, by the event loop's number.
     Ticket(u64),
 }
 
 impl Origin {
-    fn holder(self) -> Holder {
+    fn holder(self) -> Requester {
         match self {
-            Origin::Own(key) => Holder::Own(key),
-            Origin::Peer { ticket, .. } => Holder::Ticket(ticket),
+            Origin::Local(key) => Requester::Local(key),
+            Origin::Peer { ticket, .. } => Requester::Ticket(ticket),
         }
     }
 }
 
 /// A call that is to be made.
 #[derive(Debug)]
-pub struct Order {
+pub struct PlannedCall {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Its pieces.
@@ -94,7 +94,7 @@
 
 /// A piece that has its result.
 #[derive(Debug)]
-pub struct Finished {
+pub struct FinishedPiece {
     /// Whom it is for.
     pub origin: Origin,
     /// The piece.
@@ -133,20 +133,20 @@
 
 /// Pieces that wait or are being made.
 #[derive(Debug, Default)]
-pub struct Batches {
+pub struct Batcher {
     pieces: SlotMap<PieceKey, Entry>,
     waiting: HashMap<ServiceName, Queue>,
     drains: HashMap<ServiceName, Drain>,
-    held_by: HashMap<Holder, Vec<PieceKey>>,
+    held_by: HashMap<Requester, Vec<PieceKey>>,
     running: HashMap<CallKey, Running>,
     workers: HashMap<EndpointKey, Worker>,
     reads: reads::Reads,
 }
 
-impl Batches {
+impl Batcher {
     /// A piece that is not taken in, since it cannot be made in time.
-    pub fn turn_away(piece: Piece, origin: Origin) -> Finished {
-        Finished { origin, piece, result: Err(PieceFailure::Late), endpoint: None }
+    pub fn reject_late(piece: Piece, origin: Origin) -> FinishedPiece {
+        FinishedPiece { origin, piece, result: Err(PieceFailure::Late), endpoint: None }
     }
 
     /// Takes in a piece.
@@ -161,7 +161,7 @@
 
     /// Drops the waiting pieces of a holder that does not need them any more.
     /// Those that are being made cannot be taken back, but are not made again.
-    pub fn drop_waiting(&mut self, holder: Holder) {
+    pub fn cancel(&mut self, holder: Requester) {
         let Some(keys) = self.held_by.get(&holder).cloned() else { return };
         for key in keys {
             if self.stop_waiting(key) {
@@ -184,7 +184,7 @@
 
     /// Takes out the pieces of a content that wait. Those that are being made are not
     /// made again.
-    pub fn take_content(&mut self, content: Fingerprint) -> Vec<Finished> {
+    pub fn take_content(&mut self, content: Fingerprint) -> Vec<FinishedPiece> {
         let mut keys = Vec::new();
         for (key, entry) in self.pieces.iter_mut().filter(|(_, it)| it.piece.content == content) {
             entry.is_dropped = true;
@@ -198,13 +198,13 @@
     }
 
     /// Services with waiting pieces.
-    pub fn services(&self) -> Vec<ServiceName> {
+    pub fn waiting_services(&self) -> Vec<ServiceName> {
         let busy = self.waiting.iter().filter(|(_, waiting)| !waiting.is_empty());
         busy.map(|(service, _)| service.clone()).collect()
     }
 
     /// How many pieces of a service wait.
-    pub fn waiting(&self, service: &str) -> usize {
+    pub fn waiting_count(&self, service: &str) -> usize {
         self.waiting.get(service).map_or(0, Queue::len)
     }
 
@@ -229,28 +229,28 @@
     }
 
     /// The calls that are to be made now. Each has to be confirmed with
-    /// [`Batches::started`].
+    /// [`Batcher::record_start`].
     pub fn plan(
         &mut self,
         now: Duration,
         service: &str,
         shape: &Pieces,
         directory: &Directory,
-    ) -> Vec<Order> {
+    ) -> Vec<PlannedCall> {
         self.note_waiting(now, service);
         let usable = directory.usable(now, service);
         let idle = self.idle_workers(now, &usable, shape, directory);
         if idle.is_empty() {
             return Vec::new();
         }
-        let done = now + Batches::call_time(shape, shape.batch as usize);
+        let done = now + Batcher::call_time(shape, shape.batch as usize);
         if let Some(queue) = self.waiting.get_mut(service) {
             queue.demote(done);
         }
         let places = Places::new(done, &usable, directory);
         let mut orders = Vec::new();
         for (position, endpoint) in idle.iter().enumerate() {
-            if self.waiting(service) == 0 {
+            if self.waiting_count(service) == 0 {
                 break;
             }
             if self.is_too_slow(now, *endpoint, service, shape, &usable) {
@@ -260,21 +260,27 @@
             let keys = self.take_for(now, *endpoint, service, shape, &places, others);
             if !keys.is_empty() {
                 let pieces = keys.iter().map(|key| self.pieces[*key].piece.clone()).collect();
-                orders.push(Order { endpoint: *endpoint, pieces, keys });
+                orders.push(PlannedCall { endpoint: *endpoint, pieces, keys });
             }
         }
         orders
     }
 
     /// A planned call is on its way.
-    pub fn started(&mut self, now: Duration, call: CallKey, order: &Order, shape: &Pieces) {
+    pub fn record_start(
+        &mut self,
+        now: Duration,
+        call: CallKey,
+        order: &PlannedCall,
+        shape: &Pieces,
+    ) {
         for key in &order.keys {
             self.pieces[*key].call = Some(call);
         }
         let worker = self.workers.entry(order.endpoint).or_default();
         worker.calls += 1;
         worker.promised += order.pieces.iter().map(|piece| piece.bytes).sum::<u64>();
-        let expected = Batches::call_time(shape, order.pieces.len());
+        let expected = Batcher::call_time(shape, order.pieces.len());
         let usual = expected.mul_f64(self.slowness(now, &order.endpoint).max(1.0));
         let late_at = Some(now + usual.mul_f64(STRAGGLER_FACTOR) + STRAGGLER_SLACK);
         let (endpoint, keys, lease) = (order.endpoint, order.keys.clone(), shape.lease);
@@ -286,7 +292,7 @@
     }
 
     /// An endpoint gets no further call until then.
-    pub fn rest(&mut self, endpoint: EndpointKey, until: Duration) {
+    pub fn hold_endpoint(&mut self, endpoint: EndpointKey, until: Duration) {
         let worker = self.workers.entry(endpoint).or_default();
         worker.rests_until = until;
     }
@@ -311,7 +317,7 @@
 
     /// The pieces of a straggler wait again, to be made elsewhere too. Whoever
     /// has a piece first counts.
-    pub fn make_again(&mut self, call: CallKey) {
+    pub fn requeue(&mut self, call: CallKey) {
         let Some(running) = self.running.get(&call) else { return };
         for key in running.keys.clone() {
             let Some(entry) = self.pieces.get_mut(key).filter(|it| !it.is_dropped) else {
@@ -327,12 +333,12 @@
 
     /// A call brought results, in the order of its pieces. Results that nobody
     /// waits for any more come back apart.
-    pub fn made(
+    pub fn record_results(
         &mut self,
         now: Duration,
         call: CallKey,
         results: Vec<PieceResult>,
-    ) -> (Vec<Finished>, Vec<Handle>) {
+    ) -> (Vec<FinishedPiece>, Vec<Handle>) {
         let Some(running) = self.running.remove(&call) else { return Default::default() };
         let is_gone = |key: &PieceKey| !self.pieces.contains_key(*key);
         let pairs = running.keys.iter().zip(&results);
@@ -359,14 +365,14 @@
     }
 
     /// Results at an endpoint have been given up.
-    pub fn freed(&mut self, handles: &[Handle]) {
+    pub fn record_freed(&mut self, handles: &[Handle]) {
         for worker in self.workers.values_mut() {
             worker.give_up(handles);
         }
     }
 
     /// Results have probably been read by all that need them.
-    pub fn spared(&mut self, handles: &[Handle]) {
+    pub fn mark_evictable(&mut self, handles: &[Handle]) {
         for worker in self.workers.values_mut() {
             worker.spare(handles);
         }
@@ -374,7 +380,7 @@
 
     /// Spare results that take up room while pieces wait for it: those with large
     /// results, or as many others as make a full call. They are to be given up.
-    pub fn spares_in_the_way(
+    pub fn results_to_evict(
         &self,
         now: Duration,
         service: &str,
@@ -395,7 +401,12 @@
 
     /// A call failed; `is_unrun` says that the endpoint refused it. All its
     /// pieces come back.
-    pub fn failed(&mut self, now: Duration, call: CallKey, is_unrun: bool) -> Vec<Finished> {
+    pub fn record_failure(
+        &mut self,
+        now: Duration,
+        call: CallKey,
+        is_unrun: bool,
+    ) -> Vec<FinishedPiece> {
         let Some(running) = self.running.remove(&call) else { return Vec::new() };
         self.release(&running);
         if is_unrun {
@@ -410,7 +421,7 @@
     }
 
     /// Forgets endpoints that the directory does not know any more.
-    pub fn forget(&mut self, directory: &Directory) {
+    pub fn forget_removed(&mut self, directory: &Directory) {
         self.workers.retain(|key, _| directory.get(*key).is_some());
     }
 
@@ -422,7 +433,7 @@
         worker.promised = worker.promised.saturating_sub(bytes);
     }
 
-    fn finish(&mut self, running: Running, results: Vec<PieceResult>) -> Vec<Finished> {
+    fn finish(&mut self, running: Running, results: Vec<PieceResult>) -> Vec<FinishedPiece> {
         let endpoint = Some(running.endpoint);
         let entries = running.keys.into_iter().zip(results);
         let entries = entries.filter_map(|(key, result)| {
@@ -492,7 +503,7 @@
             return false;
         }
         let sound = usable.iter().filter(|key| self.slowness(now, key) < SLOW_FACTOR).count();
-        let rounds = self.waiting(service) as f64 / (sound as f64 * f64::from(shape.batch));
+        let rounds = self.waiting_count(service) as f64 / (sound as f64 * f64::from(shape.batch));
         sound > 0 && rounds + 1.0 < own
     }
 
@@ -522,7 +533,7 @@
 }
 
 impl Entry {
-    fn finished(self, result: PieceResult, endpoint: Option<EndpointKey>) -> Finished {
-        Finished { origin: self.origin, piece: self.piece, result, endpoint }
+    fn finished(self, result: PieceResult, endpoint: Option<EndpointKey>) -> FinishedPiece {
+        FinishedPiece { origin: self.origin, piece: self.piece, result, endpoint }
     }
 }
--- a/crates/core/src/relay/batch/admission.rs
+++ b/crates/core/src/relay/batch/admission.rs
@@ -4,7 +4,7 @@
 
 use crate::relay::{
     batch::{
-        Batches, Finished, Running,
+        Batcher, FinishedPiece, Running,
         queue::{LANES, Lane, Queue},
     },
     config::Pieces,
@@ -15,7 +15,7 @@
 /// Pause between two looks for late pieces that others leave no turn for.
 const REVIEW_PAUSE: Duration = Duration::from_millis(50);
 
-impl Batches {
+impl Batcher {
     /// Whether a piece that comes now will be made before it is due: behind
     /// those that are more urgent if it can be in good time, else behind all
     /// that wait, as fast as those that come meanwhile leave turns. One whose
@@ -27,7 +27,7 @@
         shape: &Pieces,
         directory: &Directory,
     ) -> bool {
-        let done = now + Batches::call_time(shape, 1);
+        let done = now + Batcher::call_time(shape, 1);
         let service = &piece.service;
         let (Some(queue), Some(drain)) = (self.waiting.get(service), self.drains.get(service))
         else {
@@ -69,16 +69,16 @@
         service: &str,
         shape: &Pieces,
         directory: &Directory,
-    ) -> Vec<Finished> {
+    ) -> Vec<FinishedPiece> {
         let Some(queue) = self.waiting.get_mut(service) else { return Vec::new() };
-        let mut late = queue.due_before(now + Batches::call_time(shape, 1));
+        let mut late = queue.due_before(now + Batcher::call_time(shape, 1));
         let batch = shape.batch as usize;
         if queue.len() > batch && now >= queue.next_review {
             queue.next_review = now + REVIEW_PAUSE;
-            queue.demote(now + Batches::call_time(shape, batch));
+            queue.demote(now + Batcher::call_time(shape, batch));
             let expected = expected_rate(now, service, shape, directory);
             let drain = self.drains.entry(service.into()).or_default();
-            let own = Batches::call_time(shape, 1);
+            let own = Batcher::call_time(shape, 1);
             let wait = |lane, ahead| drain.late_wait(now, lane, ahead, expected) + own;
             let hopeless = queue.hopeless(now, wait).into_iter();
             late.extend(hopeless.filter(|key| !self.pieces[*key].is_straggler));
@@ -91,7 +91,7 @@
     }
 
     /// Takes out all waiting pieces of a service that nobody can make.
-    pub fn take_waiting(&mut self, service: &str) -> Vec<Finished> {
+    pub fn take_waiting(&mut self, service: &str) -> Vec<FinishedPiece> {
         let keys = self.waiting.get(service).map(Queue::keys).unwrap_or_default();
         let entries = keys.into_iter().filter_map(|key| {
             self.stop_waiting(key);
@@ -122,5 +122,5 @@
 fn expected_rate(now: Duration, service: &str, shape: &Pieces, directory: &Directory) -> f64 {
     let endpoints = directory.usable(now, service).len().max(1);
     let batch = shape.batch as usize;
-    (endpoints * batch) as f64 / Batches::call_time(shape, batch).as_secs_f64()
+    (endpoints * batch) as f64 / Batcher::call_time(shape, batch).as_secs_f64()
 }
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -25,7 +25,7 @@
 };
 
 /// Results of at least this size are large: their room is what is scarce.
-pub const LARGE_RESULT: u64 = 200_000;
+pub const LARGE_RESULT_BYTES: u64 = 200_000;
 /// Groups that do not fit a call before the rest of their lane is taken not to
 /// fit either. With four data centres one group in four belongs to an endpoint,
 /// so that a few of them are still looked at.
@@ -46,7 +46,7 @@
 impl Lane {
     /// The lane of a result of so many bytes.
     pub fn of(bytes: u64) -> Lane {
-        if bytes >= LARGE_RESULT { Lane::Large } else { Lane::Small }
+        if bytes >= LARGE_RESULT_BYTES { Lane::Large } else { Lane::Small }
     }
 }
 
--- a/crates/core/src/relay/batch/reads.rs
+++ b/crates/core/src/relay/batch/reads.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::relay::{
-    batch::{Batches, Entry},
+    batch::{Batcher, Entry},
     model::{CallKey, Handle, PieceFailure, PieceResult},
 };
 
@@ -53,7 +53,7 @@
     }
 }
 
-impl Batches {
+impl Batcher {
     /// Results that calls have probably read, and that nothing else needs.
     pub fn take_read(&mut self, now: Duration) -> Vec<Handle> {
         let is_due = |at: Option<Duration>| at.is_some_and(|at| at <= now);
--- a/crates/core/src/relay/batch/worker.rs
+++ b/crates/core/src/relay/batch/worker.rs
@@ -97,12 +97,12 @@
 
     /// It refused a call.
     pub fn refused(&mut self, now: Duration) {
-        self.busy.failed(now, backoff::REFUSED);
+        self.busy.record_failure(now, backoff::REFUSAL_DELAYS);
     }
 
     /// A call took so long where so much was expected.
     pub fn took(&mut self, now: Duration, took: Duration, expected: Duration) {
-        self.busy.succeeded();
+        self.busy.record_success();
         let factor = took.as_secs_f64() / expected.max(LEAST_EXPECTED).as_secs_f64();
         let known = self.slowness(now);
         self.slowness = known * (1.0 - NEWEST_SHARE) + factor * NEWEST_SHARE;
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -18,7 +18,7 @@
 use crate::{
     model::DataCentre,
     relay::{
-        choice::prompts::{Holdings, Memory, Rate, Reading},
+        choice::prompts::{Holdings, Rate, Reading, SentParts},
         config::{Engine, Transfer},
         directory::{Directory, Endpoint},
         model::{EndpointKey, Prompt},
@@ -52,9 +52,9 @@
 
 /// What a call asks of an endpoint's choice.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct Criteria<'a> {
     /// The caller's own data centre.
-    pub home: &'a str,
+    pub data_centre: &'a str,
     /// Endpoints that were tried before.
     pub tried: &'a [EndpointKey],
     /// Endpoints that get no call now, whatever else is left.
@@ -62,11 +62,11 @@
     /// Bytes of inputs by data centre.
     pub inputs: &'a [(DataCentre, u64)],
     /// Own calls that an endpoint may have at the most.
-    pub limit: u32,
+    pub max_in_flight: u32,
     /// How engines fetch from each other, if they can.
     pub transfer: Option<Transfer>,
     /// What engines can do, if they generate.
-    pub shape: Option<Engine>,
+    pub engine: Option<Engine>,
     /// Milliseconds that an engine takes to read a token.
     pub token_millis: f64,
     /// How long a call is at an engine.
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Chooser {
     /// Every instance, each for itself.
-    Alone,
+    Independent,
     /// One placer for each share of the prompts; this is the choice of one of
     /// them.
     Placer {
@@ -96,7 +96,11 @@
     /// The engines that belong to another placer, which may just have given them
     /// work that is not known here. All placers have as many engines but for one:
     /// these are sorted by a hash of their names and cut into equal runs.
-    pub fn foreign(self, directory: &Directory, engines: &[EndpointKey]) -> HashSet<EndpointKey> {
+    pub fn owned_by_others(
+        self,
+        directory: &Directory,
+        engines: &[EndpointKey],
+    ) -> HashSet<EndpointKey> {
         let Chooser::Placer { share, shares } = self else { return HashSet::new() };
         if shares == 1 {
             return HashSet::new();
@@ -125,18 +129,18 @@
     /// How long it reads what it was given before.
     pub wait: Duration,
     /// Time to copy what it fetches first.
-    pub copying: Duration,
+    pub copy_time: Duration,
     /// What the call costs there; the lowest is the best.
     pub cost: f64,
 }
 
 /// The endpoints of a plain service that may take a call. `jitter` gives
 /// numbers from 0 to 1 that keep instances from all choosing the same one.
-pub fn plain(
+pub fn plain_candidates(
     directory: &Directory,
     now: Duration,
     service: &str,
-    wanted: Wanted<'_>,
+    wanted: Criteria<'_>,
     mut jitter: impl FnMut() -> f64,
 ) -> Vec<Candidate> {
     let candidates = candidates(directory, now, service, wanted);
@@ -144,7 +148,8 @@
     let waits = wanted.instances.div_ceil(TRYING) as u32;
     let time = |endpoint: &Endpoint| {
         let time = expected_time(endpoint, now, quickest, waits).as_secs_f64();
-        let distance = if *endpoint.entry.data_centre == *wanted.home { 1.0 } else { DISTANCE };
+        let distance =
+            if *endpoint.entry.data_centre == *wanted.data_centre { 1.0 } else { DISTANCE };
         time * distance * (1.0 + endpoint.fullness(now) + f64::from(endpoint.in_flight) * 0.1)
     };
     let costs = candidates.into_iter().map(|(key, endpoint)| {
@@ -154,7 +159,7 @@
             tokens: 0,
             source: None,
             wait: Duration::ZERO,
-            copying: Duration::ZERO,
+            copy_time: Duration::ZERO,
             cost: time(endpoint) * spread,
         }
     });
@@ -177,26 +182,26 @@
 }
 
 /// The engines that may take a prompt.
-pub fn engine(
+pub fn engine_candidates(
     directory: &Directory,
-    memory: &Memory,
+    memory: &SentParts,
     now: Duration,
     service: &str,
     prompt: &Prompt,
-    wanted: Wanted<'_>,
+    wanted: Criteria<'_>,
 ) -> Vec<Candidate> {
     let candidates = candidates(directory, now, service, wanted);
     let usual = usual_time(&candidates);
-    let is_alone = wanted.chooser == Chooser::Alone;
+    let is_alone = wanted.chooser == Chooser::Independent;
     let owners = if is_alone { &candidates[..] } else { &[] };
     let engines = directory.usable(now, service);
-    let foreign = wanted.chooser.foreign(directory, &engines);
+    let foreign = wanted.chooser.owned_by_others(directory, &engines);
     let holders = prompts::holders(directory, now, &engines);
     let rate = Rate { transfer: wanted.transfer, token_millis: wanted.token_millis };
     let holdings = Holdings::new(memory, prompt, owners, &holders, rate);
     let costs = candidates.iter().map(|&(key, endpoint)| {
         let Reading { tokens, fetched, source, source_wait } = holdings.reading(key);
-        let wait = endpoint.engine.wait(now);
+        let wait = endpoint.engine.prefill_wait(now);
         let copying = wanted.transfer.map_or(0.0, |transfer| transfer.millis(fetched));
         let copy_wait = match fetched {
             0 => 0.0,
@@ -211,7 +216,7 @@
         let cost = (ready + running + crowding + halting) * slowness(endpoint, usual) + far;
         let cost = if foreign.contains(&key) { cost + FOREIGN_MS } else { cost };
         let copying = Duration::from_secs_f64(copying / 1000.0);
-        Candidate { endpoint: key, tokens, source, wait, copying, cost }
+        Candidate { endpoint: key, tokens, source, wait, copy_time: copying, cost }
     });
     costs.collect()
 }
@@ -219,19 +224,19 @@
 /// What a prompt does to the streams that run at an engine: while it reads, their
 /// tokens come some twenty times slower, and what it has to read longer than a
 /// pause may last makes each of them late by that.
-fn halting(endpoint: &Endpoint, reading: f64, wanted: Wanted<'_>) -> f64 {
-    let pause = wanted.shape.and_then(|shape| shape.pause);
+fn halting(endpoint: &Endpoint, reading: f64, wanted: Criteria<'_>) -> f64 {
+    let pause = wanted.engine.and_then(|shape| shape.pause);
     let beyond = pause.map_or(0.0, |pause| (reading - millis(pause)).max(0.0));
-    f64::from(endpoint.engine.streams()) * beyond
+    f64::from(endpoint.engine.stream_count()) * beyond
 }
 
 /// The share of its calls that an engine has to end before it has memory and a
 /// place for one more.
-fn crowding(endpoint: &Endpoint, prompt: &Prompt, wanted: Wanted<'_>) -> f64 {
-    let Some(shape) = wanted.shape else { return 0.0 };
+fn crowding(endpoint: &Endpoint, prompt: &Prompt, wanted: Criteria<'_>) -> f64 {
+    let Some(shape) = wanted.engine else { return 0.0 };
     let engine = &endpoint.engine;
-    let needed = engine.memory() + engine.memory_for(prompt);
-    let places = engine.runs() + 1;
+    let needed = engine.memory_in_use() + engine.additional_memory(prompt);
+    let places = engine.run_count() + 1;
     let excess = |needed: f64, most: f64| ((needed - most) / most.max(1.0)).max(0.0);
     let memory = excess(needed as f64, shape.memory as f64);
     memory.max(excess(f64::from(places), f64::from(shape.slots)))
@@ -260,13 +265,13 @@
     directory: &'a Directory,
     now: Duration,
     service: &str,
-    wanted: Wanted<'_>,
+    wanted: Criteria<'_>,
 ) -> Vec<(EndpointKey, &'a Endpoint)> {
     let usable = directory.usable(now, service).into_iter();
     let open = usable.filter(|key| !wanted.withheld.contains(key));
     let untried = open.filter(|key| !wanted.tried.contains(key));
     let known = untried.filter_map(|key| Some((key, directory.get(key)?)));
-    let free = known.filter(|(_, endpoint)| endpoint.in_flight < wanted.limit);
+    let free = known.filter(|(_, endpoint)| endpoint.in_flight < wanted.max_in_flight);
     let (paused, sound): (Vec<_>, Vec<_>) = free.partition(|(_, endpoint)| endpoint.is_paused(now));
     if sound.is_empty() { paused } else { sound }
 }
--- a/crates/core/src/relay/choice/prompts.rs
+++ b/crates/core/src/relay/choice/prompts.rs
@@ -18,7 +18,7 @@
 
 /// A part is taken for held by an engine for so long at the least, and twice as
 /// long at the most, after it was sent there.
-pub const HELD_FOR: Duration = Duration::from_secs(15);
+pub const RETENTION: Duration = Duration::from_secs(15);
 /// Parts that are remembered in one generation, for all engines together.
 const MAX_REMEMBERED: usize = 20_000;
 /// Fewer tokens than these are not worth a fetch: it takes a few milliseconds
@@ -28,26 +28,26 @@
 /// Remembers which engine was sent which parts, in two generations: the older
 /// one is forgotten as a whole.
 #[derive(Debug, Clone, Default)]
-pub struct Memory {
+pub struct SentParts {
     young: HashSet<(EndpointKey, u64)>,
     old: HashSet<(EndpointKey, u64)>,
     turned_at: Duration,
 }
 
-impl Memory {
+impl SentParts {
     /// An engine is sent a prompt.
-    pub fn sent(&mut self, now: Duration, endpoint: EndpointKey, prompt: &Prompt) {
-        self.holds_parts(now, endpoint, prompt.parts.iter().map(|part| part.id));
+    pub fn record_prompt(&mut self, now: Duration, endpoint: EndpointKey, prompt: &Prompt) {
+        self.record_parts(now, endpoint, prompt.parts.iter().map(|part| part.id));
     }
 
     /// An engine holds parts.
-    pub fn holds_parts(
+    pub fn record_parts(
         &mut self,
         now: Duration,
         endpoint: EndpointKey,
         parts: impl Iterator<Item = u64>,
     ) {
-        if now >= self.turned_at + HELD_FOR || self.young.len() >= MAX_REMEMBERED {
+        if now >= self.turned_at + RETENTION || self.young.len() >= MAX_REMEMBERED {
             self.old = std::mem::take(&mut self.young);
             self.turned_at = now;
         }
@@ -102,7 +102,7 @@
 
 /// What the engines of a service hold of one prompt.
 pub struct Holdings<'a> {
-    memory: &'a Memory,
+    memory: &'a SentParts,
     prompt: &'a Prompt,
     rate: Rate,
     /// The engine that all instances agree on for the last shared part.
@@ -118,7 +118,7 @@
     /// Looks through the engines that can be fetched from: `holders`, of which
     /// `owners` are those that a part may belong to.
     pub fn new(
-        memory: &'a Memory,
+        memory: &'a SentParts,
         prompt: &'a Prompt,
         owners: &[(EndpointKey, &Endpoint)],
         holders: &[Holder],
--- a/crates/core/src/relay/directory.rs
+++ b/crates/core/src/relay/directory.rs
@@ -255,7 +255,7 @@
     /// Forgets endpoints that have been gone for long.
     pub fn forget(&mut self, now: Duration) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.engine.forget(now);
+            endpoint.engine.expire_runs(now);
         }
         let by_name = &mut self.by_name;
         let by_service = &mut self.by_service;
--- a/crates/core/src/relay/directory/endpoint.rs
+++ b/crates/core/src/relay/directory/endpoint.rs
@@ -7,9 +7,9 @@
 use crate::{
     model::Load,
     relay::{
-        backoff::{self, Backoff, Pauses},
+        backoff::{self, Backoff, Delays},
         directory::Entry,
-        engine::Engine,
+        engine::EngineModel,
         model::{Failure, Life, Step},
         terms::{Notice, Rate, Word},
     },
@@ -20,8 +20,7 @@
 /// seconds of its return, and half a second is gone until their loss is known.
 const MISSING_GRACE: Duration = Duration::from_millis(1500);
 /// How long an endpoint is passed over whose calls failed.
-const FAILED: Pauses =
-    Pauses { first: Duration::from_millis(400), longest: Duration::from_secs(4) };
+const FAILED: Delays = Delays { initial: Duration::from_millis(400), max: Duration::from_secs(4) };
 /// Weight of a new time in the moving average.
 const NEWEST_SHARE: f64 = 0.2;
 /// An endpoint that is passed over since it was slow gets no call that could show that
@@ -55,7 +54,7 @@
     pub in_flight: u32,
     /// What it has to do, if it generates, as far as this instance placed it
     /// there, for itself and others.
-    pub engine: Engine,
+    pub engine: EngineModel,
     /// Moving average of the time to the first byte of an answer.
     pub response_time: Option<Duration>,
     /// When it last answered.
@@ -89,7 +88,7 @@
             slot: None,
             entry,
             in_flight: 0,
-            engine: Engine::default(),
+            engine: EngineModel::default(),
             response_time: None,
             timed_at: Duration::ZERO,
             patience: TRIED_AFTER,
@@ -198,7 +197,8 @@
     /// Whether it is passed over because its last calls failed or were turned away.
     /// After failures one call at a time finds out whether it serves again.
     pub fn is_paused(&self, now: Duration) -> bool {
-        let is_probed = || self.in_flight > 0 || self.engine.is_probed(now, self.failures.until());
+        let is_probed =
+            || self.in_flight > 0 || self.engine.has_pending_probe(now, self.failures.until());
         let is_failing =
             self.failures.is_paused(now) || (self.failures.has_failed() && is_probed());
         is_failing || self.refusals.is_paused(now)
@@ -206,7 +206,7 @@
 
     /// Calls that it works on or keeps waiting, as far as is known.
     pub fn calls(&self, now: Duration) -> u32 {
-        let placed = self.in_flight.max(self.engine.runs());
+        let placed = self.in_flight.max(self.engine.run_count());
         let Some((at, load)) = self.load else { return placed };
         if now > at + LOAD_AGE {
             return placed;
@@ -243,8 +243,8 @@
 
     /// The first byte of an answer came.
     pub fn answered(&mut self, now: Duration, took: Duration, load: Option<Load>) {
-        self.failures.succeeded();
-        self.refusals.succeeded();
+        self.failures.record_success();
+        self.refusals.record_success();
         if let Some(load) = load {
             self.reported(now, load);
         }
@@ -281,7 +281,7 @@
     /// It turned a call away. Whoever does so has less to do for it, and would be chosen
     /// again at once.
     fn refused(&mut self, now: Duration, load: Option<Load>) {
-        self.refusals.failed(now, backoff::REFUSED);
+        self.refusals.record_failure(now, backoff::REFUSAL_DELAYS);
         if let Some(load) = load {
             self.reported(now, load);
         }
@@ -297,7 +297,7 @@
         if self.failures.is_paused(now) && failure != Failure::Unsent {
             return false;
         }
-        self.failures.failed(now, FAILED);
+        self.failures.record_failure(now, FAILED);
         true
     }
 }
--- a/crates/core/src/relay/engine.rs
+++ b/crates/core/src/relay/engine.rs
@@ -26,13 +26,13 @@
 /// What a call asks of an engine.
 #[data]
 #[derive(Copy)]
-pub struct Work {
+pub struct CallEstimate {
     /// Time to read what the engine does not hold.
-    pub reading: Duration,
+    pub prefill: Duration,
     /// Time to copy what it fetches first.
-    pub copying: Duration,
+    pub copy_time: Duration,
     /// Time from having read until the first token.
-    pub first: Duration,
+    pub first_token: Duration,
 }
 
 /// A call that was placed there.
@@ -57,7 +57,7 @@
 
 /// One engine.
 #[derive(Debug, Clone, Default)]
-pub struct Engine {
+pub struct EngineModel {
     runs: HashMap<RunNumber, Run>,
     shared: HashMap<u64, Shared>,
     /// Memory that the runs keep, in tokens.
@@ -70,16 +70,22 @@
     newest_begun: Duration,
 }
 
-impl Engine {
+impl EngineModel {
     /// A call is placed there.
-    pub fn place(&mut self, now: Duration, number: RunNumber, prompt: &Prompt, work: Work) {
-        let copied = self.copy(now, work.copying);
-        self.reading_until = self.reading_until.max(now) + work.reading;
-        let read = self.reading_until.max(copied + work.reading);
+    pub fn add_run(
+        &mut self,
+        now: Duration,
+        number: RunNumber,
+        prompt: &Prompt,
+        work: CallEstimate,
+    ) {
+        let copied = self.add_copy(now, work.copy_time);
+        self.reading_until = self.reading_until.max(now) + work.prefill;
+        let read = self.reading_until.max(copied + work.prefill);
         let own = prompt.own_tokens() + u64::from(prompt.output);
         let run = Run {
             placed: now,
-            expected: read + work.first,
+            expected: read + work.first_token,
             has_begun: false,
             own,
             parts: prompt.shared().iter().map(|part| part.id).collect(),
@@ -95,7 +101,7 @@
     }
 
     /// Its link carries a copy; returns when that is done.
-    pub fn copy(&mut self, now: Duration, time: Duration) -> Duration {
+    pub fn add_copy(&mut self, now: Duration, time: Duration) -> Duration {
         if time.is_zero() {
             return now;
         }
@@ -104,7 +110,7 @@
     }
 
     /// The first token of a call came. Returns how long after it was placed.
-    pub fn begun(&mut self, now: Duration, number: RunNumber) -> Option<Duration> {
+    pub fn record_first_token(&mut self, now: Duration, number: RunNumber) -> Option<Duration> {
         let run = self.runs.get_mut(&number)?;
         run.has_begun = true;
         self.newest_begun = self.newest_begun.max(run.placed);
@@ -112,7 +118,7 @@
     }
 
     /// A call has ended, however. Returns how long it was there.
-    pub fn ended(&mut self, now: Duration, number: RunNumber) -> Option<Duration> {
+    pub fn remove_run(&mut self, now: Duration, number: RunNumber) -> Option<Duration> {
         let run = self.runs.remove(&number)?;
         self.memory -= run.own;
         for part in &run.parts {
@@ -127,45 +133,45 @@
     }
 
     /// Forgets calls of which no end was heard.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn expire_runs(&mut self, now: Duration) {
         let is_lost = |run: &Run| now > run.placed + LONGEST_RUN;
         let lost: Vec<_> =
             self.runs.iter().filter(|(_, run)| is_lost(run)).map(|(number, _)| *number).collect();
         for number in lost {
-            self.ended(now, number);
+            self.remove_run(now, number);
         }
     }
 
     /// Whether a call that was placed since then still waits for its first token.
-    pub fn is_probed(&self, now: Duration, since: Duration) -> bool {
+    pub fn has_pending_probe(&self, now: Duration, since: Duration) -> bool {
         let is_telling = |run: &Run| now < run.placed + LONGEST_LAG;
         let mut waiting = self.runs.values().filter(|run| !run.has_begun && is_telling(run));
         waiting.any(|run| run.placed >= since)
     }
 
     /// Whether a call is there.
-    pub fn has(&self, number: RunNumber) -> bool {
+    pub fn has_run(&self, number: RunNumber) -> bool {
         self.runs.contains_key(&number)
     }
 
     /// How many calls are there.
-    pub fn runs(&self) -> u32 {
+    pub fn run_count(&self) -> u32 {
         u32::try_from(self.runs.len()).unwrap_or(u32::MAX)
     }
 
     /// How many calls there stream.
-    pub fn streams(&self) -> u32 {
+    pub fn stream_count(&self) -> u32 {
         let streams = self.runs.values().filter(|run| run.has_begun).count();
         u32::try_from(streams).unwrap_or(u32::MAX)
     }
 
     /// Tokens that the calls there keep in memory.
-    pub fn memory(&self) -> u64 {
+    pub fn memory_in_use(&self) -> u64 {
         self.memory
     }
 
     /// Tokens that a further call would keep in memory besides.
-    pub fn memory_for(&self, prompt: &Prompt) -> u64 {
+    pub fn additional_memory(&self, prompt: &Prompt) -> u64 {
         let is_new = |id: &u64| !self.shared.contains_key(id);
         let shared = prompt.shared().iter().filter(|part| is_new(&part.id));
         let shared: u64 = shared.map(|part| u64::from(part.tokens)).sum();
@@ -173,7 +179,7 @@
     }
 
     /// How long a further prompt waits until it is read.
-    pub fn wait(&self, now: Duration) -> Duration {
+    pub fn prefill_wait(&self, now: Duration) -> Duration {
         self.reading_until.saturating_sub(now) + self.lag(now)
     }
 
--- a/crates/core/src/relay/exchange.rs
+++ b/crates/core/src/relay/exchange.rs
@@ -7,7 +7,7 @@
     relay::{
         config::Route,
         fingerprint::Fingerprint,
-        graph::Graph,
+        graph::StageGraph,
         model::{Arrival, CallKey, EndpointKey, HandoverKey, RunNumber, ServiceName},
     },
 };
@@ -23,18 +23,18 @@
     pub(crate) content: Fingerprint,
     pub(crate) priority: u8,
     /// When it arrived.
-    pub(crate) started: Duration,
+    pub(crate) started_at: Duration,
     /// When the caller or the route gives up.
-    pub(crate) due: Duration,
+    pub(crate) deadline: Duration,
     /// Until when an answer is in good time.
-    pub(crate) aim: Duration,
-    pub(crate) graph: Graph,
+    pub(crate) target: Duration,
+    pub(crate) graph: StageGraph,
     /// Where the call will probably go, for the place of large results.
-    pub(crate) home: Option<DataCentre>,
+    pub(crate) preferred_data_centre: Option<DataCentre>,
     pub(crate) handovers: Vec<HandoverKey>,
     pub(crate) call: Option<CallKey>,
     /// Whether a placer was asked where the call goes, and has not answered.
-    pub(crate) is_placing: bool,
+    pub(crate) is_placement_pending: bool,
     pub(crate) tried: Vec<EndpointKey>,
     /// Endpoints that it was sent to.
     pub(crate) attempts: u32,
@@ -45,23 +45,23 @@
     /// The number of the last event that was passed on.
     pub(crate) last_event: Option<u64>,
     /// Whether the caller holds the head of an answer.
-    pub(crate) has_begun: bool,
+    pub(crate) has_sent_head: bool,
     /// When its stages were started that have not been made yet.
     pub(crate) stage_starts: Vec<(usize, Duration)>,
     /// Whether its results may have been given up although it has not begun.
-    pub(crate) is_spare: bool,
+    pub(crate) has_evictable_results: bool,
     /// Rounds of making its pieces.
     pub(crate) rounds: u8,
     /// Until when it waits for an endpoint to become usable.
-    pub(crate) patience: Option<Duration>,
+    pub(crate) wait_until: Option<Duration>,
 }
 
 /// A call to an endpoint.
 #[derive(Debug)]
 pub(crate) struct CallState {
-    pub(crate) exchange: ExchangeOf,
+    pub(crate) exchange: CallPurpose,
     pub(crate) endpoint: EndpointKey,
-    pub(crate) started: Duration,
+    pub(crate) started_at: Duration,
     /// Prompt tokens that the engine probably had to read.
     pub(crate) tokens: u64,
     /// This instance's number of it, if it generates.
@@ -69,14 +69,14 @@
     /// The peer that placed it, and its number there.
     pub(crate) placer: Option<(InstanceName, RunNumber)>,
     /// When its answer began.
-    pub(crate) answered: Option<Duration>,
+    pub(crate) answered_at: Option<Duration>,
     /// When it is given up if no answer has begun.
-    pub(crate) overdue: Option<Duration>,
+    pub(crate) overdue_at: Option<Duration>,
 }
 
 /// What a call is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ExchangeOf {
+pub(crate) enum CallPurpose {
     Exchange(crate::relay::model::ExchangeKey),
     Pieces,
 }
--- a/crates/core/src/relay/graph.rs
+++ b/crates/core/src/relay/graph.rs
@@ -32,30 +32,30 @@
 
 /// How far an exchange's stages have got.
 #[derive(Debug, Clone, Default)]
-pub struct Graph {
+pub struct StageGraph {
     stages: Vec<Progress>,
 }
 
 /// Where a result was made.
 #[derive(Debug, Clone)]
-pub struct Made {
+pub struct LocatedResult {
     /// The result.
     pub handle: Handle,
     /// The endpoint's data centre, if it is known.
-    pub place: Option<DataCentre>,
+    pub data_centre: Option<DataCentre>,
 }
 
-impl Graph {
+impl StageGraph {
     /// Stages that have made nothing. `pieces` says how many each has; a stage
     /// with none is left out.
-    pub fn new(route: &Route, pieces: &[u16]) -> Graph {
+    pub fn new(route: &Route, pieces: &[u16]) -> StageGraph {
         let count = |idx: usize| usize::from(pieces.get(idx).copied().unwrap_or(0));
         let progress = |idx| Progress {
             results: vec![None; count(idx)],
             is_started: count(idx) == 0,
             is_freed: false,
         };
-        Graph { stages: (0..route.stages.len()).map(progress).collect() }
+        StageGraph { stages: (0..route.stages.len()).map(progress).collect() }
     }
 
     /// Whether all pieces of all stages have been made.
@@ -68,7 +68,7 @@
     /// last stage but one of the others on: they would only take up room while
     /// the first ones are worked on.
     pub fn start_ready(&mut self, route: &Route, large: u64) -> Vec<usize> {
-        let is_ready = |graph: &Graph, idx: usize| {
+        let is_ready = |graph: &StageGraph, idx: usize| {
             let after = &route.stages[idx].after;
             let has_inputs = after.iter().all(|stage| graph.stages[*stage].is_complete());
             let is_last = graph.followers(route, idx).next().is_none();
@@ -91,7 +91,7 @@
     }
 
     /// Whether a stage is made from what another one makes.
-    pub fn has_chain(&self, route: &Route) -> bool {
+    pub fn has_dependent_stages(&self, route: &Route) -> bool {
         (0..self.stages.len()).any(|idx| self.followers(route, idx).next().is_some())
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// The first stage that has not been made yet.
-    pub fn next_stage(&self) -> Option<usize> {
+    pub fn first_incomplete(&self) -> Option<usize> {
         self.stages.iter().position(|stage| !stage.is_complete())
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// How many pieces a stage has.
-    pub fn pieces(&self, stage: usize) -> usize {
+    pub fn piece_count(&self, stage: usize) -> usize {
         self.stages[stage].results.len()
     }
 
@@ -138,13 +138,13 @@
     }
 
     /// Bytes of the outputs by data centre.
-    pub fn output_places(&self, route: &Route) -> Vec<(DataCentre, u64)> {
+    pub fn outputs_by_data_centre(&self, route: &Route) -> Vec<(DataCentre, u64)> {
         self.places(route, self.last_stages(route))
     }
 
     /// Bytes that a stage's pieces take in, all together, by data centre.
-    pub fn input_places(&self, route: &Route, stage: usize) -> Vec<(DataCentre, u64)> {
-        let pieces = self.pieces(stage) as u64;
+    pub fn inputs_by_data_centre(&self, route: &Route, stage: usize) -> Vec<(DataCentre, u64)> {
+        let pieces = self.piece_count(stage) as u64;
         let places = self.places(route, route.stages[stage].after.iter().copied());
         places.into_iter().map(|(place, bytes)| (place, bytes * pieces)).collect()
     }
@@ -165,17 +165,17 @@
     }
 
     /// Takes in a result. One that is there already is kept.
-    pub fn made(&mut self, stage: usize, number: usize, made: Made) {
+    pub fn record_result(&mut self, stage: usize, number: usize, made: LocatedResult) {
         let Some(progress) = self.stages.get_mut(stage) else { return };
         let Some(slot) = progress.results.get_mut(number) else { return };
         if slot.is_none() {
-            *slot = Some(Result { handle: made.handle, place: made.place });
+            *slot = Some(Result { handle: made.handle, place: made.data_centre });
         }
     }
 
     /// Results that nothing needs any more, with their stages: those whose
     /// followers have all been made. They are returned once.
-    pub fn take_used(&mut self, route: &Route) -> Vec<(usize, Handle)> {
+    pub fn take_unneeded(&mut self, route: &Route) -> Vec<(usize, Handle)> {
         let mut used = Vec::new();
         for idx in 0..self.stages.len() {
             let followers: Vec<_> = self.followers(route, idx).collect();
@@ -189,8 +189,8 @@
         used
     }
 
-    /// All results that were not returned by [`Graph::take_used`].
-    pub fn take_all(&mut self) -> Vec<(usize, Handle)> {
+    /// All results that were not returned by [`StageGraph::take_unneeded`].
+    pub fn take_unfreed(&mut self) -> Vec<(usize, Handle)> {
         let kept = self.stages.iter_mut().enumerate().filter(|(_, stage)| !stage.is_freed);
         let mut all = Vec::new();
         for (idx, stage) in kept {
--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -39,20 +39,20 @@
     model::{DataCentre, InstanceName, TeamName},
     policy::Program,
     relay::{
-        allowance::{Allowance, Bound},
-        batch::Batches,
+        allowance::{RetryBudget, RetryBudgetConfig},
+        batch::Batcher,
         choice,
         config::Config,
         directory::{Change, Changed, Directory, Ended},
         exchange::{CallState, Exchange},
         fingerprint::Fingerprint,
-        graph::Graph,
+        graph::StageGraph,
         model::{
             Action, Arrival, CallKey, EndpointKey, ExchangeKey, HandoverKey, Peer, Piece,
             PieceResult, Progress, Refusal, RunNumber, ServiceName,
         },
         quarantine::Quarantine,
-        reading::Speed,
+        reading::PrefillSpeed,
         terms::Notice,
     },
 };
@@ -70,7 +70,7 @@
     /// Its data centre.
     pub data_centre: DataCentre,
     /// The bound on repetition.
-    pub bound: Bound,
+    pub bound: RetryBudgetConfig,
     /// Instances that share the bound while no more are known.
     pub instances: usize,
     /// Its processor's share, in thousandths of a core.
@@ -83,15 +83,15 @@
     rng: SmallRng,
     config: Option<Arc<Config>>,
     directory: Directory,
-    memory: choice::prompts::Memory,
+    memory: choice::prompts::SentParts,
     exchanges: SlotMap<ExchangeKey, Exchange>,
     calls: SlotMap<CallKey, CallState>,
     handovers: SlotMap<HandoverKey, Handover>,
-    batches: Batches,
+    batches: Batcher,
     tickets: HashMap<u64, Ticket>,
-    allowances: HashMap<ServiceName, Allowance>,
+    allowances: HashMap<ServiceName, RetryBudget>,
     /// How fast engines read.
-    speeds: HashMap<ServiceName, Speed>,
+    speeds: HashMap<ServiceName, PrefillSpeed>,
     stage_times: intake::StageTimes,
     peers: Vec<Peer>,
     /// Peers that did not answer a hand-over, and until when they get none.
@@ -184,11 +184,11 @@
             rng: SmallRng::seed_from_u64(seed),
             config: None,
             directory: Directory::default(),
-            memory: choice::prompts::Memory::default(),
+            memory: choice::prompts::SentParts::default(),
             exchanges: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             handovers: SlotMap::with_key(),
-            batches: Batches::default(),
+            batches: Batcher::default(),
             tickets: HashMap::new(),
             allowances: HashMap::new(),
             speeds: HashMap::new(),
@@ -250,7 +250,7 @@
             service: exchange.service.clone(),
             team: exchange.team.clone(),
             content: exchange.content,
-            wait: exchange.due.saturating_sub(exchange.started),
+            wait: exchange.deadline.saturating_sub(exchange.started_at),
             pieces: exchange.arrival.pieces.clone(),
         })
     }
@@ -267,7 +267,7 @@
 
     /// When [`Relay::tick`] should be called next.
     pub fn next_wake(&self, now: Duration) -> Duration {
-        if self.has_room && !self.batches.services().is_empty() {
+        if self.has_room && !self.batches.waiting_services().is_empty() {
             return now;
         }
         let due = self.due.first().map(|(at, _)| *at);
@@ -276,7 +276,7 @@
         let batch = self.batches.next_wake(now);
         let overdue = self.overdue.first().map(|(at, _)| *at);
         let report = self.next_report();
-        let word = (!self.batches.services().is_empty()).then_some(self.next_word.max(now));
+        let word = (!self.batches.waiting_services().is_empty()).then_some(self.next_word.max(now));
         [due, overdue, search, spare, batch, report, word]
             .into_iter()
             .flatten()
@@ -382,33 +382,33 @@
         let service = route.target(self.rng.random()).ok_or(Refusal::Unserved)?.clone();
         let wait = arrival.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
         let exchange = Exchange {
-            graph: Graph::new(route, &arrival.pieces),
+            graph: StageGraph::new(route, &arrival.pieces),
             route: route.clone(),
             service,
             team: team.map(|team| team.name.clone()),
             content: arrival.content.from_team(team.map(|team| &*team.name)),
             priority: team.and_then(|team| team.priority).unwrap_or(route.priority),
-            started: now,
-            due: now + wait,
-            aim: now + route.objective.min(wait),
-            home: None,
+            started_at: now,
+            deadline: now + wait,
+            target: now + route.objective.min(wait),
+            preferred_data_centre: None,
             handovers: Vec::new(),
             call: None,
-            is_placing: false,
+            is_placement_pending: false,
             tried: Vec::new(),
             attempts: 0,
             has_run: false,
             was_called: false,
             last_event: arrival.resume,
-            has_begun: false,
+            has_sent_head: false,
             stage_starts: Vec::new(),
-            is_spare: false,
+            has_evictable_results: false,
             rounds: 0,
-            patience: None,
+            wait_until: None,
             arrival,
         };
         self.earn(now, &exchange.service, 1);
-        let due = exchange.due;
+        let due = exchange.deadline;
         let key = self.exchanges.insert(exchange);
         self.due.insert((due, key));
         if !self.takes_in(now, key) {
@@ -441,7 +441,7 @@
             self.release_old(now);
             self.forget_runs();
             self.forget_limits(now);
-            self.batches.forget(&self.directory);
+            self.batches.forget_removed(&self.directory);
         }
     }
 
@@ -475,16 +475,16 @@
     }
 
     fn earn(&mut self, now: Duration, service: &ServiceName, count: u32) {
-        self.allowance(service).earn(now, count);
+        self.allowance(service).deposit(now, count);
     }
 
     fn spend(&mut self, now: Duration, service: &ServiceName, count: u32) -> bool {
         let instances = self.instances();
-        self.allowance(service).spend(now, count, instances)
+        self.allowance(service).try_withdraw(now, count, instances)
     }
 
-    fn allowance(&mut self, service: &ServiceName) -> &mut Allowance {
+    fn allowance(&mut self, service: &ServiceName) -> &mut RetryBudget {
         let bound = self.settings.bound;
-        self.allowances.entry(service.clone()).or_insert_with(|| Allowance::new(bound))
+        self.allowances.entry(service.clone()).or_insert_with(|| RetryBudget::new(bound))
     }
 }
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -6,7 +6,7 @@
     model::Load,
     relay::{
         choice,
-        exchange::{CallState, Exchange, ExchangeOf},
+        exchange::{CallPurpose, CallState, Exchange},
         machine::{Relay, placing::Placed},
         model::{
             Action, Basis, Call, CallKey, EndpointKey, ExchangeKey, Failure, Progress, Refusal,
@@ -51,7 +51,7 @@
         }
         exchange.last_event = id.or(exchange.last_event);
         exchange.was_called = true;
-        let is_first = !std::mem::replace(&mut exchange.has_begun, true);
+        let is_first = !std::mem::replace(&mut exchange.has_sent_head, true);
         if is_first {
             self.actions.push(Action::Begin { exchange: key, call });
             self.free_results(key);
@@ -65,7 +65,7 @@
         let Some(key) = self.exchange_of(call) else { return };
         self.quarantine.note_answer(now, self.exchanges[key].content);
         self.end_call(now, call, Step::Ended);
-        if !self.exchanges[key].has_begun {
+        if !self.exchanges[key].has_sent_head {
             self.actions.push(Action::Begin { exchange: key, call });
         }
         self.actions.push(Action::Finish(key));
@@ -152,10 +152,10 @@
     /// Calls an endpoint with an exchange whose stages are complete.
     pub(super) fn call(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
-        if exchange.is_placing {
+        if exchange.is_placement_pending {
             return;
         }
-        if exchange.due < now + SHORTEST_CALL {
+        if exchange.deadline < now + SHORTEST_CALL {
             self.time_out(now, key);
             return;
         }
@@ -167,7 +167,7 @@
     /// The same without asking anybody where to.
     pub(super) fn call_alone(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
-        let places = exchange.graph.output_places(&exchange.route);
+        let places = exchange.graph.outputs_by_data_centre(&exchange.route);
         let Some(chosen) = self.choose(now, key, &places) else {
             self.wait_for_endpoint(now, key);
             return;
@@ -188,14 +188,14 @@
         let run = self.note_sent(now, key, &chosen);
         let basis = self.basis(now, key, endpoint, tokens);
         let call = self.calls.insert(CallState {
-            exchange: ExchangeOf::Exchange(key),
+            exchange: CallPurpose::Exchange(key),
             endpoint,
-            started: now,
+            started_at: now,
             tokens,
             run,
             placer,
-            answered: None,
-            overdue: None,
+            answered_at: None,
+            overdue_at: None,
         });
         if run.is_some() {
             self.watch(now, call, &chosen);
@@ -205,7 +205,7 @@
         exchange.call = Some(call);
         exchange.attempts += 1;
         exchange.tried.push(endpoint);
-        exchange.patience = None;
+        exchange.wait_until = None;
         let target = self.directory.get_mut(endpoint).expect("a chosen endpoint is known");
         target.sent();
         let call = Call {
@@ -213,7 +213,7 @@
             exchange: key,
             endpoint: target.entry.name.clone(),
             addr: target.entry.addr.clone(),
-            remaining: exchange.due - now,
+            remaining: exchange.deadline - now,
             team: exchange.team.clone(),
             inputs: exchange.graph.outputs(&exchange.route),
             source,
@@ -259,7 +259,7 @@
         let free = self.first_free(now, key);
         let exchange = &mut self.exchanges[key];
         let patience = exchange.route.objective.mul_f64(PATIENCE_SHARE);
-        let until = *exchange.patience.get_or_insert(now + patience);
+        let until = *exchange.wait_until.get_or_insert(now + patience);
         if now >= until || free.is_some_and(|at| at >= until) {
             self.searching.remove(&key);
             let has_run = exchange.has_run || exchange.was_called;
@@ -294,14 +294,14 @@
         let exchange = &self.exchanges[key];
         let kind = exchange.route.kind;
         let may_run = kind.may_repeat() || !exchange.was_called;
-        let can_go_on = !exchange.has_begun || kind.may_repeat();
+        let can_go_on = !exchange.has_sent_head || kind.may_repeat();
         let has_attempts = exchange.attempts < exchange.route.max_attempts;
-        let has_time = exchange.due > now + SHORTEST_CALL;
+        let has_time = exchange.deadline > now + SHORTEST_CALL;
         let is_first = exchange.attempts == 0;
         let service = exchange.service.clone();
         let may_try = may_run && can_go_on && has_attempts && has_time;
         if may_try && (is_first || self.spend(now, &service, 1)) {
-            if self.exchanges[key].has_begun {
+            if self.exchanges[key].has_sent_head {
                 self.restart_stages(now, key);
             }
             if self.exchanges.get(key).is_some_and(|exchange| exchange.call.is_none()) {
@@ -311,7 +311,7 @@
         }
         let exchange = &self.exchanges[key];
         match answer {
-            Some(call) if !exchange.has_begun => {
+            Some(call) if !exchange.has_sent_head => {
                 self.actions.push(Action::Answer { exchange: key, call });
                 self.close(key);
             }
@@ -325,7 +325,7 @@
 
     pub(super) fn exchange_of(&self, call: CallKey) -> Option<ExchangeKey> {
         match self.calls.get(call)?.exchange {
-            ExchangeOf::Exchange(key) if self.exchanges.contains_key(key) => Some(key),
+            CallPurpose::Exchange(key) if self.exchanges.contains_key(key) => Some(key),
             _ => None,
         }
     }
@@ -338,16 +338,16 @@
 
     pub(super) fn note_answer(&mut self, now: Duration, call: CallKey, load: Option<Load>) {
         let Some(state) = self.calls.get_mut(call) else { return };
-        if state.answered.replace(now).is_some() {
+        if state.answered_at.replace(now).is_some() {
             return;
         }
-        let took = now.saturating_sub(state.started);
+        let took = now.saturating_sub(state.started_at);
         let (tokens, exchange) = (state.tokens, state.exchange);
-        if let ExchangeOf::Exchange(key) = exchange
+        if let CallPurpose::Exchange(key) = exchange
             && let Some(Exchange { service, arrival, .. }) = self.exchanges.get(key)
             && arrival.prompt.is_some()
         {
-            self.speeds.entry(service.clone()).or_default().note(now, tokens, took);
+            self.speeds.entry(service.clone()).or_default().record(now, tokens, took);
         }
         self.note_step(now, call, Step::Answered(load));
     }
@@ -355,7 +355,9 @@
     /// A call has got so far: what is known of its endpoint changes, and a peer
     /// that placed it is told.
     fn note_step(&mut self, now: Duration, call: CallKey, step: Step) {
-        let Some(CallState { endpoint, started, run, placer, .. }) = self.calls.get(call) else {
+        let Some(CallState { endpoint, started_at: started, run, placer, .. }) =
+            self.calls.get(call)
+        else {
             return;
         };
         let (endpoint, took) = (*endpoint, now.saturating_sub(*started));
@@ -378,13 +380,13 @@
     pub(super) fn end_call(&mut self, now: Duration, call: CallKey, step: Step) {
         self.note_step(now, call, step);
         let Some(state) = self.calls.remove(call) else { return };
-        if let Some(at) = state.overdue {
+        if let Some(at) = state.overdue_at {
             self.overdue.remove(&(at, call));
         }
         if let Some(endpoint) = self.directory.get_mut(state.endpoint) {
             endpoint.ended();
         }
-        if let ExchangeOf::Exchange(key) = state.exchange
+        if let CallPurpose::Exchange(key) = state.exchange
             && let Some(exchange) = self.exchanges.get_mut(key)
         {
             exchange.call = None;
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::relay::{
-    batch::Holder,
+    batch::Requester,
     machine::Relay,
     model::{Action, ExchangeKey, Refusal},
 };
@@ -79,7 +79,7 @@
     /// Ends an exchange without an endpoint's answer.
     pub(super) fn give_up(&mut self, now: Duration, key: ExchangeKey, refusal: Refusal) {
         let Some(exchange) = self.exchanges.get(key) else { return };
-        if exchange.has_begun {
+        if exchange.has_sent_head {
             self.actions.push(Action::Break(key));
             self.close(key);
             return;
@@ -104,21 +104,21 @@
             Refusal::Infeasible | Refusal::Evacuated => LONG_AWAY,
             _ => USUAL_AWAY,
         };
-        let remaining = self.exchanges[key].due.saturating_sub(now);
+        let remaining = self.exchanges[key].deadline.saturating_sub(now);
         self.policy_away(now, key, usual).min(remaining.mul_f64(AWAY_SHARE))
     }
 
     /// Forgets an exchange and gives up all that it holds.
     pub(super) fn close(&mut self, key: ExchangeKey) {
         let Some(mut exchange) = self.exchanges.remove(key) else { return };
-        self.due.remove(&(exchange.due, key));
+        self.due.remove(&(exchange.deadline, key));
         self.searching.remove(&key);
-        self.batches.drop_waiting(Holder::Own(key));
+        self.batches.cancel(Requester::Local(key));
         for handover in exchange.handovers.drain(..) {
             self.handovers.remove(handover);
             self.actions.push(Action::Recall(handover));
         }
-        let held = exchange.graph.take_all();
+        let held = exchange.graph.take_unfreed();
         self.free(&exchange.route, held);
     }
 }
--- a/crates/core/src/relay/machine/intake.rs
+++ b/crates/core/src/relay/machine/intake.rs
@@ -59,10 +59,10 @@
     /// to their queues, which see all that it waits for.
     pub(super) fn takes_in(&mut self, now: Duration, key: ExchangeKey) -> bool {
         let exchange = &self.exchanges[key];
-        if !exchange.graph.has_chain(&exchange.route) {
+        if !exchange.graph.has_dependent_stages(&exchange.route) {
             return true;
         }
-        let objective = exchange.aim - exchange.started;
+        let objective = exchange.target - exchange.started_at;
         let expected = self.expected_time(now, key);
         if expected <= objective {
             return true;
@@ -78,7 +78,7 @@
         let adapt = |time| time;
         let firsts = (0..exchange.route.stages.len())
             .filter(|idx| exchange.route.stages[*idx].after.is_empty())
-            .filter(|idx| exchange.graph.pieces(*idx) > 0);
+            .filter(|idx| exchange.graph.piece_count(*idx) > 0);
         let times = firsts.map(|idx| {
             let own = self.recent_time(now, &exchange.route.stages[idx].service);
             own + self
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -5,7 +5,7 @@
 
 use crate::relay::{
     choice::Candidate,
-    exchange::{Exchange, ExchangeOf},
+    exchange::{CallPurpose, Exchange},
     machine::Relay,
     model::{Action, CallKey, EndpointKey, ExchangeKey, Failure, Step},
 };
@@ -32,8 +32,8 @@
         for (call, exchange) in open {
             self.actions.push(Action::Cancel(call));
             match exchange {
-                ExchangeOf::Exchange(_) => self.failed(now, call, Failure::Cut),
-                ExchangeOf::Pieces => self.make_failed(now, call, Failure::Cut, false),
+                CallPurpose::Exchange(_) => self.failed(now, call, Failure::Cut),
+                CallPurpose::Pieces => self.make_failed(now, call, Failure::Cut, false),
             }
         }
     }
@@ -42,9 +42,9 @@
     pub(super) fn watch(&mut self, now: Duration, call: CallKey, chosen: &Candidate) {
         let service = &self.directory.get(chosen.endpoint).expect("it is called").entry.service;
         let speed = self.speeds.get(service).cloned().unwrap_or_default();
-        let usual = chosen.wait + chosen.copying + speed.first_token(chosen.tokens);
+        let usual = chosen.wait + chosen.copy_time + speed.time_to_first_token(chosen.tokens);
         let at = now + usual.mul_f64(OVERDUE_FACTOR) + OVERDUE_SLACK;
-        self.calls[call].overdue = Some(at);
+        self.calls[call].overdue_at = Some(at);
         self.overdue.insert((at, call));
     }
 
@@ -57,7 +57,7 @@
         {
             self.overdue.remove(&(at, call));
             let Some(key) = self.exchange_of(call) else { continue };
-            if self.calls[call].answered.is_some() || !self.may_move(now, key) {
+            if self.calls[call].answered_at.is_some() || !self.may_move(now, key) {
                 continue;
             }
             let service = self.exchanges[key].service.clone();
@@ -72,7 +72,15 @@
 
     /// Whether a call of an exchange may be made again elsewhere.
     fn may_move(&self, now: Duration, key: ExchangeKey) -> bool {
-        let Exchange { route, attempts, due, has_begun, service, tried, .. } = &self.exchanges[key];
+        let Exchange {
+            route,
+            attempts,
+            deadline: due,
+            has_sent_head: has_begun,
+            service,
+            tried,
+            ..
+        } = &self.exchanges[key];
         let may_repeat = route.kind.may_repeat() && !has_begun && *attempts < route.max_attempts;
         let is_sound =
             |key: &EndpointKey| self.directory.get(*key).is_some_and(|it| !it.is_paused(now));
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -89,12 +89,12 @@
         if bound.is_empty() {
             return Vec::new();
         }
-        let foreign = chooser.foreign(&self.directory, &usable);
+        let foreign = chooser.owned_by_others(&self.directory, &usable);
         let is_withheld = |(key, endpoint, pace): &(EndpointKey, &Endpoint, Option<Pace>)| {
             let is_paced = pace.is_some_and(|pace| {
                 let is_own = match chooser {
                     Chooser::Placer { .. } => !foreign.contains(key),
-                    Chooser::Alone => self.is_caller_of(service, endpoint, pace),
+                    Chooser::Independent => self.is_caller_of(service, endpoint, pace),
                 };
                 !is_own || endpoint.awaits_slot(now, pace.interval)
             });
@@ -132,7 +132,7 @@
             let pace = self.pace(now, endpoint);
             let slot = pace.and_then(|pace| Some(endpoint.slot? + pace.interval));
             let until = endpoint.rests_until.max(slot.unwrap_or(now));
-            self.batches.rest(key, until);
+            self.batches.hold_endpoint(key, until);
         }
     }
 
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -29,14 +29,14 @@
     relay::{
         choice::{self, Candidate, Chooser, prompts},
         config::{self, Transfer},
-        engine::Work,
+        engine::CallEstimate,
         exchange::Exchange,
         machine::Relay,
         model::{
             Action, EndpointKey, ExchangeKey, Life, Listed, Placement, Progress, Prompt, Question,
             RunNumber, Step,
         },
-        reading::Speed,
+        reading::PrefillSpeed,
     },
 };
 
@@ -79,10 +79,10 @@
         let question = Question {
             service: exchange.service.clone(),
             prompt: prompt.clone(),
-            inputs: exchange.graph.output_places(&exchange.route),
+            inputs: exchange.graph.outputs_by_data_centre(&exchange.route),
             avoided: self.avoided_engines(now, key),
         };
-        self.exchanges[key].is_placing = true;
+        self.exchanges[key].is_placement_pending = true;
         self.actions.push(Action::Ask { exchange: key, peer, question });
         true
     }
@@ -101,7 +101,7 @@
         placement: Option<Placement>,
     ) {
         let exchange = self.exchanges.get_mut(key);
-        let is_wanted = exchange.is_some_and(|it| std::mem::take(&mut it.is_placing));
+        let is_wanted = exchange.is_some_and(|it| std::mem::take(&mut it.is_placement_pending));
         let number = placement.as_ref().map(|placement| placement.number);
         let chosen = placement.filter(|_| is_wanted);
         let chosen = chosen.and_then(|placement| self.candidate(now, key, peer, placement));
@@ -120,7 +120,7 @@
     /// not know it: it has not placed prompts lately, or they are new. What was
     /// read before a placer started would otherwise be read again.
     fn list_parts(&mut self, now: Duration, service: &str) {
-        if now > self.placed_at + prompts::HELD_FOR {
+        if now > self.placed_at + prompts::RETENTION {
             self.listed.clear();
         }
         self.placed_at = now;
@@ -140,7 +140,7 @@
     pub fn parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &Listed) {
         let Some(engine) = self.directory.get(endpoint) else { return };
         if listed.incarnation.is_none_or(|told| told == engine.entry.incarnation) {
-            self.memory.holds_parts(now, endpoint, listed.parts.iter().copied());
+            self.memory.record_parts(now, endpoint, listed.parts.iter().copied());
         }
     }
 
@@ -153,16 +153,16 @@
         let avoided: Vec<_> = avoided.collect();
         let chooser = self.as_placer(&question.service, &question.prompt);
         let withheld = self.withheld(now, &question.service, chooser);
-        let wanted = choice::Wanted {
+        let wanted = choice::Criteria {
             tried: &avoided,
             withheld: &withheld,
-            limit: u32::MAX,
+            max_in_flight: u32::MAX,
             chooser,
             ..self.wanted(&question.service, &question.inputs)
         };
         let (service, prompt) = (&question.service, &question.prompt);
         let (directory, memory) = (&self.directory, &self.memory);
-        let candidates = choice::engine(directory, memory, now, service, prompt, wanted);
+        let candidates = choice::engine_candidates(directory, memory, now, service, prompt, wanted);
         let chosen = choice::cheapest(&candidates)?;
         let number = self.note_placed(now, service, &chosen, prompt);
         let source = self.addr_of(chosen.source);
@@ -182,17 +182,22 @@
         chosen: &Candidate,
         prompt: &Prompt,
     ) -> RunNumber {
-        self.memory.sent(now, chosen.endpoint, prompt);
+        self.memory.record_prompt(now, chosen.endpoint, prompt);
         self.next_run += 1;
         let number = self.next_run;
         let speed = self.speeds.get(service).cloned().unwrap_or_default();
-        let copying = chosen.copying;
-        let (reading, first) = (speed.reading(chosen.tokens), speed.usual_rest());
+        let copying = chosen.copy_time;
+        let (reading, first) = (speed.prefill_time(chosen.tokens), speed.median_overhead());
         if let Some(source) = chosen.source.and_then(|key| self.directory.get_mut(key)) {
-            source.engine.copy(now, copying);
+            source.engine.add_copy(now, copying);
         }
         if let Some(endpoint) = self.directory.get_mut(chosen.endpoint) {
-            endpoint.engine.place(now, number, prompt, Work { reading, copying, first });
+            endpoint.engine.add_run(
+                now,
+                number,
+                prompt,
+                CallEstimate { prefill: reading, copy_time: copying, first_token: first },
+            );
             self.runs.insert(number, chosen.endpoint);
         }
         number
@@ -204,12 +209,12 @@
         let Some(&key) = self.runs.get(&number) else { return };
         let Some(endpoint) = self.directory.get_mut(key) else { return };
         if let Step::Answered(_) = step {
-            let took = endpoint.engine.begun(now, number).unwrap_or_default();
+            let took = endpoint.engine.record_first_token(now, number).unwrap_or_default();
             endpoint.note(now, took, step);
             return;
         }
         self.runs.remove(&number);
-        let took = endpoint.engine.ended(now, number).unwrap_or_default();
+        let took = endpoint.engine.remove_run(now, number).unwrap_or_default();
         endpoint.note(now, took, step);
         if let Step::Ended = step {
             let kept = self.run_time.mul_f64(1.0 - NEWEST_SHARE);
@@ -244,25 +249,29 @@
     pub(super) fn forget_runs(&mut self) {
         let directory = &self.directory;
         let is_there = |number: &RunNumber, key: &EndpointKey| {
-            directory.get(*key).is_some_and(|endpoint| endpoint.engine.has(*number))
+            directory.get(*key).is_some_and(|endpoint| endpoint.engine.has_run(*number))
         };
         self.runs.retain(|number, key| is_there(number, key));
     }
 
     /// What a choice of engines goes by, but for who asks.
-    fn wanted<'a>(&'a self, service: &str, inputs: &'a [(DataCentre, u64)]) -> choice::Wanted<'a> {
+    fn wanted<'a>(
+        &'a self,
+        service: &str,
+        inputs: &'a [(DataCentre, u64)],
+    ) -> choice::Criteria<'a> {
         let shape = self.engine(service);
-        choice::Wanted {
-            home: &self.settings.data_centre,
+        choice::Criteria {
+            data_centre: &self.settings.data_centre,
             tried: &[],
             withheld: &[],
             inputs,
-            limit: self.connection_limit(service),
+            max_in_flight: self.connection_limit(service),
             transfer: shape.and_then(|shape| shape.transfer),
-            shape,
+            engine: shape,
             token_millis: self.token_millis(service),
             run_time: self.run_time,
-            chooser: Chooser::Alone,
+            chooser: Chooser::Independent,
             instances: self.instances(),
         }
     }
@@ -270,7 +279,7 @@
     /// Milliseconds that the engines of a service take to read a token.
     fn token_millis(&self, service: &str) -> f64 {
         let speed = self.speeds.get(service);
-        speed.map_or_else(|| Speed::default().token_millis(), Speed::token_millis)
+        speed.map_or_else(|| PrefillSpeed::default().token_millis(), PrefillSpeed::token_millis)
     }
 
     fn engine(&self, service: &str) -> Option<config::Engine> {
@@ -341,7 +350,8 @@
         }
         let Placement { tokens, wait, source, number, .. } = placement;
         let copying = Duration::ZERO;
-        let chosen = Candidate { endpoint, tokens, source: None, wait, copying, cost: 0.0 };
+        let chosen =
+            Candidate { endpoint, tokens, source: None, wait, copy_time: copying, cost: 0.0 };
         Some(Placed { chosen, source, placer: Some((peer.clone(), number)) })
     }
 
@@ -360,10 +370,10 @@
         let mut rng = SmallRng::seed_from_u64(self.rng.random());
         let chooser = match &prompt {
             Some(prompt) if is_placer => self.as_placer(&service, prompt),
-            _ => Chooser::Alone,
+            _ => Chooser::Independent,
         };
         let withheld = self.withheld(now, &service, chooser);
-        let wanted = choice::Wanted {
+        let wanted = choice::Criteria {
             tried: &self.exchanges[key].tried,
             withheld: &withheld,
             chooser,
@@ -371,8 +381,10 @@
         };
         let (directory, memory) = (&self.directory, &self.memory);
         let candidates = match &prompt {
-            Some(prompt) => choice::engine(directory, memory, now, &service, prompt, wanted),
-            None => choice::plain(directory, now, &service, wanted, || rng.random()),
+            Some(prompt) => {
+                choice::engine_candidates(directory, memory, now, &service, prompt, wanted)
+            }
+            None => choice::plain_candidates(directory, now, &service, wanted, || rng.random()),
         };
         let chosen = self.policy_choice(now, key, &candidates);
         chosen.or_else(|| choice::cheapest(&candidates))
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -5,12 +5,12 @@
 use crate::{
     model::DataCentre,
     relay::{
-        batch::{Batches, queue::LARGE_RESULT},
+        batch::{Batcher, queue::LARGE_RESULT_BYTES},
         config::Route,
         exchange::Exchange,
         machine::Relay,
         model::Piece,
-        reading::Speed,
+        reading::PrefillSpeed,
     },
 };
 
@@ -51,7 +51,7 @@
     ) -> Duration {
         let route = &exchange.route;
         let followers = (0..route.stages.len()).filter(|next| {
-            route.stages[*next].after.contains(&stage) && exchange.graph.pieces(*next) > 0
+            route.stages[*next].after.contains(&stage) && exchange.graph.piece_count(*next) > 0
         });
         let longest = followers.map(|next| {
             let time = adapt(stage_time(&route.stages[next].service));
@@ -66,15 +66,15 @@
         let Some(prompt) = &exchange.arrival.prompt else { return Duration::ZERO };
         let own = prompt.own_tokens();
         let speed = self.speeds.get(&exchange.service);
-        let first_token = |speed: &Speed| speed.first_token(own);
-        let usual = speed.map_or_else(|| first_token(&Speed::default()), first_token);
+        let first_token = |speed: &PrefillSpeed| speed.time_to_first_token(own);
+        let usual = speed.map_or_else(|| first_token(&PrefillSpeed::default()), first_token);
         usual.min(exchange.route.objective.mul_f64(GENERATION_SHARE))
     }
 
     /// The usual time of a stage: half a call's wait and a half full call.
     pub(super) fn stage_time(&self, service: &str) -> Duration {
         let Some(shape) = self.shape(service) else { return Duration::ZERO };
-        Batches::call_time(&shape, shape.batch as usize / 2) + shape.call_time / 2
+        Batcher::call_time(&shape, shape.batch as usize / 2) + shape.call_time / 2
     }
 }
 
@@ -102,8 +102,8 @@
             key: key.clone(),
             inputs: inputs.clone(),
             bytes: stages[stage].bytes,
-            due: self.due.saturating_sub(rest.least),
-            aim: self.aim.saturating_sub(rest.usual),
+            due: self.deadline.saturating_sub(rest.least),
+            aim: self.target.saturating_sub(rest.usual),
             priority: self.priority,
             home: home.clone(),
             round: self.rounds,
@@ -114,16 +114,17 @@
             is_apart: false,
             is_last_reader,
         };
-        (0..self.graph.pieces(stage) as u16).map(piece).collect()
+        (0..self.graph.piece_count(stage) as u16).map(piece).collect()
     }
 
     /// Where a stage should be done: where most of what it takes in lies, or
     /// where its results will be taken in, if either is large.
     fn home_of(&self, stage: usize) -> Option<DataCentre> {
-        let inputs = self.graph.input_places(&self.route, stage);
+        let inputs = self.graph.inputs_by_data_centre(&self.route, stage);
         let most = inputs.into_iter().max_by_key(|(_, bytes)| *bytes);
-        let near_inputs = most.filter(|(_, bytes)| *bytes >= LARGE_RESULT).map(|(place, _)| place);
-        let has_large = self.route.stages[stage].bytes >= LARGE_RESULT;
-        near_inputs.or_else(|| self.home.clone().filter(|_| has_large))
+        let near_inputs =
+            most.filter(|(_, bytes)| *bytes >= LARGE_RESULT_BYTES).map(|(place, _)| place);
+        let has_large = self.route.stages[stage].bytes >= LARGE_RESULT_BYTES;
+        near_inputs.or_else(|| self.preferred_data_centre.clone().filter(|_| has_large))
     }
 }
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -11,7 +11,7 @@
 use crate::{
     policy::{EndpointFacts, Facts, Function, Program},
     relay::{
-        batch::Batches,
+        batch::Batcher,
         choice::{self, Candidate},
         directory::Endpoint,
         exchange::Exchange,
@@ -97,10 +97,11 @@
 
     fn facts(&self, now: Duration, exchange: &Exchange, retry_after: Duration) -> Facts {
         let stages = &exchange.route.stages;
-        let next = exchange.graph.next_stage();
+        let next = exchange.graph.first_incomplete();
         let service = next.map_or(&exchange.service, |idx| &stages[idx].service);
         let (made, all) = exchange.graph.progress();
-        let (left, wait) = (exchange.due.saturating_sub(now), self.expected_wait(now, service));
+        let (left, wait) =
+            (exchange.deadline.saturating_sub(now), self.expected_wait(now, service));
         let work = self.expected_work(exchange, next);
         let teams: HashSet<_> = self.exchanges.values().map(|other| &other.team).collect();
         let of_team = self.exchanges.values().filter(|other| other.team == exchange.team);
@@ -116,7 +117,7 @@
             // The call itself counts as one piece.
             cost: (all - made + 1) as f64,
             spent: made as f64,
-            waiting: self.batches.waiting(service) as u32,
+            waiting: self.batches.waiting_count(service) as u32,
             free: self.free_places(now, service),
             held: of_team.count() as u32,
             share: 1.0 / teams.len().max(1) as f64,
@@ -143,8 +144,8 @@
         let Some(shape) = self.shape(service) else { return Duration::ZERO };
         let endpoints = self.directory.usable(now, service).len().max(1);
         let batch = shape.batch as usize;
-        let calls = self.batches.waiting(service) as f64 / (endpoints * batch) as f64;
-        Batches::call_time(&shape, batch).mul_f64(calls)
+        let calls = self.batches.waiting_count(service) as f64 / (endpoints * batch) as f64;
+        Batcher::call_time(&shape, batch).mul_f64(calls)
     }
 
     /// The usual time until the first byte of an answer.
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -9,7 +9,7 @@
 use crate::{
     model::InstanceName,
     relay::{
-        exchange::{Exchange, ExchangeOf},
+        exchange::{CallPurpose, Exchange},
         fingerprint::Fingerprint,
         machine::Relay,
         model::{Action, CallKey, EndpointKey, ExchangeKey, Probed, Refusal},
@@ -67,11 +67,11 @@
     /// The runs that a call is for: one, or those of all whose pieces it has.
     pub(super) fn runs_of(&self, now: Duration, call: CallKey) -> Vec<Run> {
         let Some(state) = self.calls.get(call) else { return Vec::new() };
-        let is_late = state.answered.is_some_and(|at| now >= at + quarantine::BEGINNING);
+        let is_late = state.answered_at.is_some_and(|at| now >= at + quarantine::BEGINNING);
         let run = |content| Run { content, is_late };
         match state.exchange {
-            ExchangeOf::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
-            ExchangeOf::Exchange(key) => {
+            CallPurpose::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
+            CallPurpose::Exchange(key) => {
                 self.exchanges.get(key).map(|it| run(it.content)).into_iter().collect()
             }
         }
@@ -248,7 +248,7 @@
     /// that has begun has got over its beginning and goes on.
     fn stop_runs(&mut self, now: Duration, content: Fingerprint) {
         let open = self.exchanges.iter();
-        let is_held = |exchange: &Exchange| exchange.content == content && !exchange.has_begun;
+        let is_held = |exchange: &Exchange| exchange.content == content && !exchange.has_sent_head;
         let open: Vec<_> = open.filter(|(_, it)| is_held(it)).map(|(key, _)| key).collect();
         for key in open {
             self.stop_work(now, key);
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -39,8 +39,12 @@
             return;
         }
         self.next_word = now + PAUSE;
-        let waited_for: Vec<_> =
-            self.batches.services().into_iter().filter(|it| self.has_backlog(now, it)).collect();
+        let waited_for: Vec<_> = self
+            .batches
+            .waiting_services()
+            .into_iter()
+            .filter(|it| self.has_backlog(now, it))
+            .collect();
         if waited_for.is_empty() {
             return;
         }
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::relay::{
-    batch::{Finished, queue::LARGE_RESULT},
+    batch::{FinishedPiece, queue::LARGE_RESULT_BYTES},
     config::Route,
     machine::Relay,
     model::{Action, ExchangeKey, Handle, ServiceName},
@@ -36,12 +36,12 @@
         {
             self.spare_at.remove(&(at, key));
             let Some(exchange) = self.exchanges.get_mut(key) else { continue };
-            if exchange.call.is_none() || exchange.has_begun {
+            if exchange.call.is_none() || exchange.has_sent_head {
                 continue;
             }
             let route = exchange.route.clone();
-            let results = exchange.graph.unfreed(&route, LARGE_RESULT);
-            exchange.is_spare |= !results.is_empty();
+            let results = exchange.graph.unfreed(&route, LARGE_RESULT_BYTES);
+            exchange.has_evictable_results |= !results.is_empty();
             for (service, handles) in by_service(&route, results) {
                 self.spare_at_owner(&service, handles);
             }
@@ -87,25 +87,25 @@
 
     /// Results that this instance's calls made are spare.
     pub fn spare_here(&mut self, handles: Vec<Handle>) {
-        self.batches.spared(&handles);
+        self.batches.mark_evictable(&handles);
         self.has_room = true;
     }
 
     /// An engine missed results that may have been given up too early: from now
     /// on they are held twice as long.
     pub(super) fn note_early_spare(&mut self, key: ExchangeKey) {
-        if std::mem::take(&mut self.exchanges[key].is_spare) {
+        if std::mem::take(&mut self.exchanges[key].has_evictable_results) {
             self.read_time = (self.read_time * 2).min(LONGEST_READ_TIME);
         }
     }
 
     pub(super) fn free_results(&mut self, key: ExchangeKey) {
         let exchange = &mut self.exchanges[key];
-        let (route, held) = (exchange.route.clone(), exchange.graph.take_all());
+        let (route, held) = (exchange.route.clone(), exchange.graph.take_unfreed());
         self.free(&route, held);
     }
 
-    pub(super) fn free_stray(&mut self, one: Finished) {
+    pub(super) fn free_stray(&mut self, one: FinishedPiece) {
         if let Ok(handle) = one.result {
             self.free_at(&one.piece.service, vec![handle]);
         }
@@ -132,7 +132,7 @@
 
     /// Gives results up at the endpoints that hold them.
     pub fn free_here(&mut self, handles: Vec<Handle>) {
-        self.batches.freed(&handles);
+        self.batches.record_freed(&handles);
         self.has_room = true;
         let mut by_addr: Vec<(Arc<str>, Vec<Handle>)> = Vec::new();
         for handle in handles {
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -7,10 +7,10 @@
 use crate::{
     model::{InstanceName, Load},
     relay::{
-        batch::{Batches, Finished, Holder, Origin, queue::LARGE_RESULT},
+        batch::{Batcher, FinishedPiece, Origin, Requester, queue::LARGE_RESULT_BYTES},
         config::Pieces,
-        exchange::{CallState, ExchangeOf},
-        graph::{Graph, Made},
+        exchange::{CallPurpose, CallState},
+        graph::{LocatedResult, StageGraph},
         machine::{Handover, Relay, Ticket},
         model::{
             Action, CallKey, ExchangeKey, Failure, HandoverKey, Piece, PieceFailure, PieceResult,
@@ -39,7 +39,7 @@
         self.note_answer(now, call, load);
         let service = self.service_of(call);
         self.end_call(now, call, Step::Ended);
-        let (finished, strays) = self.batches.made(now, call, results);
+        let (finished, strays) = self.batches.record_results(now, call, results);
         if let (Some(service), false) = (service, strays.is_empty()) {
             self.free_at(&service, strays);
         }
@@ -58,7 +58,7 @@
     pub(super) fn make_stragglers_again(&mut self, now: Duration) {
         for (call, service, count) in self.batches.take_stragglers(now) {
             if self.spend(now, &service, count) {
-                self.batches.make_again(call);
+                self.batches.requeue(call);
             }
         }
     }
@@ -73,7 +73,7 @@
             self.note_cut(now, endpoint, runs);
         }
         self.end_call(now, call, step);
-        let mut finished = self.batches.failed(now, call, is_unrun);
+        let mut finished = self.batches.record_failure(now, call, is_unrun);
         let is_safe = is_unrun || failure == Failure::Unsent;
         for one in &mut finished {
             one.piece.is_repeat |= !is_safe;
@@ -101,7 +101,7 @@
     /// A peer does not want its pieces any more.
     pub fn recalled(&mut self, ticket: u64) {
         self.tickets.remove(&ticket);
-        self.batches.drop_waiting(Holder::Ticket(ticket));
+        self.batches.cancel(Requester::Ticket(ticket));
     }
 
     /// A peer returned the results of pieces; `None` if it cannot be reached.
@@ -111,13 +111,11 @@
         state.handovers.retain(|other| *other != key);
         match results {
             Some(results) => {
-                let origin = Origin::Own(exchange);
-                let finished = pieces.into_iter().zip(results).map(|(piece, result)| Finished {
-                    origin,
-                    piece,
-                    result,
-                    endpoint: None,
-                });
+                let origin = Origin::Local(exchange);
+                let finished = pieces
+                    .into_iter()
+                    .zip(results)
+                    .map(|(piece, result)| FinishedPiece { origin, piece, result, endpoint: None });
                 let finished = finished.collect();
                 self.take_finished(now, finished);
             }
@@ -140,7 +138,7 @@
             Some(peer) => self.hand_over(exchange, peer, pieces),
             None => {
                 for piece in pieces {
-                    self.batches.add(piece, Origin::Own(exchange));
+                    self.batches.add(piece, Origin::Local(exchange));
                 }
             }
         }
@@ -151,7 +149,7 @@
         // Starting a stage may end the exchange: there may be no time for it.
         while let Some(exchange) = self.exchanges.get_mut(key) {
             let route = exchange.route.clone();
-            let ready = exchange.graph.start_ready(&route, LARGE_RESULT);
+            let ready = exchange.graph.start_ready(&route, LARGE_RESULT_BYTES);
             if ready.is_empty() {
                 break;
             }
@@ -159,7 +157,7 @@
                 self.start_stage(now, key, stage);
             }
         }
-        let services = self.batches.services();
+        let services = self.batches.waiting_services();
         for service in services {
             self.make(now, &service);
         }
@@ -173,7 +171,7 @@
         match self.owner(&service) {
             None => {
                 self.earn(now, &service, pieces.len() as u32);
-                let pieces = pieces.into_iter().map(|piece| (piece, Origin::Own(key)));
+                let pieces = pieces.into_iter().map(|piece| (piece, Origin::Local(key)));
                 self.admit(now, pieces.collect());
             }
             Some(peer) => self.hand_over(key, peer, pieces),
@@ -227,7 +225,7 @@
             judged = Some((piece.aim, piece.due, is_feasible));
             match is_feasible {
                 true => self.batches.add(piece, origin),
-                false => late.push(Batches::turn_away(piece, origin)),
+                false => late.push(Batcher::reject_late(piece, origin)),
             }
         }
         self.take_finished(now, late);
@@ -244,7 +242,7 @@
 
     pub(super) fn make_all(&mut self, now: Duration) {
         self.has_room = false;
-        for service in self.batches.services() {
+        for service in self.batches.waiting_services() {
             self.make(now, &service);
         }
     }
@@ -252,7 +250,7 @@
     /// Sends what waits for a service to its idle endpoints.
     pub(super) fn make(&mut self, now: Duration, service: &str) {
         let Some(shape) = self.shape(service) else { return };
-        let spares = self.batches.spares_in_the_way(now, service, &shape, &self.directory);
+        let spares = self.batches.results_to_evict(now, service, &shape, &self.directory);
         if !spares.is_empty() {
             self.free_here(spares);
         }
@@ -264,16 +262,16 @@
         for order in self.batches.plan(now, service, &shape, &self.directory) {
             let endpoint = order.endpoint;
             let call = self.calls.insert(CallState {
-                exchange: ExchangeOf::Pieces,
+                exchange: CallPurpose::Pieces,
                 endpoint,
-                started: now,
+                started_at: now,
                 tokens: 0,
                 run: None,
                 placer: None,
-                answered: None,
-                overdue: None,
+                answered_at: None,
+                overdue_at: None,
             });
-            self.batches.started(now, call, &order, &shape);
+            self.batches.record_start(now, call, &order, &shape);
             self.pace_call(now, endpoint);
             let target = self.directory.get_mut(endpoint).expect("a planned endpoint is known");
             target.sent();
@@ -282,12 +280,12 @@
         }
     }
 
-    pub(super) fn take_finished(&mut self, now: Duration, finished: Vec<Finished>) {
+    pub(super) fn take_finished(&mut self, now: Duration, finished: Vec<FinishedPiece>) {
         let mut touched = Vec::new();
         for one in finished {
             match one.origin {
                 Origin::Peer { ticket, index } => self.return_one(now, ticket, index, one),
-                Origin::Own(key) => {
+                Origin::Local(key) => {
                     self.take_own(now, key, one);
                     if !touched.contains(&key) {
                         touched.push(key);
@@ -300,7 +298,13 @@
         }
     }
 
-    pub(super) fn return_one(&mut self, now: Duration, ticket: u64, index: usize, one: Finished) {
+    pub(super) fn return_one(
+        &mut self,
+        now: Duration,
+        ticket: u64,
+        index: usize,
+        one: FinishedPiece,
+    ) {
         if !self.tickets.contains_key(&ticket) {
             self.free_stray(one);
             return;
@@ -332,7 +336,7 @@
         }
     }
 
-    pub(super) fn take_own(&mut self, now: Duration, key: ExchangeKey, one: Finished) {
+    pub(super) fn take_own(&mut self, now: Duration, key: ExchangeKey, one: FinishedPiece) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             self.free_stray(one);
             return;
@@ -346,9 +350,9 @@
             Err(_) if is_old => {}
             Ok(handle) => {
                 let place = self.directory.place_of(&handle, one.endpoint);
-                let made = Made { handle, place };
+                let made = LocatedResult { handle, data_centre: place };
                 let (stage, number) = (usize::from(one.piece.stage), usize::from(one.piece.number));
-                exchange.graph.made(stage, number, made);
+                exchange.graph.record_result(stage, number, made);
             }
             Err(PieceFailure::Late) => self.give_up(now, key, Refusal::Infeasible),
             Err(PieceFailure::InputGone) => self.restart_stages(now, key),
@@ -356,7 +360,7 @@
                 let piece = another_try(&one);
                 let piece = piece.filter(|piece| self.may_send_again(now, piece));
                 match piece {
-                    Some(piece) => self.batches.add(piece, Origin::Own(key)),
+                    Some(piece) => self.batches.add(piece, Origin::Local(key)),
                     None => self.give_up(now, key, Refusal::Failed),
                 }
             }
@@ -364,7 +368,7 @@
     }
 
     /// Watches how long a stage took whose piece has come back.
-    fn note_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &Finished) {
+    fn note_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &FinishedPiece) {
         let starts = &mut self.exchanges[key].stage_starts;
         let stage = usize::from(one.piece.stage);
         let Some(idx) = starts.iter().position(|(known, _)| *known == stage) else { return };
@@ -374,11 +378,11 @@
 
     /// Pieces of a failed call wait again. `is_safe` if they certainly did not
     /// arrive anywhere as work.
-    pub(super) fn requeue(&mut self, now: Duration, finished: Vec<Finished>, is_safe: bool) {
+    pub(super) fn requeue(&mut self, now: Duration, finished: Vec<FinishedPiece>, is_safe: bool) {
         let mut lost = Vec::new();
         for one in finished {
             let is_wanted = match one.origin {
-                Origin::Own(key) => self.exchanges.contains_key(key),
+                Origin::Local(key) => self.exchanges.contains_key(key),
                 Origin::Peer { ticket, .. } => self.tickets.contains_key(&ticket),
             };
             if !is_wanted {
@@ -397,7 +401,7 @@
     pub(super) fn after_pieces(&mut self, now: Duration, key: ExchangeKey) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let route = exchange.route.clone();
-        let used = exchange.graph.take_used(&route);
+        let used = exchange.graph.take_unneeded(&route);
         self.free(&route, used);
         let is_calling = self.exchanges[key].call.is_some();
         if !is_calling {
@@ -408,13 +412,13 @@
     /// Where the call will probably go, if large results should lie near it.
     pub(super) fn find_home(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
-        let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT);
-        if exchange.home.is_some() || !has_large {
+        let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT_BYTES);
+        if exchange.preferred_data_centre.is_some() || !has_large {
             return;
         }
         let Some(chosen) = self.choose(now, key, &[]) else { return };
         let home = self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
-        self.exchanges[key].home = home;
+        self.exchanges[key].preferred_data_centre = home;
     }
 
     /// The results of an exchange's stages are gone: they are made again.
@@ -428,9 +432,9 @@
             self.give_up(now, key, Refusal::Failed);
             return;
         }
-        let used = exchange.graph.take_all();
+        let used = exchange.graph.take_unfreed();
         let (route, pieces) = (exchange.route.clone(), exchange.arrival.pieces.clone());
-        exchange.graph = Graph::new(&route, &pieces);
+        exchange.graph = StageGraph::new(&route, &pieces);
         self.free(&route, used);
         self.advance(now, key);
     }
@@ -448,17 +452,17 @@
 
 /// Whether nothing was made of a piece that is late. One whose call brought no
 /// answer may have been made all the same.
-fn is_unmade(one: &Finished) -> bool {
+fn is_unmade(one: &FinishedPiece) -> bool {
     one.result == Err(PieceFailure::Late) && !one.piece.is_repeat
 }
 
 /// A piece of a request that is held back.
-fn not_made((piece, origin): (Piece, Origin)) -> Finished {
-    Finished { origin, piece, result: Err(PieceFailure::Failed), endpoint: None }
+fn not_made((piece, origin): (Piece, Origin)) -> FinishedPiece {
+    FinishedPiece { origin, piece, result: Err(PieceFailure::Failed), endpoint: None }
 }
 
 /// The piece, if another call may do better.
-fn another_try(one: &Finished) -> Option<Piece> {
+fn another_try(one: &FinishedPiece) -> Option<Piece> {
     let may_do_better = matches!(one.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
     let piece = &one.piece;
     let is_repeat = one.result != Err(PieceFailure::NoRoom);
--- a/crates/core/src/relay/reading.rs
+++ b/crates/core/src/relay/reading.rs
@@ -28,20 +28,20 @@
 
 /// How fast the engines of a service read prompts.
 #[derive(Debug, Clone, Default)]
-pub struct Speed {
+pub struct PrefillSpeed {
     /// Times for a thousand tokens.
     reading: Estimator,
     /// Times until the first token, less what reading takes.
     rest: Estimator,
 }
 
-impl Speed {
+impl PrefillSpeed {
     /// A call that had so many tokens read took so long until its first token.
-    pub fn note(&mut self, now: Duration, tokens: u64, took: Duration) {
+    pub fn record(&mut self, now: Duration, tokens: u64, took: Duration) {
         if tokens >= TELLING {
             self.reading.record(now, took.mul_f64(1000.0 / tokens as f64));
         }
-        self.rest.record(now, took.saturating_sub(self.reading(tokens)));
+        self.rest.record(now, took.saturating_sub(self.prefill_time(tokens)));
     }
 
     /// Milliseconds to read one token.
@@ -51,18 +51,18 @@
     }
 
     /// The time to read so many tokens.
-    pub fn reading(&self, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 * self.token_millis() / 1000.0)
     }
 
     /// The median of what comes on top of reading until the first token.
-    pub fn usual_rest(&self) -> Duration {
+    pub fn median_overhead(&self) -> Duration {
         self.rest.quantile(0.5).unwrap_or(FIRST_REST)
     }
 
     /// The usual time until the first token of a call that has so many tokens
     /// read.
-    pub fn first_token(&self, tokens: u64) -> Duration {
-        self.rest.quantile(REST_QUANTILE).unwrap_or(FIRST_REST) + self.reading(tokens)
+    pub fn time_to_first_token(&self, tokens: u64) -> Duration {
+        self.rest.quantile(REST_QUANTILE).unwrap_or(FIRST_REST) + self.prefill_time(tokens)
     }
 }
--- a/crates/core/tests/testsuite/relay/allowance.rs
+++ b/crates/core/tests/testsuite/relay/allowance.rs
@@ -1,31 +1,32 @@
 //! The bound on repetition over all instances.
 
-use peatdeck_core::relay::allowance::{Allowance, Bound};
+use peatdeck_core::relay::allowance::{RetryBudget, RetryBudgetConfig};
 
 use super::fixture::ms;
 
-const BOUND: Bound = Bound { ratio: 0.2, slack: 40.0, window: std::time::Duration::from_secs(10) };
+const BOUND: RetryBudgetConfig =
+    RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: std::time::Duration::from_secs(10) };
 
-fn spend_all(allowance: &mut Allowance, at: u64, instances: usize) -> u32 {
-    (0..1000).take_while(|_| allowance.spend(ms(at), 1, instances)).count() as u32
+fn spend_all(allowance: &mut RetryBudget, at: u64, instances: usize) -> u32 {
+    (0..1000).take_while(|_| allowance.try_withdraw(ms(at), 1, instances)).count() as u32
 }
 
 #[test]
 fn instances_share_the_slack() {
-    assert_eq!(spend_all(&mut Allowance::new(BOUND), 0, 1), 32);
-    assert_eq!(spend_all(&mut Allowance::new(BOUND), 0, 8), 4);
+    assert_eq!(spend_all(&mut RetryBudget::new(BOUND), 0, 1), 32);
+    assert_eq!(spend_all(&mut RetryBudget::new(BOUND), 0, 8), 4);
 }
 
 #[test]
 fn requests_earn_repeats() {
-    let mut allowance = Allowance::new(BOUND);
-    allowance.earn(ms(0), 100);
+    let mut allowance = RetryBudget::new(BOUND);
+    allowance.deposit(ms(0), 100);
     assert_eq!(spend_all(&mut allowance, 10, 8), 20);
 }
 
 #[test]
 fn what_was_spent_counts_for_a_window() {
-    let mut allowance = Allowance::new(BOUND);
+    let mut allowance = RetryBudget::new(BOUND);
     assert_eq!(spend_all(&mut allowance, 0, 8), 4);
     assert_eq!(spend_all(&mut allowance, 9_000, 8), 0);
     assert_eq!(spend_all(&mut allowance, 11_000, 8), 4);
@@ -34,14 +35,14 @@
 /// The oracle counts every span of the window's length by itself.
 #[test]
 fn no_window_holds_more_than_the_bound() {
-    let mut allowance = Allowance::new(BOUND);
+    let mut allowance = RetryBudget::new(BOUND);
     let (mut requests, mut repeats) = (Vec::new(), Vec::new());
     for at in (0..60_000).step_by(50) {
         if at % 300 < 150 {
-            allowance.earn(ms(at), 1);
+            allowance.deposit(ms(at), 1);
             requests.push(at);
         }
-        if allowance.spend(ms(at), 1, 1) {
+        if allowance.try_withdraw(ms(at), 1, 1) {
             repeats.push(at);
         }
     }
--- a/crates/core/tests/testsuite/relay/calls.rs
+++ b/crates/core/tests/testsuite/relay/calls.rs
@@ -4,7 +4,7 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        allowance::Bound,
+        allowance::RetryBudgetConfig,
         config::{Engine, Kind, Route},
         directory::Entry,
         model::{Action, Arrival, Failure},
@@ -125,7 +125,7 @@
 #[test]
 fn repetition_keeps_its_bound() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
-    let bound = Bound { ratio: 0.0, slack: 2.5, window: ms(10_000) };
+    let bound = RetryBudgetConfig { ratio: 0.0, slack: 2.5, window: ms(10_000) };
     let mut world = World::with_bound(config.build(), bound);
     world.put(entry("a", "desk"));
     world.put(entry("b", "desk"));
@@ -142,7 +142,7 @@
 #[test]
 fn instances_that_are_out_of_sight_keep_their_share_of_the_bound() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
-    let bound = Bound { ratio: 0.0, slack: 100.0, window: ms(10_000) };
+    let bound = RetryBudgetConfig { ratio: 0.0, slack: 100.0, window: ms(10_000) };
     let mut world = World::with_bound(config.build(), bound);
     world.put(entry("a", "desk"));
     world.put(entry("b", "desk"));
--- a/crates/core/tests/testsuite/relay/directory.rs
+++ b/crates/core/tests/testsuite/relay/directory.rs
@@ -6,7 +6,7 @@
     model::{Incarnation, Load},
     relay::{
         directory::{Change, Directory, Ended, Entry},
-        engine::Work,
+        engine::CallEstimate,
         model::Failure,
     },
 };
@@ -102,8 +102,8 @@
     let old = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(old).unwrap();
     endpoint.sent();
-    let work = Work { reading: ms(900), copying: ms(0), first: ms(50) };
-    endpoint.engine.place(ms(0), 1, &prompt(1, 2), work);
+    let work = CallEstimate { prefill: ms(900), copy_time: ms(0), first_token: ms(50) };
+    endpoint.engine.add_run(ms(0), 1, &prompt(1, 2), work);
     endpoint.answered(ms(0), ms(700), Some(Load { running: 3, queued: 9, places: 4, age_ms: 0 }));
     endpoint.failed(ms(0), Failure::Cut);
     let changed = directory.change(ms(10), Change::Put(life("a", 2)));
@@ -113,7 +113,7 @@
     let endpoint = directory.get(key).unwrap();
     assert!(!endpoint.is_paused(ms(10)));
     assert_eq!((endpoint.calls(ms(10)), endpoint.response_time), (0, None));
-    assert_eq!((endpoint.engine.wait(ms(10)), endpoint.engine.memory()), (ms(0), 0));
+    assert_eq!((endpoint.engine.prefill_wait(ms(10)), endpoint.engine.memory_in_use()), (ms(0), 0));
     // What still comes of the earlier life touches that one only.
     directory.get_mut(old).unwrap().ended();
     directory.leaves(ms(20), old);
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -6,7 +6,7 @@
     model::Incarnation,
     relay::{
         Relay, Settings,
-        allowance::Bound,
+        allowance::RetryBudgetConfig,
         config::{Config, Engine, Kind, Limits, Pieces, Route, Service, Stage, Target, Team},
         directory::{Change, Entry},
         fingerprint::Fingerprint,
@@ -166,21 +166,21 @@
 
 impl World {
     pub fn new(config: Arc<Config>) -> World {
-        let bound = Bound { ratio: 0.2, slack: 40.0, window: ms(10_000) };
+        let bound = RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: ms(10_000) };
         World::with_bound(config, bound)
     }
 
     /// An instance of that name.
     pub fn named(config: Arc<Config>, name: &str) -> World {
-        let bound = Bound { ratio: 0.2, slack: 40.0, window: ms(10_000) };
+        let bound = RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: ms(10_000) };
         World::with_name(config, bound, name)
     }
 
-    pub fn with_bound(config: Arc<Config>, bound: Bound) -> World {
+    pub fn with_bound(config: Arc<Config>, bound: RetryBudgetConfig) -> World {
         World::with_name(config, bound, "own")
     }
 
-    fn with_name(config: Arc<Config>, bound: Bound, name: &str) -> World {
+    fn with_name(config: Arc<Config>, bound: RetryBudgetConfig, name: &str) -> World {
         let settings = Settings {
             name: Arc::from(name),
             data_centre: Arc::from("east"),
--- a/crates/core/tests/testsuite/relay/load/fleet.rs
+++ b/crates/core/tests/testsuite/relay/load/fleet.rs
@@ -13,7 +13,7 @@
 
 use peatdeck_core::relay::{
     Relay, Settings,
-    allowance::Bound,
+    allowance::RetryBudgetConfig,
     config::{Engine, Kind, Pieces, Route, Transfer},
     directory::{Change, Entry},
     model::{
@@ -537,7 +537,7 @@
     let settings = Settings {
         name: name(idx),
         data_centre: Arc::from(PLACES[idx % 3]),
-        bound: Bound { ratio: 0.2, slack: 50.0, window: ms(10_000) },
+        bound: RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: ms(10_000) },
         instances: 1,
         strength: 250,
     };
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -108,7 +108,11 @@
     let settings = peatdeck_core::relay::Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("east"),
-        bound: peatdeck_core::relay::allowance::Bound { ratio: 0.2, slack: 10.0, window: ms(9000) },
+        bound: peatdeck_core::relay::allowance::RetryBudgetConfig {
+            ratio: 0.2,
+            slack: 10.0,
+            window: ms(9000),
+        },
         instances: 1,
         strength: 250,
     };
--- a/crates/core/tests/testsuite/relay/readers.rs
+++ b/crates/core/tests/testsuite/relay/readers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use peatdeck_core::relay::{model::Peer, readers::readers};
+use peatdeck_core::relay::{model::Peer, readers::select_readers};
 
 fn names(count: usize) -> Vec<Peer> {
     let name = |idx| Arc::from(format!("edge-{idx}"));
@@ -11,9 +11,9 @@
 
 #[test]
 fn two_read_for_a_few_and_one_in_eighteen_for_many() {
-    assert_eq!(readers(&names(1)).len(), 1);
-    assert_eq!(readers(&names(8)).len(), 2);
-    assert_eq!(readers(&names(74)).len(), 5);
+    assert_eq!(select_readers(&names(1)).len(), 1);
+    assert_eq!(select_readers(&names(8)).len(), 2);
+    assert_eq!(select_readers(&names(74)).len(), 5);
 }
 
 #[test]
@@ -21,7 +21,7 @@
     let mut peers = names(74);
     peers[40].strength = 500;
     peers[50].strength = 500;
-    let readers = readers(&peers);
+    let readers = select_readers(&peers);
     assert!(readers.contains(&peers[40].name) && readers.contains(&peers[50].name));
 }
 
@@ -29,5 +29,5 @@
 fn all_agree_whatever_the_order() {
     let mut reversed = names(30);
     reversed.reverse();
-    assert_eq!(readers(&names(30)), readers(&reversed));
+    assert_eq!(select_readers(&names(30)), select_readers(&reversed));
 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -88,8 +88,8 @@
 fn pause_after(name: TableName) -> Option<Duration> {
     match name {
         TableName::Config => None,
-        TableName::Endpoints => Some(readers::PACE),
-        TableName::Instances => Some(readers::SLOW_PACE),
+        TableName::Endpoints => Some(readers::READ_INTERVAL),
+        TableName::Instances => Some(readers::INSTANCES_INTERVAL),
         TableName::Quarantine => None,
     }
 }
@@ -115,7 +115,7 @@
 /// Ends once the store's timeline is later than that of a table.
 async fn wait_for_timeline(driver: &Driver, name: TableName) {
     while later_timeline(driver, name).is_none() {
-        tokio::time::sleep(readers::PACE).await;
+        tokio::time::sleep(readers::READ_INTERVAL).await;
     }
 }
 
@@ -150,12 +150,12 @@
         return read_whole(driver, name).await.map(drop);
     }
     let wait = match name {
-        TableName::Config => readers::PACE,
-        TableName::Quarantine => readers::LONG_WAIT,
+        TableName::Config => readers::READ_INTERVAL,
+        TableName::Quarantine => readers::LONG_POLL_WAIT,
         TableName::Endpoints | TableName::Instances => Duration::ZERO,
     };
     let read = Box::pin(read_on(driver, name, tables.position(name), wait));
-    if wait <= readers::PACE {
+    if wait <= readers::READ_INTERVAL {
         return read.await;
     }
     // What waits for longer may wait for something that an earlier timeline had.
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -187,7 +187,7 @@
     }
 
     fn is_stale(&self, now: Duration) -> bool {
-        let is_old = self.tables.age(now).is_none_or(|age| age > readers::STALE);
+        let is_old = self.tables.age(now).is_none_or(|age| age > readers::STALE_AFTER);
         is_old && !self.learning.is_underway(now)
     }
 
@@ -198,7 +198,7 @@
         let reachable = alive.filter(|name| members.addr(name).is_some());
         let mut instances: Vec<_> = reachable.map(|name| self.peer(name)).collect();
         instances.push(self.peer(members.identity().name.clone()));
-        readers::readers(&instances)
+        readers::select_readers(&instances)
     }
 
     /// An instance with what it announced of itself.
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -56,7 +56,7 @@
     /// Whether a peer that is up to date is just telling what this instance
     /// lacks. It need not ask the store for the same then.
     pub fn is_underway(&self, now: Duration) -> bool {
-        self.progressed.get().is_some_and(|at| now.saturating_sub(at) <= readers::STALE)
+        self.progressed.get().is_some_and(|at| now.saturating_sub(at) <= readers::STALE_AFTER)
     }
 }
 
@@ -71,7 +71,7 @@
         let ahead = driver.peers.learning.ahead.borrow_mut().take();
         let is_due = driver.now() >= due;
         if is_due {
-            due = driver.now() + readers::PACE.mul_f64(rand::rng().random_range(0.9..1.1));
+            due = driver.now() + readers::READ_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1));
         }
         let lacks_config =
             ahead.as_ref().is_some_and(|ahead| lacks_config(&driver, &ahead.positions));
@@ -185,7 +185,7 @@
         has_more |= learned.has_more;
         tables::apply(driver, name, source, learned.changed);
     }
-    if has_more && age <= readers::STALE {
+    if has_more && age <= readers::STALE_AFTER {
         driver.peers.learning.progressed.set(Some(driver.now()));
     }
     Ok(Step { bytes, has_more })
--- a/crates/relay/src/repair.rs
+++ b/crates/relay/src/repair.rs
@@ -154,7 +154,7 @@
     let tables = &driver.peers.tables;
     let Some(since) = tables.renewed(name) else { return };
     let is_over = tables.compared(name).is_some_and(|at| at >= since + within);
-    let is_fresh = tables.age(driver.now()).is_some_and(|age| age <= readers::STALE);
+    let is_fresh = tables.age(driver.now()).is_some_and(|age| age <= readers::STALE_AFTER);
     if !is_over || !is_fresh {
         return;
     }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use peatdeck_core::{model::Incarnation, relay::allowance::Bound};
+use peatdeck_core::{model::Incarnation, relay::allowance::RetryBudgetConfig};
 use peatdeck_macros::data;
 
 /// What a relay instance is told at its start.
@@ -25,7 +25,7 @@
     /// Peers that may be there already, `ip:port`.
     pub seeds: Vec<Arc<str>>,
     /// The bound on repetition.
-    pub bound: Bound,
+    pub bound: RetryBudgetConfig,
     /// Instances that share that bound while no more are known.
     pub instances: usize,
     /// Time from being told to stop until the process is killed.
--- a/crates/relay/tests/relay/standins.rs
+++ b/crates/relay/tests/relay/standins.rs
@@ -18,7 +18,7 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        allowance::Bound,
+        allowance::RetryBudgetConfig,
         config::{Config, Kind, Limits, Pieces, Route, Service, Stage, Target, Team},
         directory::{Change, Entry},
         operator::Act,
@@ -182,7 +182,7 @@
             metrics: any,
             peers: any,
             seeds: self.seeds.iter().map(|seed| Arc::from(seed.to_string())).collect(),
-            bound: Bound { ratio: 0.2, slack: 1000.0, window: Duration::from_secs(10) },
+            bound: RetryBudgetConfig { ratio: 0.2, slack: 1000.0, window: Duration::from_secs(10) },
             instances: 1,
             grace: Duration::from_secs(60),
             body_memory: 1 << 24,
