--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -83,13 +83,14 @@
         room,
         lease: Duration::from_secs(4),
     };
-    let service = Service { connections: 640, engine: None, pieces: Some(pieces), cold_pace: None };
+    let service =
+        Service { connections: 640, engine: None, pieces: Some(pieces), cold_interval: None };
     relay.configure(Arc::new(Config {
         version: 1,
         routes: Vec::new(),
         services: HashMap::from([(Arc::from(SERVICE), service)]),
         keys: None,
-        limits: Limits { body: 1 << 20, idle: Duration::from_secs(15) },
+        limits: Limits { max_body: 1 << 20, idle_timeout: Duration::from_secs(15) },
     }));
     for idx in 0..ENDPOINTS {
         let entry = Entry {
@@ -117,16 +118,16 @@
         key: Some(Arc::from("key")),
         inputs: Vec::new(),
         bytes,
-        due: Duration::from_secs(600),
-        aim: Duration::from_secs(300) + Duration::from_millis(request % 1000),
+        deadline: Duration::from_secs(600),
+        target: Duration::from_secs(300) + Duration::from_millis(request % 1000),
         priority: 0,
-        home: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
+        preferred_data_centre: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
         round: 0,
         tries: 0,
         is_repeat: false,
         is_begun: false,
         content: Fingerprint(u128::from(request)),
-        is_apart: false,
+        is_isolated: false,
         is_last_reader: false,
     };
     vec![piece(0), piece(1)]
--- a/crates/core/src/relay/batch/admission.rs
+++ b/crates/core/src/relay/batch/admission.rs
@@ -31,19 +31,19 @@
         let service = &piece.service;
         let (Some(queue), Some(drain)) = (self.waiting.get(service), self.drains.get(service))
         else {
-            return done <= piece.due;
+            return done <= piece.deadline;
         };
         let lane = Lane::of(piece.bytes);
         let expected = expected_rate(now, service, shape, directory);
-        let wait = drain.wait(now, lane, queue.ahead_of(lane, piece.aim), expected);
-        if done + wait <= piece.aim {
+        let wait = drain.wait(now, lane, queue.ahead_of(lane, piece.target), expected);
+        if done + wait <= piece.target {
             return true;
         }
         if piece.is_begun {
-            return done <= piece.due;
+            return done <= piece.deadline;
         }
         let wait = drain.late_wait(now, lane, queue.len_of(lane), expected);
-        done + wait <= piece.due
+        done + wait <= piece.deadline
     }
 
     /// How long a piece with a small result that comes now, and can be in good time,
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -128,7 +128,7 @@
         let rank = Rank {
             is_late: false,
             priority: 0,
-            aim: piece.aim,
+            aim: piece.target,
             request: piece.request.clone(),
             stage: piece.stage,
         };
@@ -136,16 +136,16 @@
         let group = self.lanes[lane].entry(rank.clone()).or_insert_with(|| Group {
             keys: Vec::new(),
             bytes: piece.bytes,
-            home: piece.home.clone(),
-            aim: piece.aim,
-            due: piece.due,
+            home: piece.preferred_data_centre.clone(),
+            aim: piece.target,
+            due: piece.deadline,
             is_begun: piece.is_begun,
             is_apart: false,
             priority: piece.priority,
         });
-        group.is_apart |= piece.is_apart;
+        group.is_apart |= piece.is_isolated;
         group.keys.push(key);
-        self.by_due.insert((piece.due, key));
+        self.by_due.insert((piece.deadline, key));
         let is_new = self.ranks.insert(key, (lane, rank)).is_none();
         self.sizes[lane] += usize::from(is_new);
     }
@@ -154,7 +154,7 @@
     pub fn remove(&mut self, key: PieceKey, piece: &Piece) -> bool {
         let Some((lane, rank)) = self.ranks.remove(key) else { return false };
         self.sizes[lane] -= 1;
-        self.by_due.remove(&(piece.due, key));
+        self.by_due.remove(&(piece.deadline, key));
         if let Entry::Occupied(mut group) = self.lanes[lane].entry(rank) {
             group.get_mut().keys.retain(|other| *other != key);
             if group.get().keys.is_empty() {
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -220,7 +220,7 @@
 /// tokens come some twenty times slower, and what it has to read longer than a
 /// pause may last makes each of them late by that.
 fn halting(endpoint: &Endpoint, reading: f64, wanted: Wanted<'_>) -> f64 {
-    let pause = wanted.shape.and_then(|shape| shape.pause);
+    let pause = wanted.shape.and_then(|shape| shape.max_gap);
     let beyond = pause.map_or(0.0, |pause| (reading - millis(pause)).max(0.0));
     f64::from(endpoint.engine.streams()) * beyond
 }
--- a/crates/core/src/relay/config.rs
+++ b/crates/core/src/relay/config.rs
@@ -35,15 +35,15 @@
 #[derive(Copy)]
 pub struct Limits {
     /// Bytes of a body.
-    pub body: usize,
+    pub max_body: usize,
     /// How long a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What a request to a route may do.
 #[id]
 #[derive(Copy)]
-pub enum Kind {
+pub enum RequestKind {
     /// May run more than once.
     Idempotent,
     /// May run at most once.
@@ -54,15 +54,15 @@
     Resumable,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether running it again does no harm.
-    pub fn may_repeat(self) -> bool {
-        matches!(self, Kind::Idempotent | Kind::Resumable)
+    pub fn is_repeatable(self) -> bool {
+        matches!(self, RequestKind::Idempotent | RequestKind::Resumable)
     }
 
     /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream | Kind::Resumable)
+        matches!(self, RequestKind::Stream | RequestKind::Resumable)
     }
 }
 
@@ -78,7 +78,7 @@
     /// Services that share its requests, by weight.
     pub targets: Vec<Target>,
     /// What its requests may do.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// The longest time that a request is kept waiting.
     pub timeout: Duration,
     /// The time within which an answer is in good time.
@@ -124,7 +124,7 @@
     pub pieces: Option<Pieces>,
     /// Time between two calls, of all instances together, that an endpoint bears
     /// while it is cold; `None` if it bears as many as it does when warm.
-    pub cold_pace: Option<Duration>,
+    pub cold_interval: Option<Duration>,
 }
 
 /// What is known of a service's engines.
@@ -136,7 +136,7 @@
     /// Memory, in tokens.
     pub memory: u64,
     /// The longest pause within a stream that is in good time for all routes.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// How one fetches what another one has read; `None` if they cannot.
     pub transfer: Option<Transfer>,
 }
@@ -155,7 +155,7 @@
     /// Milliseconds that so many tokens take; those of a day at the most.
     pub fn millis(&self, tokens: u64) -> f64 {
         let millis = tokens as f64 * self.token_bytes / self.rate;
-        millis.min(LONGEST_TIME.as_secs_f64() * 1000.0)
+        millis.min(MAX_TIME.as_secs_f64() * 1000.0)
     }
 }
 
@@ -182,7 +182,7 @@
 /// Why a configuration cannot be used. Everybody reads the same one: an instance that
 /// took it in would end, and again with each start.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Flaw {
+pub enum ConfigError {
     /// A stage waits for one that there is not, or for itself.
     #[error("stage {stage} of route {route} waits for what never comes; name earlier stages")]
     Stage {
@@ -191,13 +191,13 @@
         /// The stage's position.
         stage: usize,
     },
-    /// A time is longer than [`LONGEST_TIME`].
+    /// A time is longer than [`MAX_TIME`].
     #[error("a time of {what} is longer than a day; give a shorter one")]
     Time {
         /// The route or service.
         what: Arc<str>,
     },
-    /// A size is larger than [`LARGEST_SIZE`].
+    /// A size is larger than [`MAX_SIZE`].
     #[error("a size of {what} is larger than a terabyte; give a smaller one")]
     Size {
         /// The route or service.
@@ -213,24 +213,24 @@
 
 /// No time of a configuration is longer: sums of a few of them stay far from what a
 /// number of nanoseconds can say.
-pub const LONGEST_TIME: Duration = Duration::from_secs(24 * 3600);
+pub const MAX_TIME: Duration = Duration::from_secs(24 * 3600);
 
 /// No size of a configuration is larger, in bytes, for the same reason.
-pub const LARGEST_SIZE: u64 = 1 << 40;
+pub const MAX_SIZE: u64 = 1 << 40;
 
 impl Config {
     /// Whether it can be used.
     ///
     /// # Errors
-    /// The first [`Flaw`].
-    pub fn check(&self) -> Result<(), Flaw> {
+    /// The first [`ConfigError`].
+    pub fn check(&self) -> Result<(), ConfigError> {
         for route in &self.routes {
             route.check()?;
         }
         for (name, service) in &self.services {
             service.check(name)?;
         }
-        check_time(&Arc::from("the limits"), &[self.limits.idle])
+        check_time(&Arc::from("the limits"), &[self.limits.idle_timeout])
     }
 
     /// The route of a request: of the routes of its host the one with the
@@ -273,7 +273,7 @@
 }
 
 impl Route {
-    fn check(&self) -> Result<(), Flaw> {
+    fn check(&self) -> Result<(), ConfigError> {
         // Stages that wait for nothing are done first, then those that waited for them.
         let mut done: Vec<usize> = Vec::new();
         loop {
@@ -283,7 +283,7 @@
             let (next, stuck): (Vec<_>, Vec<_>) = open.partition(is_next);
             match (next.is_empty(), stuck.first()) {
                 (true, Some(stage)) => {
-                    return Err(Flaw::Stage { route: self.name.clone(), stage: *stage });
+                    return Err(ConfigError::Stage { route: self.name.clone(), stage: *stage });
                 }
                 (true, None) => break,
                 (false, _) => done.extend(next),
@@ -296,28 +296,28 @@
 }
 
 impl Service {
-    fn check(&self, name: &ServiceName) -> Result<(), Flaw> {
-        let pause = self.engine.and_then(|engine| engine.pause).unwrap_or_default();
-        check_time(name, &[pause, self.cold_pace.unwrap_or_default()])?;
+    fn check(&self, name: &ServiceName) -> Result<(), ConfigError> {
+        let pause = self.engine.and_then(|engine| engine.max_gap).unwrap_or_default();
+        check_time(name, &[pause, self.cold_interval.unwrap_or_default()])?;
         let Some(pieces) = &self.pieces else { return Ok(()) };
         if pieces.batch == 0 {
-            return Err(Flaw::Batch { service: name.clone() });
+            return Err(ConfigError::Batch { service: name.clone() });
         }
         check_size(name, &[pieces.room])?;
         check_time(name, &[pieces.call_time, pieces.piece_time, pieces.lease])
     }
 }
 
-fn check_size(what: &Arc<str>, sizes: &[u64]) -> Result<(), Flaw> {
-    match sizes.iter().all(|size| *size <= LARGEST_SIZE) {
+fn check_size(what: &Arc<str>, sizes: &[u64]) -> Result<(), ConfigError> {
+    match sizes.iter().all(|size| *size <= MAX_SIZE) {
         true => Ok(()),
-        false => Err(Flaw::Size { what: what.clone() }),
+        false => Err(ConfigError::Size { what: what.clone() }),
     }
 }
 
-fn check_time(what: &Arc<str>, times: &[Duration]) -> Result<(), Flaw> {
-    match times.iter().all(|time| *time <= LONGEST_TIME) {
+fn check_time(what: &Arc<str>, times: &[Duration]) -> Result<(), ConfigError> {
+    match times.iter().all(|time| *time <= MAX_TIME) {
         true => Ok(()),
-        false => Err(Flaw::Time { what: what.clone() }),
+        false => Err(ConfigError::Time { what: what.clone() }),
     }
 }
--- a/crates/core/src/relay/directory.rs
+++ b/crates/core/src/relay/directory.rs
@@ -28,7 +28,7 @@
     model::{DataCentre, EndpointName, Incarnation},
     relay::{
         directory::endpoint::State,
-        model::{EndpointKey, Life, ServiceName},
+        model::{EndpointId, EndpointKey, ServiceName},
     },
 };
 
@@ -206,7 +206,7 @@
     }
 
     /// That life of an endpoint, if no newer one is known.
-    pub fn by_life(&self, life: &Life) -> Option<EndpointKey> {
+    pub fn by_life(&self, life: &EndpointId) -> Option<EndpointKey> {
         let key = self.by_name(&life.name)?;
         (self.endpoints[key].entry.incarnation == life.incarnation).then_some(key)
     }
--- a/crates/core/src/relay/directory/endpoint.rs
+++ b/crates/core/src/relay/directory/endpoint.rs
@@ -10,8 +10,8 @@
         backoff::{self, Backoff, Pauses},
         directory::Entry,
         engine::Engine,
-        model::{Failure, Life, Step},
-        terms::{Notice, Rate, Word},
+        model::{EndpointId, Failure, Step},
+        terms::{LimitReport, Notice, Rate},
     },
 };
 
@@ -73,7 +73,7 @@
     /// When it was heard that it said itself that it leaves.
     pub(in crate::relay) left_at: Option<Duration>,
     /// What it said of its limit, if it ever named one.
-    pub(in crate::relay) word: Option<Word>,
+    pub(in crate::relay) word: Option<LimitReport>,
     /// When it was due to be called last, as one that bears few calls.
     pub(in crate::relay) slot: Option<Duration>,
 }
@@ -102,8 +102,8 @@
     }
 
     /// The name and incarnation that this is a life of.
-    pub fn life(&self) -> Life {
-        Life { name: self.entry.name.clone(), incarnation: self.entry.incarnation }
+    pub fn life(&self) -> EndpointId {
+        EndpointId { name: self.entry.name.clone(), incarnation: self.entry.incarnation }
     }
 
     /// Whether it takes new work.
@@ -160,7 +160,7 @@
 
     /// It said whether it names a limit. An older word changes nothing. Returns whether
     /// that is news.
-    pub fn says(&mut self, word: Word) -> bool {
+    pub fn says(&mut self, word: LimitReport) -> bool {
         let known = self.word;
         let is_old = known.is_some_and(|known| word.at < known.at);
         if is_old || (known.is_none() && word.limit.is_none()) {
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -53,7 +53,7 @@
         exchange.was_called = true;
         let is_first = !std::mem::replace(&mut exchange.has_begun, true);
         if is_first {
-            self.actions.push(Action::Begin { exchange: key, call });
+            self.actions.push(Action::BeginStream { exchange: key, call });
             self.free_results(key);
         }
         self.tick_quietly(now);
@@ -66,9 +66,9 @@
         self.quarantine.note_answer(now, self.exchanges[key].content);
         self.end_call(now, call, Step::Ended);
         if !self.exchanges[key].has_begun {
-            self.actions.push(Action::Begin { exchange: key, call });
+            self.actions.push(Action::BeginStream { exchange: key, call });
         }
-        self.actions.push(Action::Finish(key));
+        self.actions.push(Action::FinishStream(key));
         self.close(key);
     }
 
@@ -76,9 +76,9 @@
     pub fn replied(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
         let Some(key) = self.exchange_of(call) else { return };
         let endpoint = self.calls[call].endpoint;
-        if head.is_turned_away() {
+        if head.is_refusal() {
             self.end_call(now, call, Step::Refused(head.load));
-        } else if head.is_unrun {
+        } else if head.is_not_run {
             self.note_load(now, endpoint, head.load);
             self.end_call(now, call, Step::Ended);
         } else {
@@ -90,27 +90,27 @@
             self.directory.leaves(now, endpoint);
         }
         let is_success = (200..300).contains(&head.status);
-        let is_failure = head.status >= 500 || head.is_unrun;
+        let is_failure = head.status >= 500 || head.is_not_run;
         if !is_failure && (!is_success || head.is_sealed) {
             self.actions.push(Action::Answer { exchange: key, call });
             self.close(key);
             return;
         }
         let has_inputs = !self.exchanges[key].route.stages.is_empty();
-        let inputs_gone = head.is_unrun && head.status == 409 && has_inputs;
+        let inputs_gone = head.is_not_run && head.status == 409 && has_inputs;
         // Whatever a later head says, one that has sent events has run it.
         let has_run = self.exchanges[key].was_called;
-        let may_run = self.exchanges[key].route.kind.may_repeat() || !has_run;
+        let may_run = self.exchanges[key].route.kind.is_repeatable() || !has_run;
         if inputs_gone && may_run {
             self.inputs_gone(now, key);
             return;
         }
         let exchange = &mut self.exchanges[key];
-        if head.is_unrun && head.status == 421 {
+        if head.is_not_run && head.status == 421 {
             exchange.attempts -= 1;
         }
-        exchange.was_called |= !head.is_unrun;
-        let own_answer = (!head.is_unrun && head.is_sealed).then_some(call);
+        exchange.was_called |= !head.is_not_run;
+        let own_answer = (!head.is_not_run && head.is_sealed).then_some(call);
         self.repeat(now, key, own_answer);
     }
 
@@ -293,8 +293,8 @@
     pub(super) fn repeat(&mut self, now: Duration, key: ExchangeKey, answer: Option<CallKey>) {
         let exchange = &self.exchanges[key];
         let kind = exchange.route.kind;
-        let may_run = kind.may_repeat() || !exchange.was_called;
-        let can_go_on = !exchange.has_begun || kind.may_repeat();
+        let may_run = kind.is_repeatable() || !exchange.was_called;
+        let can_go_on = !exchange.has_begun || kind.is_repeatable();
         let has_attempts = exchange.attempts < exchange.route.max_attempts;
         let has_time = exchange.due > now + SHORTEST_CALL;
         let is_first = exchange.attempts == 0;
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -80,12 +80,12 @@
     pub(super) fn give_up(&mut self, now: Duration, key: ExchangeKey, refusal: Refusal) {
         let Some(exchange) = self.exchanges.get(key) else { return };
         if exchange.has_begun {
-            self.actions.push(Action::Break(key));
+            self.actions.push(Action::AbortStream(key));
             self.close(key);
             return;
         }
         let has_run = exchange.has_run || exchange.was_called || refusal == Refusal::TimedOut;
-        let may_come_back = !has_run || exchange.route.kind.may_repeat();
+        let may_come_back = !has_run || exchange.route.kind.is_repeatable();
         let away = self.away(now, key, refusal);
         let refusal = refusal.after(has_run);
         let retry_after = (may_come_back && away >= SHORTEST_AWAY).then_some(away);
@@ -116,7 +116,7 @@
         self.batches.drop_waiting(Holder::Own(key));
         for handover in exchange.handovers.drain(..) {
             self.handovers.remove(handover);
-            self.actions.push(Action::Recall(handover));
+            self.actions.push(Action::RecallPieces(handover));
         }
         let held = exchange.graph.take_all();
         self.free(&exchange.route, held);
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -73,7 +73,7 @@
     /// Whether a call of an exchange may be made again elsewhere.
     fn may_move(&self, now: Duration, key: ExchangeKey) -> bool {
         let Exchange { route, attempts, due, has_begun, service, tried, .. } = &self.exchanges[key];
-        let may_repeat = route.kind.may_repeat() && !has_begun && *attempts < route.max_attempts;
+        let may_repeat = route.kind.is_repeatable() && !has_begun && *attempts < route.max_attempts;
         let is_sound =
             |key: &EndpointKey| self.directory.get(*key).is_some_and(|it| !it.is_paused(now));
         let others = self.directory.usable(now, service).into_iter();
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -173,7 +173,7 @@
     }
 
     fn cold_pace(&self, service: &str) -> Option<Duration> {
-        self.config.as_ref()?.services.get(service)?.cold_pace
+        self.config.as_ref()?.services.get(service)?.cold_interval
     }
 
     /// Whether one instance decides for all what an endpoint of a service is sent.
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -33,8 +33,8 @@
         exchange::Exchange,
         machine::Relay,
         model::{
-            Action, EndpointKey, ExchangeKey, Life, Listed, Placement, Progress, Prompt, Question,
-            RunNumber, Step,
+            Action, EndpointId, EndpointKey, ExchangeKey, HeldParts, Placement, PlacementRequest,
+            Progress, Prompt, RunNumber, Step,
         },
         reading::Speed,
     },
@@ -76,14 +76,14 @@
         if self.mute_placers.get(&peer).is_some_and(|until| now < *until) {
             return false;
         }
-        let question = Question {
+        let question = PlacementRequest {
             service: exchange.service.clone(),
             prompt: prompt.clone(),
             inputs: exchange.graph.output_places(&exchange.route),
-            avoided: self.avoided_engines(now, key),
+            excluded: self.avoided_engines(now, key),
         };
         self.exchanges[key].is_placing = true;
-        self.actions.push(Action::Ask { exchange: key, peer, question });
+        self.actions.push(Action::RequestPlacement { exchange: key, peer, question });
         true
     }
 
@@ -137,7 +137,7 @@
 
     /// An engine told which parts it holds. What another life of it holds says
     /// nothing.
-    pub fn parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &Listed) {
+    pub fn parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &HeldParts) {
         let Some(engine) = self.directory.get(endpoint) else { return };
         if listed.incarnation.is_none_or(|told| told == engine.entry.incarnation) {
             self.memory.holds_parts(now, endpoint, listed.parts.iter().copied());
@@ -145,11 +145,11 @@
     }
 
     /// Chooses for a peer. `None` if no engine can take the prompt.
-    pub fn place(&mut self, now: Duration, question: &Question) -> Option<Placement> {
+    pub fn place(&mut self, now: Duration, question: &PlacementRequest) -> Option<Placement> {
         if self.transfer(&question.service).is_some() {
             self.list_parts(now, &question.service);
         }
-        let avoided = question.avoided.iter().filter_map(|life| self.directory.by_life(life));
+        let avoided = question.excluded.iter().filter_map(|life| self.directory.by_life(life));
         let avoided: Vec<_> = avoided.collect();
         let chooser = self.as_placer(&question.service, &question.prompt);
         let withheld = self.withheld(now, &question.service, chooser);
@@ -236,7 +236,7 @@
         }
         for (peer, progress) in std::mem::take(&mut self.reports) {
             let notices = self.notices.remove(&peer).unwrap_or_default();
-            self.actions.push(Action::Report { peer, progress, notices });
+            self.actions.push(Action::ReportProgress { peer, progress, notices });
         }
     }
 
@@ -310,7 +310,7 @@
 
     /// Engines that this exchange does not go to: tried ones, and those that
     /// have just failed this instance or want nothing from it.
-    fn avoided_engines(&self, now: Duration, key: ExchangeKey) -> Vec<Life> {
+    fn avoided_engines(&self, now: Duration, key: ExchangeKey) -> Vec<EndpointId> {
         let exchange = &self.exchanges[key];
         let limit = self.connection_limit(&exchange.service);
         let known = self.directory.usable(now, &exchange.service).into_iter();
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -109,7 +109,7 @@
             pipeline: exchange.route.name.clone(),
             stage: service.clone(),
             index: next.unwrap_or(stages.len()) as u32,
-            idempotent: exchange.route.kind.may_repeat(),
+            idempotent: exchange.route.kind.is_repeatable(),
             left,
             wait,
             work,
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -12,7 +12,7 @@
         exchange::{Exchange, ExchangeOf},
         fingerprint::Fingerprint,
         machine::Relay,
-        model::{Action, CallKey, EndpointKey, ExchangeKey, Probed, Refusal},
+        model::{Action, CallKey, EndpointKey, ExchangeKey, ProbeResult, Refusal},
         quarantine::{self, Crash, Hold, Suspicion},
     },
 };
@@ -96,10 +96,10 @@
     }
 
     /// A new connection told whether an endpoint that cut runs is there.
-    pub fn probed(&mut self, now: Duration, endpoint: EndpointKey, probed: Probed) {
+    pub fn probed(&mut self, now: Duration, endpoint: EndpointKey, probed: ProbeResult) {
         let Some(cuts) = self.cuts.get_mut(&endpoint) else { return };
         cuts.is_probed = false;
-        if probed == Probed::Gone {
+        if probed == ProbeResult::Gone {
             self.directory.is_gone(now, endpoint);
             self.take_crashes(now, endpoint);
         }
@@ -130,7 +130,7 @@
             return;
         }
         self.tell_keepers(&crashes);
-        self.actions.push(Action::Crashed { life, crashes: crashes.clone() });
+        self.actions.push(Action::EndpointCrashed { life, crashes: crashes.clone() });
         for crash in &crashes {
             self.suspect(now, crash);
         }
@@ -141,7 +141,7 @@
     pub fn suspect(&mut self, now: Duration, crash: &Crash) {
         if let Some(Hold { crashes, .. }) = self.quarantine.held(crash.content) {
             let (content, crashes) = (crash.content, *crashes);
-            self.actions.push(Action::Quarantine { content, crashes });
+            self.actions.push(Action::AnnounceQuarantine { content, crashes });
             return;
         }
         let Some(Suspicion { content, since }) = self.quarantine.crashed(now, crash) else {
@@ -149,7 +149,7 @@
         };
         match self.was_answered(content, since) {
             true => self.consulted(now, content, true),
-            false => self.actions.push(Action::Consult { content, since }),
+            false => self.actions.push(Action::QueryAnswered { content, since }),
         }
     }
 
@@ -163,11 +163,11 @@
     /// meanwhile.
     pub fn consulted(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
         if was_answered {
-            self.actions.push(Action::Acquitted(content));
+            self.actions.push(Action::SuspicionCleared(content));
         }
         if let Some(crashes) = self.quarantine.consulted(content, was_answered) {
             self.hold_back(now, content, crashes);
-            self.actions.push(Action::Quarantine { content, crashes });
+            self.actions.push(Action::AnnounceQuarantine { content, crashes });
         }
     }
 
@@ -189,7 +189,7 @@
         let is_held = self.quarantine.release(content).is_some();
         if is_held {
             self.actions.push(Action::Released(content));
-            self.actions.push(Action::Unrecord(content));
+            self.actions.push(Action::DeleteQuarantine(content));
         }
         is_held
     }
@@ -197,7 +197,7 @@
     /// Has the records removed of contents that nobody sends any more.
     pub(super) fn release_old(&mut self, now: Duration) {
         let over = self.quarantine.take_old(now);
-        self.actions.extend(over.into_iter().map(Action::Unrecord));
+        self.actions.extend(over.into_iter().map(Action::DeleteQuarantine));
         let directory = &self.directory;
         self.cuts.retain(|endpoint, cuts| {
             cuts.runs.retain(|cut| now < cut.at + REMEMBERED);
@@ -214,7 +214,7 @@
             unrecorded.map(|(content, hold)| (content, hold.crashes)).collect();
         for (content, crashes) in unrecorded {
             if self.keepers(content).contains(&self.settings.name) {
-                self.actions.push(Action::Quarantine { content, crashes });
+                self.actions.push(Action::AnnounceQuarantine { content, crashes });
             }
         }
     }
@@ -229,7 +229,7 @@
     pub(super) fn refuse_held(&mut self, now: Duration, key: ExchangeKey) {
         let content = self.exchanges[key].content;
         if let Some(crashes) = self.quarantine.note_refused(now, content) {
-            self.actions.push(Action::Record { content, crashes });
+            self.actions.push(Action::WriteQuarantine { content, crashes });
         }
         self.give_up(now, key, Refusal::Quarantined);
     }
@@ -238,7 +238,7 @@
     pub fn hold_back(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
         let jitter = self.rng.random();
         if self.quarantine.hold(now, content, crashes, jitter) {
-            self.actions.push(Action::HeldBack { content, crashes });
+            self.actions.push(Action::Quarantined { content, crashes });
             self.stop_runs(now, content);
         }
     }
@@ -271,7 +271,8 @@
                 }
             }
         }
-        let actions = told.into_iter().map(|(peer, crashes)| Action::Accuse { peer, crashes });
+        let actions =
+            told.into_iter().map(|(peer, crashes)| Action::ReportCrashes { peer, crashes });
         self.actions.extend(actions);
     }
 
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -49,7 +49,7 @@
             self.queue_told(now, service.clone());
             let words = peers
                 .iter()
-                .map(|peer| Action::TellQueue { peer: peer.clone(), service: service.clone() });
+                .map(|peer| Action::AnnounceQueue { peer: peer.clone(), service: service.clone() });
             self.actions.extend(words);
         }
     }
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -79,7 +79,7 @@
         match self.owner(service) {
             Some(peer) => {
                 let is_spare = true;
-                self.actions.push(Action::FreeThrough { peer, handles, is_spare });
+                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable: is_spare });
             }
             None => self.spare_here(handles),
         }
@@ -124,7 +124,7 @@
         match self.owner(service) {
             Some(peer) => {
                 let is_spare = false;
-                self.actions.push(Action::FreeThrough { peer, handles, is_spare });
+                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable: is_spare });
             }
             None => self.free_here(handles),
         }
@@ -142,7 +142,8 @@
                 None => by_addr.push((Arc::from(addr), vec![handle.clone()])),
             }
         }
-        let actions = by_addr.into_iter().map(|(addr, handles)| Action::Free { addr, handles });
+        let actions =
+            by_addr.into_iter().map(|(addr, handles)| Action::FreeResults { addr, handles });
         self.actions.extend(actions);
     }
 }
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -77,7 +77,7 @@
         let is_safe = is_unrun || failure == Failure::Unsent;
         for one in &mut finished {
             one.piece.is_repeat |= !is_safe;
-            one.piece.is_apart |= is_cut;
+            one.piece.is_isolated |= is_cut;
         }
         self.requeue(now, finished, is_safe);
         self.make_all(now);
@@ -184,7 +184,7 @@
         let held = Handover { exchange: key, peer: peer.clone(), pieces: pieces.clone() };
         let handover = self.handovers.insert(held);
         self.exchanges[key].handovers.push(handover);
-        self.actions.push(Action::HandOver { key: handover, peer, pieces });
+        self.actions.push(Action::HandOverPieces { key: handover, peer, pieces });
     }
 
     /// The peer that batches a service's pieces; `None` if this instance does.
@@ -200,7 +200,7 @@
             |name: &str, strength: u32| (strength, xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
         let own = rank(&self.settings.name, self.settings.strength);
         let peers = self.peers.iter().filter(|peer| !self.avoided.contains_key(&peer.name));
-        let ranked = peers.map(|peer| (rank(&peer.name, peer.strength), &peer.name));
+        let ranked = peers.map(|peer| (rank(&peer.name, peer.millicores), &peer.name));
         let (best, name) = ranked.max()?;
         (best > own || !self.is_batching).then(|| name.clone())
     }
@@ -219,12 +219,13 @@
         let mut judged: Option<(Duration, Duration, bool)> = None;
         for (piece, origin) in pieces {
             // The pieces of a stage are judged together.
-            let known = judged.filter(|(aim, due, _)| (*aim, *due) == (piece.aim, piece.due));
+            let known =
+                judged.filter(|(aim, due, _)| (*aim, *due) == (piece.target, piece.deadline));
             let is_feasible = match known {
                 Some((_, _, is_feasible)) => is_feasible,
                 None => self.is_feasible(now, &piece),
             };
-            judged = Some((piece.aim, piece.due, is_feasible));
+            judged = Some((piece.target, piece.deadline, is_feasible));
             match is_feasible {
                 true => self.batches.add(piece, origin),
                 false => late.push(Batches::turn_away(piece, origin)),
@@ -278,7 +279,7 @@
             let target = self.directory.get_mut(endpoint).expect("a planned endpoint is known");
             target.sent();
             let (endpoint, addr) = (target.entry.name.clone(), target.entry.addr.clone());
-            self.actions.push(Action::Make { call, endpoint, addr, pieces: order.pieces });
+            self.actions.push(Action::MakePieces { call, endpoint, addr, pieces: order.pieces });
         }
     }
 
@@ -328,7 +329,7 @@
         }
         if let Some(open) = self.tickets.remove(&ticket) {
             let results = open.results.into_iter().flatten().collect();
-            self.actions.push(Action::Return { ticket, results });
+            self.actions.push(Action::ReturnResults { ticket, results });
         }
     }
 
--- a/crates/core/src/relay/machine/terms.rs
+++ b/crates/core/src/relay/machine/terms.rs
@@ -10,7 +10,7 @@
         directory::Endpoint,
         machine::Relay,
         model::{Action, CallKey, EndpointKey, ReplyHead},
-        terms::{Notice, Word},
+        terms::{LimitReport, Notice},
     },
 };
 
@@ -30,13 +30,13 @@
         let Some(state) = self.calls.get(call) else { return };
         let (key, placer) = (state.endpoint, state.placer.clone());
         let Some(endpoint) = self.directory.get_mut(key) else { return };
-        if let Some(left) = head.terms.cold {
+        if let Some(left) = head.terms.cold_left {
             endpoint.cools(now, left);
         }
-        if let Some(rest) = head.terms.rest {
+        if let Some(rest) = head.terms.hold {
             endpoint.asks_rest(now, rest);
         }
-        let is_news = endpoint.says(Word { limit: head.terms.limit, at: now });
+        let is_news = endpoint.says(LimitReport { limit: head.terms.limit, at: now });
         let is_notable = is_news || endpoint.limit().is_some() || head.terms.is_leaving;
         if let (Some((peer, _)), true) = (placer, is_notable) {
             let notice = Notice { is_leaving: head.terms.is_leaving, ..endpoint.notice(now) };
@@ -45,7 +45,7 @@
         if is_news {
             self.note_limit(now, key, None);
         }
-        if head.terms.rest.is_some() {
+        if head.terms.hold.is_some() {
             self.pace_pieces(now, key);
         }
         if head.terms.is_leaving {
@@ -76,7 +76,7 @@
         for notice in notices {
             let Some(key) = self.directory.by_life(&notice.life) else { continue };
             let Some(endpoint) = self.directory.get_mut(key) else { continue };
-            if endpoint.says(notice.word(now)) {
+            if endpoint.says(notice.limit_report(now)) {
                 self.note_limit(now, key, Some(peer.clone()));
             }
             if notice.is_leaving {
@@ -89,7 +89,7 @@
         self.pace_pieces(now, key);
         let Some(endpoint) = self.directory.get(key) else { return };
         let (name, limit) = (endpoint.entry.name.clone(), endpoint.limit());
-        self.actions.push(Action::Limit { endpoint: name, limit, source });
+        self.actions.push(Action::EndpointLimit { endpoint: name, limit, source });
     }
 
     /// An endpoint said that it leaves, whatever the directory says: that may be dark, or
@@ -101,6 +101,6 @@
         endpoint.left_at = Some(now);
         let name = endpoint.entry.name.clone();
         self.directory.leaves(now, key);
-        self.actions.push(Action::Leaves { endpoint: name, source });
+        self.actions.push(Action::EndpointLeaving { endpoint: name, source });
     }
 }
--- a/crates/core/src/relay/model.rs
+++ b/crates/core/src/relay/model.rs
@@ -101,9 +101,9 @@
     /// The status.
     pub status: u16,
     /// Whether it echoes the request's id.
-    pub is_ours: bool,
+    pub has_request_id: bool,
     /// Whether the endpoint states that it did not run the request.
-    pub is_unrun: bool,
+    pub is_not_run: bool,
     /// Whether it is the endpoint's own whole answer, by the endpoint's seal.
     pub is_sealed: bool,
     /// How busy the endpoint is.
@@ -114,8 +114,8 @@
 
 impl ReplyHead {
     /// Whether the endpoint takes no call just now.
-    pub fn is_turned_away(&self) -> bool {
-        self.is_unrun && matches!(self.status, 429 | 503)
+    pub fn is_refusal(&self) -> bool {
+        self.is_not_run && matches!(self.status, 429 | 503)
     }
 }
 
@@ -195,13 +195,13 @@
     /// Approximate size of its result, in bytes.
     pub bytes: u64,
     /// When the caller gives up.
-    pub due: Duration,
+    pub deadline: Duration,
     /// When it should be done for the caller to be served in good time.
-    pub aim: Duration,
+    pub target: Duration,
     /// Urgency of its request, 0 first.
     pub priority: u8,
     /// Where its result will be used, if that is known and matters.
-    pub home: Option<DataCentre>,
+    pub preferred_data_centre: Option<DataCentre>,
     /// How often its request's pieces were made before, from the start.
     pub round: u8,
     /// How often it was sent without coming back whole.
@@ -214,14 +214,14 @@
     pub content: Fingerprint,
     /// Whether it is made without pieces of other requests: a call that it was part
     /// of was cut, and which of them ended the endpoint is not known.
-    pub is_apart: bool,
+    pub is_isolated: bool,
     /// Whether nothing needs its inputs once all pieces of its stage have read them.
     pub is_last_reader: bool,
 }
 
 /// One life of an endpoint, as instances name it to each other.
 #[data]
-pub struct Life {
+pub struct EndpointId {
     /// The endpoint's name.
     pub name: EndpointName,
     /// Which of its lives.
@@ -230,7 +230,7 @@
 
 /// What a placer is asked: which engine should read a prompt.
 #[data]
-pub struct Question {
+pub struct PlacementRequest {
     /// The service.
     pub service: ServiceName,
     /// The prompt.
@@ -238,14 +238,14 @@
     /// Bytes of the results that the call takes in, by data centre.
     pub inputs: Vec<(DataCentre, u64)>,
     /// Engines that are out of the question for the asker.
-    pub avoided: Vec<Life>,
+    pub excluded: Vec<EndpointId>,
 }
 
 /// A placer's answer.
 #[data]
 pub struct Placement {
     /// The engine.
-    pub engine: Life,
+    pub engine: EndpointId,
     /// Address of the engine that it should fetch from first.
     pub source: Option<Arc<str>>,
     /// Prompt tokens that it will probably have to read.
@@ -283,7 +283,7 @@
 
 /// Which parts of prompts an engine says that it holds.
 #[data]
-pub struct Listed {
+pub struct HeldParts {
     /// Which of its lives says so, if it tells.
     pub incarnation: Option<Incarnation>,
     /// The parts.
@@ -293,7 +293,7 @@
 /// What a new connection tells of an endpoint that cut calls.
 #[id]
 #[derive(Copy)]
-pub enum Probed {
+pub enum ProbeResult {
     /// Something listens there.
     There,
     /// The machine answers, and nothing listens: the process has ended.
@@ -308,7 +308,7 @@
     /// Its name.
     pub name: InstanceName,
     /// Its processor's share, in thousandths of a core; 0 if it did not tell.
-    pub strength: u32,
+    pub millicores: u32,
 }
 
 /// Why a piece has no result.
@@ -424,16 +424,16 @@
         call: CallKey,
     },
     /// Pass on the head of the call's stream; its events follow.
-    Begin {
+    BeginStream {
         /// The exchange.
         exchange: ExchangeKey,
         /// The call.
         call: CallKey,
     },
     /// The stream has ended whole.
-    Finish(ExchangeKey),
+    FinishStream(ExchangeKey),
     /// End the stream so that the caller sees that it is not whole.
-    Break(ExchangeKey),
+    AbortStream(ExchangeKey),
     /// Tell the caller that no endpoint's answer comes.
     Refuse {
         /// The exchange.
@@ -444,7 +444,7 @@
         retry_after: Option<Duration>,
     },
     /// Have pieces made.
-    Make {
+    MakePieces {
         /// The call's key.
         call: CallKey,
         /// The endpoint.
@@ -455,23 +455,23 @@
         pieces: Vec<Piece>,
     },
     /// Give up results at an endpoint.
-    Free {
+    FreeResults {
         /// Where they lie.
         addr: Arc<str>,
         /// The results.
         handles: Vec<Handle>,
     },
     /// Have the peer that batches their service give results up.
-    FreeThrough {
+    FreeViaPeer {
         /// The peer.
         peer: InstanceName,
         /// The results.
         handles: Vec<Handle>,
         /// Whether they are only to be given up once room is scarce.
-        is_spare: bool,
+        is_evictable: bool,
     },
     /// Hand pieces to the peer that batches their service.
-    HandOver {
+    HandOverPieces {
         /// The hand-over's key.
         key: HandoverKey,
         /// The peer.
@@ -480,7 +480,7 @@
         pieces: Vec<Piece>,
     },
     /// Take back pieces that were handed over.
-    Recall(HandoverKey),
+    RecallPieces(HandoverKey),
     /// Close connections to an address: the endpoint there has started again.
     Disconnect(Arc<str>),
     /// Ask an engine which parts of prompts it holds.
@@ -491,16 +491,16 @@
         addr: Arc<str>,
     },
     /// Ask a peer where an exchange's call should go.
-    Ask {
+    RequestPlacement {
         /// The exchange.
         exchange: ExchangeKey,
         /// The peer.
         peer: InstanceName,
         /// The question.
-        question: Question,
+        question: PlacementRequest,
     },
     /// Tell a placer how the calls go on that it placed.
-    Report {
+    ReportProgress {
         /// The placer.
         peer: InstanceName,
         /// What there is to tell.
@@ -516,69 +516,69 @@
         addr: Arc<str>,
     },
     /// An endpoint has ended with these runs.
-    Crashed {
+    EndpointCrashed {
         /// Its life.
-        life: Life,
+        life: EndpointId,
         /// The runs.
         crashes: Vec<Crash>,
     },
     /// Tell a keeper of contents of their crashes.
-    Accuse {
+    ReportCrashes {
         /// The peer.
         peer: InstanceName,
         /// The crashes.
         crashes: Vec<Crash>,
     },
     /// Ask all peers whether they had a content answered since that time.
-    Consult {
+    QueryAnswered {
         /// The content.
         content: Fingerprint,
         /// The time.
         since: Duration,
     },
     /// A content that crashed endpoints was answered meanwhile: it is no poison.
-    Acquitted(Fingerprint),
+    SuspicionCleared(Fingerprint),
     /// A content is held back here from now on.
-    HeldBack {
+    Quarantined {
         /// The content.
         content: Fingerprint,
         /// Endpoints that ended under it.
         crashes: u32,
     },
     /// Tell all peers that a content is held back, and have the platform keep it.
-    Quarantine {
+    AnnounceQuarantine {
         /// The content.
         content: Fingerprint,
         /// Endpoints that ended under it.
         crashes: u32,
     },
     /// Write the platform's record of a content anew.
-    Record {
+    WriteQuarantine {
         /// The content.
         content: Fingerprint,
         /// Endpoints that ended under it.
         crashes: u32,
     },
     /// Remove the platform's record of a content.
-    Unrecord(Fingerprint),
+    DeleteQuarantine(Fingerprint),
     /// A content is not held back any more.
     Released(Fingerprint),
     /// Tell a peer that pieces wait at a service.
-    TellQueue {
+    AnnounceQueue {
         /// The peer.
         peer: InstanceName,
         /// The service, which this instance batches.
         service: ServiceName,
     },
     /// An endpoint said that it leaves.
-    Leaves {
+    EndpointLeaving {
         /// The endpoint.
         endpoint: EndpointName,
         /// The peer that told; `None` if the endpoint itself did.
         source: Option<InstanceName>,
     },
     /// An endpoint names a limit, another one than before, or none any more.
-    Limit {
+    EndpointLimit {
         /// The endpoint.
         endpoint: EndpointName,
         /// The limit.
@@ -587,7 +587,7 @@
         source: Option<InstanceName>,
     },
     /// Give a peer the results of its pieces.
-    Return {
+    ReturnResults {
         /// The number that the event loop gave to the peer's pieces.
         ticket: u64,
         /// The results, in the order of the pieces.
--- a/crates/core/src/relay/quarantine.rs
+++ b/crates/core/src/relay/quarantine.rs
@@ -31,7 +31,7 @@
 
 use peatdeck_macros::data;
 
-use crate::relay::{fingerprint::Fingerprint, model::Life};
+use crate::relay::{fingerprint::Fingerprint, model::EndpointId};
 
 /// What the crashes of a content must weigh for it to be held back. Three lives that
 /// ended at the beginning of its run: one crash happens to any bystander, and with
@@ -67,7 +67,7 @@
     /// What was run.
     pub content: Fingerprint,
     /// The life of the endpoint that ended.
-    pub life: Life,
+    pub life: EndpointId,
     /// How long ago.
     pub age: Duration,
     /// Whether the run had gone on for longer than [`BEGINNING`].
@@ -104,7 +104,7 @@
 
 #[derive(Debug)]
 struct Seen {
-    life: Life,
+    life: EndpointId,
     at: Duration,
     weight: u32,
 }
--- a/crates/core/src/relay/readers.rs
+++ b/crates/core/src/relay/readers.rs
@@ -36,7 +36,7 @@
 pub fn readers(instances: &[Peer]) -> Vec<InstanceName> {
     let count = FEWEST.max(instances.len().div_ceil(ANSWERED));
     let mut ranked: Vec<_> = instances.iter().collect();
-    let rank = |peer: &Peer| (Reverse(peer.strength), xxh3::xxh3_64(peer.name.as_bytes()));
+    let rank = |peer: &Peer| (Reverse(peer.millicores), xxh3::xxh3_64(peer.name.as_bytes()));
     ranked.sort_by_key(|peer| rank(peer));
     ranked.into_iter().take(count).map(|peer| peer.name.clone()).collect()
 }
--- a/crates/core/src/relay/terms.rs
+++ b/crates/core/src/relay/terms.rs
@@ -4,7 +4,7 @@
 
 use peatdeck_macros::{data, id};
 
-use crate::relay::model::Life;
+use crate::relay::model::EndpointId;
 
 /// The longest time between two calls that a rate comes to. One that is lower, or
 /// zero, is asked about so often: only a call shows that it holds no more.
@@ -41,19 +41,19 @@
 #[derive(Copy, Default)]
 pub struct Terms {
     /// How much longer the endpoint is cold, if it tells.
-    pub cold: Option<Duration>,
+    pub cold_left: Option<Duration>,
     /// What it takes from all instances together, if it names a limit.
     pub limit: Option<Rate>,
     /// Whether it takes no new work any more.
     pub is_leaving: bool,
     /// How long it wants nothing from this instance, if it asks for that.
-    pub rest: Option<Duration>,
+    pub hold: Option<Duration>,
 }
 
 /// What an endpoint said of its limit, and when.
 #[data]
 #[derive(Copy)]
-pub struct Word {
+pub struct LimitReport {
     /// The limit; `None` if it names none any more.
     pub limit: Option<Rate>,
     /// When it said so.
@@ -64,7 +64,7 @@
 #[data]
 pub struct Notice {
     /// The life of the endpoint that said so.
-    pub life: Life,
+    pub life: EndpointId,
     /// Whether it leaves.
     pub is_leaving: bool,
     /// Its limit, if it names one.
@@ -75,7 +75,7 @@
 
 impl Notice {
     /// What it said of its limit, by the clock of whoever is told.
-    pub fn word(&self, now: Duration) -> Word {
-        Word { limit: self.limit, at: now.saturating_sub(self.age) }
+    pub fn limit_report(&self, now: Duration) -> LimitReport {
+        LimitReport { limit: self.limit, at: now.saturating_sub(self.age) }
     }
 }
--- a/crates/core/tests/testsuite/relay/batch.rs
+++ b/crates/core/tests/testsuite/relay/batch.rs
@@ -1,7 +1,7 @@
 //! Pieces of several requests put together into calls.
 
 use peatdeck_core::relay::{
-    config::{Kind, Route},
+    config::{RequestKind, Route},
     model::{Arrival, PieceFailure},
 };
 
@@ -9,11 +9,11 @@
 
 fn world(room: u64, bytes: u64, endpoints: &[&str]) -> World {
     let stages = vec![stage("ledger", &[], bytes)];
-    let slow = Route { stages, ..route("r", Kind::Idempotent, "desk") };
+    let slow = Route { stages, ..route("r", RequestKind::Idempotent, "desk") };
     let quick = Route {
         stages: vec![stage("ledger", &[], bytes)],
         objective: ms(400),
-        ..route("quick", Kind::Idempotent, "desk")
+        ..route("quick", RequestKind::Idempotent, "desk")
     };
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", room).route(slow);
     let mut world = World::new(config.route(quick).build());
@@ -159,12 +159,12 @@
 fn small_results_are_found_behind_large_ones_that_have_no_room() {
     let large = Route {
         stages: vec![stage("ledger", &[], 1_000_000)],
-        ..route("large", Kind::Idempotent, "desk")
+        ..route("large", RequestKind::Idempotent, "desk")
     };
     let small = Route {
         stages: vec![stage("ledger", &[], 1000)],
         objective: ms(5000),
-        ..route("small", Kind::Idempotent, "desk")
+        ..route("small", RequestKind::Idempotent, "desk")
     };
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", 2_500_000);
     let mut world = World::new(config.route(large).route(small).build());
@@ -280,7 +280,7 @@
 /// more as lacked room, and not to be full.
 #[test]
 fn an_endpoint_without_room_for_some_results_gets_the_next_call() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("ledger", &[], 50_000)];
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", 8 * 50_000);
     let mut world = World::new(config.route(staged).build());
--- a/crates/core/tests/testsuite/relay/calls.rs
+++ b/crates/core/tests/testsuite/relay/calls.rs
@@ -5,7 +5,7 @@
     model::Incarnation,
     relay::{
         allowance::Bound,
-        config::{Engine, Kind, Route},
+        config::{Engine, RequestKind, Route},
         directory::Entry,
         model::{Action, Arrival, Failure},
     },
@@ -15,7 +15,7 @@
 
 #[test]
 fn an_answer_is_passed_on() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     let exchange = world.arrive(arrival("1", "r"));
     let call = world.call();
     assert_eq!(call.remaining, ms(2000));
@@ -27,7 +27,7 @@
 #[test]
 fn what_may_not_run_twice_is_not_sent_again_after_silence() {
     for failure in [Failure::Cut, Failure::Foreign] {
-        let mut world = World::plain(Kind::Once);
+        let mut world = World::plain(RequestKind::Once);
         world.arrive(arrival("1", "r"));
         let call = world.call();
         world.failed(call.key, failure);
@@ -38,7 +38,7 @@
 
 #[test]
 fn what_was_not_sent_goes_to_another_endpoint() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     world.arrive(arrival("1", "r"));
     let first = world.call();
     world.failed(first.key, Failure::Unsent);
@@ -49,7 +49,7 @@
 
 #[test]
 fn what_certainly_did_not_run_is_told_so_with_a_time_to_come_back() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     world.replied(call.key, &unrun(503));
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_time_to_come_back_leaves_time_for_a_second_attempt() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     let mut hurried = arrival("1", "r");
     hurried.deadline = Some(ms(600));
     world.arrive(hurried);
@@ -78,7 +78,7 @@
 
 #[test]
 fn an_idempotent_request_is_repeated_after_silence_and_after_a_failure() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     world.failed(call.key, Failure::Cut);
@@ -91,7 +91,7 @@
 
 #[test]
 fn attempts_end_at_the_routes_number() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     world.put(entry("c", "desk"));
     let exchange = world.arrive(arrival("1", "r"));
     let call = world.call();
@@ -104,7 +104,7 @@
 
 #[test]
 fn an_endpoints_own_failure_is_passed_on_with_its_seal() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     let exchange = world.arrive(arrival("1", "r"));
     let call = world.call();
     world.replied(call.key, &head(500));
@@ -113,7 +113,7 @@
 
 #[test]
 fn an_answer_without_a_seal_is_no_answer() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     let mut bare = head(200);
@@ -124,7 +124,8 @@
 
 #[test]
 fn repetition_keeps_its_bound() {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
+    let config =
+        ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let bound = Bound { ratio: 0.0, slack: 2.5, window: ms(10_000) };
     let mut world = World::with_bound(config.build(), bound);
     world.put(entry("a", "desk"));
@@ -141,7 +142,8 @@
 
 #[test]
 fn instances_that_are_out_of_sight_keep_their_share_of_the_bound() {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
+    let config =
+        ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let bound = Bound { ratio: 0.0, slack: 100.0, window: ms(10_000) };
     let mut world = World::with_bound(config.build(), bound);
     world.put(entry("a", "desk"));
@@ -159,7 +161,7 @@
 
 #[test]
 fn another_endpoint_at_the_address_means_that_this_one_is_gone() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     world.arrive(arrival("1", "r"));
     let first = world.call();
     world.replied(first.key, &unrun(421));
@@ -173,7 +175,7 @@
 
 #[test]
 fn the_time_is_over_at_the_routes_timeout() {
-    let hasty = Route { timeout: ms(300), ..route("r", Kind::Once, "desk") };
+    let hasty = Route { timeout: ms(300), ..route("r", RequestKind::Once, "desk") };
     let config = ConfigBuilder::new(1).service("desk").route(hasty);
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
@@ -189,7 +191,7 @@
 
 #[test]
 fn a_caller_that_leaves_ends_the_call() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     let exchange = world.arrive(arrival("1", "r"));
     let call = world.call();
     world.leave(exchange);
@@ -201,7 +203,7 @@
 
 #[test]
 fn without_endpoints_a_request_waits_a_moment() {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Once, "desk"));
+    let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.arrive(arrival("1", "r"));
     world.advance(ms(100));
@@ -219,7 +221,7 @@
 
 #[test]
 fn an_endpoint_that_leaves_gets_nothing_new() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     world.put(Entry { is_leaving: true, ..entry("a", "desk") });
     for id in 0..10 {
         world.arrive(arrival(&id.to_string(), "r"));
@@ -229,7 +231,7 @@
 
 #[test]
 fn a_paused_instance_first_looks_at_the_time() {
-    let mut world = World::plain(Kind::Stream);
+    let mut world = World::plain(RequestKind::Stream);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     world.now += ms(60_000);
@@ -240,7 +242,7 @@
 
 #[test]
 fn callers_of_an_instance_that_ends_are_told() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     world.relay.end_all(world.now);
@@ -253,7 +255,7 @@
 /// Nothing says that a connection is dead whose endpoint died behind a cut.
 #[test]
 fn a_call_to_a_life_that_is_over_is_given_up_and_repeated() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
@@ -261,7 +263,9 @@
     let closed = world.take(|action| match action {
         Action::Cancel(key) => Some(format!("{}", *key == call.key)),
         Action::Disconnect(addr) => Some(addr.to_string()),
-        Action::Crashed { life, crashes } => Some(format!("{} {}", life.name, crashes.len())),
+        Action::EndpointCrashed { life, crashes } => {
+            Some(format!("{} {}", life.name, crashes.len()))
+        }
         _ => None,
     });
     let crashed = format!("{} 1", call.endpoint);
@@ -274,7 +278,7 @@
 
 #[test]
 fn a_call_that_may_not_be_repeated_ends_with_the_life_that_it_went_to() {
-    let mut world = World::plain(Kind::Once);
+    let mut world = World::plain(RequestKind::Once);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
@@ -284,11 +288,11 @@
 
 /// A world whose engines have shown that first tokens take 100 ms.
 fn engines() -> World {
-    let engine = Engine { slots: 64, memory: 300_000, pause: None, transfer: None };
+    let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer: None };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let config = config.route(route("resumable", Kind::Resumable, "llm")).route(route(
+    let config = config.route(route("resumable", RequestKind::Resumable, "llm")).route(route(
         "stream",
-        Kind::Stream,
+        RequestKind::Stream,
         "llm",
     ));
     let mut world = World::new(config.build());
@@ -367,7 +371,7 @@
 /// It may even claim to be of a later life.
 #[test]
 fn an_entry_of_a_service_that_is_not_configured_names_nobody() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     for incarnation in [1, 7] {
         let incarnation = Incarnation(incarnation);
         let strange = Entry { incarnation, addr: "c:80".into(), ..entry("a", "unheard-of") };
--- a/crates/core/tests/testsuite/relay/cold.rs
+++ b/crates/core/tests/testsuite/relay/cold.rs
@@ -3,9 +3,9 @@
 use std::{sync::Arc, time::Duration};
 
 use peatdeck_core::relay::{
-    config::{Engine, Kind},
+    config::{Engine, RequestKind},
     directory::{Change, Entry},
-    model::{Arrival, Failure, Peer, Question, ReplyHead},
+    model::{Arrival, Failure, Peer, PlacementRequest, ReplyHead},
     terms::Terms,
 };
 
@@ -20,9 +20,9 @@
 
 /// An instance alone before engines that are cold for a while.
 fn engines(names: &[&str], left: u64) -> World {
-    let engine = Engine { slots: 64, memory: 3_000_000, pause: None, transfer: None };
+    let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer: None };
     let config = ConfigBuilder::new(1).engines("llm", engine).cold_pace("llm", PACE);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in names {
         world.put(cold(name, "llm", Some(left)));
     }
@@ -100,7 +100,7 @@
     let mut world = engines(&["a"], 0);
     ask(&mut world, 1);
     let call = world.call();
-    let terms = Terms { cold: Some(ms(2000)), ..Terms::default() };
+    let terms = Terms { cold_left: Some(ms(2000)), ..Terms::default() };
     let told = ReplyHead { terms, ..head(200) };
     world.relay.opened(world.now, call.key, &told);
     assert!(calls_of_a_second(&mut world).len() <= 6);
@@ -115,12 +115,12 @@
     let placed_by = |own: &str, peer: &str| {
         let mut world = engines(&names, 5000);
         assert_eq!(own, "own");
-        world.relay.set_peers(world.now, vec![Peer { name: peer.into(), strength: 250 }], 2);
-        let question = |shared| Question {
+        world.relay.set_peers(world.now, vec![Peer { name: peer.into(), millicores: 250 }], 2);
+        let question = |shared| PlacementRequest {
             service: "llm".into(),
             prompt: prompt(shared, 2),
             inputs: Vec::new(),
-            avoided: Vec::new(),
+            excluded: Vec::new(),
         };
         let placed = (0..200).filter_map(|shared| {
             let placement = world.relay.place(world.now, &question(shared))?;
@@ -137,7 +137,7 @@
     assert_eq!((placed.len(), distinct.len()), (80, 80));
 
     let mut world = engines(&["a"], 5000);
-    let peer = Peer { name: "peer".into(), strength: 500 };
+    let peer = Peer { name: "peer".into(), millicores: 500 };
     world.relay.set_peers(world.now, vec![peer], 2);
     world.relay.placer_failed(world.now, &"peer".into());
     ask(&mut world, 1);
@@ -152,11 +152,11 @@
         let mut sum = 0;
         for own in 0..instances {
             let config = ConfigBuilder::new(1).service("desk").cold_pace("desk", PACE);
-            let config = config.route(route("r", Kind::Idempotent, "desk")).build();
+            let config = config.route(route("r", RequestKind::Idempotent, "desk")).build();
             let mut world = World::named(config, &format!("i{own}"));
             world.put(cold("a", "desk", Some(60_000)));
             let others = (0..instances).filter(|idx| *idx != own);
-            let peers = others.map(|idx| Peer { name: format!("i{idx}").into(), strength: 250 });
+            let peers = others.map(|idx| Peer { name: format!("i{idx}").into(), millicores: 250 });
             world.relay.set_peers(world.now, peers.collect(), instances);
             for idx in 0..50 {
                 world.arrive(arrival(&idx.to_string(), "r"));
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_cold_maker_gets_its_pace() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
     let config = config.cold_pace("maker", ms(500)).route(staged).build();
@@ -198,7 +198,7 @@
 /// It rests for as long after a refusal, which alone would be a shorter pause.
 #[test]
 fn a_cold_maker_that_refuses_rests_as_long() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
     let mut world = World::new(config.cold_pace("maker", ms(500)).route(staged).build());
--- a/crates/core/tests/testsuite/relay/config.rs
+++ b/crates/core/tests/testsuite/relay/config.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 
 use peatdeck_core::relay::{
-    config::{Kind, Route, Target},
+    config::{RequestKind, Route, Target},
     model::Refusal,
 };
 
 use super::fixture::{ConfigBuilder, World, arrival, entry, ms, route};
 
 fn prefixed(prefix: &str, service: &str) -> Route {
-    Route { prefix: Arc::from(prefix), ..route(service, Kind::Idempotent, service) }
+    Route { prefix: Arc::from(prefix), ..route(service, RequestKind::Idempotent, service) }
 }
 
 #[test]
@@ -36,7 +36,7 @@
 fn a_split_follows_its_weights() {
     let target = |service: &str, weight| Target { service: Arc::from(service), weight };
     let targets = vec![target("a", 9), target("b", 1)];
-    let route = Route { targets, ..route("r", Kind::Idempotent, "a") };
+    let route = Route { targets, ..route("r", RequestKind::Idempotent, "a") };
     let spread = |idx: u64| (idx << 32).div_ceil(1000) as u32;
     let to_b = (0..1000).filter(|idx| &**route.target(spread(*idx)).unwrap() == "b").count();
     assert_eq!(to_b, 100);
@@ -64,11 +64,11 @@
 
 #[test]
 fn a_key_is_needed_but_on_public_routes() {
-    let open = Route { is_public: true, ..route("open", Kind::Idempotent, "desk") };
+    let open = Route { is_public: true, ..route("open", RequestKind::Idempotent, "desk") };
     let config = ConfigBuilder::new(1)
         .service("desk")
         .key("k1", "markets")
-        .route(route("shut", Kind::Idempotent, "desk"))
+        .route(route("shut", RequestKind::Idempotent, "desk"))
         .route(open);
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
--- a/crates/core/tests/testsuite/relay/evacuation.rs
+++ b/crates/core/tests/testsuite/relay/evacuation.rs
@@ -5,9 +5,12 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Engine, Kind, Transfer},
+        config::{Engine, RequestKind, Transfer},
         directory::{Change, Entry},
-        model::{Action, Arrival, Failure, Life, Peer, PieceFailure, Placement, Question, Refusal},
+        model::{
+            Action, Arrival, EndpointId, Failure, Peer, PieceFailure, Placement, PlacementRequest,
+            Refusal,
+        },
         operator::Act,
     },
 };
@@ -29,7 +32,7 @@
 }
 
 /// One plain route before an endpoint in the east and one in the west.
-fn two_places(kind: Kind) -> World {
+fn two_places(kind: RequestKind) -> World {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", kind, "desk"));
     let mut world = World::new(config.build());
     world.put(entry_in("east", "a", "desk"));
@@ -55,7 +58,7 @@
 
 #[test]
 fn nothing_goes_to_a_data_centre_until_the_order_is_taken_back() {
-    let mut world = two_places(Kind::Idempotent);
+    let mut world = two_places(RequestKind::Idempotent);
     assert_eq!(called(&mut world, 40), ["a", "b"]);
     assert!(world.obey(evacuate("east")));
     assert!(!world.obey(evacuate("east")), "the same order again says nothing new");
@@ -67,7 +70,7 @@
 
 #[test]
 fn an_endpoint_that_joins_there_later_gets_nothing_either() {
-    let mut world = two_places(Kind::Idempotent);
+    let mut world = two_places(RequestKind::Idempotent);
     world.obey(evacuate("east"));
     world.put(entry_in("east", "c", "desk"));
     world.put(Entry { incarnation: Incarnation(2), ..entry_in("east", "a", "desk") });
@@ -76,7 +79,7 @@
 
 #[test]
 fn an_order_for_a_place_without_endpoints_holds_for_those_that_come() {
-    let mut world = two_places(Kind::Idempotent);
+    let mut world = two_places(RequestKind::Idempotent);
     assert!(world.obey(evacuate("north")));
     world.put(entry_in("north", "c", "desk"));
     assert_eq!(called(&mut world, 40), ["a", "b"]);
@@ -88,7 +91,7 @@
 /// later one has taken back.
 #[test]
 fn orders_that_come_together_are_in_force_together() {
-    let mut world = two_places(Kind::Idempotent);
+    let mut world = two_places(RequestKind::Idempotent);
     world.obey(evacuate("east"));
     world.obey(evacuate("west"));
     world.try_arrive(arrival("1", "r")).unwrap();
@@ -99,7 +102,7 @@
 
 #[test]
 fn what_is_repeated_goes_elsewhere() {
-    let mut world = two_places(Kind::Idempotent);
+    let mut world = two_places(RequestKind::Idempotent);
     world.obey(evacuate("west"));
     world.arrive(arrival("1", "r"));
     let first = world.call();
@@ -111,7 +114,7 @@
 
 #[test]
 fn what_runs_there_ends_there() {
-    let mut world = two_places(Kind::Idempotent);
+    let mut world = two_places(RequestKind::Idempotent);
     world.obey(evacuate("west"));
     world.arrive(arrival("1", "r"));
     let call = world.call();
@@ -124,7 +127,7 @@
 
 #[test]
 fn a_cut_stream_is_not_resumed_there() {
-    let mut world = two_places(Kind::Resumable);
+    let mut world = two_places(RequestKind::Resumable);
     world.obey(evacuate("west"));
     world.arrive(arrival("1", "r"));
     let call = world.call();
@@ -142,7 +145,7 @@
 /// come back after a while.
 #[test]
 fn callers_hear_at_once_where_all_of_a_service_is_evacuated() {
-    let mut world = two_places(Kind::Once);
+    let mut world = two_places(RequestKind::Once);
     world.obey(evacuate("east"));
     world.obey(evacuate("west"));
     world.try_arrive(arrival("1", "r")).unwrap();
@@ -155,7 +158,7 @@
 #[test]
 fn a_service_without_endpoints_is_not_taken_for_evacuated() {
     let config = ConfigBuilder::new(1).service("desk");
-    let mut world = World::new(config.route(route("r", Kind::Idempotent, "desk")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Idempotent, "desk")).build());
     world.obey(evacuate("east"));
     world.try_arrive(arrival("1", "r")).unwrap();
     assert!(world.refusals().is_empty(), "an endpoint may still join");
@@ -163,7 +166,7 @@
 
 /// A route with one stage; a maker in the east and one in the west.
 fn staged() -> World {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20).route(staged);
     let mut world = World::new(config.build());
@@ -217,7 +220,7 @@
 /// A result that belongs in a data centre without usable endpoints is made anywhere.
 #[test]
 fn a_large_result_does_not_wait_for_a_place_that_is_evacuated() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1_500_000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 30).route(staged);
     let mut world = World::new(config.build());
@@ -234,9 +237,9 @@
 
 fn engines() -> World {
     let transfer = Some(Transfer { token_bytes: 160_000.0, rate: 32e6 });
-    let engine = Engine { slots: 64, memory: 300_000, pause: None, transfer };
+    let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     world.put(entry_in("east", "a", "llm"));
     world.put(entry_in("west", "b", "llm"));
     world
@@ -245,11 +248,11 @@
 #[test]
 fn an_engine_that_a_peer_chose_there_is_not_called() {
     let mut world = engines();
-    let peer = Peer { name: "peer".into(), strength: 500 };
+    let peer = Peer { name: "peer".into(), millicores: 500 };
     world.relay.set_peers(world.now, vec![peer], 2);
     let key = world.arrive(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
     world.obey(evacuate("east"));
-    let engine = Life { name: "a".into(), incarnation: Incarnation(1) };
+    let engine = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let placement = Placement { engine, source: None, tokens: 10, wait: ms(0), number: 7 };
     world.relay.placed(world.now, key, &"peer".into(), Some(placement));
     world.collect();
@@ -259,11 +262,11 @@
 #[test]
 fn a_placer_chooses_no_engine_there_and_none_to_fetch_from() {
     let mut world = engines();
-    let question = Question {
+    let question = PlacementRequest {
         service: "llm".into(),
         prompt: prompt(1, 2),
         inputs: Vec::new(),
-        avoided: Vec::new(),
+        excluded: Vec::new(),
     };
     world.obey(evacuate("west"));
     assert_eq!(&*world.relay.place(world.now, &question).unwrap().engine.name, "a");
@@ -279,7 +282,7 @@
 
 #[test]
 fn an_endpoint_that_lapsed_there_is_no_last_resort() {
-    let mut world = two_places(Kind::Idempotent);
+    let mut world = two_places(RequestKind::Idempotent);
     for name in ["a", "b"] {
         world.relay.change(world.now, Change::Removed(name.into()));
     }
@@ -290,7 +293,7 @@
 /// The store was away: those elsewhere have only lapsed, and are used for a moment.
 #[test]
 fn what_is_left_elsewhere_is_used_before_callers_are_refused() {
-    let mut world = two_places(Kind::Idempotent);
+    let mut world = two_places(RequestKind::Idempotent);
     world.relay.change(world.now, Change::Removed("b".into()));
     world.obey(evacuate("east"));
     assert_eq!(called(&mut world, 10), ["b"]);
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -7,7 +7,9 @@
     relay::{
         Relay, Settings,
         allowance::Bound,
-        config::{Config, Engine, Kind, Limits, Pieces, Route, Service, Stage, Target, Team},
+        config::{
+            Config, Engine, Limits, Pieces, RequestKind, Route, Service, Stage, Target, Team,
+        },
         directory::{Change, Entry},
         fingerprint::Fingerprint,
         model::{
@@ -31,7 +33,7 @@
 
 impl ConfigBuilder {
     pub fn new(version: u64) -> ConfigBuilder {
-        let limits = Limits { body: 1 << 20, idle: ms(15_000) };
+        let limits = Limits { max_body: 1 << 20, idle_timeout: ms(15_000) };
         let config =
             Config { version, routes: Vec::new(), services: HashMap::new(), keys: None, limits };
         ConfigBuilder { config }
@@ -44,7 +46,7 @@
     }
 
     pub fn service(mut self, name: &str) -> ConfigBuilder {
-        let service = Service { connections: 800, engine: None, pieces: None, cold_pace: None };
+        let service = Service { connections: 800, engine: None, pieces: None, cold_interval: None };
         self.config.services.insert(Arc::from(name), service);
         self
     }
@@ -64,21 +66,21 @@
 
     pub fn makers(mut self, name: &str, pieces: Pieces) -> ConfigBuilder {
         let service =
-            Service { connections: 800, engine: None, pieces: Some(pieces), cold_pace: None };
+            Service { connections: 800, engine: None, pieces: Some(pieces), cold_interval: None };
         self.config.services.insert(Arc::from(name), service);
         self
     }
 
     pub fn engines(mut self, name: &str, engine: Engine) -> ConfigBuilder {
         let service =
-            Service { connections: 800, engine: Some(engine), pieces: None, cold_pace: None };
+            Service { connections: 800, engine: Some(engine), pieces: None, cold_interval: None };
         self.config.services.insert(Arc::from(name), service);
         self
     }
 
     /// Endpoints of a service bear a call each so much time while they are cold.
     pub fn cold_pace(mut self, name: &str, pace: Duration) -> ConfigBuilder {
-        self.config.services.get_mut(name).unwrap().cold_pace = Some(pace);
+        self.config.services.get_mut(name).unwrap().cold_interval = Some(pace);
         self
     }
 
@@ -93,7 +95,7 @@
 }
 
 /// A route to one service, for paths that begin with its name.
-pub fn route(name: &str, kind: Kind, service: &str) -> Route {
+pub fn route(name: &str, kind: RequestKind, service: &str) -> Route {
     Route {
         name: Arc::from(name),
         host: Arc::from("fleet.example"),
@@ -149,12 +151,19 @@
 /// The head of an endpoint's own whole answer.
 pub fn head(status: u16) -> ReplyHead {
     let terms = Terms::default();
-    ReplyHead { status, is_ours: true, is_unrun: false, is_sealed: true, load: None, terms }
+    ReplyHead {
+        status,
+        has_request_id: true,
+        is_not_run: false,
+        is_sealed: true,
+        load: None,
+        terms,
+    }
 }
 
 /// The head of a reply that says that nothing ran.
 pub fn unrun(status: u16) -> ReplyHead {
-    ReplyHead { is_unrun: true, is_sealed: false, ..head(status) }
+    ReplyHead { is_not_run: true, is_sealed: false, ..head(status) }
 }
 
 /// A relay under test and its clock.
@@ -195,7 +204,7 @@
     }
 
     /// A world with one plain route of that kind and two endpoints.
-    pub fn plain(kind: Kind) -> World {
+    pub fn plain(kind: RequestKind) -> World {
         let config = ConfigBuilder::new(1).service("desk").route(route("r", kind, "desk"));
         let mut world = World::new(config.build());
         world.put(entry("a", "desk"));
@@ -287,7 +296,7 @@
     /// Takes all calls for pieces out of the actions.
     pub fn orders(&mut self) -> Vec<Order> {
         self.take(|action| match action {
-            Action::Make { call, endpoint, addr, pieces } => {
+            Action::MakePieces { call, endpoint, addr, pieces } => {
                 let (endpoint, addr, pieces) = (endpoint.clone(), addr.clone(), pieces.clone());
                 Some(Order { call: *call, endpoint, addr, pieces })
             }
@@ -298,7 +307,7 @@
     /// Takes the results that were given up out of the actions.
     pub fn freed(&mut self) -> Vec<Handle> {
         let freed = self.take(|action| match action {
-            Action::Free { handles, .. } => Some(handles.clone()),
+            Action::FreeResults { handles, .. } => Some(handles.clone()),
             _ => None,
         });
         let mut freed: Vec<_> = freed.into_iter().flatten().collect();
--- a/crates/core/tests/testsuite/relay/forgotten.rs
+++ b/crates/core/tests/testsuite/relay/forgotten.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use peatdeck_core::relay::{
-    config::Kind,
+    config::RequestKind,
     model::{Call, ReplyHead},
     terms::{Rate, Terms},
 };
@@ -12,7 +12,8 @@
 
 /// An instance before two endpoints of a service.
 fn two() -> World {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
+    let config =
+        ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let mut world = World::new(config.build());
     ["a", "b"].into_iter().for_each(|name| world.put(entry(name, "desk")));
     world
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -13,10 +13,12 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Kind, Route},
+        config::{RequestKind, Route},
         directory::Entry,
         fingerprint::Fingerprint,
-        model::{Action, Arrival, CallKey, ExchangeKey, Failure, PieceFailure, Probed, ReplyHead},
+        model::{
+            Action, Arrival, CallKey, ExchangeKey, Failure, PieceFailure, ProbeResult, ReplyHead,
+        },
         operator::Act,
         terms::{Rate, Terms},
     },
@@ -135,11 +137,12 @@
     Fingerprint(u128::from(pick % 4) + 1)
 }
 
-const KINDS: [Kind; 4] = [Kind::Idempotent, Kind::Once, Kind::Stream, Kind::Resumable];
+const KINDS: [RequestKind; 4] =
+    [RequestKind::Idempotent, RequestKind::Once, RequestKind::Stream, RequestKind::Resumable];
 
 #[derive(Default)]
 struct Oracle {
-    open: HashMap<ExchangeKey, Kind>,
+    open: HashMap<ExchangeKey, RequestKind>,
     /// Exchanges of which something may have run.
     ran: HashSet<ExchangeKey>,
     calls: Vec<(CallKey, ExchangeKey)>,
@@ -167,9 +170,9 @@
         let mut consults = Vec::new();
         for action in std::mem::take(&mut world.actions) {
             match action {
-                Action::HeldBack { content, .. } => drop(self.held.insert(content)),
+                Action::Quarantined { content, .. } => drop(self.held.insert(content)),
                 Action::Released(content) => drop(self.held.remove(&content)),
-                Action::Consult { content, .. } => consults.push(content),
+                Action::QueryAnswered { content, .. } => consults.push(content),
                 Action::Send(call) => {
                     let content = self.contents.get(&call.exchange);
                     let is_held = content.is_some_and(|content| self.held.contains(content));
@@ -177,13 +180,13 @@
                     assert!(!self.leaving.contains(&*call.endpoint), "sent to one that leaves");
                     let kind = self.open.get(&call.exchange);
                     let is_repeat = self.ran.contains(&call.exchange);
-                    let may_repeat = kind.is_none_or(|kind| kind.may_repeat());
+                    let may_repeat = kind.is_none_or(|kind| kind.is_repeatable());
                     assert!(may_repeat || !is_repeat, "{kind:?} was called again");
                     self.check_sent(world.now, &call.endpoint);
                     self.called.insert(call.key, call.endpoint.to_string());
                     self.calls.push((call.key, call.exchange));
                 }
-                Action::Make { call, endpoint, addr, pieces } => {
+                Action::MakePieces { call, endpoint, addr, pieces } => {
                     let is_held = pieces.iter().any(|piece| self.held.contains(&piece.content));
                     assert!(!is_held, "made although it is held back");
                     assert!(!self.leaving.contains(&*endpoint), "made at one that leaves");
@@ -195,8 +198,8 @@
                     self.orders.retain(|order| order.call != call);
                 }
                 Action::Answer { exchange, .. }
-                | Action::Finish(exchange)
-                | Action::Break(exchange) => self.end(exchange),
+                | Action::FinishStream(exchange)
+                | Action::AbortStream(exchange) => self.end(exchange),
                 Action::Refuse { exchange, refusal, .. } => {
                     let says_unrun = refusal.status() == 503;
                     assert!(!says_unrun || !self.ran.contains(&exchange), "an untrue refusal");
@@ -320,7 +323,7 @@
                     oracle.ran.insert(exchange);
                     continue;
                 }
-                if !head.is_unrun {
+                if !head.is_not_run {
                     oracle.ran.insert(exchange);
                 }
                 oracle.forget(call);
@@ -418,8 +421,8 @@
             }
             Step::Crash(pick) | Step::Reset(pick) => {
                 let probed = match step {
-                    Step::Crash(_) => Probed::Gone,
-                    _ => Probed::There,
+                    Step::Crash(_) => ProbeResult::Gone,
+                    _ => ProbeResult::There,
                 };
                 for (call, exchange) in oracle.calls_at(&format!("d{}", pick % 3)) {
                     oracle.ran.insert(exchange);
@@ -499,7 +502,7 @@
         }
         Saying::Rest(millis) => {
             head = unrun(503);
-            terms.rest = Some(ms(millis.into()));
+            terms.hold = Some(ms(millis.into()));
             let until = oracle.resting.entry(name).or_default();
             *until = (*until).max(world.now + ms(millis.into()));
         }
@@ -513,7 +516,7 @@
         }
     }
     let head = ReplyHead { terms, ..head };
-    if !head.is_unrun {
+    if !head.is_not_run {
         oracle.ran.insert(exchange);
     }
     if !world.relay.opened(world.now, call, &head) {
--- a/crates/core/tests/testsuite/relay/intake.rs
+++ b/crates/core/tests/testsuite/relay/intake.rs
@@ -1,7 +1,7 @@
 //! Requests that are refused as they come, since their stages take too long.
 
 use peatdeck_core::relay::{
-    config::{Kind, Route},
+    config::{RequestKind, Route},
     model::Arrival,
 };
 
@@ -13,7 +13,7 @@
     let chain = |name, priority| Route {
         stages: stages.clone(),
         priority,
-        ..route(name, Kind::Resumable, "desk")
+        ..route(name, RequestKind::Resumable, "desk")
     };
     let single = Route { stages: vec![stage("ledger", &[], 1)], ..chain("single", 1) };
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30);
--- a/crates/core/tests/testsuite/relay/leaving.rs
+++ b/crates/core/tests/testsuite/relay/leaving.rs
@@ -13,9 +13,12 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Engine, Kind},
+        config::{Engine, RequestKind},
         directory::{Change, Entry},
-        model::{Action, Arrival, Call, Failure, Life, Peer, Placement, Question, ReplyHead},
+        model::{
+            Action, Arrival, Call, EndpointId, Failure, Peer, Placement, PlacementRequest,
+            ReplyHead,
+        },
         terms::Terms,
     },
 };
@@ -69,7 +72,7 @@
 fn whatever_it_answers_it_gets_nothing_more() {
     let refusals = [head(200), head(404), head(500), unrun(503), unrun(429)];
     for refusal in refusals {
-        let mut world = World::plain(Kind::Idempotent);
+        let mut world = World::plain(RequestKind::Idempotent);
         answer_of(&mut world, "a", &leaving(refusal.clone()));
         assert_eq!(called(&mut world), ["b"], "{refusal:?}");
     }
@@ -77,7 +80,7 @@
 
 #[test]
 fn the_head_of_a_stream_says_so() {
-    let mut world = World::plain(Kind::Stream);
+    let mut world = World::plain(RequestKind::Stream);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     assert!(world.relay.opened(world.now, call.key, &leaving(head(200))));
@@ -89,7 +92,7 @@
 /// Its entry may be older than its word, and the store dark.
 #[test]
 fn an_old_entry_does_not_bring_it_back() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     answer_of(&mut world, "a", &leaving(head(200)));
     world.put(entry("a", "desk"));
     assert_eq!(called(&mut world), ["b"]);
@@ -105,7 +108,7 @@
 /// Nothing is sent even where no other is left; callers hear so.
 #[test]
 fn where_all_leave_callers_are_refused() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     answer_of(&mut world, "a", &leaving(head(200)));
     answer_of(&mut world, "b", &leaving(head(200)));
     assert!(called(&mut world).is_empty());
@@ -116,7 +119,7 @@
 /// A cut stream is resumed elsewhere, and repeats go elsewhere.
 #[test]
 fn a_stream_is_not_resumed_there() {
-    let mut world = World::plain(Kind::Resumable);
+    let mut world = World::plain(RequestKind::Resumable);
     world.put(entry("c", "desk"));
     let mut open = Vec::new();
     for idx in 0..20 {
@@ -140,7 +143,7 @@
 
 #[test]
 fn calls_for_pieces_tell_it_and_end() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
     for is_made in [true, false] {
@@ -175,9 +178,9 @@
 /// sends it elsewhere.
 #[test]
 fn a_peers_placement_there_is_not_used() {
-    let engine = Engine { slots: 64, memory: 3_000_000, pause: None, transfer: None };
+    let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer: None };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     world.put(entry("a", "llm"));
     world.put(entry("b", "llm"));
     let ask = |world: &mut World, id: &str| {
@@ -186,15 +189,15 @@
     ask(&mut world, "1");
     let call = world.call();
     world.relay.opened(world.now, call.key, &leaving(head(200)));
-    let peer = Peer { name: "peer".into(), strength: 900 };
+    let peer = Peer { name: "peer".into(), millicores: 900 };
     world.relay.set_peers(world.now, vec![peer], 2);
     let key = ask(&mut world, "2");
-    let asked: Vec<Question> = world.take(|action| match action {
-        Action::Ask { question, .. } => Some(question.clone()),
+    let asked: Vec<PlacementRequest> = world.take(|action| match action {
+        Action::RequestPlacement { question, .. } => Some(question.clone()),
         _ => None,
     });
     assert_eq!(asked.len(), 1);
-    let engine = Life { name: call.endpoint.clone(), incarnation: Incarnation(1) };
+    let engine = EndpointId { name: call.endpoint.clone(), incarnation: Incarnation(1) };
     let placement = Placement { engine, source: None, tokens: 10, wait: ms(0), number: 1 };
     world.relay.placed(world.now, key, &"peer".into(), Some(placement));
     world.collect();
@@ -204,10 +207,10 @@
 /// Peers hear of it, also those that start later.
 #[test]
 fn peers_are_told() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     answer_of(&mut world, "a", &leaving(head(200)));
     let notices = world.relay.notices(world.now);
-    let mut peer = World::plain(Kind::Idempotent);
+    let mut peer = World::plain(RequestKind::Idempotent);
     peer.relay.noticed(peer.now, &"own".into(), &notices);
     peer.collect();
     assert_eq!(called(&mut peer), ["b"]);
--- a/crates/core/tests/testsuite/relay/limits.rs
+++ b/crates/core/tests/testsuite/relay/limits.rs
@@ -5,9 +5,9 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Engine, Kind, Transfer},
+        config::{Engine, RequestKind, Transfer},
         directory::Entry,
-        model::{Action, Arrival, Call, Life, Peer, ReplyHead},
+        model::{Action, Arrival, Call, EndpointId, Peer, ReplyHead},
         terms::{Notice, Rate, Terms},
     },
 };
@@ -23,7 +23,8 @@
 
 /// An instance alone before one plain endpoint.
 fn alone() -> World {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
+    let config =
+        ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
     world
@@ -98,7 +99,7 @@
     assert_eq!(calls_in(&mut world, 1000, &naming(0.0, head(200))), 0);
     world.put(Entry { incarnation: Incarnation(2), ..entry("a", "desk") });
     world.calls();
-    let life = Life { name: "a".into(), incarnation: Incarnation(1) };
+    let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let limit = Rate::per_second(0.0);
     let notice = Notice { life, limit, is_leaving: false, age: ms(0) };
     world.relay.noticed(world.now, &"peer".into(), &[notice]);
@@ -113,7 +114,7 @@
     world.arrive(arrival("1", "r"));
     let call = world.call();
     answer(&mut world, &call, &naming(0.0, unrun(421)));
-    let told = world.take(|action| matches!(action, Action::Limit { .. }).then_some(()));
+    let told = world.take(|action| matches!(action, Action::EndpointLimit { .. }).then_some(()));
     assert!(told.is_empty());
 }
 
@@ -134,7 +135,7 @@
 fn an_older_notice_changes_nothing() {
     let mut world = alone();
     world.advance(ms(10_000));
-    let life = Life { name: "a".into(), incarnation: Incarnation(1) };
+    let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let notice = |limit, age| Notice { life: life.clone(), limit, is_leaving: false, age: ms(age) };
     let told = [notice(Rate::per_second(0.0), 1000), notice(None, 3000)];
     world.relay.noticed(world.now, &"peer".into(), &told);
@@ -146,7 +147,7 @@
 
 #[test]
 fn an_endpoint_that_makes_pieces_gets_its_limit() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
     let mut world = World::new(config.route(staged).build());
@@ -180,12 +181,12 @@
     fn new(instances: usize, limit: f64) -> Group {
         let world = |own: usize| {
             let config = ConfigBuilder::new(1).service("desk");
-            let config = config.route(route("r", Kind::Idempotent, "desk")).build();
+            let config = config.route(route("r", RequestKind::Idempotent, "desk")).build();
             let mut world = World::named(config, &format!("i{own}"));
             world.put(entry("limited", "desk"));
             world.put(entry("free", "desk"));
             let others = (0..instances).filter(|idx| *idx != own);
-            let peers = others.map(|idx| Peer { name: format!("i{idx}").into(), strength: 250 });
+            let peers = others.map(|idx| Peer { name: format!("i{idx}").into(), millicores: 250 });
             world.relay.set_peers(world.now, peers.collect(), instances);
             world
         };
@@ -295,13 +296,13 @@
 #[test]
 fn an_engine_in_need_is_not_asked_for_its_parts() {
     let transfer = Some(Transfer { token_bytes: 160_000.0, rate: 32e6 });
-    let engine = Engine { slots: 64, memory: 3_000_000, pause: None, transfer };
+    let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
     }
-    let life = Life { name: "a".into(), incarnation: Incarnation(1) };
+    let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let limit = Rate::per_second(1.0);
     let notice = Notice { life, limit, is_leaving: false, age: ms(0) };
     world.relay.noticed(world.now, &"peer".into(), &[notice]);
--- a/crates/core/tests/testsuite/relay/load/fleet.rs
+++ b/crates/core/tests/testsuite/relay/load/fleet.rs
@@ -14,12 +14,12 @@
 use peatdeck_core::relay::{
     Relay, Settings,
     allowance::Bound,
-    config::{Engine, Kind, Pieces, Route, Transfer},
+    config::{Engine, Pieces, RequestKind, Route, Transfer},
     directory::{Change, Entry},
     model::{
-        Action, Arrival, Call, CallKey, EndpointKey, ExchangeKey, Handle, HandoverKey, Listed,
-        Part, Peer, Piece, PieceFailure, PieceResult, Placement, Progress, Prompt, Question,
-        ReplyHead,
+        Action, Arrival, Call, CallKey, EndpointKey, ExchangeKey, Handle, HandoverKey, HeldParts,
+        Part, Peer, Piece, PieceFailure, PieceResult, Placement, PlacementRequest, Progress,
+        Prompt, ReplyHead,
     },
     terms::{Notice, Terms},
 };
@@ -103,7 +103,7 @@
     Introduce(usize),
     TakeOver { to: usize, from: usize, key: HandoverKey, pieces: Vec<Piece> },
     Returned { to: usize, key: HandoverKey, results: Vec<PieceResult> },
-    Ask { to: usize, from: usize, key: ExchangeKey, question: Question },
+    Ask { to: usize, from: usize, key: ExchangeKey, question: PlacementRequest },
     Placed { to: usize, by: usize, key: ExchangeKey, placement: Option<Placement>, is_answer: bool },
     Report { to: usize, from: usize, progress: Vec<Progress>, notices: Vec<Notice> },
     Gossip(usize),
@@ -197,7 +197,7 @@
     fn introduce(&mut self, idx: usize) {
         let (now, count) = (self.now, self.relays.len());
         let peers = (0..count).filter(|other| *other != idx);
-        let peers = peers.map(|idx| Peer { name: name(idx), strength: 250 }).collect();
+        let peers = peers.map(|idx| Peer { name: name(idx), millicores: 250 }).collect();
         self.tell(idx, |relay| {
             relay.set_peers(now, peers, count);
             relay.know_peers(now);
@@ -334,7 +334,7 @@
                     relay.parts_listed(
                         now,
                         endpoint,
-                        &Listed { incarnation: None, parts: Vec::new() },
+                        &HeldParts { incarnation: None, parts: Vec::new() },
                     )
                 });
             }
@@ -373,22 +373,26 @@
 
     fn perform(&mut self, idx: usize, action: Action) {
         match action {
-            Action::Make { call, addr, pieces, .. } => {
+            Action::MakePieces { call, addr, pieces, .. } => {
                 self.outcome.batchers.insert(idx);
                 self.after_hop(Event::Make { from: idx, call, addr, pieces });
             }
-            Action::HandOver { key, peer, pieces } => {
+            Action::HandOverPieces { key, peer, pieces } => {
                 self.after_hop(Event::TakeOver { to: number(&peer), from: idx, key, pieces });
             }
-            Action::Return { ticket, results } => {
+            Action::ReturnResults { ticket, results } => {
                 let (to, key) = self.tickets.remove(&ticket).expect("it was taken over");
                 self.after_hop(Event::Returned { to, key, results });
             }
-            Action::FreeThrough { peer, handles, is_spare } => {
-                self.after_hop(Event::FreeThrough { to: number(&peer), handles, is_spare });
+            Action::FreeViaPeer { peer, handles, is_evictable } => {
+                self.after_hop(Event::FreeThrough {
+                    to: number(&peer),
+                    handles,
+                    is_spare: is_evictable,
+                });
             }
-            Action::Free { addr, handles } => self.after_hop(Event::Free { addr, handles }),
-            Action::Ask { exchange, peer, question } => {
+            Action::FreeResults { addr, handles } => self.after_hop(Event::Free { addr, handles }),
+            Action::RequestPlacement { exchange, peer, question } => {
                 let (to, key) = (number(&peer), exchange);
                 self.after_hop(Event::Ask { to, from: idx, key, question });
             }
@@ -396,39 +400,39 @@
             Action::ListParts { endpoint, .. } => {
                 self.after_hop(Event::Listed { to: idx, endpoint });
             }
-            Action::TellQueue { peer, service } => {
+            Action::AnnounceQueue { peer, service } => {
                 self.after_hop(Event::Queue { to: number(&peer), service });
             }
-            Action::Report { peer, progress, notices } => {
+            Action::ReportProgress { peer, progress, notices } => {
                 self.after_hop(Event::Report { to: number(&peer), from: idx, progress, notices });
             }
             Action::Send(call) => self.after_hop(Event::Send { from: idx, call }),
-            Action::Begin { exchange, .. } => self.answered(idx, exchange),
+            Action::BeginStream { exchange, .. } => self.answered(idx, exchange),
             Action::Refuse { exchange, refusal, .. } => {
                 self.refused(idx, exchange, refusal.status())
             }
-            Action::Break(exchange) => self.refused(idx, exchange, 502),
-            Action::Finish(_)
+            Action::AbortStream(exchange) => self.refused(idx, exchange, 502),
+            Action::FinishStream(_)
             | Action::Answer { .. }
             | Action::Cancel(_)
-            | Action::Limit { .. }
-            | Action::Leaves { .. }
-            | Action::Recall(_) => {}
+            | Action::EndpointLimit { .. }
+            | Action::EndpointLeaving { .. }
+            | Action::RecallPieces(_) => {}
             // No endpoint of this fleet ends.
             Action::Probe { .. }
-            | Action::Crashed { .. }
-            | Action::Accuse { .. }
-            | Action::Consult { .. }
-            | Action::Acquitted(_)
-            | Action::HeldBack { .. }
-            | Action::Quarantine { .. }
-            | Action::Record { .. }
-            | Action::Unrecord(_)
+            | Action::EndpointCrashed { .. }
+            | Action::ReportCrashes { .. }
+            | Action::QueryAnswered { .. }
+            | Action::SuspicionCleared(_)
+            | Action::Quarantined { .. }
+            | Action::AnnounceQuarantine { .. }
+            | Action::WriteQuarantine { .. }
+            | Action::DeleteQuarantine(_)
             | Action::Released(_) => unreachable!("{action:?}"),
         }
     }
 
-    fn ask(&mut self, to: usize, from: usize, key: ExchangeKey, question: &Question) {
+    fn ask(&mut self, to: usize, from: usize, key: ExchangeKey, question: &PlacementRequest) {
         let is_muted =
             self.muted.as_ref().is_some_and(|(idx, span)| *idx == to && span.contains(&self.now));
         if is_muted {
@@ -553,12 +557,12 @@
         lease: ms(4000),
     };
     let engine =
-        Engine { slots: 48, memory: engine::MEMORY, pause: None, transfer: Some(TRANSFER) };
+        Engine { slots: 48, memory: engine::MEMORY, max_gap: None, transfer: Some(TRANSFER) };
     let route = Route {
         stages: vec![stage("maker", &[], RESULT)],
         objective: OBJECTIVE,
         timeout: DEADLINE,
-        ..route("r", Kind::Resumable, "llm")
+        ..route("r", RequestKind::Resumable, "llm")
     };
     let config = ConfigBuilder::new(1).engines("llm", engine).makers("maker", pieces);
     let config = config.cold_pace("llm", COLD_PACE).route(route);
--- a/crates/core/tests/testsuite/relay/peers.rs
+++ b/crates/core/tests/testsuite/relay/peers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use peatdeck_core::relay::{
-    config::{Kind, Route},
+    config::{RequestKind, Route},
     model::{Action, Arrival, HandoverKey, Peer, Piece, PieceFailure},
 };
 
@@ -14,7 +14,7 @@
     let config = ConfigBuilder::new(1)
         .service("desk")
         .maker("ledger", 1 << 30)
-        .route(Route { stages, ..route("r", Kind::Idempotent, "desk") });
+        .route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
     let mut world = World::new(config.build());
     world.put(entry("d1", "desk"));
     world.put(entry("l1", "ledger"));
@@ -40,13 +40,13 @@
 }
 
 fn peer(name: &str, strength: u32) -> Peer {
-    Peer { name: Arc::from(name), strength }
+    Peer { name: Arc::from(name), millicores: strength }
 }
 
 /// The peers that hand-overs go to.
 fn receivers(world: &mut World) -> Vec<Arc<str>> {
     world.take(|action| match action {
-        Action::HandOver { peer, .. } => Some(peer.clone()),
+        Action::HandOverPieces { peer, .. } => Some(peer.clone()),
         _ => None,
     })
 }
@@ -57,14 +57,14 @@
 
 fn handed(world: &mut World) -> Vec<(HandoverKey, Vec<Piece>)> {
     world.take(|action| match action {
-        Action::HandOver { key, pieces, .. } => Some((*key, pieces.clone())),
+        Action::HandOverPieces { key, pieces, .. } => Some((*key, pieces.clone())),
         _ => None,
     })
 }
 
 fn returned(world: &mut World) -> Vec<(u64, usize)> {
     world.take(|action| match action {
-        Action::Return { ticket, results } => Some((*ticket, results.len())),
+        Action::ReturnResults { ticket, results } => Some((*ticket, results.len())),
         _ => None,
     })
 }
@@ -115,7 +115,7 @@
     world.relay.returned(world.now, key, None);
     world.collect();
     let next = world.take(|action| match action {
-        Action::HandOver { peer, pieces, .. } => Some((peer.clone(), pieces.clone())),
+        Action::HandOverPieces { peer, pieces, .. } => Some((peer.clone(), pieces.clone())),
         _ => None,
     });
     assert_eq!(next, [(Arc::from("second"), pieces)]);
@@ -134,7 +134,7 @@
     let exchange = world.arrive(asking("1", 2));
     let (key, _) = handed(&mut world).remove(0);
     world.leave(exchange);
-    assert_eq!(world.actions, [Action::Recall(key)]);
+    assert_eq!(world.actions, [Action::RecallPieces(key)]);
 }
 
 #[test]
@@ -169,7 +169,7 @@
 #[test]
 fn a_peers_late_pieces_are_returned_at_once() {
     let mut world = world();
-    let late = Piece { due: world.now, ..piece(0) };
+    let late = Piece { deadline: world.now, ..piece(0) };
     world.relay.take_over(world.now, 9, vec![late]);
     world.collect();
     assert_eq!(returned(&mut world), [(9, 1)]);
--- a/crates/core/tests/testsuite/relay/placing.rs
+++ b/crates/core/tests/testsuite/relay/placing.rs
@@ -5,10 +5,11 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Engine, Kind, Transfer},
+        config::{Engine, RequestKind, Transfer},
         directory::{Change, Entry},
         model::{
-            Action, Arrival, ExchangeKey, Life, Listed, Peer, Placement, Progress, Question, Step,
+            Action, Arrival, EndpointId, ExchangeKey, HeldParts, Peer, Placement, PlacementRequest,
+            Progress, Step,
         },
     },
 };
@@ -18,28 +19,28 @@
 /// An instance whose only peer is stronger, so that the peer is the placer.
 fn beside_a_placer() -> World {
     let transfer = Some(Transfer { token_bytes: 160_000.0, rate: 32e6 });
-    let engine = Engine { slots: 64, memory: 300_000, pause: None, transfer };
+    let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
     }
-    let peer = Peer { name: "peer".into(), strength: 500 };
+    let peer = Peer { name: "peer".into(), millicores: 500 };
     world.relay.set_peers(world.now, vec![peer], 2);
     world
 }
 
-fn life(name: &str, incarnation: u64) -> Life {
-    Life { name: name.into(), incarnation: Incarnation(incarnation) }
+fn life(name: &str, incarnation: u64) -> EndpointId {
+    EndpointId { name: name.into(), incarnation: Incarnation(incarnation) }
 }
 
 fn asking(id: &str) -> Arrival {
     Arrival { prompt: Some(prompt(1, 2)), ..arrival(id, "r") }
 }
 
-fn questions(world: &mut World) -> Vec<(ExchangeKey, Question)> {
+fn questions(world: &mut World) -> Vec<(ExchangeKey, PlacementRequest)> {
     world.take(|action| match action {
-        Action::Ask { exchange, question, .. } => Some((*exchange, question.clone())),
+        Action::RequestPlacement { exchange, question, .. } => Some((*exchange, question.clone())),
         _ => None,
     })
 }
@@ -109,16 +110,16 @@
 fn a_placer_does_not_choose_what_the_asker_avoids() {
     let mut world = beside_a_placer();
     world.relay.set_peers(world.now, Vec::new(), 1);
-    let question = Question {
+    let question = PlacementRequest {
         service: "llm".into(),
         prompt: prompt(1, 2),
         inputs: Vec::new(),
-        avoided: vec![life("a", 1)],
+        excluded: vec![life("a", 1)],
     };
     for _ in 0..3 {
         assert_eq!(&*world.relay.place(world.now, &question).unwrap().engine.name, "b");
     }
-    let none = Question { avoided: vec![life("a", 1), life("b", 1)], ..question };
+    let none = PlacementRequest { excluded: vec![life("a", 1), life("b", 1)], ..question };
     assert_eq!(world.relay.place(world.now, &none), None);
 }
 
@@ -148,16 +149,16 @@
     world.put(Entry { incarnation: Incarnation(2), ..entry("a", "llm") });
     world.arrive(asking("1"));
     let (key, question) = questions(&mut world).remove(0);
-    assert!(question.avoided.is_empty());
+    assert!(question.excluded.is_empty());
     answer(&mut world, key, "a");
     let call = world.call();
     assert_eq!(call.source, None, "the placer's word of an earlier life does not count");
     world.relay.set_peers(world.now, Vec::new(), 1);
-    let question = Question {
+    let question = PlacementRequest {
         service: "llm".into(),
         prompt: prompt(1, 2),
         inputs: Vec::new(),
-        avoided: vec![life("a", 1), life("b", 1)],
+        excluded: vec![life("a", 1), life("b", 1)],
     };
     let placement = world.relay.place(world.now, &question).unwrap();
     assert_eq!(placement.engine, life("a", 2), "what failed is over");
@@ -169,13 +170,13 @@
         let mut world = beside_a_placer();
         world.relay.set_peers(world.now, Vec::new(), 1);
         let engine = world.relay.directory().by_name("a").unwrap();
-        let listed = Listed { incarnation: Some(Incarnation(told)), parts: vec![1] };
+        let listed = HeldParts { incarnation: Some(Incarnation(told)), parts: vec![1] };
         world.relay.parts_listed(world.now, engine, &listed);
-        let question = Question {
+        let question = PlacementRequest {
             service: "llm".into(),
             prompt: prompt(1, 2),
             inputs: Vec::new(),
-            avoided: vec![life("b", 1)],
+            excluded: vec![life("b", 1)],
         };
         world.relay.place(world.now, &question).unwrap().tokens
     };
@@ -185,17 +186,17 @@
 /// A placer of two engines, of which `a` streams to ten callers and has so much
 /// to read besides, and where the next prompt goes that `a` has read before.
 fn placed_beside_streams(backlog: u64, pause: Option<Duration>) -> Arc<str> {
-    let engine = Engine { slots: 64, memory: 900_000, pause, transfer: None };
+    let engine = Engine { slots: 64, memory: 900_000, max_gap: pause, transfer: None };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
     }
-    let question = |own: u64, avoided: &str| Question {
+    let question = |own: u64, avoided: &str| PlacementRequest {
         service: "llm".into(),
         prompt: prompt(1, own),
         inputs: Vec::new(),
-        avoided: vec![life(avoided, 1)],
+        excluded: vec![life(avoided, 1)],
     };
     for own in 0..10 {
         let placement = world.relay.place(world.now, &question(100 + own, "b")).unwrap();
@@ -206,7 +207,7 @@
     for own in 0..backlog {
         world.relay.place(world.now, &question(200 + own, "b")).unwrap();
     }
-    let next = Question { avoided: Vec::new(), ..question(300, "b") };
+    let next = PlacementRequest { excluded: Vec::new(), ..question(300, "b") };
     world.relay.place(world.now, &next).unwrap().engine.name
 }
 
--- a/crates/core/tests/testsuite/relay/policies.rs
+++ b/crates/core/tests/testsuite/relay/policies.rs
@@ -3,7 +3,7 @@
 use peatdeck_core::{
     policy,
     relay::{
-        config::{Kind, Route},
+        config::{RequestKind, Route},
         model::{Arrival, Failure, Refusal},
     },
 };
@@ -12,7 +12,7 @@
 
 /// A world with one plain route and two endpoints, under a policy.
 fn under(script: &str) -> World {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     world.relay.set_policy(policy::compile(script).unwrap());
     world
 }
@@ -80,7 +80,7 @@
 fn a_policy_sees_what_waits() {
     let stages = vec![stage("ledger", &[], 10)];
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30);
-    let config = config.route(Route { stages, ..route("r", Kind::Idempotent, "desk") });
+    let config = config.route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
     let mut world = World::new(config.build());
     world.put(entry("l1", "ledger"));
     let script = "fn admit(ctx) { ctx.stage != \"ledger\" || ctx.waiting < 3 }";
--- a/crates/core/tests/testsuite/relay/prompts.rs
+++ b/crates/core/tests/testsuite/relay/prompts.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use peatdeck_core::relay::{
-    config::{Engine, Kind, Transfer},
+    config::{Engine, RequestKind, Transfer},
     model::{Arrival, Call},
 };
 
@@ -13,9 +13,9 @@
 const TRANSFER: Transfer = Transfer { token_bytes: 160_000.0, rate: 32e6 };
 
 fn world(transfer: Option<Transfer>) -> World {
-    let engine = Engine { slots: 64, memory: 300_000, pause: None, transfer };
+    let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b", "c"] {
         world.put(entry(name, "llm"));
     }
--- a/crates/core/tests/testsuite/relay/quarantine.rs
+++ b/crates/core/tests/testsuite/relay/quarantine.rs
@@ -14,10 +14,10 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::Kind,
+        config::RequestKind,
         directory::Entry,
         fingerprint::Fingerprint,
-        model::{Action, Arrival, Call, EndpointKey, Failure, Peer, Probed},
+        model::{Action, Arrival, Call, EndpointKey, Failure, Peer, ProbeResult},
         quarantine::{BEGINNING, WINDOW},
     },
 };
@@ -27,7 +27,7 @@
 /// Endpoints of a world: more than any test ends.
 const DESKS: usize = 12;
 
-fn world(kind: Kind) -> World {
+fn world(kind: RequestKind) -> World {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", kind, "desk"));
     let mut world = World::new(config.build());
     for idx in 0..DESKS {
@@ -57,7 +57,7 @@
 }
 
 /// The call is cut, and the probe of its endpoint tells this.
-fn cut(world: &mut World, call: &Call, probed: Probed) {
+fn cut(world: &mut World, call: &Call, probed: ProbeResult) {
     world.failed(call.key, Failure::Cut);
     for endpoint in probes(world) {
         world.relay.probed(world.now, endpoint, probed);
@@ -69,13 +69,13 @@
 fn crash(world: &mut World, id: &str) {
     world.arrive(poison(id));
     let call = world.call();
-    cut(world, &call, Probed::Gone);
+    cut(world, &call, ProbeResult::Gone);
     world.refusals();
 }
 
 fn consulted(world: &mut World) -> Vec<Fingerprint> {
     world.take(|action| match action {
-        Action::Consult { content, .. } => Some(*content),
+        Action::QueryAnswered { content, .. } => Some(*content),
         _ => None,
     })
 }
@@ -96,7 +96,7 @@
 }
 
 /// A content that has ended three endpoints, and is held back.
-fn held_world(kind: Kind) -> World {
+fn held_world(kind: RequestKind) -> World {
     let mut world = world(kind);
     for id in ["1", "2", "3"] {
         crash(&mut world, id);
@@ -107,14 +107,14 @@
 
 #[test]
 fn content_that_ended_three_endpoints_is_held_back() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
     assert!(consulted(&mut world).is_empty());
     crash(&mut world, "3");
     answer_consult(&mut world, false);
     let told = world.take(|action| match action {
-        Action::Quarantine { content, crashes } => Some((*content, *crashes)),
+        Action::AnnounceQuarantine { content, crashes } => Some((*content, *crashes)),
         _ => None,
     });
     assert_eq!(told, [(held(), 3)]);
@@ -124,7 +124,7 @@
 
 #[test]
 fn its_caller_hears_at_once_that_nothing_ran_and_how_long_that_lasts() {
-    let mut world = held_world(Kind::Once);
+    let mut world = held_world(RequestKind::Once);
     world.advance(ms(60_000));
     world.arrive(poison("4"));
     let refusal = world.refusals().remove(0);
@@ -136,7 +136,7 @@
 
 #[test]
 fn what_is_asked_for_by_others_is_served() {
-    let mut world = held_world(Kind::Once);
+    let mut world = held_world(RequestKind::Once);
     world.arrive(arrival("other", "r"));
     assert_eq!(world.calls().len(), 1);
 }
@@ -171,8 +171,8 @@
 /// networks that do not.
 #[test]
 fn cut_connections_alone_are_no_crashes() {
-    for probed in [Probed::There, Probed::Unknown] {
-        let mut world = world(Kind::Once);
+    for probed in [ProbeResult::There, ProbeResult::Unknown] {
+        let mut world = world(RequestKind::Once);
         for id in 0..9 {
             world.arrive(poison(&id.to_string()));
             let call = world.call();
@@ -186,7 +186,7 @@
 
 #[test]
 fn a_planned_end_is_no_crash() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     for id in 0..6 {
         world.arrive(poison(&id.to_string()));
         let call = world.call();
@@ -201,7 +201,7 @@
 /// Its entry is there for some seconds yet.
 #[test]
 fn an_endpoint_that_has_ended_gets_nothing_until_its_entry_is_written_anew() {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Once, "desk"));
+    let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("only", "desk"));
     crash(&mut world, "1");
@@ -215,7 +215,7 @@
 /// Calls that this instance gives up itself say nothing of their endpoints.
 #[test]
 fn calls_that_are_given_up_are_no_crashes() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     let key = world.arrive(poison("1"));
     world.call();
     world.leave(key);
@@ -224,7 +224,7 @@
 
 #[test]
 fn one_life_counts_once_however_many_runs_end_with_it() {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Once, "desk"));
+    let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("only", "desk"));
     let calls: Vec<_> = (0..4)
@@ -238,7 +238,7 @@
     }
     let probed = probes(&mut world);
     assert_eq!(probed.len(), 1, "one probe tells for all");
-    world.relay.probed(world.now, probed[0], Probed::Gone);
+    world.relay.probed(world.now, probed[0], ProbeResult::Gone);
     world.collect();
     assert!(consulted(&mut world).is_empty());
 }
@@ -246,18 +246,18 @@
 /// The connection may be noticed late, behind the probe's answer.
 #[test]
 fn runs_that_are_cut_after_the_end_is_known_count() {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Once, "desk"));
+    let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("only", "desk"));
     world.arrive(arrival("bystander", "r"));
     let bystander = world.call();
     world.arrive(poison("1"));
     let call = world.call();
-    cut(&mut world, &bystander, Probed::Gone);
+    cut(&mut world, &bystander, ProbeResult::Gone);
     world.failed(call.key, Failure::Cut);
     assert!(probes(&mut world).is_empty());
     let crashed = world.take(|action| match action {
-        Action::Crashed { crashes, .. } => Some(crashes[0].content),
+        Action::EndpointCrashed { crashes, .. } => Some(crashes[0].content),
         _ => None,
     });
     assert_eq!(crashed[1..], [held()]);
@@ -266,11 +266,11 @@
 /// The address itself may show nothing: the next life listens there already.
 #[test]
 fn an_endpoint_that_started_again_has_crashed_with_what_it_was_sent() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     for id in ["1", "2", "3"] {
         world.arrive(poison(id));
         let call = world.call();
-        cut(&mut world, &call, Probed::There);
+        cut(&mut world, &call, ProbeResult::There);
         world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
     }
     assert_eq!(consulted(&mut world), [held()]);
@@ -278,7 +278,7 @@
 
 #[test]
 fn calls_that_are_open_when_an_endpoint_starts_again_have_crashed_with_it() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     for id in ["1", "2", "3"] {
         world.arrive(poison(id));
         let call = world.call();
@@ -291,7 +291,7 @@
 /// Streams that have gone on for a while when their engine ends are bystanders.
 #[test]
 fn crashes_of_runs_that_had_gone_on_for_a_while_weigh_half() {
-    let mut world = world(Kind::Stream);
+    let mut world = world(RequestKind::Stream);
     for id in 0..6 {
         assert!(consulted(&mut world).is_empty(), "{id} crashes");
         world.arrive(poison(&id.to_string()));
@@ -299,7 +299,7 @@
         world.relay.opened(world.now, call.key, &head(200));
         world.event(call.key, 1);
         world.advance(BEGINNING);
-        cut(&mut world, &call, Probed::Gone);
+        cut(&mut world, &call, ProbeResult::Gone);
     }
     assert_eq!(consulted(&mut world), [held()]);
 }
@@ -307,7 +307,7 @@
 /// Popular content is in many crashes by chance.
 #[test]
 fn content_that_was_answered_meanwhile_is_not_held_back() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
     world.arrive(poison("sound"));
@@ -320,7 +320,7 @@
 
 #[test]
 fn an_endpoints_own_failure_is_an_answer_too() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
     world.arrive(poison("failing"));
@@ -332,7 +332,7 @@
 
 #[test]
 fn content_that_another_instance_had_answered_is_not_held_back() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     for id in ["1", "2", "3"] {
         crash(&mut world, id);
     }
@@ -345,7 +345,7 @@
 
 #[test]
 fn an_instance_says_whether_it_had_a_content_answered() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     world.advance(ms(1000));
     world.arrive(poison("1"));
     let call = world.call();
@@ -356,7 +356,7 @@
 
 #[test]
 fn crashes_count_for_a_while_only() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
     world.advance(WINDOW);
@@ -365,5 +365,5 @@
 }
 
 fn peer(name: &str) -> Peer {
-    Peer { name: Arc::from(name), strength: 250 }
+    Peer { name: Arc::from(name), millicores: 250 }
 }
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -5,9 +5,9 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::Kind,
+        config::RequestKind,
         fingerprint::Fingerprint,
-        model::{Action, Life, Refusal},
+        model::{Action, EndpointId, Refusal},
         quarantine::{Crash, WINDOW},
     },
 };
@@ -17,7 +17,7 @@
 
 fn accused(world: &mut World) -> Vec<Arc<str>> {
     let mut peers = world.take(|action| match action {
-        Action::Accuse { peer, .. } => Some(peer.clone()),
+        Action::ReportCrashes { peer, .. } => Some(peer.clone()),
         _ => None,
     });
     peers.sort();
@@ -28,7 +28,7 @@
 #[test]
 fn all_instances_tell_the_same_peers_of_a_contents_crashes() {
     let names = ["own", "a", "b", "c", "d"];
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     let others = names[1..].iter().map(|name| peer(name)).collect();
     world.relay.set_peers(world.now, others, names.len());
     crash(&mut world, "1");
@@ -40,10 +40,10 @@
 
 #[test]
 fn a_keeper_counts_what_peers_saw() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     for (idx, name) in ["x", "y", "z"].into_iter().enumerate() {
         assert!(consulted(&mut world).is_empty(), "after {idx}");
-        let life = Life { name: Arc::from(name), incarnation: Incarnation(1) };
+        let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
         let crash = Crash { content: held(), life, age: ms(5), is_late: false };
         world.relay.suspect(world.now, &crash);
         world.relay.suspect(world.now, &crash);
@@ -56,7 +56,7 @@
 fn told(world: &mut World) -> usize {
     world
         .take(|action| match action {
-            Action::Quarantine { content, .. } => Some(*content),
+            Action::AnnounceQuarantine { content, .. } => Some(*content),
             _ => None,
         })
         .len()
@@ -65,9 +65,9 @@
 /// Whoever reports a crash of what is held back has not heard of it.
 #[test]
 fn peers_are_told_again_where_it_is_still_sent_to_endpoints() {
-    let mut world = held_world(Kind::Once);
+    let mut world = held_world(RequestKind::Once);
     assert_eq!(told(&mut world), 1);
-    let life = Life { name: Arc::from("x"), incarnation: Incarnation(1) };
+    let life = EndpointId { name: Arc::from("x"), incarnation: Incarnation(1) };
     let crash = Crash { content: held(), life, age: ms(5), is_late: false };
     world.relay.suspect(world.now, &crash);
     world.collect();
@@ -77,7 +77,7 @@
 /// The store may be away: then its table tells nothing to whoever starts.
 #[test]
 fn peers_that_join_are_told_of_what_the_table_lacks() {
-    let mut world = held_world(Kind::Once);
+    let mut world = held_world(RequestKind::Once);
     told(&mut world);
     world.relay.set_peers(world.now, vec![peer("x")], 2);
     world.collect();
@@ -91,9 +91,9 @@
 
 #[test]
 fn nothing_is_blamed_on_content_that_was_not_told() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     for name in ["x", "y", "z"] {
-        let life = Life { name: Arc::from(name), incarnation: Incarnation(1) };
+        let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
         let content = Fingerprint::UNKNOWN;
         let crash = Crash { content, life, age: ms(5), is_late: false };
         world.relay.suspect(world.now, &crash);
@@ -112,7 +112,7 @@
         instances: 1,
         strength: 250,
     };
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Once, "desk"));
+    let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.relay = peatdeck_core::relay::Relay::new(settings, 1);
     world.relay.configure(ConfigBuilder::new(1).build());
@@ -123,7 +123,7 @@
 
 #[test]
 fn what_the_table_holds_back_is_held_back_until_its_record_is_gone() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     world.relay.recorded(world.now, held(), 3);
     assert!(is_refused(&mut world));
     world.relay.unrecorded(held());
@@ -132,7 +132,7 @@
 
 fn unrecorded(world: &mut World) -> Vec<Fingerprint> {
     world.take(|action| match action {
-        Action::Unrecord(content) => Some(*content),
+        Action::DeleteQuarantine(content) => Some(*content),
         _ => None,
     })
 }
@@ -141,7 +141,7 @@
 /// removed, and not only forgotten by each at a time of its own.
 #[test]
 fn content_that_nobody_sends_any_more_has_its_record_removed() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     world.relay.recorded(world.now, held(), 3);
     world.advance(WINDOW - ms(1));
     assert!(unrecorded(&mut world).is_empty());
@@ -156,7 +156,7 @@
 
 #[test]
 fn content_without_a_record_is_forgotten_after_a_while() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     world.relay.hold_back(world.now, held(), 3);
     world.advance(WINDOW + ms(70_000));
     world.advance(ms(5000));
@@ -166,7 +166,7 @@
 /// Whoever goes on sending it keeps it held back, here and elsewhere.
 #[test]
 fn its_record_is_written_anew_while_it_is_still_sent() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     world.relay.recorded(world.now, held(), 3);
     let mut written = 0;
     for id in 0..30 {
@@ -175,7 +175,7 @@
         assert!(world.calls().is_empty());
         written += world
             .take(|action| match action {
-                Action::Record { crashes, .. } => Some(*crashes),
+                Action::WriteQuarantine { crashes, .. } => Some(*crashes),
                 _ => None,
             })
             .len();
@@ -186,7 +186,7 @@
 
 #[test]
 fn an_operator_releases_a_content() {
-    let mut world = held_world(Kind::Once);
+    let mut world = held_world(RequestKind::Once);
     let shown: Vec<_> =
         world.relay.held_back().map(|(content, hold)| (content, hold.crashes)).collect();
     assert_eq!(shown, [(held(), 3)]);
@@ -200,11 +200,11 @@
 /// Any number of contents may be in crashes, and any number of endpoints may end.
 #[test]
 fn what_is_remembered_of_crashes_is_bounded() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     world.advance(ms(60_000));
     let crash = |content: u128, name: &str, age| Crash {
         content: Fingerprint(content),
-        life: Life { name: Arc::from(name), incarnation: Incarnation(1) },
+        life: EndpointId { name: Arc::from(name), incarnation: Incarnation(1) },
         age: ms(age),
         is_late: false,
     };
@@ -222,10 +222,10 @@
 
 #[test]
 fn many_contents_can_be_held_back_at_once_but_not_any_number() {
-    let mut world = world(Kind::Once);
+    let mut world = world(RequestKind::Once);
     for content in 1..=3000 {
         for name in ["x", "y", "z"] {
-            let life = Life { name: Arc::from(name), incarnation: Incarnation(1) };
+            let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
             let crash = Crash { content: Fingerprint(content), life, age: ms(0), is_late: false };
             world.relay.suspect(world.now, &crash);
         }
--- a/crates/core/tests/testsuite/relay/quarantine/work.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/work.rs
@@ -1,9 +1,9 @@
 //! What becomes of work that is under way when a content is held back.
 
 use peatdeck_core::relay::{
-    config::{Kind, Route},
+    config::{RequestKind, Route},
     fingerprint::Fingerprint,
-    model::{Action, Arrival, Failure, Peer, PieceFailure, Probed},
+    model::{Action, Arrival, Failure, Peer, PieceFailure, ProbeResult},
 };
 
 use super::{content, held, peer, poison, probes, world};
@@ -12,7 +12,7 @@
 /// What is under way when word comes is stopped, before it gets further.
 #[test]
 fn calls_that_wait_for_their_answers_are_given_up() {
-    let mut world = world(Kind::Idempotent);
+    let mut world = world(RequestKind::Idempotent);
     world.arrive(poison("1"));
     let call = world.call();
     world.relay.hold_back(world.now, held(), 3);
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_stream_that_has_begun_goes_on_but_is_not_begun_again() {
-    let mut world = world(Kind::Resumable);
+    let mut world = world(RequestKind::Resumable);
     world.arrive(poison("1"));
     let call = world.call();
     world.relay.opened(world.now, call.key, &head(200));
@@ -37,12 +37,12 @@
     assert!(world.event(call.key, 2));
     world.failed(call.key, Failure::Cut);
     assert!(world.calls().is_empty());
-    assert!(world.actions.iter().any(|action| matches!(action, Action::Break(_))));
+    assert!(world.actions.iter().any(|action| matches!(action, Action::AbortStream(_))));
 }
 
 #[test]
 fn one_that_waits_for_an_endpoint_hears_that_nothing_ran() {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Once, "desk"));
+    let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.arrive(poison("1"));
     world.relay.hold_back(world.now, held(), 3);
@@ -52,12 +52,12 @@
 
 #[test]
 fn a_prompt_that_a_placer_is_asked_about_is_not_sent() {
-    let mut world = world(Kind::Stream);
-    let stronger = Peer { strength: 500, ..peer("x") };
+    let mut world = world(RequestKind::Stream);
+    let stronger = Peer { millicores: 500, ..peer("x") };
     world.relay.set_peers(world.now, vec![stronger.clone()], 2);
     let prompt = Some(crate::relay::fixture::prompt(1, 2));
     let key = world.arrive(Arrival { prompt, ..poison("1") });
-    assert!(world.actions.iter().any(|action| matches!(action, Action::Ask { .. })));
+    assert!(world.actions.iter().any(|action| matches!(action, Action::RequestPlacement { .. })));
     world.relay.hold_back(world.now, held(), 3);
     world.relay.placed(world.now, key, &stronger.name, None);
     world.collect();
@@ -70,7 +70,7 @@
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30).route(Route {
         stages,
         max_attempts: 4,
-        ..route("r", Kind::Idempotent, "desk")
+        ..route("r", RequestKind::Idempotent, "desk")
     });
     let mut world = World::new(config.build());
     world.put(entry("d1", "desk"));
@@ -101,7 +101,7 @@
     world.relay.make_failed(world.now, together.call, Failure::Cut, false);
     world.collect();
     let probed = probes(&mut world);
-    world.relay.probed(world.now, probed[0], Probed::Gone);
+    world.relay.probed(world.now, probed[0], ProbeResult::Gone);
     for order in &stalled[1..] {
         world.make(order);
     }
@@ -109,7 +109,7 @@
     let names: Vec<_> = apart.iter().map(crate::relay::fixture::Order::names).collect();
     assert_eq!(names, [["culprit/0/0"], ["sound/0/0"]]);
     let crashed = world.take(|action| match action {
-        Action::Crashed { crashes, .. } => Some(crashes.len()),
+        Action::EndpointCrashed { crashes, .. } => Some(crashes.len()),
         _ => None,
     });
     assert_eq!(crashed, [2], "both are suspects after the first");
@@ -128,7 +128,7 @@
     world.collect();
     assert!(world.orders().is_empty());
     let returned = world.take(|action| match action {
-        Action::Return { ticket, results } => Some((*ticket, results.clone())),
+        Action::ReturnResults { ticket, results } => Some((*ticket, results.clone())),
         _ => None,
     });
     assert_eq!(returned, [(7, vec![Err(PieceFailure::Failed)])]);
@@ -147,7 +147,7 @@
     world.relay.hold_back(world.now, held(), 3);
     world.collect();
     let returned = world.take(|action| match action {
-        Action::Return { ticket, .. } => Some(*ticket),
+        Action::ReturnResults { ticket, .. } => Some(*ticket),
         _ => None,
     });
     assert_eq!(returned, [7]);
@@ -158,7 +158,7 @@
 #[test]
 fn a_stream_that_waits_for_its_pieces_again_is_broken_off() {
     let stages = vec![stage("ledger", &[], 10)];
-    let route = Route { stages, ..route("r", Kind::Resumable, "desk") };
+    let route = Route { stages, ..route("r", RequestKind::Resumable, "desk") };
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30).route(route);
     let mut world = World::new(config.build());
     for name in ["d1", "d2"] {
@@ -177,7 +177,7 @@
     assert!(world.orders().is_empty(), "its pieces wait behind another request's");
     world.relay.hold_back(world.now, held(), 3);
     world.collect();
-    assert!(world.actions.iter().any(|action| matches!(action, Action::Break(_))));
+    assert!(world.actions.iter().any(|action| matches!(action, Action::AbortStream(_))));
     world.make(&busy);
     assert!(world.orders().is_empty());
 }
@@ -200,7 +200,7 @@
     world.collect();
     assert!(world.orders().iter().all(|order| order.pieces[0].content != held()));
     let returned = world.take(|action| match action {
-        Action::Return { ticket, .. } => Some(*ticket),
+        Action::ReturnResults { ticket, .. } => Some(*ticket),
         _ => None,
     });
     assert_eq!(returned, [7]);
--- a/crates/core/tests/testsuite/relay/readers.rs
+++ b/crates/core/tests/testsuite/relay/readers.rs
@@ -6,7 +6,7 @@
 
 fn names(count: usize) -> Vec<Peer> {
     let name = |idx| Arc::from(format!("edge-{idx}"));
-    (0..count).map(|idx| Peer { name: name(idx), strength: 120 }).collect()
+    (0..count).map(|idx| Peer { name: name(idx), millicores: 120 }).collect()
 }
 
 #[test]
@@ -19,8 +19,8 @@
 #[test]
 fn the_strongest_read() {
     let mut peers = names(74);
-    peers[40].strength = 500;
-    peers[50].strength = 500;
+    peers[40].millicores = 500;
+    peers[50].millicores = 500;
     let readers = readers(&peers);
     assert!(readers.contains(&peers[40].name) && readers.contains(&peers[50].name));
 }
--- a/crates/core/tests/testsuite/relay/reads.rs
+++ b/crates/core/tests/testsuite/relay/reads.rs
@@ -1,7 +1,7 @@
 //! Results that calls for pieces have read.
 
 use peatdeck_core::relay::{
-    config::{Kind, Pieces, Stage},
+    config::{Pieces, RequestKind, Stage},
     fingerprint::Fingerprint,
     model::{Action, Arrival, Handle, Peer, Piece, PieceFailure},
 };
@@ -14,7 +14,7 @@
 /// Two makers in a chain, each with one endpoint; the first has room for so many
 /// results, and takes four pieces a call.
 fn chain(stages: Vec<Stage>, room: u64, second_batch: u32) -> World {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = stages;
     let second = Pieces {
         slots: 1,
@@ -139,14 +139,14 @@
 /// This instance makes pieces from results that a peer had made.
 fn beside_a_batcher() -> World {
     let mut world = chain(two_stages(), 4, 4);
-    let peer = Peer { name: "peer".into(), strength: 500 };
+    let peer = Peer { name: "peer".into(), millicores: 500 };
     world.relay.set_peers(world.now, vec![peer], 2);
     world
 }
 
 fn spared(world: &mut World) -> Vec<Handle> {
     let told = world.take(|action| match action {
-        Action::FreeThrough { handles, is_spare: true, .. } => Some(handles.clone()),
+        Action::FreeViaPeer { handles, is_evictable: true, .. } => Some(handles.clone()),
         _ => None,
     });
     told.into_iter().flatten().collect()
@@ -183,7 +183,7 @@
     let pieces = |count: u16| (0..count).map(|number| Piece { number, ..piece_for("first") });
     let told = |world: &mut World| {
         let told = world.take(|action| match action {
-            Action::TellQueue { service, .. } => Some(service.to_string()),
+            Action::AnnounceQueue { service, .. } => Some(service.to_string()),
             _ => None,
         });
         told.len()
@@ -209,16 +209,16 @@
         key: None,
         inputs: Vec::new(),
         bytes: 1000,
-        due: ms(60_000),
-        aim: ms(30_000),
+        deadline: ms(60_000),
+        target: ms(30_000),
         priority: 1,
-        home: None,
+        preferred_data_centre: None,
         round: 0,
         tries: 0,
         is_repeat: false,
         is_begun: false,
         content: Fingerprint(1),
-        is_apart: false,
+        is_isolated: false,
         is_last_reader: true,
     }
 }
--- a/crates/core/tests/testsuite/relay/rests.rs
+++ b/crates/core/tests/testsuite/relay/rests.rs
@@ -18,9 +18,12 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Engine, Kind},
+        config::{Engine, RequestKind},
         directory::Entry,
-        model::{Action, Arrival, Call, Failure, Life, Peer, Placement, Question, ReplyHead},
+        model::{
+            Action, Arrival, Call, EndpointId, Failure, Peer, Placement, PlacementRequest,
+            ReplyHead,
+        },
         terms::Terms,
     },
 };
@@ -30,7 +33,7 @@
 };
 
 fn resting(rest: u64, head: ReplyHead) -> ReplyHead {
-    ReplyHead { terms: Terms { rest: Some(ms(rest)), ..Terms::default() }, ..head }
+    ReplyHead { terms: Terms { hold: Some(ms(rest)), ..Terms::default() }, ..head }
 }
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
@@ -45,7 +48,7 @@
 /// An instance before two endpoints, the first of which has been asked and has
 /// answered like that. The second is slower.
 fn told(told: &ReplyHead) -> World {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     for idx in 0..100 {
         world.arrive(arrival(&format!("ask-{idx}"), "r"));
         for call in world.calls() {
@@ -98,7 +101,7 @@
 #[test]
 fn a_later_word_lengthens_a_rest_and_does_not_shorten_it() {
     for (first, second) in [(3000, 500), (500, 3000)] {
-        let mut world = World::plain(Kind::Idempotent);
+        let mut world = World::plain(RequestKind::Idempotent);
         let mut open = Vec::new();
         for idx in 0..40 {
             world.arrive(arrival(&idx.to_string(), "r"));
@@ -132,7 +135,7 @@
 fn peers_go_on() {
     let mut world = told(&resting(3000, unrun(503)));
     let notices = world.relay.notices(world.now);
-    let mut peer = World::plain(Kind::Idempotent);
+    let mut peer = World::plain(RequestKind::Idempotent);
     peer.relay.noticed(peer.now, &"own".into(), &notices);
     assert!(!called(&mut peer, 1000).is_empty());
 }
@@ -158,7 +161,8 @@
 /// One that is back within the patience of a request is waited for.
 #[test]
 fn a_rest_that_is_nearly_over_is_waited_for() {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
+    let config =
+        ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
     world.arrive(arrival("1", "r"));
@@ -177,7 +181,7 @@
 /// there.
 #[test]
 fn nothing_is_resumed_there() {
-    let mut world = World::plain(Kind::Resumable);
+    let mut world = World::plain(RequestKind::Resumable);
     world.put(entry("c", "desk"));
     let mut open = Vec::new();
     for idx in 0..20 {
@@ -202,7 +206,7 @@
 
 #[test]
 fn calls_for_pieces_are_turned_away_as_well() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
     let mut world = World::new(config.route(staged).build());
@@ -229,9 +233,9 @@
 /// all the same is not called.
 #[test]
 fn a_placer_does_not_send_it_there() {
-    let engine = Engine { slots: 64, memory: 3_000_000, pause: None, transfer: None };
+    let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer: None };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     world.put(entry("a", "llm"));
     world.put(entry("b", "llm"));
     let ask = |world: &mut World, id: &str| {
@@ -241,15 +245,15 @@
     let call = world.call();
     answer(&mut world, &call, &resting(3000, unrun(503)));
     world.calls();
-    let peer = Peer { name: "peer".into(), strength: 900 };
+    let peer = Peer { name: "peer".into(), millicores: 900 };
     world.relay.set_peers(world.now, vec![peer], 2);
     let key = ask(&mut world, "2");
-    let asked: Vec<Question> = world.take(|action| match action {
-        Action::Ask { question, .. } => Some(question.clone()),
+    let asked: Vec<PlacementRequest> = world.take(|action| match action {
+        Action::RequestPlacement { question, .. } => Some(question.clone()),
         _ => None,
     });
-    let engine = Life { name: call.endpoint.clone(), incarnation: Incarnation(1) };
-    assert_eq!(asked[0].avoided, vec![engine.clone()]);
+    let engine = EndpointId { name: call.endpoint.clone(), incarnation: Incarnation(1) };
+    assert_eq!(asked[0].excluded, vec![engine.clone()]);
     let placement = Placement { engine, source: None, tokens: 10, wait: ms(0), number: 1 };
     world.relay.placed(world.now, key, &"peer".into(), Some(placement));
     world.collect();
@@ -267,7 +271,7 @@
 
 /// The other one takes so many milliseconds.
 fn check_refusing(time: u64) {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     let (mut refused, mut served) = (0, 0);
     for idx in 0..200 {
         world.arrive(arrival(&idx.to_string(), "r"));
--- a/crates/core/tests/testsuite/relay/stages.rs
+++ b/crates/core/tests/testsuite/relay/stages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use peatdeck_core::relay::{
-    config::{Kind, Route},
+    config::{RequestKind, Route},
     directory::Entry,
     model::{Action, Arrival, CallKey, Failure, Piece, PieceFailure},
 };
@@ -20,7 +20,7 @@
         .service("engine")
         .maker("ledger", 18_000_000)
         .maker("mart", 2_800_000)
-        .route(Route { stages, ..route("r", Kind::Resumable, "engine") });
+        .route(Route { stages, ..route("r", RequestKind::Resumable, "engine") });
     let mut world = World::new(config.build());
     for name in ["e1", "e2"] {
         world.put(entry(name, "engine"));
@@ -90,7 +90,7 @@
 fn with_room_for_one() -> World {
     let config = ConfigBuilder::new(1).service("engine").maker("ledger", LARGE).route(Route {
         stages: vec![stage("ledger", &[], LARGE)],
-        ..route("r", Kind::Resumable, "engine")
+        ..route("r", RequestKind::Resumable, "engine")
     });
     let mut world = World::new(config.build());
     world.put(entry("e1", "engine"));
@@ -177,7 +177,7 @@
         .service("engine")
         .maker("ledger", 18_000_000)
         .maker("mart", 2_800_000)
-        .route(Route { stages, ..route("r", Kind::Resumable, "engine") });
+        .route(Route { stages, ..route("r", RequestKind::Resumable, "engine") });
     let mut world = World::new(config.build());
     world.put(near("e1", "engine", "east"));
     world.put(near("l1", "ledger", "west"));
@@ -349,7 +349,7 @@
     let freed: Vec<_> = freed.iter().map(ToString::to_string).collect();
     assert_eq!(made.len(), 50);
     assert_eq!(freed, made);
-    let finished = |action: &&Action| matches!(action, Action::Finish(_));
+    let finished = |action: &&Action| matches!(action, Action::FinishStream(_));
     assert_eq!(world.actions.iter().filter(finished).count(), 10);
 }
 
@@ -378,7 +378,7 @@
     world.collect();
     world.advance(ms(1900));
     let returned = world.take(|action| match action {
-        Action::Return { results, .. } => Some(results.clone()),
+        Action::ReturnResults { results, .. } => Some(results.clone()),
         _ => None,
     });
     assert_eq!(returned, [vec![Err(PieceFailure::Failed)]]);
@@ -387,7 +387,7 @@
 fn world_of_one_maker() -> World {
     let stages = vec![stage("ledger", &[], 10)];
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30);
-    let config = config.route(Route { stages, ..route("r", Kind::Idempotent, "desk") });
+    let config = config.route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
     let mut world = World::new(config.build());
     world.put(entry("l1", "ledger"));
     world
--- a/crates/core/tests/testsuite/relay/streams.rs
+++ b/crates/core/tests/testsuite/relay/streams.rs
@@ -1,13 +1,13 @@
 //! Streams of events: passed on once each, resumed behind the last.
 
 use peatdeck_core::relay::{
-    config::Kind,
+    config::RequestKind,
     model::{Action, Failure},
 };
 
 use super::fixture::{World, arrival, head};
 
-fn begun(kind: Kind) -> (World, peatdeck_core::relay::model::Call) {
+fn begun(kind: RequestKind) -> (World, peatdeck_core::relay::model::Call) {
     let mut world = World::plain(kind);
     world.arrive(arrival("1", "r"));
     let call = world.call();
@@ -19,22 +19,22 @@
 
 #[test]
 fn the_head_goes_with_the_first_event() {
-    let mut world = World::plain(Kind::Stream);
+    let mut world = World::plain(RequestKind::Stream);
     let exchange = world.arrive(arrival("1", "r"));
     let call = world.call().key;
     assert!(world.relay.opened(world.now, call, &head(200)));
     assert!(world.actions.is_empty());
     world.event(call, 1);
     world.event(call, 2);
-    assert_eq!(world.actions, [Action::Begin { exchange, call }]);
+    assert_eq!(world.actions, [Action::BeginStream { exchange, call }]);
     world.relay.ended(world.now, call);
     world.collect();
-    assert_eq!(world.actions[1..], [Action::Finish(exchange)]);
+    assert_eq!(world.actions[1..], [Action::FinishStream(exchange)]);
 }
 
 #[test]
 fn a_failure_of_a_stream_is_read_whole() {
-    let mut world = World::plain(Kind::Stream);
+    let mut world = World::plain(RequestKind::Stream);
     world.arrive(arrival("1", "r"));
     let call = world.call().key;
     assert!(!world.relay.opened(world.now, call, &head(500)));
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_cut_stream_goes_on_behind_the_last_event() {
-    let (mut world, call) = begun(Kind::Resumable);
+    let (mut world, call) = begun(RequestKind::Resumable);
     world.failed(call.key, Failure::Cut);
     let second = world.call();
     assert_eq!(second.resume, Some(2));
@@ -54,17 +54,20 @@
 
 #[test]
 fn a_stream_that_may_not_run_twice_ends_visibly_incomplete() {
-    let (mut world, call) = begun(Kind::Stream);
+    let (mut world, call) = begun(RequestKind::Stream);
     world.failed(call.key, Failure::Cut);
     assert!(world.calls().is_empty());
     let actions = &world.actions[..];
-    let is_cut = matches!(actions, [Action::Begin { .. }, Action::Probe { .. }, Action::Break(_)]);
+    let is_cut = matches!(
+        actions,
+        [Action::BeginStream { .. }, Action::Probe { .. }, Action::AbortStream(_)]
+    );
     assert!(is_cut, "{actions:?}");
 }
 
 #[test]
 fn a_stream_that_was_cut_before_its_first_event_is_refused() {
-    let mut world = World::plain(Kind::Stream);
+    let mut world = World::plain(RequestKind::Stream);
     world.arrive(arrival("1", "r"));
     let call = world.call();
     world.relay.opened(world.now, call.key, &head(200));
@@ -74,7 +77,7 @@
 
 #[test]
 fn a_caller_goes_on_with_a_stream_that_it_holds_a_part_of() {
-    let mut world = World::plain(Kind::Resumable);
+    let mut world = World::plain(RequestKind::Resumable);
     let mut again = arrival("1", "r");
     again.resume = Some(5);
     world.arrive(again);
--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -67,7 +67,7 @@
     let took = driver.now() - started;
     driver.metrics.time("relay.first_byte", took);
     decisions::log_reply(&request.id, &call.endpoint, &head, took.as_millis() as u64);
-    if !head.is_ours {
+    if !head.has_request_id {
         return Err((Failure::Foreign, "the reply is to another request".to_owned()));
     }
     let headers = dialect.told_headers(parts.headers);
@@ -135,7 +135,7 @@
             tracing::warn!(event = "make_failed", call = ?call, endpoint = &*endpoint, failure = ?failure, cause, took_ms = took);
             driver.feed(|machine, now| machine.make_failed(now, call, failure, false));
         }
-        Ok((head, _)) if head.is_unrun => {
+        Ok((head, _)) if head.is_not_run => {
             tracing::info!(event = "make_refused", call = ?call, endpoint = &*endpoint, status = head.status, took_ms = took);
             driver.feed(|machine, now| machine.make_failed(now, call, Failure::Cut, true));
         }
--- a/crates/relay/src/decisions.rs
+++ b/crates/relay/src/decisions.rs
@@ -5,7 +5,7 @@
 
 use peatdeck_core::relay::{
     Taken,
-    model::{Action, Call, Failure, Life, Refusal, ReplyHead},
+    model::{Action, Call, EndpointId, Failure, Refusal, ReplyHead},
     quarantine::Crash,
     terms::Rate,
 };
@@ -45,71 +45,77 @@
         Action::Send(call) => log_send(call, id),
         Action::Cancel(call) => tracing::info!(event = "cancel", call = ?call),
         Action::Answer { .. } => tracing::info!(event = "answer", id),
-        Action::Begin { .. } => tracing::info!(event = "begin", id),
-        Action::Finish(_) => tracing::info!(event = "finish", id),
-        Action::Break(_) => tracing::warn!(event = "break", id),
+        Action::BeginStream { .. } => tracing::info!(event = "begin", id),
+        Action::FinishStream(_) => tracing::info!(event = "finish", id),
+        Action::AbortStream(_) => tracing::warn!(event = "break", id),
         Action::Refuse { refusal, retry_after, .. } => {
             let retry_ms = retry_after.map(|after| after.as_millis() as u64);
             log_refusal(id, *refusal, retry_ms, belief);
         }
-        Action::Make { call, endpoint, pieces, .. } => {
+        Action::MakePieces { call, endpoint, pieces, .. } => {
             let requests: Vec<_> = pieces
                 .iter()
                 .map(|piece| format!("{}/{}/{}", piece.request, piece.stage, piece.number))
                 .collect();
             tracing::info!(event = "make", call = ?call, endpoint = &**endpoint, pieces = requests.join(" "));
         }
-        Action::HandOver { key, peer, pieces } => {
+        Action::HandOverPieces { key, peer, pieces } => {
             let stage = pieces.first().map_or(0, |piece| piece.stage);
             let count = pieces.len();
             tracing::info!(event = "hand_over", id, handover = ?key, peer = &**peer, stage, count);
         }
-        Action::Ask { peer, .. } => tracing::debug!(event = "ask_place", peer = &**peer),
+        Action::RequestPlacement { peer, .. } => {
+            tracing::debug!(event = "ask_place", peer = &**peer)
+        }
         Action::Disconnect(addr) => tracing::info!(event = "disconnect", addr = &**addr),
         Action::ListParts { addr, .. } => {
             tracing::debug!(event = "list_parts", addr = &**addr);
         }
         Action::Probe { addr, .. } => tracing::debug!(event = "probe", addr = &**addr),
-        Action::Crashed { life, crashes } => log_crash(life, crashes),
-        Action::Accuse { peer, crashes } => {
+        Action::EndpointCrashed { life, crashes } => log_crash(life, crashes),
+        Action::ReportCrashes { peer, crashes } => {
             tracing::debug!(event = "accuse", peer = &**peer, count = crashes.len());
         }
-        Action::Consult { content, .. } => {
+        Action::QueryAnswered { content, .. } => {
             tracing::info!(event = "quarantine_considered", %content);
         }
-        Action::Acquitted(content) => tracing::info!(event = "quarantine_dropped", %content),
-        Action::HeldBack { content, crashes } => {
+        Action::SuspicionCleared(content) => tracing::info!(event = "quarantine_dropped", %content),
+        Action::Quarantined { content, crashes } => {
             tracing::warn!(event = "quarantined", %content, crashes);
         }
-        Action::Quarantine { content, .. } => tracing::debug!(event = "quarantine_told", %content),
-        Action::Record { content, .. } => tracing::debug!(event = "quarantine_renewed", %content),
-        Action::Unrecord(content) => tracing::info!(event = "quarantine_ends", %content),
+        Action::AnnounceQuarantine { content, .. } => {
+            tracing::debug!(event = "quarantine_told", %content)
+        }
+        Action::WriteQuarantine { content, .. } => {
+            tracing::debug!(event = "quarantine_renewed", %content)
+        }
+        Action::DeleteQuarantine(content) => tracing::info!(event = "quarantine_ends", %content),
         Action::Released(content) => tracing::warn!(event = "quarantine_over", %content),
-        Action::Leaves { endpoint, source } => {
+        Action::EndpointLeaving { endpoint, source } => {
             let source = source.as_deref();
             tracing::info!(event = "endpoint_leaves", endpoint = &**endpoint, source);
         }
-        Action::Limit { endpoint, limit, source } => {
+        Action::EndpointLimit { endpoint, limit, source } => {
             let (limit, source) = (limit.map(Rate::calls), source.as_deref());
             tracing::info!(event = "endpoint_limit", endpoint = &**endpoint, limit, source);
         }
-        Action::TellQueue { peer, service } => {
+        Action::AnnounceQueue { peer, service } => {
             tracing::debug!(event = "queue_told", peer = &**peer, service = &**service);
         }
-        Action::Report { peer, progress, .. } => {
+        Action::ReportProgress { peer, progress, .. } => {
             tracing::debug!(event = "report", peer = &**peer, count = progress.len());
         }
-        Action::Recall(key) => tracing::info!(event = "recall", handover = ?key),
-        Action::Return { ticket, results } => {
+        Action::RecallPieces(key) => tracing::info!(event = "recall", handover = ?key),
+        Action::ReturnResults { ticket, results } => {
             let failures: Vec<_> = results.iter().filter_map(|it| it.as_ref().err()).collect();
             let count = results.len();
             tracing::info!(event = "return", ticket, count, failures = ?failures);
         }
-        Action::FreeThrough { peer, handles, is_spare } => {
+        Action::FreeViaPeer { peer, handles, is_evictable } => {
             let count = handles.len();
-            tracing::debug!(event = "free_through", peer = &**peer, count, is_spare);
+            tracing::debug!(event = "free_through", peer = &**peer, count, is_spare = is_evictable);
         }
-        Action::Free { addr, handles } => {
+        Action::FreeResults { addr, handles } => {
             tracing::debug!(event = "free", addr = &**addr, count = handles.len());
         }
     }
@@ -131,12 +137,12 @@
         id,
         endpoint,
         status = head.status,
-        unrun = head.is_unrun,
-        ours = head.is_ours,
+        unrun = head.is_not_run,
+        ours = head.has_request_id,
         load,
         limit = terms.limit.map(Rate::calls),
         leaving = terms.is_leaving.then_some(true),
-        rest_ms = terms.rest.map(millis),
+        rest_ms = terms.hold.map(millis),
         took_ms
     );
 }
@@ -147,7 +153,7 @@
 }
 
 /// Logs that an endpoint ended, and what it ran; of many runs only the first.
-fn log_crash(life: &Life, crashes: &[Crash]) {
+fn log_crash(life: &EndpointId, crashes: &[Crash]) {
     let run = |crash: &Crash| match crash.is_late {
         true => format!("{} (late)", crash.content),
         false => crash.content.to_string(),
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -15,7 +15,7 @@
     relay::{
         config,
         fingerprint::Fingerprint,
-        model::{Arrival, Call, Handle, Listed, Part, Piece, PieceResult, Prompt, ReplyHead},
+        model::{Arrival, Call, Handle, HeldParts, Part, Piece, PieceResult, Prompt, ReplyHead},
         terms::{Rate, Terms},
     },
 };
@@ -59,7 +59,7 @@
     /// The path at which an engine tells which parts of prompts it holds.
     pub parts_path: &'static str,
     /// Reads them; `None` if they cannot be read.
-    pub read_parts: fn(&[u8]) -> Option<Listed>,
+    pub read_parts: fn(&[u8]) -> Option<HeldParts>,
 }
 
 /// A request that cannot be passed on as it is.
@@ -145,8 +145,8 @@
         let is_unrun = headers.contains_key(&names.unrun) || status.as_u16() == 421;
         ReplyHead {
             status: status.as_u16(),
-            is_ours: echo.map_or(is_unrun, |echo| echo == id),
-            is_unrun,
+            has_request_id: echo.map_or(is_unrun, |echo| echo == id),
+            is_not_run: is_unrun,
             is_sealed: headers.contains_key(&names.seal)
                 && !headers.contains_key(header::CONTENT_ENCODING),
             load: text(headers, &names.load).and_then(load),
@@ -160,10 +160,10 @@
             [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS].contains(&status);
         let rest = text(headers, &header::RETRY_AFTER).and_then(seconds);
         Terms {
-            cold: text(headers, &names.cold).and_then(cold),
+            cold_left: text(headers, &names.cold).and_then(cold),
             limit: text(headers, &names.limit).and_then(rate),
             is_leaving: text(headers, &names.leaving).is_some_and(|text| text.trim() != "0"),
-            rest: rest.filter(|_| is_turned_away),
+            hold: rest.filter(|_| is_turned_away),
         }
     }
 
@@ -218,7 +218,7 @@
 /// that is reckoned with is cut to that.
 fn seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
-    let longest = config::LONGEST_TIME;
+    let longest = config::MAX_TIME;
     (seconds >= 0.0).then(|| Duration::try_from_secs_f64(seconds).unwrap_or(longest).min(longest))
 }
 
@@ -231,7 +231,7 @@
 fn cold(text: &str) -> Option<Duration> {
     let millis: f64 = text.trim().parse().ok()?;
     let left = Duration::try_from_secs_f64(millis / 1000.0).ok()?;
-    (left <= config::LONGEST_TIME).then_some(left)
+    (left <= config::MAX_TIME).then_some(left)
 }
 
 fn load(text: &str) -> Option<Load> {
--- a/crates/relay/src/driver.rs
+++ b/crates/relay/src/driver.rs
@@ -417,16 +417,16 @@
                 self.metrics.count("relay.answered", 1);
                 self.end(exchange, Part::Whole(reply));
             }
-            Action::Begin { exchange, call } => {
+            Action::BeginStream { exchange, call } => {
                 if let Some(head) = self.replies.borrow_mut().remove(&call) {
                     self.send(exchange, Part::Head(head));
                 }
             }
-            Action::Finish(exchange) => {
+            Action::FinishStream(exchange) => {
                 self.metrics.count("relay.answered", 1);
                 self.end(exchange, Part::End);
             }
-            Action::Break(exchange) => {
+            Action::AbortStream(exchange) => {
                 self.metrics.count("relay.broken", 1);
                 self.end(exchange, Part::Broken);
             }
@@ -434,64 +434,64 @@
                 self.count_refusal(refusal);
                 self.end(exchange, Part::Refused { refusal, retry_after });
             }
-            Action::Make { call, endpoint, addr, pieces } => {
+            Action::MakePieces { call, endpoint, addr, pieces } => {
                 self.metrics.count("relay.piece_calls", 1);
                 self.metrics.count("relay.pieces", pieces.len() as u64);
                 self.spawn(call, calls::make(self.clone(), call, endpoint, addr, pieces));
             }
-            Action::Free { addr, handles } => {
+            Action::FreeResults { addr, handles } => {
                 ntex::rt::spawn(calls::free(self.clone(), addr, handles));
             }
             Action::Disconnect(addr) => self.pool.disconnect(&addr),
             Action::ListParts { endpoint, addr } => {
                 ntex::rt::spawn(calls::list_parts(self.clone(), endpoint, addr));
             }
-            Action::HandOver { key, peer, pieces } => {
+            Action::HandOverPieces { key, peer, pieces } => {
                 self.metrics.count("relay.handed_over", pieces.len() as u64);
                 self.peers.hand_over(self, key, peer, pieces);
             }
-            Action::FreeThrough { peer, handles, is_spare } => {
-                self.peers.free_through(self, peer, handles, is_spare);
+            Action::FreeViaPeer { peer, handles, is_evictable } => {
+                self.peers.free_through(self, peer, handles, is_evictable);
             }
-            Action::Ask { exchange, peer, question } => {
+            Action::RequestPlacement { exchange, peer, question } => {
                 self.metrics.count("relay.placements_asked", 1);
                 self.peers.ask_place(self, exchange, peer, question);
             }
-            Action::TellQueue { peer, service } => self.peers.tell_queue(self, peer, service),
-            Action::Report { peer, progress, notices } => {
+            Action::AnnounceQueue { peer, service } => self.peers.tell_queue(self, peer, service),
+            Action::ReportProgress { peer, progress, notices } => {
                 self.peers.report(self, peer, progress, notices);
             }
             Action::Probe { endpoint, addr } => {
                 ntex::rt::spawn(calls::probe(self.clone(), endpoint, addr));
             }
-            Action::Crashed { crashes, .. } => {
+            Action::EndpointCrashed { crashes, .. } => {
                 self.metrics.count("relay.crashed_runs", crashes.len() as u64);
             }
-            Action::Accuse { peer, crashes } => self.peers.accuse(self, peer, crashes),
-            Action::Consult { content, since } => self.peers.consult(self, content, since),
-            Action::Quarantine { content, crashes } => {
+            Action::ReportCrashes { peer, crashes } => self.peers.accuse(self, peer, crashes),
+            Action::QueryAnswered { content, since } => self.peers.consult(self, content, since),
+            Action::AnnounceQuarantine { content, crashes } => {
                 self.metrics.count("relay.quarantines_raised", 1);
                 self.peers.quarantine(self, content, crashes);
                 ntex::rt::spawn(records::write(self.clone(), content, Some(crashes)));
             }
-            Action::Record { content, crashes } => {
+            Action::WriteQuarantine { content, crashes } => {
                 ntex::rt::spawn(records::write(self.clone(), content, Some(crashes)));
             }
-            Action::Unrecord(content) => {
+            Action::DeleteQuarantine(content) => {
                 ntex::rt::spawn(records::write(self.clone(), content, None));
             }
-            Action::HeldBack { .. } | Action::Released(_) => {
+            Action::Quarantined { .. } | Action::Released(_) => {
                 let held = self.look(|machine| machine.held_back().count());
                 self.metrics.gauge("relay.quarantined", held as u64);
             }
-            Action::Acquitted(_) => self.metrics.count("relay.quarantines_dropped", 1),
-            Action::Leaves { .. } => self.metrics.count("relay.endpoints_leaving", 1),
-            Action::Limit { .. } => {
+            Action::SuspicionCleared(_) => self.metrics.count("relay.quarantines_dropped", 1),
+            Action::EndpointLeaving { .. } => self.metrics.count("relay.endpoints_leaving", 1),
+            Action::EndpointLimit { .. } => {
                 let limited = self.look(Relay::limited_count);
                 self.metrics.gauge("relay.endpoints_limited", limited as u64);
             }
-            Action::Recall(key) => self.peers.recall(key),
-            Action::Return { ticket, results } => self.peers.give_back(ticket, results),
+            Action::RecallPieces(key) => self.peers.recall(key),
+            Action::ReturnResults { ticket, results } => self.peers.give_back(ticket, results),
         }
     }
 
@@ -505,15 +505,17 @@
         let exchange = match action {
             Action::Send(call) => Some(call.exchange),
             Action::Answer { exchange, .. }
-            | Action::Begin { exchange, .. }
+            | Action::BeginStream { exchange, .. }
             | Action::Refuse { exchange, .. }
-            | Action::Finish(exchange)
-            | Action::Break(exchange) => Some(*exchange),
+            | Action::FinishStream(exchange)
+            | Action::AbortStream(exchange) => Some(*exchange),
             _ => None,
         };
         let request = exchange.and_then(|key| self.request_of(key));
         let id = match action {
-            Action::HandOver { pieces, .. } => pieces.first().map(|piece| piece.request.clone()),
+            Action::HandOverPieces { pieces, .. } => {
+                pieces.first().map(|piece| piece.request.clone())
+            }
             _ => request.map(|request| request.id.clone()),
         };
         decisions::log_action(action, id.as_deref().unwrap_or_default(), self.belief());
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -124,7 +124,7 @@
     req: &mut server::Request,
     held: &mut Held,
 ) -> Result<Bytes, Rejected> {
-    let limit = driver.look(|machine| machine.config().map(|config| config.limits.body));
+    let limit = driver.look(|machine| machine.config().map(|config| config.limits.max_body));
     let limit = limit.unwrap_or(driver.settings.body_memory);
     let mut body = BytesMut::new();
     while let Some(chunk) = req.payload().next().await {
--- a/crates/relay/src/native.rs
+++ b/crates/relay/src/native.rs
@@ -6,7 +6,7 @@
 use http::HeaderName;
 use peatdeck_core::{
     model::Incarnation,
-    relay::model::{Handle, Listed, Piece, PieceFailure, PieceResult},
+    relay::model::{Handle, HeldParts, Piece, PieceFailure, PieceResult},
 };
 use peatdeck_macros::message;
 
@@ -117,7 +117,7 @@
         request: piece.request.clone(),
         stage: piece.stage,
         number: piece.number,
-        remaining_ms: piece.due.saturating_sub(now).as_millis() as u64,
+        remaining_ms: piece.deadline.saturating_sub(now).as_millis() as u64,
         key: piece.key.clone(),
         inputs: piece.inputs.clone(),
     });
@@ -133,10 +133,10 @@
     Order { path: "/v1/pieces/free", body: json(&FreeBody { handles: handles.to_vec() }) }
 }
 
-fn read_parts(body: &[u8]) -> Option<Listed> {
+fn read_parts(body: &[u8]) -> Option<HeldParts> {
     let held: PartsBody = serde_json::from_slice(body).ok()?;
     let parts = held.parts.iter().filter_map(|id| dialect::part_id(id)).collect();
-    Some(Listed { incarnation: held.incarnation.map(Incarnation), parts })
+    Some(HeldParts { incarnation: held.incarnation.map(Incarnation), parts })
 }
 
 fn result(body: ResultBody) -> PieceResult {
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -204,7 +204,7 @@
     /// An instance with what it announced of itself.
     fn peer(&self, name: InstanceName) -> Peer {
         let strength = self.listed.borrow().get(&name).map_or(0, |listed| listed.strength);
-        Peer { name, strength }
+        Peer { name, millicores: strength }
     }
 
     /// Logs which peers may batch pieces since now, or not any more.
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -7,8 +7,8 @@
     model::InstanceName,
     relay::{
         model::{
-            ExchangeKey, Handle, HandoverKey, Piece, PieceResult, Placement, Progress, Question,
-            ServiceName,
+            ExchangeKey, Handle, HandoverKey, Piece, PieceResult, Placement, PlacementRequest,
+            Progress, ServiceName,
         },
         terms::Notice,
     },
@@ -67,7 +67,7 @@
         driver: &Rc<Driver>,
         key: ExchangeKey,
         peer: InstanceName,
-        question: Question,
+        question: PlacementRequest,
     ) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
@@ -198,7 +198,7 @@
 async fn place(
     driver: &Rc<Driver>,
     peer: &str,
-    question: &Question,
+    question: &PlacementRequest,
 ) -> Result<Option<Placement>, Error> {
     let addr = driver.peers.members.borrow().addr(peer).ok_or(Error::TimedOut)?;
     let exchange = async |client: relay::Client| {
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{body::Incoming, client::conn::http1};
 use hyper_util::rt::TokioIo;
-use peatdeck_core::relay::model::Probed;
+use peatdeck_core::relay::model::ProbeResult;
 use peatdeck_util::clock::Clock;
 use peatdeck_wire::socket;
 use tokio::net::TcpStream;
@@ -200,20 +200,20 @@
     /// Whether anything listens at an address, by a new connection. One that is
     /// made is kept, since a call will need it. A process that is about to end may
     /// still have taken it in: one that is closed at once is looked at again.
-    pub async fn probe(&self, addr: &Arc<str>) -> Probed {
+    pub async fn probe(&self, addr: &Arc<str>) -> ProbeResult {
         let stream = match open(addr).await {
             Ok(stream) => stream,
             Err(error) => return absence(&error),
         };
-        let Ok(lease) = begin(addr, stream).await else { return Probed::Unknown };
+        let Ok(lease) = begin(addr, stream).await else { return ProbeResult::Unknown };
         tokio::time::sleep(PROBE_PAUSE).await;
         if lease.connection.sender.is_closed() {
             let again = open(addr).await;
-            return again.map_or_else(|error| absence(&error), |_| Probed::There);
+            return again.map_or_else(|error| absence(&error), |_| ProbeResult::There);
         }
         self.count(true);
         self.keep(Lease { keep: DEFAULT_IDLE, ..lease });
-        Probed::There
+        ProbeResult::There
     }
 
     /// Gives a connection back whose reply was read whole.
@@ -295,10 +295,10 @@
 }
 
 /// What a connection that was not made says of a process.
-fn absence(error: &io::Error) -> Probed {
+fn absence(error: &io::Error) -> ProbeResult {
     match error.kind() {
-        io::ErrorKind::ConnectionRefused => Probed::Gone,
-        _ => Probed::Unknown,
+        io::ErrorKind::ConnectionRefused => ProbeResult::Gone,
+        _ => ProbeResult::Unknown,
     }
 }
 
--- a/crates/relay/tests/relay/standins.rs
+++ b/crates/relay/tests/relay/standins.rs
@@ -19,7 +19,7 @@
     model::Incarnation,
     relay::{
         allowance::Bound,
-        config::{Config, Kind, Limits, Pieces, Route, Service, Stage, Target, Team},
+        config::{Config, Limits, Pieces, RequestKind, Route, Service, Stage, Target, Team},
         directory::{Change, Entry},
         operator::Act,
         table::Record,
@@ -77,15 +77,15 @@
 /// The configuration of all tests: a route for each kind, and one with a stage.
 fn config(version: u64) -> Config {
     let kinds = [
-        ("idempotent", Kind::Idempotent),
-        ("once", Kind::Once),
-        ("stream", Kind::Stream),
-        ("resumable", Kind::Resumable),
-        ("staged", Kind::Idempotent),
+        ("idempotent", RequestKind::Idempotent),
+        ("once", RequestKind::Once),
+        ("stream", RequestKind::Stream),
+        ("resumable", RequestKind::Resumable),
+        ("staged", RequestKind::Idempotent),
     ];
     let mut routes: Vec<_> = kinds.into_iter().map(|(name, kind)| route(name, kind)).collect();
-    routes.push(route(&format!("since-{version}"), Kind::Idempotent));
-    let plain = Service { connections: 800, engine: None, pieces: None, cold_pace: None };
+    routes.push(route(&format!("since-{version}"), RequestKind::Idempotent));
+    let plain = Service { connections: 800, engine: None, pieces: None, cold_interval: None };
     let pieces = Pieces {
         slots: 1,
         queue: 2,
@@ -102,11 +102,11 @@
         routes: routes.into_iter().map(Arc::new).collect(),
         services: HashMap::from([(Arc::from("desk"), plain), (Arc::from("maker"), maker)]),
         keys: Some(HashMap::from([(Arc::from("key-1"), team)])),
-        limits: Limits { body: 1 << 16, idle: Duration::from_secs(15) },
+        limits: Limits { max_body: 1 << 16, idle_timeout: Duration::from_secs(15) },
     }
 }
 
-fn route(name: &str, kind: Kind) -> Route {
+fn route(name: &str, kind: RequestKind) -> Route {
     let is_staged = name == "staged";
     let stage = Stage { service: Arc::from("maker"), after: Vec::new(), bytes: 1000 };
     Route {
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -11,8 +11,8 @@
     relay::{
         fingerprint::Fingerprint,
         model::{
-            Failure, Handle, Life, Part, Piece, PieceFailure, PieceResult, Placement, Progress,
-            Prompt, Question, Step,
+            EndpointId, Failure, Handle, Part, Piece, PieceFailure, PieceResult, Placement,
+            PlacementRequest, Progress, Prompt, Step,
         },
         position::{Position, Timeline},
         quarantine::Crash,
@@ -110,14 +110,14 @@
         to.set_number(piece.number);
         to.set_key(piece.key.as_deref().unwrap_or_default());
         to.set_bytes(piece.bytes);
-        to.set_due_micros(left(now, piece.due));
-        to.set_aim_micros(left(now, piece.aim));
+        to.set_due_micros(left(now, piece.deadline));
+        to.set_aim_micros(left(now, piece.target));
         to.set_priority(piece.priority);
-        to.set_home(piece.home.as_deref().unwrap_or_default());
+        to.set_home(piece.preferred_data_centre.as_deref().unwrap_or_default());
         to.set_is_repeat(piece.is_repeat);
         to.set_is_begun(piece.is_begun);
         to.set_content(&write_content(piece.content));
-        to.set_is_apart(piece.is_apart);
+        to.set_is_apart(piece.is_isolated);
         to.set_is_last_reader(piece.is_last_reader);
         to.set_tries(piece.tries);
         to.set_round(piece.round);
@@ -172,7 +172,7 @@
 }
 
 /// Writes a question to a placer.
-pub fn write_question(question: &Question, mut to: relay_capnp::question::Builder<'_>) {
+pub fn write_question(question: &PlacementRequest, mut to: relay_capnp::question::Builder<'_>) {
     to.set_service(&*question.service);
     to.set_input(question.prompt.input);
     to.set_output(question.prompt.output);
@@ -188,12 +188,12 @@
         to.set_place(&**place);
         to.set_bytes(*bytes);
     }
-    let mut names = to.reborrow().init_avoided(len(&question.avoided));
-    for (idx, life) in (0..).zip(&question.avoided) {
+    let mut names = to.reborrow().init_avoided(len(&question.excluded));
+    for (idx, life) in (0..).zip(&question.excluded) {
         names.set(idx, &*life.name);
     }
-    let mut lives = to.init_avoided_lives(len(&question.avoided));
-    for (idx, life) in (0..).zip(&question.avoided) {
+    let mut lives = to.init_avoided_lives(len(&question.excluded));
+    for (idx, life) in (0..).zip(&question.excluded) {
         lives.set(idx, life.incarnation.0);
     }
 }
@@ -202,7 +202,7 @@
 ///
 /// # Errors
 /// Any [`Error`].
-pub fn read_question(from: relay_capnp::question::Reader<'_>) -> Result<Question, Error> {
+pub fn read_question(from: relay_capnp::question::Reader<'_>) -> Result<PlacementRequest, Error> {
     let parts = from.get_parts()?.iter();
     let prompt = Prompt {
         parts: parts.map(|part| Part { id: part.get_id(), tokens: part.get_tokens() }).collect(),
@@ -212,13 +212,13 @@
     let inputs = from.get_inputs()?.iter();
     let inputs = inputs.map(|input| Ok((text(input.get_place()?)?, input.get_bytes())));
     let avoided = from.get_avoided()?.iter().zip(from.get_avoided_lives()?.iter());
-    let avoided =
-        avoided.map(|(name, life)| Ok(Life { name: text(name?)?, incarnation: Incarnation(life) }));
-    Ok(Question {
+    let avoided = avoided
+        .map(|(name, life)| Ok(EndpointId { name: text(name?)?, incarnation: Incarnation(life) }));
+    Ok(PlacementRequest {
         service: text(from.get_service()?)?,
         prompt,
         inputs: inputs.collect::<Result<_, Error>>()?,
-        avoided: avoided.collect::<Result<_, Error>>()?,
+        excluded: avoided.collect::<Result<_, Error>>()?,
     })
 }
 
@@ -240,7 +240,7 @@
     from: relay_capnp::placement::Reader<'_>,
 ) -> Result<Option<Placement>, Error> {
     let Some(name) = optional(from.get_endpoint()?)? else { return Ok(None) };
-    let engine = Life { name, incarnation: Incarnation(from.get_incarnation()) };
+    let engine = EndpointId { name, incarnation: Incarnation(from.get_incarnation()) };
     let (source, tokens) = (optional(from.get_source()?)?, from.get_tokens());
     let wait = Duration::from_micros(from.get_wait_micros());
     Ok(Some(Placement { engine, source, tokens, wait, number: from.get_number() }))
@@ -306,7 +306,7 @@
     let name = text(from.get_endpoint()?)?;
     Ok(Crash {
         content: read_content(from.get_content()?),
-        life: Life { name, incarnation: Incarnation(from.get_incarnation()) },
+        life: EndpointId { name, incarnation: Incarnation(from.get_incarnation()) },
         age: Duration::from_millis(u64::from(from.get_age_ms())),
         is_late: from.get_is_late(),
     })
@@ -346,7 +346,7 @@
     let read = |from: relay_capnp::notice::Reader<'_>| {
         let name = text(from.get_endpoint()?)?;
         Ok(Notice {
-            life: Life { name, incarnation: Incarnation(from.get_incarnation()) },
+            life: EndpointId { name, incarnation: Incarnation(from.get_incarnation()) },
             is_leaving: from.get_is_leaving(),
             limit: from.get_is_limited().then(|| Rate(from.get_limit())),
             age: Duration::from_millis(u64::from(from.get_age_ms())),
@@ -419,16 +419,16 @@
         key: optional(from.get_key()?)?,
         inputs: inputs.collect::<Result<_, _>>()?,
         bytes: from.get_bytes(),
-        due: now + Duration::from_micros(from.get_due_micros()),
-        aim: now + Duration::from_micros(from.get_aim_micros()),
+        deadline: now + Duration::from_micros(from.get_due_micros()),
+        target: now + Duration::from_micros(from.get_aim_micros()),
         priority: from.get_priority(),
-        home: optional(from.get_home()?)?,
+        preferred_data_centre: optional(from.get_home()?)?,
         round: from.get_round(),
         tries: from.get_tries(),
         is_repeat: from.get_is_repeat(),
         is_begun: from.get_is_begun(),
         content: read_content(from.get_content()?),
-        is_apart: from.get_is_apart(),
+        is_isolated: from.get_is_apart(),
         is_last_reader: from.get_is_last_reader(),
     })
 }
