--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -53,7 +53,7 @@
             self.on_backlog_notice(now, service.clone());
             let words = peers
                 .iter()
-                .map(|peer| Action::TellQueue { peer: peer.clone(), service: service.clone() });
+                .map(|peer| Action::AnnounceQueue { peer: peer.clone(), service: service.clone() });
             self.actions.extend(words);
         }
     }
