--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -13,7 +13,7 @@
     model::Incarnation,
     relay::{
         Relay, Settings,
-        allowance::Bound,
+        allowance::RetryBudgetConfig,
         config::{Config, Limits, Pieces, Service},
         directory::{Change, Entry},
         fingerprint::Fingerprint,
@@ -47,24 +47,24 @@
     let mut relay = relay(room);
     // Every endpoint gets a call, or all the results that it has room for.
     for ticket in 0..ENDPOINTS as u64 {
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_000_000));
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_000_000));
     }
     relay.take_actions();
     for ticket in 1000..1000 + waiting {
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
     }
     relay.take_actions();
     let mut ticket = 1_000_000;
     cost::of(EFFORT, || {
         ticket += 1;
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
-        relay.recalled(ticket);
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
+        relay.on_handover_recall(ticket);
         relay.take_actions()
     })
 }
 
 fn relay(room: u64) -> Relay {
-    let bound = Bound { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
+    let bound = RetryBudgetConfig { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
@@ -83,13 +83,14 @@
         room,
         lease: Duration::from_secs(4),
     };
-    let service = Service { connections: 640, engine: None, pieces: Some(pieces), cold_pace: None };
+    let service =
+        Service { connections: 640, engine: None, pieces: Some(pieces), cold_interval: None };
     relay.configure(Arc::new(Config {
         version: 1,
         routes: Vec::new(),
         services: HashMap::from([(Arc::from(SERVICE), service)]),
         keys: None,
-        limits: Limits { body: 1 << 20, idle: Duration::from_secs(15) },
+        limits: Limits { max_body: 1 << 20, idle_timeout: Duration::from_secs(15) },
     }));
     for idx in 0..ENDPOINTS {
         let entry = Entry {
@@ -102,7 +103,7 @@
             is_leaving: false,
             cold_left: None,
         };
-        relay.change(Duration::ZERO, Change::Put(entry));
+        relay.apply_change(Duration::ZERO, Change::Put(entry));
     }
     relay
 }
@@ -117,16 +118,16 @@
         key: Some(Arc::from("key")),
         inputs: Vec::new(),
         bytes,
-        due: Duration::from_secs(600),
-        aim: Duration::from_secs(300) + Duration::from_millis(request % 1000),
+        deadline: Duration::from_secs(600),
+        target: Duration::from_secs(300) + Duration::from_millis(request % 1000),
         priority: 0,
-        home: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
+        preferred_data_centre: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
         round: 0,
         tries: 0,
         is_repeat: false,
         is_begun: false,
         content: Fingerprint(u128::from(request)),
-        is_apart: false,
+        is_isolated: false,
         is_last_reader: false,
     };
     vec![piece(0), piece(1)]
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     instance::input::RefuseReason,
-    limits::Limit,
+    limits::AdaptiveLimit,
     membership::EndpointState,
     model::{DataCentre, EndpointEntry, EndpointName, Incarnation, Load, PoolName},
 };
@@ -70,7 +70,7 @@
     ramp_start: Option<Duration>,
     slow_start: Duration,
     health: Health,
-    limit: Limit,
+    limit: AdaptiveLimit,
     latency: LatencyStats,
     report: Option<Report>,
 }
@@ -136,7 +136,7 @@
             ramp_start: Some(now),
             slow_start: settings.slow_start,
             health: Health::new(settings.health),
-            limit: Limit::new(settings.limit),
+            limit: AdaptiveLimit::new(settings.limit),
             latency: LatencyStats { success_rate: 1.0, ..LatencyStats::default() },
             report: None,
         }
@@ -287,7 +287,7 @@
             return;
         }
         self.report = Some(Report { load, measured_at });
-        self.limit.reported(now, measured_at, load.queued, load.places.max(1));
+        self.limit.record_report(now, measured_at, load.queued, load.places.max(1));
     }
 
     pub(super) fn has_news(&self) -> bool {
@@ -333,14 +333,14 @@
         }
         let unit = unit_time(end);
         self.latency.is_per_token |= end.tokens.is_some();
-        self.limit.ended(now, unit, in_flight);
+        self.limit.record_completion(now, unit, in_flight);
         self.latency.record(now, unit, end.took);
     }
 
     fn refused(&mut self, now: Duration, sent: Duration, reason: RefuseReason) {
         self.health.probe_inconclusive(now, sent);
         if reason == RefuseReason::Busy {
-            self.limit.refused(now, sent);
+            self.limit.record_refusal(now, sent);
         }
     }
 
@@ -356,7 +356,7 @@
             self.health.probe_inconclusive(now, sent);
         }
         if !self.latency.is_per_token || end.tokens.is_some() {
-            self.limit.cancelled(now, unit_time(end), in_flight);
+            self.limit.record_cancellation(now, unit_time(end), in_flight);
         }
     }
 
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -25,7 +25,7 @@
 };
 
 /// Results of at least this size are large: their room is what is scarce.
-pub const LARGE_RESULT: u64 = 200_000;
+pub const LARGE_RESULT_BYTES: u64 = 200_000;
 /// Groups that do not fit a call before the rest of their lane is taken not to
 /// fit either. With four data centres one group in four belongs to an endpoint,
 /// so that a few of them are still looked at.
@@ -46,7 +46,7 @@
 impl Lane {
     /// The lane of a result of so many bytes.
     pub fn of(bytes: u64) -> Lane {
-        if bytes >= LARGE_RESULT { Lane::Large } else { Lane::Small }
+        if bytes >= LARGE_RESULT_BYTES { Lane::Large } else { Lane::Small }
     }
 }
 
@@ -128,7 +128,7 @@
         let rank = Rank {
             is_late: false,
             priority: 0,
-            aim: piece.aim,
+            aim: piece.target,
             request: piece.request.clone(),
             stage: piece.stage,
         };
@@ -136,16 +136,16 @@
         let group = self.lanes[lane].entry(rank.clone()).or_insert_with(|| Group {
             keys: Vec::new(),
             bytes: piece.bytes,
-            home: piece.home.clone(),
-            aim: piece.aim,
-            due: piece.due,
+            home: piece.preferred_data_centre.clone(),
+            aim: piece.target,
+            due: piece.deadline,
             is_begun: piece.is_begun,
             is_apart: false,
             priority: piece.priority,
         });
-        group.is_apart |= piece.is_apart;
+        group.is_apart |= piece.is_isolated;
         group.keys.push(key);
-        self.by_due.insert((piece.due, key));
+        self.by_due.insert((piece.deadline, key));
         let is_new = self.ranks.insert(key, (lane, rank)).is_none();
         self.sizes[lane] += usize::from(is_new);
     }
@@ -154,7 +154,7 @@
     pub fn remove(&mut self, key: PieceKey, piece: &Piece) -> bool {
         let Some((lane, rank)) = self.ranks.remove(key) else { return false };
         self.sizes[lane] -= 1;
-        self.by_due.remove(&(piece.due, key));
+        self.by_due.remove(&(piece.deadline, key));
         if let Entry::Occupied(mut group) = self.lanes[lane].entry(rank) {
             group.get_mut().keys.retain(|other| *other != key);
             if group.get().keys.is_empty() {
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -6,8 +6,10 @@
     model::Incarnation,
     relay::{
         Relay, Settings,
-        allowance::Bound,
-        config::{Config, Engine, Kind, Limits, Pieces, Route, Service, Stage, Target, Team},
+        allowance::RetryBudgetConfig,
+        config::{
+            Config, Engine, Limits, Pieces, RequestKind, Route, Service, Stage, Target, Team,
+        },
         directory::{Change, Entry},
         fingerprint::Fingerprint,
         model::{
@@ -31,7 +33,7 @@
 
 impl ConfigBuilder {
     pub fn new(version: u64) -> ConfigBuilder {
-        let limits = Limits { body: 1 << 20, idle: ms(15_000) };
+        let limits = Limits { max_body: 1 << 20, idle_timeout: ms(15_000) };
         let config =
             Config { version, routes: Vec::new(), services: HashMap::new(), keys: None, limits };
         ConfigBuilder { config }
@@ -44,7 +46,7 @@
     }
 
     pub fn service(mut self, name: &str) -> ConfigBuilder {
-        let service = Service { connections: 800, engine: None, pieces: None, cold_pace: None };
+        let service = Service { connections: 800, engine: None, pieces: None, cold_interval: None };
         self.config.services.insert(Arc::from(name), service);
         self
     }
@@ -64,21 +66,21 @@
 
     pub fn makers(mut self, name: &str, pieces: Pieces) -> ConfigBuilder {
         let service =
-            Service { connections: 800, engine: None, pieces: Some(pieces), cold_pace: None };
+            Service { connections: 800, engine: None, pieces: Some(pieces), cold_interval: None };
         self.config.services.insert(Arc::from(name), service);
         self
     }
 
     pub fn engines(mut self, name: &str, engine: Engine) -> ConfigBuilder {
         let service =
-            Service { connections: 800, engine: Some(engine), pieces: None, cold_pace: None };
+            Service { connections: 800, engine: Some(engine), pieces: None, cold_interval: None };
         self.config.services.insert(Arc::from(name), service);
         self
     }
 
     /// Endpoints of a service bear a call each so much time while they are cold.
     pub fn cold_pace(mut self, name: &str, pace: Duration) -> ConfigBuilder {
-        self.config.services.get_mut(name).unwrap().cold_pace = Some(pace);
+        self.config.services.get_mut(name).unwrap().cold_interval = Some(pace);
         self
     }
 
@@ -93,7 +95,7 @@
 }
 
 /// A route to one service, for paths that begin with its name.
-pub fn route(name: &str, kind: Kind, service: &str) -> Route {
+pub fn route(name: &str, kind: RequestKind, service: &str) -> Route {
     Route {
         name: Arc::from(name),
         host: Arc::from("fleet.example"),
@@ -149,12 +151,19 @@
 /// The head of an endpoint's own whole answer.
 pub fn head(status: u16) -> ReplyHead {
     let terms = Terms::default();
-    ReplyHead { status, is_ours: true, is_unrun: false, is_sealed: true, load: None, terms }
+    ReplyHead {
+        status,
+        has_request_id: true,
+        is_not_run: false,
+        is_sealed: true,
+        load: None,
+        terms,
+    }
 }
 
 /// The head of a reply that says that nothing ran.
 pub fn unrun(status: u16) -> ReplyHead {
-    ReplyHead { is_unrun: true, is_sealed: false, ..head(status) }
+    ReplyHead { is_not_run: true, is_sealed: false, ..head(status) }
 }
 
 /// A relay under test and its clock.
@@ -166,21 +175,21 @@
 
 impl World {
     pub fn new(config: Arc<Config>) -> World {
-        let bound = Bound { ratio: 0.2, slack: 40.0, window: ms(10_000) };
+        let bound = RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: ms(10_000) };
         World::with_bound(config, bound)
     }
 
     /// An instance of that name.
     pub fn named(config: Arc<Config>, name: &str) -> World {
-        let bound = Bound { ratio: 0.2, slack: 40.0, window: ms(10_000) };
+        let bound = RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: ms(10_000) };
         World::with_name(config, bound, name)
     }
 
-    pub fn with_bound(config: Arc<Config>, bound: Bound) -> World {
+    pub fn with_bound(config: Arc<Config>, bound: RetryBudgetConfig) -> World {
         World::with_name(config, bound, "own")
     }
 
-    fn with_name(config: Arc<Config>, bound: Bound, name: &str) -> World {
+    fn with_name(config: Arc<Config>, bound: RetryBudgetConfig, name: &str) -> World {
         let settings = Settings {
             name: Arc::from(name),
             data_centre: Arc::from("east"),
@@ -190,12 +199,12 @@
         };
         let mut relay = Relay::new(settings, 7);
         relay.configure(config);
-        relay.know_quarantine();
+        relay.mark_quarantine_read();
         World { relay, now: Duration::ZERO, actions: Vec::new() }
     }
 
     /// A world with one plain route of that kind and two endpoints.
-    pub fn plain(kind: Kind) -> World {
+    pub fn plain(kind: RequestKind) -> World {
         let config = ConfigBuilder::new(1).service("desk").route(route("r", kind, "desk"));
         let mut world = World::new(config.build());
         world.put(entry("a", "desk"));
@@ -204,7 +213,7 @@
     }
 
     pub fn put(&mut self, entry: Entry) {
-        self.relay.change(self.now, Change::Put(entry));
+        self.relay.apply_change(self.now, Change::Put(entry));
         self.collect();
     }
 
@@ -214,13 +223,13 @@
 
     /// Operators order something.
     pub fn obey(&mut self, act: Act) -> bool {
-        let taken = self.relay.obey(self.now, vec![act]);
+        let taken = self.relay.apply_operator_changes(self.now, vec![act]);
         self.collect();
         taken[0]
     }
 
     pub fn try_arrive(&mut self, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
-        let arrived = self.relay.arrive(self.now, arrival);
+        let arrived = self.relay.on_request(self.now, arrival);
         self.collect();
         arrived
     }
@@ -232,28 +241,28 @@
     }
 
     pub fn replied(&mut self, call: CallKey, head: &ReplyHead) {
-        self.relay.replied(self.now, call, head);
+        self.relay.on_reply(self.now, call, head);
         self.collect();
     }
 
     pub fn failed(&mut self, call: CallKey, failure: Failure) {
-        self.relay.failed(self.now, call, failure);
+        self.relay.on_call_failure(self.now, call, failure);
         self.collect();
     }
 
     pub fn leave(&mut self, exchange: ExchangeKey) {
-        self.relay.leave(self.now, exchange);
+        self.relay.on_caller_disconnect(self.now, exchange);
         self.collect();
     }
 
     pub fn event(&mut self, call: CallKey, id: u64) -> bool {
-        let is_passed = self.relay.pass_event(self.now, call, Some(id));
+        let is_passed = self.relay.on_stream_event(self.now, call, Some(id));
         self.collect();
         is_passed
     }
 
     pub fn made(&mut self, call: CallKey, results: Vec<PieceResult>) {
-        self.relay.made(self.now, call, results, None);
+        self.relay.on_pieces_made(self.now, call, results, None);
         self.collect();
     }
 
@@ -287,7 +296,7 @@
     /// Takes all calls for pieces out of the actions.
     pub fn orders(&mut self) -> Vec<Order> {
         self.take(|action| match action {
-            Action::Make { call, endpoint, addr, pieces } => {
+            Action::MakePieces { call, endpoint, addr, pieces } => {
                 let (endpoint, addr, pieces) = (endpoint.clone(), addr.clone(), pieces.clone());
                 Some(Order { call: *call, endpoint, addr, pieces })
             }
@@ -298,7 +307,7 @@
     /// Takes the results that were given up out of the actions.
     pub fn freed(&mut self) -> Vec<Handle> {
         let freed = self.take(|action| match action {
-            Action::Free { handles, .. } => Some(handles.clone()),
+            Action::FreeResults { handles, .. } => Some(handles.clone()),
             _ => None,
         });
         let mut freed: Vec<_> = freed.into_iter().flatten().collect();
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -13,10 +13,12 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Kind, Route},
+        config::{RequestKind, Route},
         directory::Entry,
         fingerprint::Fingerprint,
-        model::{Action, Arrival, CallKey, ExchangeKey, Failure, PieceFailure, Probed, ReplyHead},
+        model::{
+            Action, Arrival, CallKey, ExchangeKey, Failure, PieceFailure, ProbeResult, ReplyHead,
+        },
         operator::Act,
         terms::{Rate, Terms},
     },
@@ -135,11 +137,12 @@
     Fingerprint(u128::from(pick % 4) + 1)
 }
 
-const KINDS: [Kind; 4] = [Kind::Idempotent, Kind::Once, Kind::Stream, Kind::Resumable];
+const KINDS: [RequestKind; 4] =
+    [RequestKind::Idempotent, RequestKind::Once, RequestKind::Stream, RequestKind::Resumable];
 
 #[derive(Default)]
 struct Oracle {
-    open: HashMap<ExchangeKey, Kind>,
+    open: HashMap<ExchangeKey, RequestKind>,
     /// Exchanges of which something may have run.
     ran: HashSet<ExchangeKey>,
     calls: Vec<(CallKey, ExchangeKey)>,
@@ -167,9 +170,9 @@
         let mut consults = Vec::new();
         for action in std::mem::take(&mut world.actions) {
             match action {
-                Action::HeldBack { content, .. } => drop(self.held.insert(content)),
+                Action::Quarantined { content, .. } => drop(self.held.insert(content)),
                 Action::Released(content) => drop(self.held.remove(&content)),
-                Action::Consult { content, .. } => consults.push(content),
+                Action::QueryAnswered { content, .. } => consults.push(content),
                 Action::Send(call) => {
                     let content = self.contents.get(&call.exchange);
                     let is_held = content.is_some_and(|content| self.held.contains(content));
@@ -177,13 +180,13 @@
                     assert!(!self.leaving.contains(&*call.endpoint), "sent to one that leaves");
                     let kind = self.open.get(&call.exchange);
                     let is_repeat = self.ran.contains(&call.exchange);
-                    let may_repeat = kind.is_none_or(|kind| kind.may_repeat());
+                    let may_repeat = kind.is_none_or(|kind| kind.is_repeatable());
                     assert!(may_repeat || !is_repeat, "{kind:?} was called again");
                     self.check_sent(world.now, &call.endpoint);
                     self.called.insert(call.key, call.endpoint.to_string());
                     self.calls.push((call.key, call.exchange));
                 }
-                Action::Make { call, endpoint, addr, pieces } => {
+                Action::MakePieces { call, endpoint, addr, pieces } => {
                     let is_held = pieces.iter().any(|piece| self.held.contains(&piece.content));
                     assert!(!is_held, "made although it is held back");
                     assert!(!self.leaving.contains(&*endpoint), "made at one that leaves");
@@ -195,8 +198,8 @@
                     self.orders.retain(|order| order.call != call);
                 }
                 Action::Answer { exchange, .. }
-                | Action::Finish(exchange)
-                | Action::Break(exchange) => self.end(exchange),
+                | Action::FinishStream(exchange)
+                | Action::AbortStream(exchange) => self.end(exchange),
                 Action::Refuse { exchange, refusal, .. } => {
                     let says_unrun = refusal.status() == 503;
                     assert!(!says_unrun || !self.ran.contains(&exchange), "an untrue refusal");
@@ -207,7 +210,7 @@
         }
         for content in consults {
             let was_answered = content.0 % 2 == 0;
-            world.relay.consulted(world.now, content, was_answered);
+            world.relay.on_consultation(world.now, content, was_answered);
             world.collect();
             self.check(world);
         }
@@ -300,7 +303,7 @@
                 let pieces = if is_staged { vec![u16::from(pick % 3), 1, 2] } else { Vec::new() };
                 let id = idx.to_string();
                 let asking = Arrival { pieces, ..arrival(&id, &format!("{name}{kind}")) };
-                let key = world.relay.arrive(world.now, asking).unwrap();
+                let key = world.relay.on_request(world.now, asking).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
                 world.collect();
             }
@@ -316,11 +319,11 @@
                 if head.status != 421 {
                     oracle.limited.remove(&oracle.called[&call]);
                 }
-                if world.relay.opened(world.now, call, &head) {
+                if world.relay.on_reply_head(world.now, call, &head) {
                     oracle.ran.insert(exchange);
                     continue;
                 }
-                if !head.is_unrun {
+                if !head.is_not_run {
                     oracle.ran.insert(exchange);
                 }
                 oracle.forget(call);
@@ -344,7 +347,7 @@
                 }
                 oracle.ran.insert(exchange);
                 oracle.forget(call);
-                world.relay.ended(world.now, call);
+                world.relay.on_stream_end(world.now, call);
                 world.collect();
             }
             Step::Fail(pick, how) => {
@@ -368,8 +371,8 @@
                 match how % 8 {
                     0 => world.made(order.call, order.all(PieceFailure::NoRoom)),
                     1 => world.made(order.call, order.all(PieceFailure::InputGone)),
-                    2 => world.relay.make_failed(world.now, order.call, Failure::Cut, false),
-                    3 => world.relay.make_failed(world.now, order.call, Failure::Cut, true),
+                    2 => world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false),
+                    3 => world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, true),
                     _ => {
                         world.make(&order);
                     }
@@ -411,15 +414,15 @@
                 let content = common(content);
                 let asking =
                     Arrival { content, ..arrival(&idx.to_string(), &format!("plain{kind}")) };
-                let key = world.relay.arrive(world.now, asking).unwrap();
+                let key = world.relay.on_request(world.now, asking).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
                 oracle.contents.insert(key, content.from_team(None));
                 world.collect();
             }
             Step::Crash(pick) | Step::Reset(pick) => {
                 let probed = match step {
-                    Step::Crash(_) => Probed::Gone,
-                    _ => Probed::There,
+                    Step::Crash(_) => ProbeResult::Gone,
+                    _ => ProbeResult::There,
                 };
                 for (call, exchange) in oracle.calls_at(&format!("d{}", pick % 3)) {
                     oracle.ran.insert(exchange);
@@ -431,7 +434,7 @@
                     _ => None,
                 });
                 for endpoint in probes {
-                    world.relay.probed(world.now, endpoint, probed);
+                    world.relay.on_probe(world.now, endpoint, probed);
                     world.collect();
                 }
             }
@@ -462,8 +465,8 @@
             Step::Hold(content, is_held) => {
                 let content = common(content).from_team(None);
                 match is_held {
-                    true => world.relay.recorded(world.now, content, 3),
-                    false => world.relay.unrecorded(content),
+                    true => world.relay.on_quarantine_record(world.now, content, 3),
+                    false => world.relay.on_quarantine_removal(content),
                 }
                 world.collect();
             }
@@ -499,7 +502,7 @@
         }
         Saying::Rest(millis) => {
             head = unrun(503);
-            terms.rest = Some(ms(millis.into()));
+            terms.hold = Some(ms(millis.into()));
             let until = oracle.resting.entry(name).or_default();
             *until = (*until).max(world.now + ms(millis.into()));
         }
@@ -513,10 +516,10 @@
         }
     }
     let head = ReplyHead { terms, ..head };
-    if !head.is_unrun {
+    if !head.is_not_run {
         oracle.ran.insert(exchange);
     }
-    if !world.relay.opened(world.now, call, &head) {
+    if !world.relay.on_reply_head(world.now, call, &head) {
         oracle.forget(call);
         world.replied(call, &head);
     }
--- a/crates/core/tests/testsuite/relay/leaving.rs
+++ b/crates/core/tests/testsuite/relay/leaving.rs
@@ -13,9 +13,12 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Engine, Kind},
+        config::{Engine, RequestKind},
         directory::{Change, Entry},
-        model::{Action, Arrival, Call, Failure, Life, Peer, Placement, Question, ReplyHead},
+        model::{
+            Action, Arrival, Call, EndpointId, Failure, Peer, Placement, PlacementRequest,
+            ReplyHead,
+        },
         terms::Terms,
     },
 };
@@ -29,7 +32,7 @@
 }
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
-    world.relay.opened(world.now, call.key, head);
+    world.relay.on_reply_head(world.now, call.key, head);
     world.replied(call.key, head);
 }
 
@@ -69,7 +72,7 @@
 fn whatever_it_answers_it_gets_nothing_more() {
     let refusals = [head(200), head(404), head(500), unrun(503), unrun(429)];
     for refusal in refusals {
-        let mut world = World::plain(Kind::Idempotent);
+        let mut world = World::plain(RequestKind::Idempotent);
         answer_of(&mut world, "a", &leaving(refusal.clone()));
         assert_eq!(called(&mut world), ["b"], "{refusal:?}");
     }
@@ -77,10 +80,10 @@
 
 #[test]
 fn the_head_of_a_stream_says_so() {
-    let mut world = World::plain(Kind::Stream);
+    let mut world = World::plain(RequestKind::Stream);
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    assert!(world.relay.opened(world.now, call.key, &leaving(head(200))));
+    assert!(world.relay.on_reply_head(world.now, call.key, &leaving(head(200))));
     let other = if &*call.endpoint == "a" { "b" } else { "a" };
     assert!(world.event(call.key, 1), "what it streams goes on");
     assert_eq!(called(&mut world), [other]);
@@ -89,23 +92,23 @@
 /// Its entry may be older than its word, and the store dark.
 #[test]
 fn an_old_entry_does_not_bring_it_back() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     answer_of(&mut world, "a", &leaving(head(200)));
     world.put(entry("a", "desk"));
     assert_eq!(called(&mut world), ["b"]);
-    world.relay.change(world.now, Change::Removed("a".into()));
+    world.relay.apply_change(world.now, Change::Removed("a".into()));
     world.put(entry("a", "desk"));
     assert_eq!(called(&mut world), ["b"]);
     world.put(Entry { incarnation: Incarnation(2), ..entry("a", "desk") });
     world.calls();
-    world.relay.change(world.now, Change::Removed("b".into()));
+    world.relay.apply_change(world.now, Change::Removed("b".into()));
     assert_eq!(called(&mut world), ["a"], "it has started again");
 }
 
 /// Nothing is sent even where no other is left; callers hear so.
 #[test]
 fn where_all_leave_callers_are_refused() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     answer_of(&mut world, "a", &leaving(head(200)));
     answer_of(&mut world, "b", &leaving(head(200)));
     assert!(called(&mut world).is_empty());
@@ -116,20 +119,20 @@
 /// A cut stream is resumed elsewhere, and repeats go elsewhere.
 #[test]
 fn a_stream_is_not_resumed_there() {
-    let mut world = World::plain(Kind::Resumable);
+    let mut world = World::plain(RequestKind::Resumable);
     world.put(entry("c", "desk"));
     let mut open = Vec::new();
     for idx in 0..20 {
         world.arrive(arrival(&idx.to_string(), "r"));
         let call = world.call();
         world.advance(ms(20));
-        world.relay.opened(world.now, call.key, &head(200));
+        world.relay.on_reply_head(world.now, call.key, &head(200));
         world.event(call.key, 1);
         open.push(call);
     }
     world.arrive(arrival("told", "r"));
     let told = world.call();
-    world.relay.opened(world.now, told.key, &leaving(head(200)));
+    world.relay.on_reply_head(world.now, told.key, &leaving(head(200)));
     for call in open.into_iter().filter(|call| call.endpoint != told.endpoint) {
         world.failed(call.key, Failure::Cut);
     }
@@ -140,7 +143,7 @@
 
 #[test]
 fn calls_for_pieces_tell_it_and_end() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
     for is_made in [true, false] {
@@ -151,12 +154,12 @@
         world.arrive(Arrival { pieces: vec![1], ..arrival("1", "r") });
         let order = world.orders().remove(0);
         let told = if is_made { head(200) } else { unrun(503) };
-        world.relay.heard(world.now, order.call, &leaving(told));
+        world.relay.on_reply_terms(world.now, order.call, &leaving(told));
         match is_made {
             true => world.make(&order),
             false => {
                 let failure = Failure::Cut;
-                world.relay.make_failed(world.now, order.call, failure, true);
+                world.relay.on_pieces_failure(world.now, order.call, failure, true);
                 world.collect();
             }
         }
@@ -175,9 +178,9 @@
 /// sends it elsewhere.
 #[test]
 fn a_peers_placement_there_is_not_used() {
-    let engine = Engine { slots: 64, memory: 3_000_000, pause: None, transfer: None };
+    let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer: None };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     world.put(entry("a", "llm"));
     world.put(entry("b", "llm"));
     let ask = |world: &mut World, id: &str| {
@@ -185,18 +188,18 @@
     };
     ask(&mut world, "1");
     let call = world.call();
-    world.relay.opened(world.now, call.key, &leaving(head(200)));
-    let peer = Peer { name: "peer".into(), strength: 900 };
+    world.relay.on_reply_head(world.now, call.key, &leaving(head(200)));
+    let peer = Peer { name: "peer".into(), millicores: 900 };
     world.relay.set_peers(world.now, vec![peer], 2);
     let key = ask(&mut world, "2");
-    let asked: Vec<Question> = world.take(|action| match action {
-        Action::Ask { question, .. } => Some(question.clone()),
+    let asked: Vec<PlacementRequest> = world.take(|action| match action {
+        Action::RequestPlacement { question, .. } => Some(question.clone()),
         _ => None,
     });
     assert_eq!(asked.len(), 1);
-    let engine = Life { name: call.endpoint.clone(), incarnation: Incarnation(1) };
+    let engine = EndpointId { name: call.endpoint.clone(), incarnation: Incarnation(1) };
     let placement = Placement { engine, source: None, tokens: 10, wait: ms(0), number: 1 };
-    world.relay.placed(world.now, key, &"peer".into(), Some(placement));
+    world.relay.on_placement(world.now, key, &"peer".into(), Some(placement));
     world.collect();
     assert_ne!(world.call().endpoint, call.endpoint);
 }
@@ -204,11 +207,11 @@
 /// Peers hear of it, also those that start later.
 #[test]
 fn peers_are_told() {
-    let mut world = World::plain(Kind::Idempotent);
+    let mut world = World::plain(RequestKind::Idempotent);
     answer_of(&mut world, "a", &leaving(head(200)));
-    let notices = world.relay.notices(world.now);
-    let mut peer = World::plain(Kind::Idempotent);
-    peer.relay.noticed(peer.now, &"own".into(), &notices);
+    let notices = world.relay.peer_notices(world.now);
+    let mut peer = World::plain(RequestKind::Idempotent);
+    peer.relay.on_peer_notices(peer.now, &"own".into(), &notices);
     peer.collect();
     assert_eq!(called(&mut peer), ["b"]);
 }
--- a/crates/core/tests/testsuite/relay/limits.rs
+++ b/crates/core/tests/testsuite/relay/limits.rs
@@ -5,9 +5,9 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Engine, Kind, Transfer},
+        config::{Engine, RequestKind, Transfer},
         directory::Entry,
-        model::{Action, Arrival, Call, Life, Peer, ReplyHead},
+        model::{Action, Arrival, Call, EndpointId, Peer, ReplyHead},
         terms::{Notice, Rate, Terms},
     },
 };
@@ -23,14 +23,15 @@
 
 /// An instance alone before one plain endpoint.
 fn alone() -> World {
-    let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
+    let config =
+        ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
     world
 }
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
-    world.relay.opened(world.now, call.key, head);
+    world.relay.on_reply_head(world.now, call.key, head);
     world.replied(call.key, head);
 }
 
@@ -98,10 +99,10 @@
     assert_eq!(calls_in(&mut world, 1000, &naming(0.0, head(200))), 0);
     world.put(Entry { incarnation: Incarnation(2), ..entry("a", "desk") });
     world.calls();
-    let life = Life { name: "a".into(), incarnation: Incarnation(1) };
+    let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let limit = Rate::per_second(0.0);
     let notice = Notice { life, limit, is_leaving: false, age: ms(0) };
-    world.relay.noticed(world.now, &"peer".into(), &[notice]);
+    world.relay.on_peer_notices(world.now, &"peer".into(), &[notice]);
     assert_eq!(calls_in(&mut world, 1000, &head(200)), 50);
 }
 
@@ -113,7 +114,7 @@
     world.arrive(arrival("1", "r"));
     let call = world.call();
     answer(&mut world, &call, &naming(0.0, unrun(421)));
-    let told = world.take(|action| matches!(action, Action::Limit { .. }).then_some(()));
+    let told = world.take(|action| matches!(action, Action::EndpointLimit { .. }).then_some(()));
     assert!(told.is_empty());
 }
 
@@ -123,7 +124,7 @@
     let mut world = alone();
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    world.relay.opened(world.now, call.key, &naming(0.0, head(200)));
+    world.relay.on_reply_head(world.now, call.key, &naming(0.0, head(200)));
     world.failed(call.key, peatdeck_core::relay::model::Failure::Cut);
     world.calls();
     assert_eq!(calls_in(&mut world, 1000, &naming(0.0, head(200))), 0);
@@ -134,19 +135,19 @@
 fn an_older_notice_changes_nothing() {
     let mut world = alone();
     world.advance(ms(10_000));
-    let life = Life { name: "a".into(), incarnation: Incarnation(1) };
+    let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let notice = |limit, age| Notice { life: life.clone(), limit, is_leaving: false, age: ms(age) };
     let told = [notice(Rate::per_second(0.0), 1000), notice(None, 3000)];
-    world.relay.noticed(world.now, &"peer".into(), &told);
+    world.relay.on_peer_notices(world.now, &"peer".into(), &told);
     assert_eq!(calls_in(&mut world, 1000, &head(200)), 0);
-    world.relay.noticed(world.now, &"peer".into(), &[notice(None, 500)]);
+    world.relay.on_peer_notices(world.now, &"peer".into(), &[notice(None, 500)]);
     // Those that were waiting come besides.
     assert!(calls_in(&mut world, 1000, &head(200)) >= 50);
 }
 
 #[test]
 fn an_endpoint_that_makes_pieces_gets_its_limit() {
-    let mut staged = route("r", Kind::Idempotent, "desk");
+    let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
     let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
     let mut world = World::new(config.route(staged).build());
@@ -158,7 +159,7 @@
         world.arrive(Arrival { pieces: vec![1], ..arrival(&idx.to_string(), "r") });
         for order in world.orders() {
             started.push(world.now);
-            world.relay.heard(world.now, order.call, &told);
+            world.relay.on_reply_terms(world.now, order.call, &told);
             world.make(&order);
         }
         world.advance(ms(20));
@@ -180,12 +181,12 @@
     fn new(instances: usize, limit: f64) -> Group {
         let world = |own: usize| {
             let config = ConfigBuilder::new(1).service("desk");
-            let config = config.route(route("r", Kind::Idempotent, "desk")).build();
+            let config = config.route(route("r", RequestKind::Idempotent, "desk")).build();
             let mut world = World::named(config, &format!("i{own}"));
             world.put(entry("limited", "desk"));
             world.put(entry("free", "desk"));
             let others = (0..instances).filter(|idx| *idx != own);
-            let peers = others.map(|idx| Peer { name: format!("i{idx}").into(), strength: 250 });
+            let peers = others.map(|idx| Peer { name: format!("i{idx}").into(), millicores: 250 });
             world.relay.set_peers(world.now, peers.collect(), instances);
             world
         };
@@ -243,10 +244,10 @@
         let count = self.worlds.len();
         for idx in 0..count {
             let now = self.worlds[idx].now;
-            let notices = self.worlds[idx].relay.notices(now);
+            let notices = self.worlds[idx].relay.peer_notices(now);
             let other = (idx + 1 + (step / 20 * 31 + idx as u64 * 7) as usize) % count;
             let from = Arc::from(format!("i{idx}"));
-            self.worlds[other].relay.noticed(now, &from, &notices);
+            self.worlds[other].relay.on_peer_notices(now, &from, &notices);
         }
     }
 
@@ -295,16 +296,16 @@
 #[test]
 fn an_engine_in_need_is_not_asked_for_its_parts() {
     let transfer = Some(Transfer { token_bytes: 160_000.0, rate: 32e6 });
-    let engine = Engine { slots: 64, memory: 3_000_000, pause: None, transfer };
+    let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
     }
-    let life = Life { name: "a".into(), incarnation: Incarnation(1) };
+    let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let limit = Rate::per_second(1.0);
     let notice = Notice { life, limit, is_leaving: false, age: ms(0) };
-    world.relay.noticed(world.now, &"peer".into(), &[notice]);
+    world.relay.on_peer_notices(world.now, &"peer".into(), &[notice]);
     world.arrive(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
     let asked = world.take(|action| match action {
         Action::ListParts { addr, .. } => Some(addr.to_string()),
--- a/crates/core/tests/testsuite/relay/peers.rs
+++ b/crates/core/tests/testsuite/relay/peers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use peatdeck_core::relay::{
-    config::{Kind, Route},
+    config::{RequestKind, Route},
     model::{Action, Arrival, HandoverKey, Peer, Piece, PieceFailure},
 };
 
@@ -14,7 +14,7 @@
     let config = ConfigBuilder::new(1)
         .service("desk")
         .maker("ledger", 1 << 30)
-        .route(Route { stages, ..route("r", Kind::Idempotent, "desk") });
+        .route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
     let mut world = World::new(config.build());
     world.put(entry("d1", "desk"));
     world.put(entry("l1", "ledger"));
@@ -40,13 +40,13 @@
 }
 
 fn peer(name: &str, strength: u32) -> Peer {
-    Peer { name: Arc::from(name), strength }
+    Peer { name: Arc::from(name), millicores: strength }
 }
 
 /// The peers that hand-overs go to.
 fn receivers(world: &mut World) -> Vec<Arc<str>> {
     world.take(|action| match action {
-        Action::HandOver { peer, .. } => Some(peer.clone()),
+        Action::HandOverPieces { peer, .. } => Some(peer.clone()),
         _ => None,
     })
 }
@@ -57,14 +57,14 @@
 
 fn handed(world: &mut World) -> Vec<(HandoverKey, Vec<Piece>)> {
     world.take(|action| match action {
-        Action::HandOver { key, pieces, .. } => Some((*key, pieces.clone())),
+        Action::HandOverPieces { key, pieces, .. } => Some((*key, pieces.clone())),
         _ => None,
     })
 }
 
 fn returned(world: &mut World) -> Vec<(u64, usize)> {
     world.take(|action| match action {
-        Action::Return { ticket, results } => Some((*ticket, results.len())),
+        Action::ReturnResults { ticket, results } => Some((*ticket, results.len())),
         _ => None,
     })
 }
@@ -76,7 +76,7 @@
     let (key, pieces) = handed(&mut world).remove(0);
     assert_eq!(pieces.len(), 2);
     let results = vec![Ok(Arc::from("l1:80/x")), Ok(Arc::from("l1:80/y"))];
-    world.relay.returned(world.now, key, Some(results));
+    world.relay.on_handover_return(world.now, key, Some(results));
     world.collect();
     assert_eq!(world.call().inputs.len(), 2);
 }
@@ -87,7 +87,7 @@
     world.arrive(asking("1", 2));
     let (key, _) = handed(&mut world).remove(0);
     assert!(world.orders().is_empty());
-    world.relay.returned(world.now, key, None);
+    world.relay.on_handover_return(world.now, key, None);
     world.collect();
     assert_eq!(world.orders()[0].names(), ["1/0/0", "1/0/1"]);
 }
@@ -112,10 +112,10 @@
     world.relay.set_peers(world.now, peers.clone(), 3);
     world.arrive(asking("1", 2));
     let (key, pieces) = handed(&mut world).remove(0);
-    world.relay.returned(world.now, key, None);
+    world.relay.on_handover_return(world.now, key, None);
     world.collect();
     let next = world.take(|action| match action {
-        Action::HandOver { peer, pieces, .. } => Some((peer.clone(), pieces.clone())),
+        Action::HandOverPieces { peer, pieces, .. } => Some((peer.clone(), pieces.clone())),
         _ => None,
     });
     assert_eq!(next, [(Arc::from("second"), pieces)]);
@@ -134,7 +134,7 @@
     let exchange = world.arrive(asking("1", 2));
     let (key, _) = handed(&mut world).remove(0);
     world.leave(exchange);
-    assert_eq!(world.actions, [Action::Recall(key)]);
+    assert_eq!(world.actions, [Action::RecallPieces(key)]);
 }
 
 #[test]
@@ -158,7 +158,7 @@
 #[test]
 fn a_peers_pieces_are_returned_together() {
     let mut world = world();
-    world.relay.take_over(world.now, 9, vec![piece(0), piece(1)]);
+    world.relay.on_handover(world.now, 9, vec![piece(0), piece(1)]);
     world.collect();
     let order = world.orders().remove(0);
     assert_eq!(order.pieces.len(), 2);
@@ -169,8 +169,8 @@
 #[test]
 fn a_peers_late_pieces_are_returned_at_once() {
     let mut world = world();
-    let late = Piece { due: world.now, ..piece(0) };
-    world.relay.take_over(world.now, 9, vec![late]);
+    let late = Piece { deadline: world.now, ..piece(0) };
+    world.relay.on_handover(world.now, 9, vec![late]);
     world.collect();
     assert_eq!(returned(&mut world), [(9, 1)]);
     assert!(world.orders().is_empty());
@@ -181,7 +181,7 @@
 fn a_peers_piece_that_was_tried_any_number_of_times_is_returned() {
     let mut world = world();
     let tried = Piece { tries: u8::MAX, ..piece(0) };
-    world.relay.take_over(world.now, 9, vec![tried]);
+    world.relay.on_handover(world.now, 9, vec![tried]);
     world.collect();
     let order = world.orders().remove(0);
     world.made(order.call, order.all(PieceFailure::Failed));
@@ -191,12 +191,12 @@
 #[test]
 fn what_a_peer_recalls_is_not_made_and_not_kept() {
     let mut world = world();
-    world.relay.take_over(world.now, 1, vec![piece(0)]);
+    world.relay.on_handover(world.now, 1, vec![piece(0)]);
     world.collect();
     let running = world.orders().remove(0);
-    world.relay.take_over(world.now, 2, vec![piece(0)]);
-    world.relay.recalled(1);
-    world.relay.recalled(2);
+    world.relay.on_handover(world.now, 2, vec![piece(0)]);
+    world.relay.on_handover_recall(1);
+    world.relay.on_handover_recall(2);
     world.make(&running);
     assert!(world.orders().is_empty());
     assert_eq!(world.freed().len(), 1);
@@ -206,7 +206,7 @@
 #[test]
 fn a_peers_piece_that_fails_is_tried_again_and_then_returned() {
     let mut world = world();
-    world.relay.take_over(world.now, 3, vec![piece(0)]);
+    world.relay.on_handover(world.now, 3, vec![piece(0)]);
     world.collect();
     for _ in 0..3 {
         let order = world.orders().remove(0);
@@ -219,12 +219,12 @@
 #[test]
 fn pieces_wait_until_an_instance_that_has_just_started_knows_its_peers() {
     let mut world = world();
-    world.relay.await_peers(ms(1500));
+    world.relay.hold_for_peers(ms(1500));
     world.arrive(asking("1", 2));
     world.advance(ms(300));
     assert!(world.orders().is_empty() && handed(&mut world).is_empty());
     world.relay.set_peers(world.now, vec![peer("strong", 500)], 2);
-    world.relay.know_peers(world.now);
+    world.relay.mark_peers_known(world.now);
     world.collect();
     assert_eq!(receivers(&mut world), [Arc::from("strong")]);
 }
@@ -232,7 +232,7 @@
 #[test]
 fn an_instance_that_hears_of_no_peers_makes_its_pieces_itself() {
     let mut world = world();
-    world.relay.await_peers(ms(1500));
+    world.relay.hold_for_peers(ms(1500));
     world.arrive(asking("1", 2));
     world.advance(ms(1500));
     assert_eq!(world.orders().len(), 1);
--- a/crates/core/tests/testsuite/relay/placing.rs
+++ b/crates/core/tests/testsuite/relay/placing.rs
@@ -5,10 +5,11 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        config::{Engine, Kind, Transfer},
+        config::{Engine, RequestKind, Transfer},
         directory::{Change, Entry},
         model::{
-            Action, Arrival, ExchangeKey, Life, Listed, Peer, Placement, Progress, Question, Step,
+            Action, Arrival, EndpointId, ExchangeKey, HeldParts, Peer, Placement, PlacementRequest,
+            Progress, Step,
         },
     },
 };
@@ -18,28 +19,28 @@
 /// An instance whose only peer is stronger, so that the peer is the placer.
 fn beside_a_placer() -> World {
     let transfer = Some(Transfer { token_bytes: 160_000.0, rate: 32e6 });
-    let engine = Engine { slots: 64, memory: 300_000, pause: None, transfer };
+    let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
     }
-    let peer = Peer { name: "peer".into(), strength: 500 };
+    let peer = Peer { name: "peer".into(), millicores: 500 };
     world.relay.set_peers(world.now, vec![peer], 2);
     world
 }
 
-fn life(name: &str, incarnation: u64) -> Life {
-    Life { name: name.into(), incarnation: Incarnation(incarnation) }
+fn life(name: &str, incarnation: u64) -> EndpointId {
+    EndpointId { name: name.into(), incarnation: Incarnation(incarnation) }
 }
 
 fn asking(id: &str) -> Arrival {
     Arrival { prompt: Some(prompt(1, 2)), ..arrival(id, "r") }
 }
 
-fn questions(world: &mut World) -> Vec<(ExchangeKey, Question)> {
+fn questions(world: &mut World) -> Vec<(ExchangeKey, PlacementRequest)> {
     world.take(|action| match action {
-        Action::Ask { exchange, question, .. } => Some((*exchange, question.clone())),
+        Action::RequestPlacement { exchange, question, .. } => Some((*exchange, question.clone())),
         _ => None,
     })
 }
@@ -48,7 +49,7 @@
     let source = Some("b:80".into());
     let engine = life(endpoint, 1);
     let placement = Placement { engine, source, tokens: 1000, wait: ms(5), number: 77 };
-    world.relay.placed(world.now, key, &"peer".into(), Some(placement));
+    world.relay.on_placement(world.now, key, &"peer".into(), Some(placement));
     world.collect();
 }
 
@@ -72,7 +73,7 @@
     world.arrive(asking("1"));
     let (key, _) = questions(&mut world).remove(0);
     let leaving = Entry { is_leaving: true, ..entry("a", "llm") };
-    world.relay.change(world.now, Change::Put(leaving));
+    world.relay.apply_change(world.now, Change::Put(leaving));
     answer(&mut world, key, "a");
     assert_eq!(&*world.call().endpoint, "b");
 }
@@ -82,8 +83,8 @@
     let mut world = beside_a_placer();
     world.arrive(asking("1"));
     let (key, _) = questions(&mut world).remove(0);
-    world.relay.placer_failed(world.now, &"peer".into());
-    world.relay.placed(world.now, key, &"peer".into(), None);
+    world.relay.on_placer_failure(world.now, &"peer".into());
+    world.relay.on_placement(world.now, key, &"peer".into(), None);
     world.collect();
     assert_eq!(world.calls().len(), 1);
     world.arrive(asking("2"));
@@ -109,17 +110,17 @@
 fn a_placer_does_not_choose_what_the_asker_avoids() {
     let mut world = beside_a_placer();
     world.relay.set_peers(world.now, Vec::new(), 1);
-    let question = Question {
+    let question = PlacementRequest {
         service: "llm".into(),
         prompt: prompt(1, 2),
         inputs: Vec::new(),
-        avoided: vec![life("a", 1)],
+        excluded: vec![life("a", 1)],
     };
     for _ in 0..3 {
-        assert_eq!(&*world.relay.place(world.now, &question).unwrap().engine.name, "b");
+        assert_eq!(&*world.relay.place_prompt(world.now, &question).unwrap().engine.name, "b");
     }
-    let none = Question { avoided: vec![life("a", 1), life("b", 1)], ..question };
-    assert_eq!(world.relay.place(world.now, &none), None);
+    let none = PlacementRequest { excluded: vec![life("a", 1), life("b", 1)], ..question };
+    assert_eq!(world.relay.place_prompt(world.now, &none), None);
 }
 
 #[test]
@@ -148,18 +149,18 @@
     world.put(Entry { incarnation: Incarnation(2), ..entry("a", "llm") });
     world.arrive(asking("1"));
     let (key, question) = questions(&mut world).remove(0);
-    assert!(question.avoided.is_empty());
+    assert!(question.excluded.is_empty());
     answer(&mut world, key, "a");
     let call = world.call();
     assert_eq!(call.source, None, "the placer's word of an earlier life does not count");
     world.relay.set_peers(world.now, Vec::new(), 1);
-    let question = Question {
+    let question = PlacementRequest {
         service: "llm".into(),
         prompt: prompt(1, 2),
         inputs: Vec::new(),
-        avoided: vec![life("a", 1), life("b", 1)],
+        excluded: vec![life("a", 1), life("b", 1)],
     };
-    let placement = world.relay.place(world.now, &question).unwrap();
+    let placement = world.relay.place_prompt(world.now, &question).unwrap();
     assert_eq!(placement.engine, life("a", 2), "what failed is over");
 }
 
@@ -169,15 +170,15 @@
         let mut world = beside_a_placer();
         world.relay.set_peers(world.now, Vec::new(), 1);
         let engine = world.relay.directory().by_name("a").unwrap();
-        let listed = Listed { incarnation: Some(Incarnation(told)), parts: vec![1] };
-        world.relay.parts_listed(world.now, engine, &listed);
-        let question = Question {
+        let listed = HeldParts { incarnation: Some(Incarnation(told)), parts: vec![1] };
+        world.relay.on_parts_listed(world.now, engine, &listed);
+        let question = PlacementRequest {
             service: "llm".into(),
             prompt: prompt(1, 2),
             inputs: Vec::new(),
-            avoided: vec![life("b", 1)],
+            excluded: vec![life("b", 1)],
         };
-        world.relay.place(world.now, &question).unwrap().tokens
+        world.relay.place_prompt(world.now, &question).unwrap().tokens
     };
     assert_eq!((tokens(2), tokens(1)), (7000, 1000));
 }
@@ -185,29 +186,29 @@
 /// A placer of two engines, of which `a` streams to ten callers and has so much
 /// to read besides, and where the next prompt goes that `a` has read before.
 fn placed_beside_streams(backlog: u64, pause: Option<Duration>) -> Arc<str> {
-    let engine = Engine { slots: 64, memory: 900_000, pause, transfer: None };
+    let engine = Engine { slots: 64, memory: 900_000, max_gap: pause, transfer: None };
     let config = ConfigBuilder::new(1).engines("llm", engine);
-    let mut world = World::new(config.route(route("r", Kind::Resumable, "llm")).build());
+    let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
     }
-    let question = |own: u64, avoided: &str| Question {
+    let question = |own: u64, avoided: &str| PlacementRequest {
         service: "llm".into(),
         prompt: prompt(1, own),
         inputs: Vec::new(),
-        avoided: vec![life(avoided, 1)],
+        excluded: vec![life(avoided, 1)],
     };
     for own in 0..10 {
-        let placement = world.relay.place(world.now, &question(100 + own, "b")).unwrap();
+        let placement = world.relay.place_prompt(world.now, &question(100 + own, "b")).unwrap();
         let step = Step::Answered(None);
-        world.relay.progressed(world.now, Progress { number: placement.number, step });
+        world.relay.on_progress(world.now, Progress { number: placement.number, step });
     }
     world.advance(ms(2000));
     for own in 0..backlog {
-        world.relay.place(world.now, &question(200 + own, "b")).unwrap();
+        world.relay.place_prompt(world.now, &question(200 + own, "b")).unwrap();
     }
-    let next = Question { avoided: Vec::new(), ..question(300, "b") };
-    world.relay.place(world.now, &next).unwrap().engine.name
+    let next = PlacementRequest { excluded: Vec::new(), ..question(300, "b") };
+    world.relay.place_prompt(world.now, &next).unwrap().engine.name
 }
 
 /// Each prompt takes 30 ms to read at `a`, and 210 ms at `b`.
--- a/crates/core/tests/testsuite/relay/stages.rs
+++ b/crates/core/tests/testsuite/relay/stages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use peatdeck_core::relay::{
-    config::{Kind, Route},
+    config::{RequestKind, Route},
     directory::Entry,
     model::{Action, Arrival, CallKey, Failure, Piece, PieceFailure},
 };
@@ -20,7 +20,7 @@
         .service("engine")
         .maker("ledger", 18_000_000)
         .maker("mart", 2_800_000)
-        .route(Route { stages, ..route("r", Kind::Resumable, "engine") });
+        .route(Route { stages, ..route("r", RequestKind::Resumable, "engine") });
     let mut world = World::new(config.build());
     for name in ["e1", "e2"] {
         world.put(entry(name, "engine"));
@@ -68,7 +68,7 @@
     world.make(&second);
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
     let call = world.call();
-    world.relay.opened(world.now, call.key, &head(200));
+    world.relay.on_reply_head(world.now, call.key, &head(200));
     assert!(world.freed().is_empty());
     world.event(call.key, 1);
     assert_eq!(world.freed(), [Arc::from("m1:80/1-1-0")]);
@@ -90,7 +90,7 @@
 fn with_room_for_one() -> World {
     let config = ConfigBuilder::new(1).service("engine").maker("ledger", LARGE).route(Route {
         stages: vec![stage("ledger", &[], LARGE)],
-        ..route("r", Kind::Resumable, "engine")
+        ..route("r", RequestKind::Resumable, "engine")
     });
     let mut world = World::new(config.build());
     world.put(entry("e1", "engine"));
@@ -117,7 +117,7 @@
     let call = called(&mut world, "1");
     world.advance(ms(500));
     assert!(world.freed().is_empty());
-    world.relay.opened(world.now, call, &head(200));
+    world.relay.on_reply_head(world.now, call, &head(200));
     world.event(call, 1);
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
 }
@@ -177,7 +177,7 @@
         .service("engine")
         .maker("ledger", 18_000_000)
         .maker("mart", 2_800_000)
-        .route(Route { stages, ..route("r", Kind::Resumable, "engine") });
+        .route(Route { stages, ..route("r", RequestKind::Resumable, "engine") });
     let mut world = World::new(config.build());
     world.put(near("e1", "engine", "east"));
     world.put(near("l1", "ledger", "west"));
@@ -226,7 +226,7 @@
     world.arrive(asking("1", &[1]));
     let first = world.orders().remove(0);
     let failure = Failure::Cut;
-    world.relay.make_failed(world.now, first.call, failure, false);
+    world.relay.on_pieces_failure(world.now, first.call, failure, false);
     world.collect();
     let second = world.orders().remove(0);
     assert_ne!(first.endpoint, second.endpoint);
@@ -297,9 +297,9 @@
         world.arrive(asking);
         let call = world.call();
         engines.push(call.endpoint.clone());
-        world.relay.opened(world.now, call.key, &head(200));
+        world.relay.on_reply_head(world.now, call.key, &head(200));
         world.event(call.key, 1);
-        world.relay.ended(world.now, call.key);
+        world.relay.on_stream_end(world.now, call.key);
         world.collect();
         world.advance(ms(300));
     }
@@ -336,9 +336,9 @@
             world.make(&order);
         }
         for call in world.calls() {
-            world.relay.opened(world.now, call.key, &head(200));
+            world.relay.on_reply_head(world.now, call.key, &head(200));
             world.event(call.key, 1);
-            world.relay.ended(world.now, call.key);
+            world.relay.on_stream_end(world.now, call.key);
             world.collect();
         }
         freed.extend(world.freed());
@@ -349,7 +349,7 @@
     let freed: Vec<_> = freed.iter().map(ToString::to_string).collect();
     assert_eq!(made.len(), 50);
     assert_eq!(freed, made);
-    let finished = |action: &&Action| matches!(action, Action::Finish(_));
+    let finished = |action: &&Action| matches!(action, Action::FinishStream(_));
     assert_eq!(world.actions.iter().filter(finished).count(), 10);
 }
 
@@ -358,7 +358,7 @@
     let mut world = world_of_one_maker();
     world.arrive(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("1", "r") });
     let order = world.orders().remove(0);
-    world.relay.make_failed(world.now, order.call, Failure::Cut, false);
+    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false);
     world.collect();
     world.advance(ms(1900));
     let refusals = world.refusals();
@@ -371,14 +371,14 @@
     world.arrive(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("theirs", "r") });
     let theirs = world.orders().remove(0).pieces.remove(0);
     let mut world = world_of_one_maker();
-    world.relay.take_over(world.now, 9, vec![theirs]);
+    world.relay.on_handover(world.now, 9, vec![theirs]);
     world.collect();
     let order = world.orders().remove(0);
-    world.relay.make_failed(world.now, order.call, Failure::Cut, false);
+    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false);
     world.collect();
     world.advance(ms(1900));
     let returned = world.take(|action| match action {
-        Action::Return { results, .. } => Some(results.clone()),
+        Action::ReturnResults { results, .. } => Some(results.clone()),
         _ => None,
     });
     assert_eq!(returned, [vec![Err(PieceFailure::Failed)]]);
@@ -387,7 +387,7 @@
 fn world_of_one_maker() -> World {
     let stages = vec![stage("ledger", &[], 10)];
     let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30);
-    let config = config.route(Route { stages, ..route("r", Kind::Idempotent, "desk") });
+    let config = config.route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
     let mut world = World::new(config.build());
     world.put(entry("l1", "ledger"));
     world
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -187,7 +187,7 @@
     }
 
     fn is_stale(&self, now: Duration) -> bool {
-        let is_old = self.tables.age(now).is_none_or(|age| age > readers::STALE);
+        let is_old = self.tables.age(now).is_none_or(|age| age > readers::STALE_AFTER);
         is_old && !self.learning.is_underway(now)
     }
 
@@ -198,13 +198,13 @@
         let reachable = alive.filter(|name| members.addr(name).is_some());
         let mut instances: Vec<_> = reachable.map(|name| self.peer(name)).collect();
         instances.push(self.peer(members.identity().name.clone()));
-        readers::readers(&instances)
+        readers::select_readers(&instances)
     }
 
     /// An instance with what it announced of itself.
     fn peer(&self, name: InstanceName) -> Peer {
         let strength = self.listed.borrow().get(&name).map_or(0, |listed| listed.strength);
-        Peer { name, strength }
+        Peer { name, millicores: strength }
     }
 
     /// Logs which peers may batch pieces since now, or not any more.
@@ -237,7 +237,7 @@
     driver.feed(|machine, now| {
         machine.set_peers(now, peers, announced);
         if are_known {
-            machine.know_peers(now);
+            machine.mark_peers_known(now);
         }
     });
 }
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -7,8 +7,8 @@
     model::InstanceName,
     relay::{
         model::{
-            ExchangeKey, Handle, HandoverKey, Piece, PieceResult, Placement, Progress, Question,
-            ServiceName,
+            ExchangeKey, Handle, HandoverKey, Piece, PieceResult, Placement, PlacementRequest,
+            Progress, ServiceName,
         },
         terms::Notice,
     },
@@ -67,7 +67,7 @@
         driver: &Rc<Driver>,
         key: ExchangeKey,
         peer: InstanceName,
-        question: Question,
+        question: PlacementRequest,
     ) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
@@ -77,12 +77,12 @@
                 Err(error) => {
                     driver.metrics.count("relay.placements_failed", 1);
                     tracing::warn!(event = "place_failed", peer = &*peer, error = %error);
-                    driver.feed(|machine, now| machine.placer_failed(now, &peer));
+                    driver.feed(|machine, now| machine.on_placer_failure(now, &peer));
                     None
                 }
             };
             driver.metrics.time("relay.placement", driver.now().saturating_sub(asked));
-            driver.feed(|machine, now| machine.placed(now, key, &peer, placement));
+            driver.feed(|machine, now| machine.on_placement(now, key, &peer, placement));
         });
     }
 
@@ -135,7 +135,7 @@
         let driver = driver.clone();
         ntex::rt::spawn(async move {
             if free(&driver, &peer, &handles, is_spare).await.is_err() && !is_spare {
-                driver.feed(|machine, _| machine.free_here(handles));
+                driver.feed(|machine, _| machine.free_at_endpoints(handles));
             }
         });
     }
@@ -198,7 +198,7 @@
 async fn place(
     driver: &Rc<Driver>,
     peer: &str,
-    question: &Question,
+    question: &PlacementRequest,
 ) -> Result<Option<Placement>, Error> {
     let addr = driver.peers.members.borrow().addr(peer).ok_or(Error::TimedOut)?;
     let exchange = async |client: relay::Client| {
