--- a/crates/core/src/claims/window.rs
+++ b/crates/core/src/claims/window.rs
@@ -93,8 +93,8 @@
         }
     }
 
-    /// The claim that holds a key at a time: the first one that is not void and for which `is_ignored`
-    /// returns `false`.
+    /// The claim that holds a key at a time: the first one that is neither void nor ignored by
+    /// `is_ignored`.
     pub fn holder(
         &self,
         key: &RequestId,
--- a/crates/core/src/config_log.rs
+++ b/crates/core/src/config_log.rs
@@ -10,7 +10,7 @@
 //! - at offset 0, the state is the empty document, version 0;
 //! - later, a [`Snapshot`] stands in for everything up to its `as_of`. It is usable if every record
 //!   after `as_of` was read. A publish in the middle of the stream is never assumed to be the
-//!   version in force: without the records before it, nobody can know whether it was accepted.
+//!   version in force: whether it was accepted depends on the records before it.
 //!
 //! A reader that has not read for longer than the retention has a gap. It keeps the last state it
 //! has, reports the gap through [`ConfigReader::is_gapped`], and continues with the next usable
@@ -160,8 +160,8 @@
         matches!(self.continuity, Continuity::Gapped { .. })
     }
 
-    /// How far this reader has got, for its peers. It is the lowest mark if the reader does not
-    /// know what is in force, so that peers send their snapshot.
+    /// How far this reader has got, for its peers. It is the lowest mark if the version in force is
+    /// unknown, so that peers send their snapshot.
     pub fn mark(&self) -> ConfigMark {
         match &self.newest {
             Some(newest) if !self.is_gapped() => {
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -1,7 +1,7 @@
-//! What an instance knows of each endpoint.
+//! The state of each endpoint, as seen by one instance.
 //!
 //! A [`Table`] has three sources: the platform's list, which lags and may flap; marks that an
-//! endpoint is leaving, from whichever process learnt it first; and the results of the instance's
+//! endpoint is leaving, from whichever process detects it first; and the results of the instance's
 //! own calls. Four rules hold in whatever order they arrive:
 //!
 //! - **Leaving is permanent for an incarnation.** Once marked, an endpoint gets no call until a
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// One endpoint and what this instance knows of it.
+/// One endpoint, as seen by this instance.
 #[derive(Debug)]
 pub struct Endpoint {
     /// Its name.
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -91,7 +91,7 @@
     pub incarnation: Incarnation,
 }
 
-/// What the sender knows of one endpoint.
+/// The state of one endpoint, as seen by the sender.
 #[message]
 pub struct EndpointState {
     /// The endpoint.
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -126,7 +126,7 @@
 }
 
 impl Members {
-    /// The state of an instance that knows no peer.
+    /// The state before any peer is known.
     pub fn new(identity: Identity, settings: Settings, seed: u64) -> Members {
         Members {
             identity,
--- a/crates/core/src/membership/peer.rs
+++ b/crates/core/src/membership/peer.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of one peer.
+//! The state of one peer, as seen by this instance.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
 /// dead.
 const DEAD_FAILURES: u32 = 3;
 
-/// One peer and what is known of it.
+/// One peer, as seen by this instance.
 pub struct Peer {
     /// Its name.
     pub name: InstanceName,
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -161,7 +161,7 @@
     Policy,
     /// A pool that the request needs has no usable endpoint.
     NoEndpoint,
-    /// The instance does not know which configuration is in force.
+    /// It is unknown which configuration is in force.
     NotReady,
     /// The instance is stopping.
     Stopping,
--- a/crates/core/src/trace/report.rs
+++ b/crates/core/src/trace/report.rs
@@ -56,7 +56,9 @@
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Fault {
     /// The answers of the trace and the replay differ.
-    #[error("caller {} was sent {recorded}; the replay sends caller {} {replayed}", caller.0, other.0)]
+    #[error(
+        "caller {} was sent {recorded}; the replay sends caller {} {replayed}", caller.0, other.0
+    )]
     Differs {
         /// The caller that was answered in the trace.
         caller: CallerId,
