--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -54,44 +54,44 @@
 }
 
 /// How far beyond its share a team may go while others wait.
-const LENT_SHARE: f64 = 2.0;
+const MAX_SHARE_FACTOR: f64 = 2.0;
 /// Requests that a team may hold whatever its share: so few are chance.
-const FEW: f64 = 4.0;
+const MIN_ALLOWED: f64 = 4.0;
 /// The soonest that a caller is asked back.
-const MIN_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The latest that a caller is asked back.
-const MAX_RETRY: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// The most that a time to come back is stretched by, as a share of it.
-const SPREAD: f64 = 0.25;
+const MAX_JITTER: f64 = 0.25;
 
 /// Decides.
 ///
 /// # Errors
 /// The refusal to send, with the time after which a repeat has a chance.
 pub fn decide(estimate: &Estimate) -> Result<(), Refusal> {
-    if needed(estimate) > estimate.left {
-        return Err(refusal(RefusalKind::Infeasible, until_feasible(estimate)));
+    if required_time(estimate) > estimate.left {
+        return Err(refusal(RefusalKind::Infeasible, time_until_feasible(estimate)));
     }
     if is_over_share(&estimate.share) {
-        return Err(refusal(RefusalKind::OverShare, until_within_share(estimate)));
+        return Err(refusal(RefusalKind::OverShare, time_until_within_share(estimate)));
     }
     Ok(())
 }
 
 /// While nothing waits, a try costs nobody anything: it needs a chance only.
-fn needed(estimate: &Estimate) -> Duration {
+fn required_time(estimate: &Estimate) -> Duration {
     if estimate.wait.is_zero() { estimate.min_work } else { estimate.wait + estimate.work }
 }
 
 /// A refusal whose time to come back is kept within sensible bounds.
 pub fn refusal(kind: RefusalKind, retry_after: Duration) -> Refusal {
-    Refusal { kind, retry_after: retry_after.clamp(MIN_RETRY, MAX_RETRY) }
+    Refusal { kind, retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER) }
 }
 
 /// Stretches the time to come back at random, so that callers refused together
 /// don't return together.
 pub fn add_jitter(refusal: Refusal, rng: &mut SmallRng) -> Refusal {
-    let factor = 1.0 + rng.random::<f64>() * SPREAD;
+    let factor = 1.0 + rng.random::<f64>() * MAX_JITTER;
     Refusal { retry_after: refusal.retry_after.mul_f64(factor), ..refusal }
 }
 
@@ -100,13 +100,15 @@
 pub fn expected_wait(ahead: f64, places: u32, service: Duration) -> Duration {
     // Without places it is for ever, which the bound below cuts off.
     let rounds = ahead.max(0.0) / f64::from(places);
-    Duration::try_from_secs_f64(service.as_secs_f64() * rounds).unwrap_or(MAX_RETRY).min(MAX_RETRY)
+    Duration::try_from_secs_f64(service.as_secs_f64() * rounds)
+        .unwrap_or(MAX_RETRY_AFTER)
+        .min(MAX_RETRY_AFTER)
 }
 
 /// The queue shortens as time passes, so the request fits once the excess is
 /// gone. Where the work alone is too much for the deadline, only quieter
 /// stages help: when the queue is gone.
-fn until_feasible(estimate: &Estimate) -> Duration {
+fn time_until_feasible(estimate: &Estimate) -> Duration {
     let needed = estimate.wait + estimate.work;
     if estimate.work > estimate.left {
         return needed;
@@ -115,24 +117,24 @@
 }
 
 /// Requests leave at the rate of their work; the excess has to leave first.
-fn until_within_share(estimate: &Estimate) -> Duration {
+fn time_until_within_share(estimate: &Estimate) -> Duration {
     let share = &estimate.share;
-    let allowed = allowed(share);
+    let allowed = allowed_requests(share);
     let excess = (f64::from(share.active) + 1.0 - allowed).max(1.0);
     let turnover = (estimate.wait + estimate.work).as_secs_f64() / f64::from(share.active.max(1));
-    Duration::try_from_secs_f64(turnover * excess).unwrap_or(MAX_RETRY)
+    Duration::try_from_secs_f64(turnover * excess).unwrap_or(MAX_RETRY_AFTER)
 }
 
 fn is_over_share(share: &Share) -> bool {
-    f64::from(share.active) + 1.0 > allowed(share)
+    f64::from(share.active) + 1.0 > allowed_requests(share)
 }
 
 /// Requests that the team may hold now.
-fn allowed(share: &Share) -> f64 {
+fn allowed_requests(share: &Share) -> f64 {
     let most = share.max_active.map_or(f64::INFINITY, f64::from);
     if !share.is_contended {
         return most;
     }
-    let fair = share.weight * f64::from(share.total + 1) * LENT_SHARE;
-    most.min(fair.max(FEW))
+    let fair = share.weight * f64::from(share.total + 1) * MAX_SHARE_FACTOR;
+    most.min(fair.max(MIN_ALLOWED))
 }
--- a/crates/core/src/admission/probe.rs
+++ b/crates/core/src/admission/probe.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 /// The least time between two of them.
-const EVERY: Duration = Duration::from_secs(1);
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Paces probes of one pipeline.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProbePacer {
-    last: Option<Duration>,
+    last_admission: Option<Duration>,
 }
 
 impl ProbePacer {
@@ -19,12 +19,12 @@
 
     /// A request was admitted, by the estimate or as a probe.
     pub fn record_admission(&mut self, now: Duration) {
-        self.last = Some(now);
+        self.last_admission = Some(now);
     }
 
     /// Whether an infeasible request is admitted as a probe: none at all was
     /// admitted for a while.
     pub fn is_due(&self, now: Duration) -> bool {
-        self.last.is_none_or(|last| now.saturating_sub(last) >= EVERY)
+        self.last_admission.is_none_or(|last| now.saturating_sub(last) >= MIN_INTERVAL)
     }
 }
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -27,7 +27,7 @@
 }
 
 /// Rounding slack, so that ten tenths make one token.
-const SLACK: f64 = 1e-9;
+const EPSILON: f64 = 1e-9;
 
 impl RetryBudget {
     /// A full budget.
@@ -42,7 +42,7 @@
 
     /// Pays for one repetition; false if the budget doesn't allow it.
     pub fn try_withdraw(&mut self) -> bool {
-        if self.tokens + SLACK < 1.0 {
+        if self.tokens + EPSILON < 1.0 {
             return false;
         }
         self.tokens -= 1.0;
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -55,9 +55,9 @@
     instance::{
         action::Action,
         counters::Counters,
-        estimates::{Latencies, TeamUse},
-        finished::Finished,
-        held::{CallKey, Flight, Held, RequestKey},
+        estimates::{Latencies, TeamUsage},
+        finished::FinishedRequests,
+        held::{ActiveRequest, CallInFlight, CallKey, RequestKey},
         input::{Identity, Input},
         lanes::PoolQueues,
         plan::Plan,
@@ -78,33 +78,33 @@
     rng: SmallRng,
     fold: config_log::Fold,
     plan: Option<Rc<Plan>>,
-    broken: Option<Arc<str>>,
+    plan_error: Option<Arc<str>>,
     claims: claims::Claims,
     members: membership::Members,
     table: endpoints::Table,
-    held: SlotMap<RequestKey, Held>,
-    calls: SlotMap<CallKey, Flight>,
+    requests: SlotMap<RequestKey, ActiveRequest>,
+    calls: SlotMap<CallKey, CallInFlight>,
     callers: HashMap<CallerId, RequestKey>,
-    single: HashMap<RequestId, RequestKey>,
+    by_id: HashMap<RequestId, RequestKey>,
     probes: HashMap<PipelineName, ProbePacer>,
-    teams: HashMap<TeamName, TeamUse>,
-    lanes: PoolQueues,
+    teams: HashMap<TeamName, TeamUsage>,
+    queues: PoolQueues,
     latencies: Latencies,
     budget: budget::RetryBudget,
     timers: Timers,
-    finished: Finished,
+    finished: FinishedRequests,
     counters: Counters,
-    appends: HashMap<AppendId, Append>,
+    pending_appends: HashMap<AppendId, AppendKind>,
     last_append: u64,
-    last_read: Option<Duration>,
-    was_listed: bool,
+    last_log_read: Option<Duration>,
+    has_listing: bool,
     stopping: Option<Stopping>,
     actions: Vec<Action>,
 }
 
 /// What an append carried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Append {
+enum AppendKind {
     Snapshot,
     Claims,
 }
@@ -113,8 +113,8 @@
 #[derive(Debug, Clone, Copy)]
 struct Stopping {
     since: Duration,
-    idle: Option<Duration>,
-    exited: bool,
+    idle_since: Option<Duration>,
+    has_exited: bool,
 }
 
 impl Instance {
@@ -127,26 +127,26 @@
             now: Duration::ZERO,
             fold: config_log::Fold::new(),
             plan: None,
-            broken: None,
+            plan_error: None,
             claims: claims::Claims::new(identity.clone(), settings.claims()),
             members: membership::Members::new(identity.clone(), settings.membership(), seed),
             table: endpoints::Table::new(settings.endpoints()),
-            held: SlotMap::with_key(),
+            requests: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             callers: HashMap::new(),
-            single: HashMap::new(),
+            by_id: HashMap::new(),
             probes: HashMap::new(),
             teams: HashMap::new(),
-            lanes: PoolQueues::new(settings.decisions.fair_queue),
+            queues: PoolQueues::new(settings.decisions.fair_queue),
             latencies: Latencies::new(),
             budget: budget::RetryBudget::new(budget::Settings::default()),
             timers: Timers::default(),
-            finished: Finished::new(settings.finished),
+            finished: FinishedRequests::new(settings.finished),
             counters: Counters::default(),
-            appends: HashMap::new(),
+            pending_appends: HashMap::new(),
             last_append: 0,
-            last_read: None,
-            was_listed: false,
+            last_log_read: None,
+            has_listing: false,
             stopping: None,
             actions: Vec::new(),
             identity,
@@ -167,9 +167,9 @@
         self.now = self.now.max(now);
         self.table.tick(self.now);
         self.fire_timers();
-        self.take(input);
-        self.gossip_round();
-        self.pump_all();
+        self.apply_input(input);
+        self.send_gossip();
+        self.dispatch_all();
         self.flush_claims();
         self.check_stop();
         std::mem::take(&mut self.actions)
@@ -219,34 +219,34 @@
         &self.counters
     }
 
-    fn take(&mut self, input: Input) {
+    fn apply_input(&mut self, input: Input) {
         match input {
-            Input::Submit { caller, request } => self.submit(caller, request),
-            Input::CallerGone(caller) => self.caller_gone(caller),
-            Input::Call { call, event } => self.call_event(call, event),
-            Input::ConfigRead(batch) => self.config_read(&batch),
-            Input::ClaimsRead(batch) => self.claims_read(&batch),
-            Input::ReadFailed(stream) => self.read_failed(stream),
-            Input::Appended { append, .. } => self.append_ended(append, true),
-            Input::AppendFailed(append) => self.append_ended(append, false),
-            Input::Listed(listing) => self.listed(&listing),
+            Input::Submit { caller, request } => self.on_submit(caller, request),
+            Input::CallerGone(caller) => self.on_caller_gone(caller),
+            Input::Call { call, event } => self.on_call_event(call, event),
+            Input::ConfigRead(batch) => self.on_config_read(&batch),
+            Input::ClaimsRead(batch) => self.on_claims_read(&batch),
+            Input::ReadFailed(stream) => self.on_read_failure(stream),
+            Input::Appended { append, .. } => self.on_append_end(append, true),
+            Input::AppendFailed(append) => self.on_append_end(append, false),
+            Input::Listed(listing) => self.on_listing(&listing),
             Input::ListFailed | Input::Tick => {}
-            Input::Gossip(message) => self.gossip(&message),
+            Input::Gossip(message) => self.on_gossip(&message),
             Input::PeerFailed(peer) => self.members.failed(self.now, &peer),
-            Input::OutcomeAsked { question, key } => self.outcome_asked(question, &key),
-            Input::OutcomeTold { key, answer, .. } => self.outcome_told(&key, answer),
-            Input::Stop => self.stop(),
+            Input::OutcomeAsked { question, key } => self.on_outcome_query(question, &key),
+            Input::OutcomeTold { key, answer, .. } => self.on_outcome_reply(&key, answer),
+            Input::Stop => self.on_stop(),
         }
     }
 
     fn fire_timers(&mut self) {
-        while let Some(timer) = self.timers.fire(self.now) {
+        while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
-                Timer::Due(key) => self.due(key),
-                Timer::Hedge(call) => self.hedge(call),
-                Timer::Stall(call) => self.stalled(call),
-                Timer::Requeue(key) => self.requeue(key),
-                Timer::Ask(key) => self.ask_expired(key),
+                Timer::Deadline(key) => self.on_deadline(key),
+                Timer::Hedge(call) => self.on_hedge_timer(call),
+                Timer::Stall(call) => self.on_stall_timer(call),
+                Timer::Requeue(key) => self.on_requeue_timer(key),
+                Timer::WinnerReply(key) => self.on_winner_timeout(key),
             }
         }
     }
--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -8,8 +8,8 @@
     instance::{
         Instance,
         action::Action,
-        finished::Ended,
-        held::{Claim, ClaimState, Held, Progress, RequestKey},
+        finished::FinishedRequest,
+        held::{ActiveRequest, Claim, ClaimState, RequestKey, StageProgress},
         plan::Plan,
         timers::Timer,
     },
@@ -26,51 +26,51 @@
 pub const RETRY_IN_PROGRESS: Duration = Duration::from_secs(1);
 
 impl Instance {
-    pub(super) fn submit(&mut self, caller: CallerId, request: Request) {
+    pub(super) fn on_submit(&mut self, caller: CallerId, request: Request) {
         self.counters.received += 1;
         match self.admit(&request) {
-            Ok(accepted) => self.hold(caller, request, accepted),
-            Err(outcome) => self.send(caller, truthful(&request, false, outcome)),
+            Ok(accepted) => self.start_request(caller, request, accepted),
+            Err(outcome) => self.send_outcome(caller, qualify_not_run(&request, false, outcome)),
         }
     }
 
     /// Every reason not to take a request, cheapest first.
-    fn admit(&mut self, request: &Request) -> Result<Accepted, Outcome> {
+    fn admit(&mut self, request: &Request) -> Result<ResolvedRequest, Outcome> {
         let digest = self.content.digest(request);
-        self.check_repeat(&request.id, digest)?;
+        self.check_duplicate(&request.id, digest)?;
         let claimed = !request.idempotent && self.claims.holder(&request.id).is_some();
         if !claimed {
             self.check_open()?;
         }
-        let plan = self.plan.clone().ok_or_else(|| refused(RefusalKind::NotReady))?;
-        let accepted = accepted(&plan, request, digest)?;
+        let plan = self.plan.clone().ok_or_else(|| refusal_outcome(RefusalKind::NotReady))?;
+        let accepted = resolve_request(&plan, request, digest)?;
         if claimed {
             // "Not run" would be untrue: the holder of the claim is asked instead.
             return Ok(accepted);
         }
         self.check_endpoints(&accepted.pipeline)?;
         let probe = self.check_feasible(request, &plan, &accepted)?;
-        Ok(Accepted { probe, ..accepted })
+        Ok(ResolvedRequest { is_probe: probe, ..accepted })
     }
 
     fn check_open(&self) -> Result<(), Outcome> {
         if let Some(stop) = self.stopping
             && self.now >= stop.since + self.settings.grace
         {
-            return Err(refused(RefusalKind::Stopping));
+            return Err(refusal_outcome(RefusalKind::Stopping));
         }
         if !self.is_serving() {
-            return Err(refused(RefusalKind::NotReady));
+            return Err(refusal_outcome(RefusalKind::NotReady));
         }
         Ok(())
     }
 
     /// A key that is held here, was held here or is claimed already.
-    fn check_repeat(&self, key: &RequestId, digest: u64) -> Result<(), Outcome> {
-        if let Some(held) = self.single.get(key).and_then(|key| self.held.get(*key)) {
+    fn check_duplicate(&self, key: &RequestId, digest: u64) -> Result<(), Outcome> {
+        if let Some(held) = self.by_id.get(key).and_then(|key| self.requests.get(*key)) {
             return Err(if held.digest == digest { in_progress() } else { key_reused() });
         }
-        if let Some(Ended { digest: known, outcome }) = self.finished.find(key) {
+        if let Some(FinishedRequest { digest: known, outcome }) = self.finished.get(key) {
             return Err(if *known == digest { outcome.clone() } else { key_reused() });
         }
         match self.claims.holder(key) {
@@ -81,7 +81,7 @@
 
     fn check_endpoints(&self, pipeline: &Pipeline) -> Result<(), Outcome> {
         let all = pipeline.stages.iter().all(|s| self.table.pool_usable(self.now, &s.pool) > 0);
-        if all { Ok(()) } else { Err(refused(RefusalKind::NoEndpoint)) }
+        if all { Ok(()) } else { Err(refusal_outcome(RefusalKind::NoEndpoint)) }
     }
 
     /// True for a request that is let through against the estimate.
@@ -89,14 +89,14 @@
         &mut self,
         request: &Request,
         plan: &Plan,
-        accepted: &Accepted,
+        accepted: &ResolvedRequest,
     ) -> Result<bool, Outcome> {
         if !self.settings.decisions.admission {
             return Ok(false);
         }
-        let Accepted { pipeline, team, .. } = accepted;
+        let ResolvedRequest { pipeline, team, .. } = accepted;
         let estimate = self.estimate(request, pipeline, team.weight, team.max_running);
-        let decision = self.decide(request, plan, &estimate);
+        let decision = self.decide_admission(request, plan, &estimate);
         let probe = self.probes.entry(pipeline.name.clone()).or_default();
         match decision {
             Ok(()) => {
@@ -111,97 +111,101 @@
         }
     }
 
-    fn hold(&mut self, caller: CallerId, request: Request, accepted: Accepted) {
+    fn start_request(&mut self, caller: CallerId, request: Request, accepted: ResolvedRequest) {
         let due = self.now + request.deadline.min(accepted.pipeline.max_deadline());
-        let progress = Progress::new(0, request.input.clone(), self.now);
-        let key = self.held.insert(Held {
+        let progress = StageProgress::new(0, request.input.clone(), self.now);
+        let key = self.requests.insert(ActiveRequest {
             caller: Some(caller),
             pipeline: accepted.pipeline,
             digest: accepted.digest,
-            due,
+            deadline: due,
             claim: None,
-            written: 0,
+            possible_runs: 0,
             progress,
             reports: Vec::new(),
-            probe: accepted.probe,
+            is_probe: accepted.is_probe,
             weight: accepted.team.weight,
             request,
         });
-        let team = self.held[key].request.id.team.clone();
-        self.team_in(&team, accepted.team.weight);
+        let team = self.requests[key].request.id.team.clone();
+        self.add_team_request(&team, accepted.team.weight);
         self.callers.insert(caller, key);
-        self.timers.set(due, Timer::Due(key));
-        if self.held[key].request.idempotent {
+        self.timers.set(due, Timer::Deadline(key));
+        if self.requests[key].request.idempotent {
             self.begin_stage(key);
         } else {
-            self.claim(key);
+            self.start_claim(key);
         }
     }
 
-    pub(super) fn caller_gone(&mut self, caller: CallerId) {
+    pub(super) fn on_caller_gone(&mut self, caller: CallerId) {
         let Some(key) = self.callers.remove(&caller) else { return };
         self.counters.callers_gone += 1;
-        self.held[key].caller = None;
+        self.requests[key].caller = None;
         // A non-idempotent request that runs is left to its end: its caller
         // may come back for the outcome.
-        if self.held[key].request.idempotent {
-            self.conclude(key, doubt(DoubtKind::TimedOut, None, None));
-        } else if self.held[key].written == 0 {
-            self.conclude(key, refused(RefusalKind::Expired));
+        if self.requests[key].request.idempotent {
+            self.conclude(key, uncertain_outcome(DoubtKind::TimedOut, None, None));
+        } else if self.requests[key].possible_runs == 0 {
+            self.conclude(key, refusal_outcome(RefusalKind::Expired));
         }
     }
 
     /// Sends a caller that is not held its outcome.
-    pub(super) fn send(&mut self, caller: CallerId, outcome: Outcome) {
+    pub(super) fn send_outcome(&mut self, caller: CallerId, outcome: Outcome) {
         self.count_outcome(&outcome);
         self.actions.push(Action::Answer { caller, outcome });
     }
 
     /// The held request of a claim attempt that is not decided yet.
-    pub(super) fn claimant(&self, id: &RequestId, nonce: u64) -> Option<RequestKey> {
-        let key = *self.single.get(id)?;
+    pub(super) fn waiting_claimant(&self, id: &RequestId, nonce: u64) -> Option<RequestKey> {
+        let key = *self.by_id.get(id)?;
         let waiting = Claim { nonce, state: ClaimState::Waiting };
-        (self.held.get(key)?.claim == Some(waiting)).then_some(key)
+        (self.requests.get(key)?.claim == Some(waiting)).then_some(key)
     }
 }
 
 /// What the configuration says of a request that may be taken in.
-pub(super) struct Accepted {
+pub(super) struct ResolvedRequest {
     pub(super) pipeline: Rc<Pipeline>,
     pub(super) team: Rc<Team>,
     digest: u64,
-    probe: bool,
+    is_probe: bool,
 }
 
-fn accepted(plan: &Plan, request: &Request, digest: u64) -> Result<Accepted, Outcome> {
+fn resolve_request(
+    plan: &Plan,
+    request: &Request,
+    digest: u64,
+) -> Result<ResolvedRequest, Outcome> {
     let pipeline = plan.pipeline(&request.pipeline);
     let pipeline = pipeline.ok_or(Outcome::Invalid(Invalid::UnknownPipeline))?;
     let team = plan.team(&request.id.team).ok_or(Outcome::Invalid(Invalid::UnknownTeam))?;
-    Ok(Accepted { pipeline: pipeline.clone(), team: team.clone(), digest, probe: false })
+    Ok(ResolvedRequest { pipeline: pipeline.clone(), team: team.clone(), digest, is_probe: false })
 }
 
 /// What a request is told that arrives after the instance's exit.
 pub fn outcome_after_exit(request: &Request) -> Outcome {
-    truthful(request, false, refused(RefusalKind::Stopping))
+    qualify_not_run(request, false, refusal_outcome(RefusalKind::Stopping))
 }
 
 /// The outcome as it may be told. "Not run" speaks for the request, and a
 /// repeat whose claim was not read cannot know of its earlier attempts.
-pub(super) fn truthful(request: &Request, won: bool, outcome: Outcome) -> Outcome {
+pub(super) fn qualify_not_run(request: &Request, won: bool, outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::NotRun(refusal) if request.repeat && !request.idempotent && !won => {
-            doubt(DoubtKind::EarlierUnknown, None, Some(refusal.retry_after))
+            uncertain_outcome(DoubtKind::EarlierUnknown, None, Some(refusal.retry_after))
         }
         outcome => outcome,
     }
 }
 
 /// A refusal by this instance that another instance may not share.
-pub(super) fn refused(kind: RefusalKind) -> Outcome {
+pub(super) fn refusal_outcome(kind: RefusalKind) -> Outcome {
     Outcome::NotRun(Refusal { kind, retry_after: RETRY_ELSEWHERE })
 }
 
-pub(super) fn doubt(
+pub(super) fn uncertain_outcome(
     kind: DoubtKind,
     stage: Option<StageName>,
     retry_after: Option<Duration>,
@@ -210,7 +214,7 @@
 }
 
 pub(super) fn in_progress() -> Outcome {
-    doubt(DoubtKind::InProgress, None, Some(RETRY_IN_PROGRESS))
+    uncertain_outcome(DoubtKind::InProgress, None, Some(RETRY_IN_PROGRESS))
 }
 
 pub(super) fn key_reused() -> Outcome {
--- a/crates/core/src/instance/claiming.rs
+++ b/crates/core/src/instance/claiming.rs
@@ -9,9 +9,9 @@
 use crate::{
     claims::{self, Decided, Verdict},
     instance::{
-        Append, Instance,
+        AppendKind, Instance,
         action::Action,
-        admit::{RETRY_IN_PROGRESS, doubt, in_progress, key_reused, refused},
+        admit::{RETRY_IN_PROGRESS, in_progress, key_reused, refusal_outcome, uncertain_outcome},
         held::{Claim, ClaimState, RequestKey},
         input::PeerOutcome,
         timers::Timer,
@@ -22,124 +22,124 @@
 
 impl Instance {
     /// Asks for the claim of a request that was just taken in.
-    pub(super) fn claim(&mut self, key: RequestKey) {
+    pub(super) fn start_claim(&mut self, key: RequestKey) {
         let nonce: u64 = self.rng.random();
-        let held = &mut self.held[key];
+        let held = &mut self.requests[key];
         held.claim = Some(Claim { nonce, state: ClaimState::Waiting });
         let id = held.request.id.clone();
         let digest = held.digest;
-        self.single.insert(id.clone(), key);
+        self.by_id.insert(id.clone(), key);
         self.counters.claims += 1;
         let verdict = self.claims.request(self.now, id, digest, nonce);
-        self.not_won(key, verdict);
+        self.apply_verdict(key, verdict);
     }
 
-    fn not_won(&mut self, key: RequestKey, verdict: Verdict) {
+    fn apply_verdict(&mut self, key: RequestKey, verdict: Verdict) {
         match verdict {
             Verdict::Waiting | Verdict::Won => {}
-            Verdict::Lost(holder) => self.lost(key, &holder),
-            Verdict::Mismatch => self.lose(key, key_reused()),
-            Verdict::Unready(kind) => self.lose(key, refused(kind.refusal())),
+            Verdict::Lost(holder) => self.ask_winner(key, &holder),
+            Verdict::Mismatch => self.conclude_lost(key, key_reused()),
+            Verdict::Unready(kind) => self.conclude_lost(key, refusal_outcome(kind.refusal())),
         }
     }
 
-    pub(super) fn claims_read(&mut self, batch: &Batch<ClaimBatch>) {
-        self.last_read = Some(self.now);
+    pub(super) fn on_claims_read(&mut self, batch: &Batch<ClaimBatch>) {
+        self.last_log_read = Some(self.now);
         for decided in self.claims.read(self.now, batch) {
-            self.decided(decided);
+            self.on_claim_decision(decided);
         }
     }
 
-    fn decided(&mut self, decided: Decided) {
-        let Some(key) = self.claimant(&decided.key, decided.nonce) else { return };
+    fn on_claim_decision(&mut self, decided: Decided) {
+        let Some(key) = self.waiting_claimant(&decided.key, decided.nonce) else { return };
         match decided.verdict {
-            Verdict::Won => self.won(key),
-            other => self.not_won(key, other),
+            Verdict::Won => self.on_claim_won(key),
+            other => self.apply_verdict(key, other),
         }
     }
 
-    fn won(&mut self, key: RequestKey) {
+    fn on_claim_won(&mut self, key: RequestKey) {
         self.counters.claims_won += 1;
-        if let Some(claim) = &mut self.held[key].claim {
+        if let Some(claim) = &mut self.requests[key].claim {
             claim.state = ClaimState::Won;
         }
-        self.held[key].progress.since = self.now;
+        self.requests[key].progress.started_at = self.now;
         self.begin_stage(key);
     }
 
     /// Asks the winner, where it can be reached, and bounds the wait.
-    fn lost(&mut self, key: RequestKey, holder: &claims::Holder) {
+    fn ask_winner(&mut self, key: RequestKey, holder: &claims::Holder) {
         self.counters.claims_lost += 1;
         let addr = self.members.addr(&holder.instance);
         let same = holder.instance == self.identity.name;
         let Some(addr) = addr.filter(|_| !same) else {
-            let outcome = self.winner_unknown(holder);
-            return self.lose(key, outcome);
+            let outcome = self.unknown_winner_outcome(holder);
+            return self.conclude_lost(key, outcome);
         };
-        let id = self.held[key].request.id.clone();
-        if let Some(claim) = &mut self.held[key].claim {
+        let id = self.requests[key].request.id.clone();
+        if let Some(claim) = &mut self.requests[key].claim {
             claim.state = ClaimState::Lost;
         }
         self.actions.push(Action::AskOutcome { to: holder.instance.clone(), addr, key: id });
-        let left = self.held[key].due.saturating_sub(self.now);
+        let left = self.requests[key].deadline.saturating_sub(self.now);
         let wait = self.settings.ask.min(left / 2);
-        self.timers.set(self.now + wait, Timer::Ask(key));
+        self.timers.set(self.now + wait, Timer::WinnerReply(key));
     }
 
-    pub(super) fn outcome_told(&mut self, id: &RequestId, answer: Option<PeerOutcome>) {
-        let Some(key) = self.single.get(id).copied() else { return };
-        if !self.awaits_winner(key) {
+    pub(super) fn on_outcome_reply(&mut self, id: &RequestId, answer: Option<PeerOutcome>) {
+        let Some(key) = self.by_id.get(id).copied() else { return };
+        if !self.is_awaiting_winner(key) {
             return;
         }
         let outcome = match answer {
             Some(PeerOutcome::Finished(outcome)) => outcome,
             Some(PeerOutcome::Running) => in_progress(),
-            Some(PeerOutcome::Unknown) | None => self.winner_silent(id),
+            Some(PeerOutcome::Unknown) | None => self.unanswered_outcome(id),
         };
-        self.lose(key, outcome);
+        self.conclude_lost(key, outcome);
     }
 
-    pub(super) fn ask_expired(&mut self, key: RequestKey) {
-        if !self.awaits_winner(key) {
+    pub(super) fn on_winner_timeout(&mut self, key: RequestKey) {
+        if !self.is_awaiting_winner(key) {
             return;
         }
-        let id = self.held[key].request.id.clone();
-        let outcome = self.winner_silent(&id);
-        self.lose(key, outcome);
+        let id = self.requests[key].request.id.clone();
+        let outcome = self.unanswered_outcome(&id);
+        self.conclude_lost(key, outcome);
     }
 
-    fn awaits_winner(&self, key: RequestKey) -> bool {
-        let claim = self.held.get(key).and_then(|held| held.claim);
+    fn is_awaiting_winner(&self, key: RequestKey) -> bool {
+        let claim = self.requests.get(key).and_then(|held| held.claim);
         claim.is_some_and(|claim| claim.state == ClaimState::Lost)
     }
 
-    pub(super) fn winner_silent(&self, id: &RequestId) -> Outcome {
+    pub(super) fn unanswered_outcome(&self, id: &RequestId) -> Outcome {
         match self.claims.holder(id) {
-            Some(holder) => self.winner_unknown(holder),
+            Some(holder) => self.unknown_winner_outcome(holder),
             None => in_progress(),
         }
     }
 
     /// What a loser says that the winner did not answer. Asking again helps
     /// only while that life of the winner may still answer.
-    fn winner_unknown(&self, holder: &claims::Holder) -> Outcome {
+    fn unknown_winner_outcome(&self, holder: &claims::Holder) -> Outcome {
         let finished = holder.finished.is_some();
         let kind = if finished { DoubtKind::AlreadyFinished } else { DoubtKind::ClaimedElsewhere };
         let lives = self.members.lives(self.now, &holder.instance, holder.incarnation);
-        doubt(kind, None, lives.then_some(RETRY_IN_PROGRESS))
+        uncertain_outcome(kind, None, lives.then_some(RETRY_IN_PROGRESS))
     }
 
     /// Ends a request that does not hold its claim.
-    fn lose(&mut self, key: RequestKey, outcome: Outcome) {
-        if let Some(claim) = &mut self.held[key].claim {
+    fn conclude_lost(&mut self, key: RequestKey, outcome: Outcome) {
+        if let Some(claim) = &mut self.requests[key].claim {
             claim.state = ClaimState::Lost;
         }
         self.conclude(key, outcome);
     }
 
     /// Tells a peer what became of a request whose claim this instance holds.
-    pub(super) fn outcome_asked(&mut self, question: u64, id: &RequestId) {
-        let answer = match (self.finished.find(id), self.single.contains_key(id)) {
+    pub(super) fn on_outcome_query(&mut self, question: u64, id: &RequestId) {
+        let answer = match (self.finished.get(id), self.by_id.contains_key(id)) {
             (Some(ended), _) => PeerOutcome::Finished(ended.outcome.clone()),
             (None, true) => PeerOutcome::Running,
             (None, false) => PeerOutcome::Unknown,
@@ -150,7 +150,7 @@
     /// Appends what is owed to the claims stream, once its time has come.
     pub(super) fn flush_claims(&mut self) {
         let Some(facts) = self.claims.flush(self.now) else { return };
-        let append = self.next_append(Append::Claims);
+        let append = self.next_append(AppendKind::Claims);
         let batch = ClaimBatch {
             instance: self.identity.name.clone(),
             incarnation: self.identity.incarnation,
@@ -159,10 +159,10 @@
         self.actions.push(Action::AppendClaims { append, batch });
     }
 
-    pub(super) fn next_append(&mut self, kind: Append) -> AppendId {
+    pub(super) fn next_append(&mut self, kind: AppendKind) -> AppendId {
         self.last_append += 1;
         let append = AppendId(self.last_append);
-        self.appends.insert(append, kind);
+        self.pending_appends.insert(append, kind);
         append
     }
 }
--- a/crates/core/src/instance/finished.rs
+++ b/crates/core/src/instance/finished.rs
@@ -11,7 +11,7 @@
 
 /// A finished request.
 #[data]
-pub struct Ended {
+pub struct FinishedRequest {
     /// Digest of the request.
     pub digest: u64,
     /// How it ended.
@@ -20,32 +20,32 @@
 
 /// The newest finished requests.
 #[derive(Debug)]
-pub struct Finished {
-    by_key: HashMap<RequestId, Ended>,
+pub struct FinishedRequests {
+    outcomes: HashMap<RequestId, FinishedRequest>,
     order: VecDeque<RequestId>,
     capacity: usize,
 }
 
-impl Finished {
+impl FinishedRequests {
     /// Room for `capacity` outcomes.
-    pub fn new(capacity: usize) -> Finished {
-        Finished { by_key: HashMap::new(), order: VecDeque::new(), capacity }
+    pub fn new(capacity: usize) -> FinishedRequests {
+        FinishedRequests { outcomes: HashMap::new(), order: VecDeque::new(), capacity }
     }
 
     /// Keeps an outcome.
-    pub fn insert(&mut self, key: RequestId, ended: Ended) {
-        if self.by_key.insert(key.clone(), ended).is_none() {
+    pub fn insert(&mut self, key: RequestId, ended: FinishedRequest) {
+        if self.outcomes.insert(key.clone(), ended).is_none() {
             self.order.push_back(key);
         }
         if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
-            self.by_key.remove(&oldest);
+            self.outcomes.remove(&oldest);
         }
     }
 
     /// What became of a request.
-    pub fn find(&self, key: &RequestId) -> Option<&Ended> {
-        self.by_key.get(key)
+    pub fn get(&self, key: &RequestId) -> Option<&FinishedRequest> {
+        self.outcomes.get(key)
     }
 }
--- a/crates/core/src/instance/held.rs
+++ b/crates/core/src/instance/held.rs
@@ -31,7 +31,7 @@
 
 /// A request that the instance holds.
 #[data]
-pub struct Held {
+pub struct ActiveRequest {
     /// Who is to be answered; `None` once the caller went away.
     pub caller: Option<CallerId>,
     /// The request.
@@ -41,24 +41,24 @@
     /// Digest of what makes two requests with the same key the same.
     pub digest: u64,
     /// When its answer is due.
-    pub due: Duration,
+    pub deadline: Duration,
     /// Its claim, for a request that is not idempotent.
     pub claim: Option<Claim>,
     /// Calls that were sent and not proven unwritten. Above 0, something may
     /// have run.
-    pub written: u32,
+    pub possible_runs: u32,
     /// The stage it is in.
-    pub progress: Progress,
+    pub progress: StageProgress,
     /// The stages that are done.
     pub reports: Vec<StageReport>,
     /// Whether it was let through against the estimate, so that the estimate
     /// can change. It is not given up by that estimate either.
-    pub probe: bool,
+    pub is_probe: bool,
     /// Weight of its team.
     pub weight: u32,
 }
 
-impl Held {
+impl ActiveRequest {
     /// The stage that it is in.
     pub fn stage(&self) -> &Stage {
         &self.pipeline.stages[self.progress.stage]
@@ -89,13 +89,13 @@
 
 /// Where a request is in its current stage.
 #[data]
-pub struct Progress {
+pub struct StageProgress {
     /// The stage's position.
     pub stage: usize,
     /// The stage's input.
     pub input: Text,
     /// When the stage began.
-    pub since: Duration,
+    pub started_at: Duration,
     /// Attempts made.
     pub attempts: u32,
     /// Calls in flight; more than one while a hedge runs.
@@ -105,28 +105,28 @@
     /// Pieces of text held; a cut generation goes on behind them.
     pub pieces: Vec<Text>,
     /// Whether it waits in its pool's queue.
-    pub queued: bool,
+    pub is_queued: bool,
 }
 
-impl Progress {
+impl StageProgress {
     /// The start of a stage.
-    pub fn new(stage: usize, input: Text, since: Duration) -> Progress {
-        Progress {
+    pub fn new(stage: usize, input: Text, since: Duration) -> StageProgress {
+        StageProgress {
             stage,
             input,
-            since,
+            started_at: since,
             attempts: 0,
             calls: Vec::new(),
             tried: Vec::new(),
             pieces: Vec::new(),
-            queued: false,
+            is_queued: false,
         }
     }
 }
 
 /// A call in flight.
 #[data]
-pub struct Flight {
+pub struct CallInFlight {
     /// Its request.
     pub request: RequestKey,
     /// Its endpoint.
@@ -136,14 +136,14 @@
     /// The attempt's number.
     pub attempt: u32,
     /// When it was sent.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// When the last piece came; `None` before the first.
-    pub heard: Option<Duration>,
+    pub last_piece_at: Option<Duration>,
     /// Pieces that it brought.
     pub pieces: u32,
     /// Pieces that came ahead of their turn.
-    pub early: BTreeMap<u32, Text>,
+    pub out_of_order: BTreeMap<u32, Text>,
 }
 
 /// Pieces that may wait for an earlier one before the stream counts as torn.
-pub const MAX_EARLY: usize = 256;
+pub const MAX_OUT_OF_ORDER: usize = 256;
--- a/crates/core/src/instance/lanes.rs
+++ b/crates/core/src/instance/lanes.rs
@@ -10,32 +10,32 @@
 };
 
 /// How many times its usual spread a wait is taken to exceed its mean by.
-const SPREAD: f64 = 1.0;
+const DEVIATIONS: f64 = 1.0;
 /// The name that all teams share where the order knows no teams.
 const NO_TEAM: &str = "";
 
 /// The queues of all pools.
 #[derive(Debug)]
 pub struct PoolQueues {
-    by_pool: BTreeMap<PoolName, Lane>,
-    fair: bool,
+    by_pool: BTreeMap<PoolName, PoolQueue>,
+    is_fair: bool,
 }
 
 /// The queue of one pool.
 #[derive(Debug, Default)]
-struct Lane {
+struct PoolQueue {
     queue: Queue<RequestKey>,
-    drain: DrainRate,
+    drain_rate: DrainRate,
     /// How fast each team's calls get through. What the other teams will send
     /// meanwhile shows here only, not in what waits now.
-    teams: BTreeMap<TeamName, DrainRate>,
+    team_rates: BTreeMap<TeamName, DrainRate>,
 }
 
-impl Lane {
+impl PoolQueue {
     /// Tells the meters who waits; after each change of the queue.
-    fn note(&mut self, now: Duration) {
-        self.drain.set_waiting(now, !self.queue.is_empty());
-        for (team, drain) in &mut self.teams {
+    fn update_rates(&mut self, now: Duration) {
+        self.drain_rate.set_waiting(now, !self.queue.is_empty());
+        for (team, drain) in &mut self.team_rates {
             drain.set_waiting(now, self.queue.has_team(team));
         }
     }
@@ -43,12 +43,13 @@
     /// The cost ahead over the rate of the pool, or the team's own over the
     /// team's rate if that is longer.
     fn fair_wait(&self, now: Duration, call: &NewCall<'_>) -> Option<Duration> {
-        let all = self.drain.time_to_drain(now, self.queue.cost_ahead(call.team, call.deadline));
+        let all =
+            self.drain_rate.time_to_drain(now, self.queue.cost_ahead(call.team, call.deadline));
         let own = self.queue.own_cost_ahead(call.team, call.deadline);
         if own <= 0.0 {
             return all;
         }
-        all.max(self.teams.get(call.team)?.time_to_drain(now, own))
+        all.max(self.team_rates.get(call.team)?.time_to_drain(now, own))
     }
 }
 
@@ -56,7 +57,7 @@
     /// No queue yet. `fair` orders by deadline and shares between teams;
     /// otherwise it is first come, first served.
     pub fn new(fair: bool) -> PoolQueues {
-        PoolQueues { by_pool: BTreeMap::new(), fair }
+        PoolQueues { by_pool: BTreeMap::new(), is_fair: fair }
     }
 
     /// The pools that something waits for.
@@ -67,11 +68,11 @@
 
     /// Adds a call to its pool's queue.
     pub fn push(&mut self, now: Duration, pool: &PoolName, waiting: WaitingCall<RequestKey>) {
-        let waiting = if self.fair { waiting } else { by_arrival(now, waiting) };
+        let waiting = if self.is_fair { waiting } else { first_come_entry(now, waiting) };
         let lane = self.by_pool.entry(pool.clone()).or_default();
-        lane.teams.entry(waiting.team.clone()).or_default();
+        lane.team_rates.entry(waiting.team.clone()).or_default();
         lane.queue.push(waiting);
-        lane.note(now);
+        lane.update_rates(now);
     }
 
     /// Takes the next call out. [`PoolQueues::record_dispatch`] or [`PoolQueues::refund`] says what became of it.
@@ -82,27 +83,27 @@
     /// A call that came out got a place.
     pub fn record_dispatch(&mut self, now: Duration, pool: &str, team: &str, cost: f64) {
         let Some(lane) = self.by_pool.get_mut(pool) else { return };
-        lane.drain.record_dispatch(now, cost);
-        if let Some(drain) = lane.teams.get_mut(team) {
+        lane.drain_rate.record_dispatch(now, cost);
+        if let Some(drain) = lane.team_rates.get_mut(team) {
             drain.record_dispatch(now, cost);
         }
-        lane.note(now);
+        lane.update_rates(now);
     }
 
     /// A call that came out got no place. So it says nothing of how fast places
     /// come free, and its team has not had its turn.
     pub fn refund(&mut self, now: Duration, pool: &str, team: &str, cost: f64) {
         let Some(lane) = self.by_pool.get_mut(pool) else { return };
-        let team = if self.fair { team } else { NO_TEAM };
+        let team = if self.is_fair { team } else { NO_TEAM };
         lane.queue.refund(team, cost);
-        lane.note(now);
+        lane.update_rates(now);
     }
 
     /// Takes a call out, wherever it waits in its pool.
     pub fn remove(&mut self, now: Duration, pool: &str, key: RequestKey) {
         let Some(lane) = self.by_pool.get_mut(pool) else { return };
         lane.queue.remove(key);
-        lane.note(now);
+        lane.update_rates(now);
     }
 
     /// Calls that wait for a pool.
@@ -123,25 +124,25 @@
     /// How long all that waits for a pool takes to leave; `None` if too little is known.
     pub fn backlog(&self, now: Duration, pool: &str) -> Option<Duration> {
         let lane = self.by_pool.get(pool)?;
-        lane.drain.time_to_drain(now, lane.queue.cost())
+        lane.drain_rate.time_to_drain(now, lane.queue.cost())
     }
 
     /// How long a new call waits for a pool, at a high quantile. Zero where too
     /// little is known.
     pub fn wait(&self, now: Duration, pool: &str, call: &NewCall<'_>) -> Duration {
         let Some(lane) = self.by_pool.get(pool) else { return Duration::ZERO };
-        let mean = if self.fair { lane.fair_wait(now, call) } else { self.backlog(now, pool) };
+        let mean = if self.is_fair { lane.fair_wait(now, call) } else { self.backlog(now, pool) };
         let mean = mean.unwrap_or_default();
-        let turn = lane.drain.time_to_drain(now, call.cost).unwrap_or(mean);
-        high(mean, turn)
+        let turn = lane.drain_rate.time_to_drain(now, call.cost).unwrap_or(mean);
+        high_quantile(mean, turn)
     }
 }
 
 /// The wait that is hardly exceeded, from the mean wait and the time between
 /// two calls that get a place: their number in a given time spreads by its root.
-fn high(mean: Duration, turn: Duration) -> Duration {
+fn high_quantile(mean: Duration, turn: Duration) -> Duration {
     let calls = (mean.as_secs_f64() / turn.as_secs_f64().max(f64::MIN_POSITIVE)).max(1.0);
-    mean.mul_f64(1.0 + SPREAD / calls.sqrt())
+    mean.mul_f64(1.0 + DEVIATIONS / calls.sqrt())
 }
 
 /// A new call, as far as its wait depends on it.
@@ -156,7 +157,7 @@
 }
 
 /// First come, first served: one team, an earlier arrival before a later one.
-fn by_arrival(now: Duration, waiting: WaitingCall<RequestKey>) -> WaitingCall<RequestKey> {
+fn first_come_entry(now: Duration, waiting: WaitingCall<RequestKey>) -> WaitingCall<RequestKey> {
     WaitingCall {
         team: NO_TEAM.into(),
         weight: 1,
--- a/crates/core/src/instance/peers.rs
+++ b/crates/core/src/instance/peers.rs
@@ -10,16 +10,16 @@
 
 impl Instance {
     /// Sends the round of gossip that is due.
-    pub(super) fn gossip_round(&mut self) {
+    pub(super) fn send_gossip(&mut self) {
         if self.members.next_wake().is_none_or(|at| at > self.now) {
             return;
         }
         let facts = self.local_facts();
         let envelopes = self.members.tick(self.now, &facts.local());
-        envelopes.into_iter().for_each(|envelope| self.post(envelope));
+        envelopes.into_iter().for_each(|envelope| self.send_envelope(envelope));
     }
 
-    pub(super) fn gossip(&mut self, message: &Gossip) {
+    pub(super) fn on_gossip(&mut self, message: &Gossip) {
         self.counters.gossip_received += 1;
         if let Some(snapshot) = &message.snapshot {
             let changes = self.fold.adopt(snapshot);
@@ -36,18 +36,18 @@
         let facts = self.local_facts();
         let reply = self.members.heard(self.now, message, &facts.local());
         if let Some(envelope) = reply {
-            self.post(envelope);
+            self.send_envelope(envelope);
         }
     }
 
-    fn post(&mut self, envelope: Envelope) {
+    fn send_envelope(&mut self, envelope: Envelope) {
         self.counters.gossip_sent += 1;
         let Envelope { to, addr, message } = envelope;
         self.actions.push(Action::Gossip { to, addr, message });
     }
 
-    fn local_facts(&self) -> Facts {
-        Facts {
+    fn local_facts(&self) -> LocalFacts {
+        LocalFacts {
             mark: self.fold.mark(),
             snapshot: self.fold.shared(),
             ready: self.unready_reasons().is_empty(),
@@ -58,7 +58,7 @@
 }
 
 /// What this instance can tell, gathered for one message.
-struct Facts {
+struct LocalFacts {
     mark: ConfigMark,
     snapshot: Option<Arc<Snapshot>>,
     ready: bool,
@@ -66,7 +66,7 @@
     endpoints: Vec<EndpointState>,
 }
 
-impl Facts {
+impl LocalFacts {
     fn local(&self) -> Local<'_> {
         Local {
             mark: self.mark,
--- a/crates/core/src/instance/platform.rs
+++ b/crates/core/src/instance/platform.rs
@@ -5,81 +5,82 @@
 use crate::{
     config_log::Change,
     document::Document,
-    instance::{Append, Instance, action::Action, plan::Plan},
+    instance::{AppendKind, Instance, action::Action, plan::Plan},
     model::{AppendId, Incarnation, Listing},
     record::{Batch, ConfigRecord, Stream, Version},
     subset::{self, Params},
 };
 
 impl Instance {
-    pub(super) fn config_read(&mut self, batch: &Batch<ConfigRecord>) {
-        self.last_read = Some(self.now);
+    pub(super) fn on_config_read(&mut self, batch: &Batch<ConfigRecord>) {
+        self.last_log_read = Some(self.now);
         let changes = self.fold.read(batch);
         self.apply(changes);
-        self.keep_snapshot(batch.now_ms);
+        self.append_snapshot(batch.now_ms);
     }
 
     /// Takes configuration changes into force, in order.
     pub(super) fn apply(&mut self, changes: Vec<Change>) {
         for change in changes {
             match change {
-                Change::InForce(document, version) => self.install(document, version),
+                Change::InForce(document, version) => self.install_config(document, version),
                 Change::Drained(drain) => self.mark_leaving(&drain.endpoint, drain.incarnation),
                 Change::Evacuated(places) => self.table.evacuate(places),
             }
         }
     }
 
-    fn install(&mut self, document: Arc<Document>, version: Version) {
+    fn install_config(&mut self, document: Arc<Document>, version: Version) {
         self.counters.versions += 1;
         match Plan::new(version, document) {
             Ok(plan) => {
                 self.plan = Some(Rc::new(plan));
-                self.broken = None;
+                self.plan_error = None;
             }
             Err(error) => {
-                self.broken = Some(format!("version {version} does not compile: {error}").into());
+                self.plan_error =
+                    Some(format!("version {version} does not compile: {error}").into());
             }
         }
     }
 
     /// Appends the folded configuration again before its records expire.
-    fn keep_snapshot(&mut self, now_ms: u64) {
-        if self.appends.values().any(|append| *append == Append::Snapshot) {
+    fn append_snapshot(&mut self, now_ms: u64) {
+        if self.pending_appends.values().any(|append| *append == AppendKind::Snapshot) {
             return;
         }
-        let rank = self.rank();
+        let rank = self.snapshot_rank();
         let Some(snapshot) = self.fold.snapshot_due(now_ms, self.settings.retention, rank) else {
             return;
         };
-        let append = self.next_append(Append::Snapshot);
+        let append = self.next_append(AppendKind::Snapshot);
         self.actions
             .push(Action::AppendConfig { append, record: ConfigRecord::Snapshot(snapshot) });
     }
 
     /// How many live peers come before this instance in keeping snapshots.
-    fn rank(&self) -> u32 {
+    fn snapshot_rank(&self) -> u32 {
         let alive = self.members.alive(self.now);
         let before = alive.iter().filter(|peer| **peer < self.identity.name).count();
         u32::try_from(before).unwrap_or(u32::MAX)
     }
 
-    pub(super) fn read_failed(&mut self, stream: Stream) {
+    pub(super) fn on_read_failure(&mut self, stream: Stream) {
         self.counters.log_read_failures += 1;
         if stream == Stream::Claims {
             self.claims.read_failed();
         }
     }
 
-    pub(super) fn append_ended(&mut self, append: AppendId, ok: bool) {
+    pub(super) fn on_append_end(&mut self, append: AppendId, ok: bool) {
         self.counters.append_failures += u64::from(!ok);
-        if self.appends.remove(&append) == Some(Append::Claims) {
+        if self.pending_appends.remove(&append) == Some(AppendKind::Claims) {
             self.claims.append_ended(self.now, ok);
         }
     }
 
-    pub(super) fn listed(&mut self, listing: &Listing) {
-        self.was_listed = true;
+    pub(super) fn on_listing(&mut self, listing: &Listing) {
+        self.has_listing = true;
         self.members.listed(self.now, &listing.instances);
         let before = self.table.leaving_marks().len();
         let chooser = Params {
@@ -101,12 +102,12 @@
 
     /// Whether requests are taken: the configuration in force is known.
     pub(super) fn is_serving(&self) -> bool {
-        self.plan.is_some() && self.broken.is_none() && !self.is_isolated()
+        self.plan.is_some() && self.plan_error.is_none() && !self.is_isolated()
     }
 
     /// Whether a newer configuration could be in force without a chance to know.
     pub(super) fn is_isolated(&self) -> bool {
-        let heard = self.last_read.max(self.members.last_heard());
+        let heard = self.last_log_read.max(self.members.last_heard());
         let silent = heard.is_none_or(|at| self.now.saturating_sub(at) > self.settings.isolation);
         silent && self.members.has_listed_peers()
     }
@@ -117,13 +118,13 @@
         if self.stopping.is_some() {
             reasons.push("the instance is stopping".into());
         }
-        if let Some(broken) = &self.broken {
+        if let Some(broken) = &self.plan_error {
             reasons.push(broken.clone());
         }
-        if self.plan.is_none() && self.broken.is_none() {
+        if self.plan.is_none() && self.plan_error.is_none() {
             reasons.push("no configuration is known; publish one, or check the log".into());
         }
-        if !self.was_listed {
+        if !self.has_listing {
             reasons.push("no endpoint is known; the platform's list was not read yet".into());
         }
         if self.is_isolated() {
--- a/crates/core/src/instance/policies.rs
+++ b/crates/core/src/instance/policies.rs
@@ -17,7 +17,7 @@
 
 impl Instance {
     /// Admission: the built-in decision, and what the pipeline's program makes of it.
-    pub(super) fn decide(
+    pub(super) fn decide_admission(
         &mut self,
         request: &Request,
         plan: &Plan,
@@ -29,13 +29,13 @@
             return built_in;
         };
         let facts = self.admission_facts(request, plan, estimate, &built_in);
-        let admitted = self.noted(program.admit(&facts)).unwrap_or(built_in.is_ok());
+        let admitted = self.count_failure(program.admit(&facts)).unwrap_or(built_in.is_ok());
         if admitted {
             return Ok(());
         }
         let kind = built_in.as_ref().err().map_or(RefusalKind::Policy, |refusal| refusal.kind);
         let wait = built_in.err().map_or(estimate.wait, |refusal| refusal.retry_after);
-        let wait = self.noted(program.refuse(&facts)).unwrap_or(wait);
+        let wait = self.count_failure(program.refuse(&facts)).unwrap_or(wait);
         Err(admission::refusal(kind, wait))
     }
 
@@ -43,20 +43,20 @@
     pub(super) fn priority(&mut self, key: RequestKey) -> f64 {
         let Some(program) = self.program(key) else { return 0.0 };
         let facts = self.stage_facts(key);
-        self.noted(program.order(&facts)).unwrap_or(0.0)
+        self.count_failure(program.order(&facts)).unwrap_or(0.0)
     }
 
     /// The program that decides for a held request.
     pub(super) fn program(&self, key: RequestKey) -> Option<Rc<Program>> {
         let plan = self.plan.as_ref()?;
-        plan.program(&self.held[key].pipeline).cloned()
+        plan.program(&self.requests[key].pipeline).cloned()
     }
 
     /// What a program is told of a held request and its current stage.
     pub(super) fn stage_facts(&self, key: RequestKey) -> Facts {
-        let held = &self.held[key];
+        let held = &self.requests[key];
         let stage = held.stage();
-        let left = held.due.saturating_sub(self.now);
+        let left = held.deadline.saturating_sub(self.now);
         let estimate = self.estimate(&held.request, &held.pipeline, held.weight, None);
         let costs = held.pipeline.stages.iter().map(|stage| self.cost(&stage.pool));
         let costs: Vec<f64> = costs.collect();
@@ -72,7 +72,7 @@
             work: estimate.work,
             cost: cost.iter().sum(),
             spent: spent.iter().sum(),
-            waiting: u32::try_from(self.lanes.len(&stage.pool)).unwrap_or(u32::MAX),
+            waiting: u32::try_from(self.queues.len(&stage.pool)).unwrap_or(u32::MAX),
             free: self.table.pool_free(self.now, &stage.pool),
             held: estimate.share.active,
             share: estimate.share.weight,
@@ -122,7 +122,7 @@
             work: estimate.work,
             cost: stages.iter().map(|stage| plan.cost(&stage.pool)).sum(),
             spent: 0.0,
-            waiting: u32::try_from(self.lanes.len(pool)).unwrap_or(u32::MAX),
+            waiting: u32::try_from(self.queues.len(pool)).unwrap_or(u32::MAX),
             free: self.table.pool_free(self.now, pool),
             held: estimate.share.active,
             share: estimate.share.weight,
@@ -132,7 +132,7 @@
     }
 
     /// A program's decision; one that failed is counted and passed over.
-    fn noted<T>(&mut self, decision: Decision<T>) -> Option<T> {
+    fn count_failure<T>(&mut self, decision: Decision<T>) -> Option<T> {
         self.counters.policy_errors += u64::from(matches!(decision, Decision::Failed(_)));
         decision.given()
     }
--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -8,8 +8,8 @@
     instance::{
         Instance,
         action::{Action, Call},
-        admit::{doubt, refused},
-        held::{CallKey, ClaimState, Flight, RequestKey},
+        admit::{refusal_outcome, uncertain_outcome},
+        held::{CallInFlight, CallKey, ClaimState, RequestKey},
         timers::Timer,
     },
     model::{DoubtKind, Echo, EndpointName, Outcome, PoolName, Refusal, RefusalKind},
@@ -20,17 +20,17 @@
 /// Calls of one stage of one request at the most, hedges included.
 pub const MAX_ATTEMPTS: u32 = 8;
 /// Calls of one stage without the shared budget, in the plain baseline.
-const PLAIN_ATTEMPTS: u32 = 2;
+const BASELINE_ATTEMPTS: u32 = 2;
 /// How long a request waits before it is queued again after a refusal; doubles each time.
-const REQUEUE: Duration = Duration::from_millis(10);
+const REQUEUE_DELAY: Duration = Duration::from_millis(10);
 /// The longest such wait.
-const MAX_REQUEUE: Duration = Duration::from_millis(500);
+const MAX_REQUEUE_DELAY: Duration = Duration::from_millis(500);
 /// A hedge is never sent sooner than this.
-const MIN_HEDGE: Duration = Duration::from_millis(20);
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(20);
 
 /// Why a call is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Why {
+enum CallReason {
     First,
     Retry,
     Hedge,
@@ -39,103 +39,103 @@
 impl Instance {
     /// Puts a request into the queue of its current stage's pool.
     pub(super) fn begin_stage(&mut self, key: RequestKey) {
-        if self.is_hopeless(key) {
-            return self.due(key);
+        if self.is_infeasible(key) {
+            return self.on_deadline(key);
         }
         let priority = self.priority(key);
-        let held = &mut self.held[key];
-        held.progress.queued = true;
+        let held = &mut self.requests[key];
+        held.progress.is_queued = true;
         let team = held.request.id.team.clone();
-        let (weight, deadline) = (held.weight, held.due);
+        let (weight, deadline) = (held.weight, held.deadline);
         let pool = held.stage().pool.clone();
         let cost = self.cost(&pool);
         let waiting = queue::WaitingCall { key, team, weight, deadline, cost, priority };
-        self.lanes.push(self.now, &pool, waiting);
+        self.queues.push(self.now, &pool, waiting);
     }
 
     /// Sends what the pools have room for.
-    pub(super) fn pump_all(&mut self) {
-        for pool in self.lanes.pools() {
-            self.pump(&pool);
+    pub(super) fn dispatch_all(&mut self) {
+        for pool in self.queues.pools() {
+            self.dispatch_pool(&pool);
         }
     }
 
-    fn pump(&mut self, pool: &PoolName) {
+    fn dispatch_pool(&mut self, pool: &PoolName) {
         while self.table.pool_free(self.now, pool) > 0 {
-            let Some(key) = self.lanes.pop(self.now, pool) else { return };
-            self.held[key].progress.queued = false;
-            if self.is_hopeless(key) {
-                self.leave_lane(key, pool);
-                self.due(key);
+            let Some(key) = self.queues.pop(self.now, pool) else { return };
+            self.requests[key].progress.is_queued = false;
+            if self.is_infeasible(key) {
+                self.refund_queue(key, pool);
+                self.on_deadline(key);
                 continue;
             }
-            let first = self.held[key].progress.attempts == 0;
-            let why = if first { Why::First } else { Why::Retry };
-            if !self.dispatch(key, why) {
-                self.leave_lane(key, pool);
-                self.back_off(key);
+            let first = self.requests[key].progress.attempts == 0;
+            let why = if first { CallReason::First } else { CallReason::Retry };
+            if !self.send_call(key, why) {
+                self.refund_queue(key, pool);
+                self.schedule_requeue(key);
                 return;
             }
-            let team = &self.held[key].request.id.team;
-            self.lanes.record_dispatch(self.now, pool, team, self.cost(pool));
+            let team = &self.requests[key].request.id.team;
+            self.queues.record_dispatch(self.now, pool, team, self.cost(pool));
         }
     }
 
     /// A call that came out of its queue gets no place after all.
-    fn leave_lane(&mut self, key: RequestKey, pool: &str) {
-        let held = &self.held[key];
+    fn refund_queue(&mut self, key: RequestKey, pool: &str) {
+        let held = &self.requests[key];
         // Past its deadline it came out at no cost.
-        let cost = if held.due <= self.now { 0.0 } else { self.cost(pool) };
-        self.lanes.refund(self.now, pool, &held.request.id.team, cost);
+        let cost = if held.deadline <= self.now { 0.0 } else { self.cost(pool) };
+        self.queues.refund(self.now, pool, &held.request.id.team, cost);
     }
 
     /// Sends one call. False if no endpoint may take it now.
-    fn dispatch(&mut self, key: RequestKey, why: Why) -> bool {
-        let Some(endpoint) = self.choose(key, why) else { return false };
+    fn send_call(&mut self, key: RequestKey, why: CallReason) -> bool {
+        let Some(endpoint) = self.choose_endpoint(key, why) else { return false };
         let Some(addr) = self.table.endpoint(&endpoint).map(|known| known.addr.clone()) else {
             return false;
         };
-        let held = &mut self.held[key];
+        let held = &mut self.requests[key];
         held.progress.attempts += 1;
         held.progress.tried.push(endpoint.clone());
-        held.written += 1;
-        let call = self.calls.insert(Flight {
+        held.possible_runs += 1;
+        let call = self.calls.insert(CallInFlight {
             request: key,
             endpoint: endpoint.clone(),
             stage: u32::try_from(held.progress.stage).expect("pipelines are short"),
             attempt: held.progress.attempts,
-            sent: self.now,
-            heard: None,
+            sent_at: self.now,
+            last_piece_at: None,
             pieces: 0,
-            early: Default::default(),
+            out_of_order: Default::default(),
         });
         held.progress.calls.push(call);
         self.table.started(self.now, &endpoint);
         self.count_call(why);
-        let call = self.call(call, addr);
-        self.set_hedge(key, call.id.into());
+        let call = self.build_call(call, addr);
+        self.set_hedge_timer(key, call.id.into());
         self.actions.push(Action::Call(call));
         true
     }
 
-    fn choose(&mut self, key: RequestKey, why: Why) -> Option<EndpointName> {
-        let tried = self.held[key].progress.tried.clone();
-        let fresh = self.choose_but(key, &tried, why);
-        if fresh.is_some() || why == Why::Hedge || tried.is_empty() {
+    fn choose_endpoint(&mut self, key: RequestKey, why: CallReason) -> Option<EndpointName> {
+        let tried = self.requests[key].progress.tried.clone();
+        let fresh = self.choose_excluding(key, &tried, why);
+        if fresh.is_some() || why == CallReason::Hedge || tried.is_empty() {
             return fresh;
         }
         // Every endpoint was tried: better one of them again than none.
-        self.choose_but(key, &[], why)
+        self.choose_excluding(key, &[], why)
     }
 
-    fn choose_but(
+    fn choose_excluding(
         &mut self,
         key: RequestKey,
         exclude: &[EndpointName],
-        why: Why,
+        why: CallReason,
     ) -> Option<EndpointName> {
         let decisions = self.settings.decisions;
-        let held = &self.held[key];
+        let held = &self.requests[key];
         let stage = held.stage();
         let prefixed = decisions.affinity && self.is_engine(stage);
         let prefix = prefixed.then(|| self.content.prefix(&held.progress.input));
@@ -151,7 +151,7 @@
             let score =
                 |endpoint: &Endpoint| program.route(&facts, &self.endpoint_facts(endpoint)).given();
             routing::choose_scored(&self.table, self.now, &demand, &mut rng, &score)
-        } else if why == Why::First {
+        } else if why == CallReason::First {
             routing::choose(&self.table, self.now, &demand, &mut rng)
         } else {
             routing::choose_avoiding_probes(&self.table, self.now, &demand, &mut rng)
@@ -160,9 +160,9 @@
         chosen
     }
 
-    fn call(&self, call: CallKey, addr: std::sync::Arc<str>) -> Call {
+    fn build_call(&self, call: CallKey, addr: std::sync::Arc<str>) -> Call {
         let flight = &self.calls[call];
-        let held = &self.held[flight.request];
+        let held = &self.requests[flight.request];
         let stage = held.stage();
         Call {
             id: call.id(),
@@ -171,7 +171,9 @@
             echo: self.echo(flight),
             stage: stage.name.clone(),
             input: held.progress.input.clone(),
-            deadline: self.stage_time(flight.request).unwrap_or(held.due.saturating_sub(self.now)),
+            deadline: self
+                .stage_time(flight.request)
+                .unwrap_or(held.deadline.saturating_sub(self.now)),
             engine: self.is_engine(stage),
             max_tokens: stage.max_tokens,
             resume: held.progress.pieces.clone(),
@@ -179,39 +181,39 @@
     }
 
     /// What a reply to a call must send back.
-    pub(super) fn echo(&self, flight: &Flight) -> Echo {
+    pub(super) fn echo(&self, flight: &CallInFlight) -> Echo {
         Echo {
-            request: self.held[flight.request].request.id.clone(),
+            request: self.requests[flight.request].request.id.clone(),
             stage: flight.stage,
             attempt: flight.attempt,
         }
     }
 
-    fn is_hopeless(&self, key: RequestKey) -> bool {
-        if !self.settings.decisions.admission || self.held[key].probe {
+    fn is_infeasible(&self, key: RequestKey) -> bool {
+        if !self.settings.decisions.admission || self.requests[key].is_probe {
             return false;
         }
         self.stage_time(key).is_none()
     }
 
     /// The deadline has passed, or is out of reach.
-    pub(super) fn due(&mut self, key: RequestKey) {
-        let Some(held) = self.held.get(key) else { return };
-        let outcome = if held.written > 0 {
+    pub(super) fn on_deadline(&mut self, key: RequestKey) {
+        let Some(held) = self.requests.get(key) else { return };
+        let outcome = if held.possible_runs > 0 {
             let stage = held.stage().name.clone();
             let again = held.request.idempotent.then(|| self.retry_after(key));
-            doubt(DoubtKind::TimedOut, Some(stage), again)
+            uncertain_outcome(DoubtKind::TimedOut, Some(stage), again)
         } else {
-            self.unrun(key)
+            self.not_run_outcome(key)
         };
         self.conclude(key, outcome);
     }
 
     /// How a request ends of which nothing ran.
-    fn unrun(&self, key: RequestKey) -> Outcome {
-        match self.held[key].claim.map(|claim| claim.state) {
-            Some(ClaimState::Waiting) => refused(RefusalKind::ClaimUnknown),
-            Some(ClaimState::Lost) => self.winner_silent(&self.held[key].request.id),
+    fn not_run_outcome(&self, key: RequestKey) -> Outcome {
+        match self.requests[key].claim.map(|claim| claim.state) {
+            Some(ClaimState::Waiting) => refusal_outcome(RefusalKind::ClaimUnknown),
+            Some(ClaimState::Lost) => self.unanswered_outcome(&self.requests[key].request.id),
             Some(ClaimState::Won) | None => {
                 let retry_after = self.retry_after(key);
                 Outcome::NotRun(Refusal { kind: RefusalKind::Expired, retry_after })
@@ -220,94 +222,97 @@
     }
 
     /// Puts a request back into its queue after a while.
-    fn back_off(&mut self, key: RequestKey) {
-        let attempts = self.held[key].progress.attempts.min(6);
-        let wait = (REQUEUE * 2u32.pow(attempts)).min(MAX_REQUEUE);
+    fn schedule_requeue(&mut self, key: RequestKey) {
+        let attempts = self.requests[key].progress.attempts.min(6);
+        let wait = (REQUEUE_DELAY * 2u32.pow(attempts)).min(MAX_REQUEUE_DELAY);
         self.timers.set(self.now + wait, Timer::Requeue(key));
     }
 
-    pub(super) fn requeue(&mut self, key: RequestKey) {
-        let Some(held) = self.held.get(key) else { return };
-        if !held.progress.queued && held.progress.calls.is_empty() {
+    pub(super) fn on_requeue_timer(&mut self, key: RequestKey) {
+        let Some(held) = self.requests.get(key) else { return };
+        if !held.progress.is_queued && held.progress.calls.is_empty() {
             self.begin_stage(key);
         }
     }
 
     /// A call ended without a reply and without having run: tries again.
-    pub(super) fn retry_unrun(&mut self, key: RequestKey) {
-        if self.held[key].progress.calls.is_empty() {
-            self.back_off(key);
+    pub(super) fn retry_not_run(&mut self, key: RequestKey) {
+        if self.requests[key].progress.calls.is_empty() {
+            self.schedule_requeue(key);
         }
     }
 
     /// A call failed and may have run: tries again where that does no harm.
     pub(super) fn retry_failed(&mut self, key: RequestKey) {
-        if !self.held[key].progress.calls.is_empty() {
+        if !self.requests[key].progress.calls.is_empty() {
             return;
         }
         if !self.is_repeatable(key) || !self.may_retry(key) {
-            return self.stage_failed(key);
+            return self.conclude_failed(key);
         }
-        if !self.held[key].progress.pieces.is_empty() {
+        if !self.requests[key].progress.pieces.is_empty() {
             self.counters.resumes += 1;
         }
         self.begin_stage(key);
     }
 
     fn may_retry(&mut self, key: RequestKey) -> bool {
-        let attempts = self.held[key].progress.attempts;
+        let attempts = self.requests[key].progress.attempts;
         if !self.settings.decisions.budget {
-            return attempts < PLAIN_ATTEMPTS;
+            return attempts < BASELINE_ATTEMPTS;
         }
-        attempts < MAX_ATTEMPTS && self.spend()
+        attempts < MAX_ATTEMPTS && self.try_withdraw()
     }
 
     /// Takes a repetition out of the shared budget.
-    pub(super) fn spend(&mut self) -> bool {
+    pub(super) fn try_withdraw(&mut self) -> bool {
         let allowed = self.budget.try_withdraw();
         self.counters.budget_denied += u64::from(!allowed);
         allowed
     }
 
-    fn stage_failed(&mut self, key: RequestKey) {
-        let held = &self.held[key];
+    fn conclude_failed(&mut self, key: RequestKey) {
+        let held = &self.requests[key];
         let stage = held.stage().name.clone();
         let again = held.request.idempotent.then(|| self.retry_after(key));
-        self.conclude(key, doubt(DoubtKind::StageFailed, Some(stage), again));
+        self.conclude(key, uncertain_outcome(DoubtKind::StageFailed, Some(stage), again));
     }
 
     fn is_repeatable(&self, key: RequestKey) -> bool {
-        let held = &self.held[key];
+        let held = &self.requests[key];
         held.request.idempotent || held.stage().repeatable
     }
 
     /// Sets the timer for a second call beside this one.
-    fn set_hedge(&mut self, key: RequestKey, call: CallKey) {
-        let held = &self.held[key];
+    fn set_hedge_timer(&mut self, key: RequestKey, call: CallKey) {
+        let held = &self.requests[key];
         if !self.settings.decisions.hedging || !self.is_repeatable(key) {
             return;
         }
         let known = self.estimator(&held.pipeline.name, &held.stage().name);
         let Some(left) = self.stage_time(key) else { return };
         let Some(after) = known.and_then(|known| timing::hedge_delay(known, left)) else { return };
-        self.timers.set(self.now + after.max(MIN_HEDGE), Timer::Hedge(call));
+        self.timers.set(self.now + after.max(MIN_HEDGE_DELAY), Timer::Hedge(call));
     }
 
     /// The call has been slow: sends another beside it, if that is allowed.
-    pub(super) fn hedge(&mut self, call: CallKey) {
+    pub(super) fn on_hedge_timer(&mut self, call: CallKey) {
         let Some(flight) = self.calls.get(call) else { return };
         let key = flight.request;
-        let progress = &self.held[key].progress;
-        if flight.heard.is_some() || progress.calls.len() > 1 || progress.attempts >= MAX_ATTEMPTS {
+        let progress = &self.requests[key].progress;
+        if flight.last_piece_at.is_some()
+            || progress.calls.len() > 1
+            || progress.attempts >= MAX_ATTEMPTS
+        {
             return;
         }
-        let stage = &self.held[key].pipeline.stages[progress.stage];
+        let stage = &self.requests[key].pipeline.stages[progress.stage];
         let pool = stage.pool.clone();
-        if self.table.pool_free(self.now, &pool) == 0 || !self.lanes.is_empty(&pool) {
+        if self.table.pool_free(self.now, &pool) == 0 || !self.queues.is_empty(&pool) {
             return;
         }
-        if self.spend() {
-            self.dispatch(key, Why::Hedge);
+        if self.try_withdraw() {
+            self.send_call(key, CallReason::Hedge);
         }
     }
 
@@ -320,8 +325,13 @@
     }
 
     /// Tells the endpoint's record how a call ended.
-    pub(super) fn end_call(&mut self, flight: &Flight, result: CallResult, tokens: Option<u32>) {
-        let took = self.now.saturating_sub(flight.sent);
+    pub(super) fn end_call(
+        &mut self,
+        flight: &CallInFlight,
+        result: CallResult,
+        tokens: Option<u32>,
+    ) {
+        let took = self.now.saturating_sub(flight.sent_at);
         self.table.ended(self.now, &flight.endpoint, CallEnd { took, result, tokens });
     }
 
@@ -330,12 +340,12 @@
         pool.is_some_and(|pool| pool.kind == PoolKind::Engine)
     }
 
-    fn count_call(&mut self, why: Why) {
+    fn count_call(&mut self, why: CallReason) {
         self.counters.calls += 1;
         match why {
-            Why::First => self.budget.deposit(),
-            Why::Retry => self.counters.retries += 1,
-            Why::Hedge => self.counters.hedges += 1,
+            CallReason::First => self.budget.deposit(),
+            CallReason::Retry => self.counters.retries += 1,
+            CallReason::Hedge => self.counters.hedges += 1,
         }
     }
 }
--- a/crates/core/src/instance/status.rs
+++ b/crates/core/src/instance/status.rs
@@ -52,7 +52,7 @@
             identity: self.identity.clone(),
             reasons: self.unready_reasons(),
             version: self.plan.as_ref().map_or(0, |plan| plan.version),
-            running: u32::try_from(self.held.len()).unwrap_or(u32::MAX),
+            running: u32::try_from(self.requests.len()).unwrap_or(u32::MAX),
             peers: self.members.alive(self.now),
             endpoints: self.table.each().map(|endpoint| self.endpoint_status(endpoint)).collect(),
         }
--- a/crates/core/src/instance/timers.rs
+++ b/crates/core/src/instance/timers.rs
@@ -14,7 +14,7 @@
 #[derive(Copy)]
 pub enum Timer {
     /// A request's answer is due.
-    Due(RequestKey),
+    Deadline(RequestKey),
     /// A call has been slow enough for a second one beside it.
     Hedge(CallKey),
     /// A stream should have brought another piece by now.
@@ -22,7 +22,7 @@
     /// A request that was refused everywhere may be queued again.
     Requeue(RequestKey),
     /// Another instance should have told a request's outcome by now.
-    Ask(RequestKey),
+    WinnerReply(RequestKey),
 }
 
 /// Timers in the order of their time.
@@ -40,7 +40,7 @@
     }
 
     /// Takes the next timer that is due.
-    pub fn fire(&mut self, now: Duration) -> Option<Timer> {
+    pub fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         let first = self.by_time.first_entry()?;
         if first.key().0 > now {
             return None;
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// Upper bound of the first bucket.
-const FLOOR: Duration = Duration::from_micros(100);
+const FIRST_BOUND: Duration = Duration::from_micros(100);
 /// Ratio between the bounds of neighbouring buckets.
-const GROWTH: f64 = 1.1;
+const BOUND_RATIO: f64 = 1.1;
 /// Number of buckets; the last one reaches beyond ten minutes.
 const BUCKETS: usize = 168;
 /// Age at which a sample has half its weight.
@@ -27,7 +27,7 @@
     /// Weight in each bucket, relative to `origin`.
     buckets: Box<[f64; BUCKETS]>,
     total: f64,
-    origin: Duration,
+    reference_time: Duration,
     count: u64,
 }
 
@@ -43,19 +43,19 @@
         Estimator {
             buckets: Box::new([0.0; BUCKETS]),
             total: 0.0,
-            origin: Duration::ZERO,
+            reference_time: Duration::ZERO,
             count: 0,
         }
     }
 
     /// Takes in one sample.
     pub fn record(&mut self, now: Duration, took: Duration) {
-        let age = half_lives(now.saturating_sub(self.origin));
+        let age = half_lives(now.saturating_sub(self.reference_time));
         if age > RESCALE_AFTER {
             self.rescale(now, age);
         }
-        let weight = half_lives(now.saturating_sub(self.origin)).exp2();
-        self.buckets[bucket(took)] += weight;
+        let weight = half_lives(now.saturating_sub(self.reference_time)).exp2();
+        self.buckets[bucket_index(took)] += weight;
         self.total += weight;
         self.count += 1;
     }
@@ -71,7 +71,7 @@
         let filled = self.buckets.iter().enumerate().filter(|(_, weight)| **weight > 0.0);
         for (idx, weight) in filled {
             let part = ((wanted - below) / weight).clamp(0.0, 1.0);
-            found = within(idx, part);
+            found = interpolate(idx, part);
             below += weight;
             if below >= wanted {
                 break;
@@ -91,7 +91,7 @@
             *weight *= factor;
         }
         self.total = self.buckets.iter().sum();
-        self.origin = now;
+        self.reference_time = now;
     }
 }
 
@@ -99,21 +99,21 @@
     span.as_secs_f64() / HALF_LIFE.as_secs_f64()
 }
 
-fn bucket(took: Duration) -> usize {
-    let ratio = took.as_secs_f64() / FLOOR.as_secs_f64();
+fn bucket_index(took: Duration) -> usize {
+    let ratio = took.as_secs_f64() / FIRST_BOUND.as_secs_f64();
     if ratio <= 1.0 {
         return 0;
     }
-    let idx = (ratio.ln() / GROWTH.ln()).ceil() as usize;
+    let idx = (ratio.ln() / BOUND_RATIO.ln()).ceil() as usize;
     idx.min(BUCKETS - 1)
 }
 
 /// The duration that a part of a bucket's samples stays within, if they lie evenly in it.
-fn within(idx: usize, part: f64) -> Duration {
-    let lower = idx.checked_sub(1).map_or(Duration::ZERO, bound);
-    lower + (bound(idx) - lower).mul_f64(part)
+fn interpolate(idx: usize, part: f64) -> Duration {
+    let lower = idx.checked_sub(1).map_or(Duration::ZERO, upper_bound);
+    lower + (upper_bound(idx) - lower).mul_f64(part)
 }
 
-fn bound(idx: usize) -> Duration {
-    FLOOR.mul_f64(GROWTH.powi(idx as i32))
+fn upper_bound(idx: usize) -> Duration {
+    FIRST_BOUND.mul_f64(BOUND_RATIO.powi(idx as i32))
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -40,30 +40,30 @@
 /// Reported queue, as a share of the endpoint's places, that counts as congestion.
 const QUEUE_SHARE: f64 = 0.25;
 /// What is left of the limit after congestion.
-const BACKOFF: f64 = 0.8;
+const SHRINK_FACTOR: f64 = 0.8;
 /// Fewest calls in a round.
 const MIN_ROUND: usize = 8;
 /// Most calls in a round.
 const MAX_ROUND: usize = 64;
 /// Weight of a new median in the usual level when it lies above.
-const RISE: f64 = 0.05;
+const BASELINE_RISE: f64 = 0.05;
 /// The same while the limit is used up.
-const RISE_IN_USE: f64 = 0.002;
+const BASELINE_RISE_FULL: f64 = 0.002;
 /// Weight of a new median in the usual level when it lies below.
-const FALL: f64 = 0.3;
+const BASELINE_FALL: f64 = 0.3;
 
 /// An adaptive limit.
 #[derive(Debug, Clone)]
 pub struct AdaptiveLimit {
     settings: Settings,
     value: f64,
-    usual: Option<f64>,
+    baseline: Option<f64>,
     /// Times of the round so far, in seconds.
-    round: Vec<f64>,
+    samples: Vec<f64>,
     /// Whether all of the limit was in use at some time of the round.
-    used: bool,
+    was_full: bool,
     /// When it last shrank.
-    shrunk: Option<Duration>,
+    shrunk_at: Option<Duration>,
 }
 
 impl AdaptiveLimit {
@@ -72,10 +72,10 @@
         AdaptiveLimit {
             settings,
             value: f64::from(settings.initial),
-            usual: None,
-            round: Vec::new(),
-            used: false,
-            shrunk: None,
+            baseline: None,
+            samples: Vec::new(),
+            was_full: false,
+            shrunk_at: None,
         }
     }
 
@@ -86,10 +86,10 @@
 
     /// Takes in the time of a call that ended well. `in_flight` counts it.
     pub fn record_completion(&mut self, now: Duration, unit: Duration, in_flight: u32) {
-        self.used |= in_flight >= self.value();
-        self.round.push(unit.as_secs_f64());
+        self.was_full |= in_flight >= self.value();
+        self.samples.push(unit.as_secs_f64());
         let size = (self.value() as usize).clamp(MIN_ROUND, MAX_ROUND);
-        if self.round.len() >= size {
+        if self.samples.len() >= size {
             self.end_round(now);
         }
     }
@@ -98,7 +98,7 @@
     /// a late one that the call would have taken longer still. Without these, an
     /// endpoint that answers few calls in time would be judged by those few.
     pub fn record_cancellation(&mut self, now: Duration, unit: Duration, in_flight: u32) {
-        let is_slow = self.usual.is_some_and(|usual| unit.as_secs_f64() > usual * TOLERANCE);
+        let is_slow = self.baseline.is_some_and(|usual| unit.as_secs_f64() > usual * TOLERANCE);
         if is_slow {
             self.record_completion(now, unit, in_flight);
         }
@@ -106,7 +106,7 @@
 
     /// Takes in a refusal because the endpoint is busy, of a call sent at `sent`.
     pub fn record_refusal(&mut self, now: Duration, sent: Duration) {
-        if !self.is_old_news(sent) {
+        if !self.predates_shrink(sent) {
             self.shrink(now);
         }
     }
@@ -114,37 +114,37 @@
     /// Takes in a report that was true at `at`.
     pub fn record_report(&mut self, now: Duration, at: Duration, queued: u32, places: u32) {
         let is_long = f64::from(queued) > f64::from(places) * QUEUE_SHARE;
-        if is_long && !self.is_old_news(at) {
+        if is_long && !self.predates_shrink(at) {
             self.shrink(now);
         }
     }
 
     fn end_round(&mut self, now: Duration) {
-        let median = median(&mut self.round);
-        self.round.clear();
-        let usual = *self.usual.get_or_insert(median);
+        let median = median(&mut self.samples);
+        self.samples.clear();
+        let usual = *self.baseline.get_or_insert(median);
         if median > usual * TOLERANCE {
             self.shrink(now);
-        } else if self.used {
+        } else if self.was_full {
             self.value = (self.value + 1.0).min(f64::from(self.settings.max));
         }
-        let weight = match (median > usual, self.used) {
-            (true, true) => RISE_IN_USE,
-            (true, false) => RISE,
-            (false, _) => FALL,
+        let weight = match (median > usual, self.was_full) {
+            (true, true) => BASELINE_RISE_FULL,
+            (true, false) => BASELINE_RISE,
+            (false, _) => BASELINE_FALL,
         };
-        self.usual = Some(usual + (median - usual) * weight);
-        self.used = false;
+        self.baseline = Some(usual + (median - usual) * weight);
+        self.was_full = false;
     }
 
     fn shrink(&mut self, now: Duration) {
-        self.value = (self.value * BACKOFF).max(f64::from(self.settings.min));
-        self.shrunk = Some(now);
-        self.round.clear();
+        self.value = (self.value * SHRINK_FACTOR).max(f64::from(self.settings.min));
+        self.shrunk_at = Some(now);
+        self.samples.clear();
     }
 
-    fn is_old_news(&self, at: Duration) -> bool {
-        self.shrunk.is_some_and(|shrunk| at <= shrunk)
+    fn predates_shrink(&self, at: Duration) -> bool {
+        self.shrunk_at.is_some_and(|shrunk| at <= shrunk)
     }
 }
 
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -35,7 +35,7 @@
 pub struct Queue<K> {
     teams: Vec<Team<K>>,
     /// The team whose turn is next among equals.
-    turn: usize,
+    next_turn: usize,
     /// Rounds so far.
     round: f64,
     /// Numbers the pushes, so that equals keep their order.
@@ -49,7 +49,7 @@
     weight: f64,
     deficit: f64,
     /// The round in which its last waiting call left.
-    idle: f64,
+    idle_round: f64,
     waiting: BTreeMap<Rank, Call<K>>,
 }
 
@@ -100,7 +100,7 @@
 impl<K: Copy + Eq> Queue<K> {
     /// An empty queue.
     pub fn new() -> Queue<K> {
-        Queue { teams: Vec::new(), turn: 0, round: 0.0, seq: 0, len: 0 }
+        Queue { teams: Vec::new(), next_turn: 0, round: 0.0, seq: 0, len: 0 }
     }
 
     /// Adds a call. Its key must not be waiting already.
@@ -112,7 +112,7 @@
         let round = self.round;
         let team = self.team_mut(&waiting.team);
         team.weight = f64::from(waiting.weight.max(1));
-        team.wake(round, call.cost);
+        team.credit_idle_rounds(round, call.cost);
         team.waiting.insert(rank, call);
     }
 
@@ -123,16 +123,16 @@
             return Some(key);
         }
         let idx = self.next_team()?;
-        let rounds = self.teams[idx].rounds();
+        let rounds = self.teams[idx].rounds_needed();
         for team in self.teams.iter_mut().filter(|team| !team.waiting.is_empty()) {
             team.deficit += rounds * team.weight;
         }
         self.round += rounds;
-        self.turn = (idx + 1) % self.teams.len();
+        self.next_turn = (idx + 1) % self.teams.len();
         let team = &mut self.teams[idx];
         let (_, call) = team.waiting.pop_first()?;
         team.deficit -= call.cost;
-        team.settle(self.round);
+        team.drop_credit(self.round);
         self.len -= 1;
         Some(call.key)
     }
@@ -142,7 +142,7 @@
     pub fn refund(&mut self, name: &str, cost: f64) {
         let Some(team) = self.teams.iter_mut().find(|team| &*team.name == name) else { return };
         team.deficit += cost;
-        team.settle(self.round);
+        team.drop_credit(self.round);
     }
 
     /// Takes a call out, wherever it is; false if it doesn't wait.
@@ -151,7 +151,7 @@
             let found = team.waiting.iter().find(|(_, call)| call.key == key);
             let Some(rank) = found.map(|(rank, _)| *rank) else { continue };
             team.waiting.remove(&rank);
-            team.settle(self.round);
+            team.drop_credit(self.round);
             self.len -= 1;
             return true;
         }
@@ -220,7 +220,7 @@
                 continue;
             }
             let call = first.remove();
-            team.settle(self.round);
+            team.drop_credit(self.round);
             self.len -= 1;
             return Some(call.key);
         }
@@ -230,15 +230,17 @@
     /// The team that needs the fewest rounds; among equals the one whose turn it is.
     fn next_team(&self) -> Option<usize> {
         let count = self.teams.len();
-        let order = (0..count).map(|step| (self.turn + step) % count);
+        let order = (0..count).map(|step| (self.next_turn + step) % count);
         let waiting = order.filter(|idx| !self.teams[*idx].waiting.is_empty());
-        waiting.min_by(|a, b| self.teams[*a].rounds().total_cmp(&self.teams[*b].rounds()))
+        waiting.min_by(|a, b| {
+            self.teams[*a].rounds_needed().total_cmp(&self.teams[*b].rounds_needed())
+        })
     }
 
     fn team_mut(&mut self, name: &TeamName) -> &mut Team<K> {
         let idx = self.teams.iter().position(|team| team.name == *name);
         let idx = idx.unwrap_or_else(|| {
-            let team = Team { idle: self.round, ..Team::new(name.clone()) };
+            let team = Team { idle_round: self.round, ..Team::new(name.clone()) };
             self.teams.push(team);
             self.teams.len() - 1
         });
@@ -248,11 +250,11 @@
 
 impl<K> Team<K> {
     fn new(name: TeamName) -> Team<K> {
-        Team { name, weight: 1.0, deficit: 0.0, idle: 0.0, waiting: BTreeMap::new() }
+        Team { name, weight: 1.0, deficit: 0.0, idle_round: 0.0, waiting: BTreeMap::new() }
     }
 
     /// Rounds until the credit covers the first call.
-    fn rounds(&self) -> f64 {
+    fn rounds_needed(&self) -> f64 {
         let cost = self.waiting.values().next().map_or(0.0, |call| call.cost);
         ((cost - self.deficit) / self.weight).max(0.0)
     }
@@ -267,19 +269,19 @@
     }
 
     /// A team without waiting calls keeps no credit.
-    fn settle(&mut self, round: f64) {
+    fn drop_credit(&mut self, round: f64) {
         if self.waiting.is_empty() {
             self.deficit = self.deficit.min(0.0);
-            self.idle = round;
+            self.idle_round = round;
         }
     }
 
     /// A first call finds what the team's share was since it had none waiting,
     /// up to its own cost. So a small team's single calls needn't wait for
     /// rounds that it was entitled to already.
-    fn wake(&mut self, round: f64, cost: f64) {
+    fn credit_idle_rounds(&mut self, round: f64, cost: f64) {
         if self.waiting.is_empty() {
-            let saved = (round - self.idle) * self.weight;
+            let saved = (round - self.idle_round) * self.weight;
             self.deficit = (self.deficit + saved).min(cost).max(self.deficit);
         }
     }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -40,19 +40,19 @@
 /// How far above the average an endpoint may be filled for a prefix's sake.
 const LOAD_BOUND: f64 = 1.25;
 /// How old the peers' counts usually are.
-const PEERS_AGE: Duration = Duration::from_millis(200);
+const PEERS_AGE_ESTIMATE: Duration = Duration::from_millis(200);
 /// The shortest call that is counted with, in seconds.
-const MIN_WHOLE: f64 = 1e-3;
+const MIN_CALL_SECONDS: f64 = 1e-3;
 /// Endpoints tried for a prefix.
 const AFFINITY_DEPTH: usize = 2;
 /// How far above the usual cost an endpoint may be for a prefix's sake.
 const COST_BOUND: f64 = 3.0;
 /// Time after which half of an endpoint's deviation from its pool is forgotten.
-const FORGET: Duration = Duration::from_secs(10);
+const DEVIATION_HALF_LIFE: Duration = Duration::from_secs(10);
 /// Endpoints that a policy scores for a call.
-const SCORED: usize = 4;
+const SCORED_ENDPOINTS: usize = 4;
 /// The least share of good calls that is counted with.
-const MIN_GOOD: f64 = 0.05;
+const MIN_SUCCESS_RATE: f64 = 0.05;
 
 /// Picks an endpoint; `None` if none may get the call now.
 pub fn choose(
@@ -72,11 +72,11 @@
     demand: &Criteria<'_>,
     rng: &mut SmallRng,
 ) -> Option<EndpointName> {
-    let free = proven(table, now, demand);
-    let scale = Scale::of(table, demand.pool);
+    let free = avoiding_probes(table, now, demand);
+    let scale = PoolAverages::of(table, demand.pool);
     let cost = |endpoint: &Endpoint| cost(endpoint, now, demand, &scale);
     if let Some(prefix) = demand.prefix
-        && let Some(near) = nearest(&free, demand, prefix, cost)
+        && let Some(near) = affinity_endpoint(&free, demand, prefix, cost)
     {
         return Some(near.name.clone());
     }
@@ -95,8 +95,8 @@
     if let Some(probe) = probe(table, now, demand) {
         return Some(probe);
     }
-    let free = proven(table, now, demand);
-    let drawn = free.choose_multiple(rng, SCORED);
+    let free = avoiding_probes(table, now, demand);
+    let drawn = free.choose_multiple(rng, SCORED_ENDPOINTS);
     let scores: Option<Vec<(f64, &Endpoint)>> =
         drawn.map(|endpoint| Some((score(endpoint)?, *endpoint))).collect();
     let Some(scores) = scores else { return choose_avoiding_probes(table, now, demand, rng) };
@@ -114,7 +114,11 @@
 }
 
 /// Free endpoints that aren't to be probed; those too if there are no others.
-fn proven<'t>(table: &'t Table, now: Duration, demand: &Criteria<'_>) -> Vec<&'t Endpoint> {
+fn avoiding_probes<'t>(
+    table: &'t Table,
+    now: Duration,
+    demand: &Criteria<'_>,
+) -> Vec<&'t Endpoint> {
     let free: Vec<&Endpoint> = candidates(table, now, demand).collect();
     let proven = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
     let proven: Vec<&Endpoint> = proven.collect();
@@ -149,7 +153,7 @@
 }
 
 /// The endpoint that likely holds the prefix, if it isn't too full or too slow.
-fn nearest<'t>(
+fn affinity_endpoint<'t>(
     free: &[&'t Endpoint],
     demand: &Criteria<'_>,
     prefix: u64,
@@ -174,25 +178,25 @@
 }
 
 /// What is usual in a pool.
-struct Scale {
+struct PoolAverages {
     /// Seconds a call, or a token for an engine.
     took: f64,
     /// Seconds a whole call.
-    whole: f64,
+    call_latency: f64,
     /// Calls that an endpoint works on at once.
-    places: f64,
+    slots: f64,
 }
 
-impl Scale {
-    fn of(table: &Table, pool: &str) -> Scale {
+impl PoolAverages {
+    fn of(table: &Table, pool: &str) -> PoolAverages {
         let took = table.pool(pool).filter_map(Endpoint::took).map(|(took, _)| took.as_secs_f64());
         let places = table.pool(pool).filter_map(Endpoint::places).map(f64::from);
         let whole = table.pool(pool).filter_map(Endpoint::took_whole);
         let whole = mean(whole.map(|whole| whole.as_secs_f64())).unwrap_or(1.0);
-        Scale {
+        PoolAverages {
             took: mean(took).unwrap_or(1.0),
-            whole: whole.max(MIN_WHOLE),
-            places: mean(places).unwrap_or(1.0),
+            call_latency: whole.max(MIN_CALL_SECONDS),
+            slots: mean(places).unwrap_or(1.0),
         }
     }
 }
@@ -208,24 +212,25 @@
 
 /// What is still true of something said `age` ago. Calls come and go in the
 /// time that a call takes, so that is how fast it becomes worthless.
-fn still_true(age: Duration, scale: &Scale) -> f64 {
-    (-age.as_secs_f64() / scale.whole).exp2()
+fn freshness(age: Duration, scale: &PoolAverages) -> f64 {
+    (-age.as_secs_f64() / scale.call_latency).exp2()
 }
 
 /// Expected time of a call, up to a factor that all of the pool share.
-fn cost(endpoint: &Endpoint, now: Duration, demand: &Criteria<'_>, scale: &Scale) -> f64 {
-    let peers = f64::from((demand.peers)(&endpoint.name)) * still_true(PEERS_AGE, scale);
+fn cost(endpoint: &Endpoint, now: Duration, demand: &Criteria<'_>, scale: &PoolAverages) -> f64 {
+    let peers = f64::from((demand.peers)(&endpoint.name)) * freshness(PEERS_AGE_ESTIMATE, scale);
     let queued = endpoint
         .reported_queue(now)
-        .map_or(0.0, |(queued, age)| f64::from(queued) * still_true(age, scale));
+        .map_or(0.0, |(queued, age)| f64::from(queued) * freshness(age, scale));
     let ahead = f64::from(endpoint.in_flight) + peers + queued + 1.0;
-    let places = endpoint.places().map_or(scale.places, f64::from);
-    ahead / places * took(endpoint, now, scale) / endpoint.good_share().max(MIN_GOOD)
+    let places = endpoint.places().map_or(scale.slots, f64::from);
+    ahead / places * expected_latency(endpoint, now, scale)
+        / endpoint.good_share().max(MIN_SUCCESS_RATE)
 }
 
 /// The endpoint's usual time; without news it tends to the pool's.
-fn took(endpoint: &Endpoint, now: Duration, scale: &Scale) -> f64 {
+fn expected_latency(endpoint: &Endpoint, now: Duration, scale: &PoolAverages) -> f64 {
     let Some((took, at)) = endpoint.took() else { return scale.took };
-    let idle = now.saturating_sub(at).as_secs_f64() / FORGET.as_secs_f64();
+    let idle = now.saturating_sub(at).as_secs_f64() / DEVIATION_HALF_LIFE.as_secs_f64();
     scale.took + (took.as_secs_f64() - scale.took) * (-idle).exp2()
 }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -47,10 +47,13 @@
     for entry in entries {
         pools.entry(&entry.pool).or_default().push(entry);
     }
-    pools.into_values().flat_map(|pool| of_pool(chooser, pool)).cloned().collect()
+    pools.into_values().flat_map(|pool| choose_from_pool(chooser, pool)).cloned().collect()
 }
 
-fn of_pool<'a>(chooser: Params<'_>, mut pool: Vec<&'a EndpointEntry>) -> Vec<&'a EndpointEntry> {
+fn choose_from_pool<'a>(
+    chooser: Params<'_>,
+    mut pool: Vec<&'a EndpointEntry>,
+) -> Vec<&'a EndpointEntry> {
     if pool.len() <= chooser.size {
         return pool;
     }
--- a/crates/core/src/timing.rs
+++ b/crates/core/src/timing.rs
@@ -10,47 +10,47 @@
 use crate::latency::Estimator;
 
 /// Quantile that a later stage's time is reserved at.
-const RESERVED: f64 = 0.9;
+const RESERVED_QUANTILE: f64 = 0.9;
 /// Quantile of a quick run: with less time than that, a try isn't worth its cost.
-const QUICK: f64 = 0.25;
+const MIN_WORK_QUANTILE: f64 = 0.25;
 /// Quantile of a stage's run that a call must still have time for.
-const WORTH_STARTING: f64 = 0.75;
+const START_QUANTILE: f64 = 0.75;
 /// Quantile of a usual run.
-const USUAL: f64 = 0.5;
+const MEDIAN: f64 = 0.5;
 /// Quantile after which a call counts as a straggler.
-const STRAGGLER: f64 = 0.95;
+const STRAGGLER_QUANTILE: f64 = 0.95;
 /// Quantile of a run that a hedge should have time for.
-const HEDGE_RUN: f64 = 0.9;
+const AMPLE_HEDGE_QUANTILE: f64 = 0.9;
 /// Quantile of a run that a hedge must have time for.
-const SHORT_RUN: f64 = 0.75;
+const MIN_HEDGE_QUANTILE: f64 = 0.75;
 /// How far a hedge is put off from the first moment that makes sense to the
 /// last, as a share.
-const PATIENCE: f64 = 0.5;
+const POSTPONEMENT: f64 = 0.5;
 /// Samples before a stage's quantiles are trusted for hedging.
 const MIN_SAMPLES: u64 = 20;
 
 /// Time that a stage may take; `None` if the request can't be in time any more.
 pub fn stage_time(left: Duration, stage: &Estimator, later: &[&Estimator]) -> Option<Duration> {
-    let least = at(stage, WORTH_STARTING) + sum(later, USUAL);
+    let least = quantile(stage, START_QUANTILE) + sum_quantiles(later, MEDIAN);
     if left.is_zero() || least > left {
         return None;
     }
-    let usual = at(stage, USUAL);
-    let time = left.saturating_sub(sum(later, RESERVED));
+    let usual = quantile(stage, MEDIAN);
+    let time = left.saturating_sub(sum_quantiles(later, RESERVED_QUANTILE));
     if time >= usual && !time.is_zero() {
         return Some(time);
     }
-    Some(proportion(left, usual, sum(later, USUAL)))
+    Some(proportional_share(left, usual, sum_quantiles(later, MEDIAN)))
 }
 
 /// Time that a request's stages need from here on, at a high quantile.
 pub fn work(stages: &[&Estimator]) -> Duration {
-    sum(stages, RESERVED)
+    sum_quantiles(stages, RESERVED_QUANTILE)
 }
 
 /// Time that a request's stages need at least to have a chance.
 pub fn min_work(stages: &[&Estimator]) -> Duration {
-    sum(stages, QUICK)
+    sum_quantiles(stages, MIN_WORK_QUANTILE)
 }
 
 /// How long to wait for a call before a hedge is sent; `None` if a hedge isn't
@@ -62,18 +62,18 @@
     if stage.count() < MIN_SAMPLES {
         return None;
     }
-    let straggler = stage.quantile(STRAGGLER)?;
-    let latest = time.saturating_sub(stage.quantile(HEDGE_RUN)?);
+    let straggler = stage.quantile(STRAGGLER_QUANTILE)?;
+    let latest = time.saturating_sub(stage.quantile(AMPLE_HEDGE_QUANTILE)?);
     if latest >= straggler {
-        return Some(straggler + (latest - straggler).mul_f64(PATIENCE));
+        return Some(straggler + (latest - straggler).mul_f64(POSTPONEMENT));
     }
-    let run = stage.quantile(SHORT_RUN)?;
+    let run = stage.quantile(MIN_HEDGE_QUANTILE)?;
     let delay = straggler.min(time.checked_sub(run)?);
     (delay >= run).then_some(delay)
 }
 
 /// The stage's part of `left` when every stage has to hurry alike.
-fn proportion(left: Duration, stage: Duration, later: Duration) -> Duration {
+fn proportional_share(left: Duration, stage: Duration, later: Duration) -> Duration {
     let all = (stage + later).as_secs_f64();
     if all <= 0.0 {
         return left;
@@ -81,11 +81,11 @@
     left.mul_f64(stage.as_secs_f64() / all)
 }
 
-fn sum(stages: &[&Estimator], q: f64) -> Duration {
-    stages.iter().map(|stage| at(stage, q)).sum()
+fn sum_quantiles(stages: &[&Estimator], q: f64) -> Duration {
+    stages.iter().map(|stage| quantile(stage, q)).sum()
 }
 
 /// A stage without samples is taken to need no time: it has to be tried.
-fn at(stage: &Estimator, q: f64) -> Duration {
+fn quantile(stage: &Estimator, q: f64) -> Duration {
     stage.quantile(q).unwrap_or_default()
 }
