--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -67,8 +67,8 @@
 
     /// A key that is held here, was held here or is claimed already.
     fn check_duplicate(&self, key: &RequestId, digest: u64) -> Result<(), Outcome> {
-        if let Some(held) = self.by_id.get(key).and_then(|key| self.requests.get(*key)) {
-            return Err(if held.digest == digest { in_progress() } else { key_reused() });
+        if let Some(active) = self.by_id.get(key).and_then(|key| self.requests.get(*key)) {
+            return Err(if active.digest == digest { in_progress() } else { key_reused() });
         }
         if let Some(FinishedRequest { digest: known, outcome }) = self.finished.get(key) {
             return Err(if *known == digest { outcome.clone() } else { key_reused() });
--- a/crates/core/src/instance/claiming.rs
+++ b/crates/core/src/instance/claiming.rs
@@ -24,10 +24,10 @@
     /// Asks for the claim of a request that was just taken in.
     pub(super) fn start_claim(&mut self, key: RequestKey) {
         let nonce: u64 = self.rng.random();
-        let held = &mut self.requests[key];
-        held.claim = Some(Claim { nonce, state: ClaimState::Waiting });
-        let id = held.request.id.clone();
-        let digest = held.digest;
+        let active = &mut self.requests[key];
+        active.claim = Some(Claim { nonce, state: ClaimState::Waiting });
+        let id = active.request.id.clone();
+        let digest = active.digest;
         self.by_id.insert(id.clone(), key);
         self.counters.claims += 1;
         let verdict = self.claims.request(self.now, id, digest, nonce);
@@ -109,7 +109,7 @@
     }
 
     fn is_awaiting_winner(&self, key: RequestKey) -> bool {
-        let claim = self.requests.get(key).and_then(|held| held.claim);
+        let claim = self.requests.get(key).and_then(|active| active.claim);
         claim.is_some_and(|claim| claim.state == ClaimState::Lost)
     }
 
--- a/crates/core/src/instance/ending.rs
+++ b/crates/core/src/instance/ending.rs
@@ -16,41 +16,41 @@
 impl Instance {
     /// Sends a held request's outcome and forgets the request.
     pub(super) fn conclude(&mut self, key: RequestKey, outcome: Outcome) {
-        let Some(held) = self.requests.remove(key) else { return };
-        self.release_resources(key, &held);
-        self.resolve_claim(&held, &outcome);
-        if let Some(caller) = held.caller {
+        let Some(active) = self.requests.remove(key) else { return };
+        self.release_resources(key, &active);
+        self.resolve_claim(&active, &outcome);
+        if let Some(caller) = active.caller {
             self.callers.remove(&caller);
-            let won = held.claim.is_some_and(|claim| claim.state == ClaimState::Won);
-            self.send_outcome(caller, qualify_not_run(&held.request, won, outcome));
+            let won = active.claim.is_some_and(|claim| claim.state == ClaimState::Won);
+            self.send_outcome(caller, qualify_not_run(&active.request, won, outcome));
         }
     }
 
     /// Cancels its calls and takes it out of its queue.
-    fn release_resources(&mut self, key: RequestKey, held: &ActiveRequest) {
-        for call in &held.progress.calls {
+    fn release_resources(&mut self, key: RequestKey, active: &ActiveRequest) {
+        for call in &active.progress.calls {
             self.cancel(*call);
         }
-        if held.progress.is_queued {
-            self.queues.remove(self.now, &held.stage().pool, key);
+        if active.progress.is_queued {
+            self.queues.remove(self.now, &active.stage().pool, key);
         }
-        self.remove_team_request(&held.request.id.team);
+        self.remove_team_request(&active.request.id.team);
     }
 
     /// Tells the log what became of a claim: void where nothing ran, finished
     /// otherwise. A claim that was lost is somebody else's to settle.
-    fn resolve_claim(&mut self, held: &ActiveRequest, outcome: &Outcome) {
-        let Some(claim) = held.claim else { return };
-        let id = &held.request.id;
+    fn resolve_claim(&mut self, active: &ActiveRequest, outcome: &Outcome) {
+        let Some(claim) = active.claim else { return };
+        let id = &active.request.id;
         self.by_id.remove(id);
         match claim.state {
             ClaimState::Lost => {}
             ClaimState::Waiting => self.void_claim(id, claim.nonce),
-            ClaimState::Won if held.possible_runs == 0 => self.void_claim(id, claim.nonce),
+            ClaimState::Won if active.possible_runs == 0 => self.void_claim(id, claim.nonce),
             ClaimState::Won => {
                 let answered = matches!(outcome, Outcome::Answered(_));
                 self.claims.finished(self.now, id, claim.nonce, answered);
-                let ended = FinishedRequest { digest: held.digest, outcome: outcome.clone() };
+                let ended = FinishedRequest { digest: active.digest, outcome: outcome.clone() };
                 self.finished.insert(id.clone(), ended);
             }
         }
--- a/crates/core/src/instance/estimates.rs
+++ b/crates/core/src/instance/estimates.rs
@@ -24,7 +24,7 @@
 #[derive(Copy, Default)]
 pub struct TeamUsage {
     /// Requests held.
-    pub held: u32,
+    pub active: u32,
     /// The team's weight.
     pub weight: u32,
 }
@@ -42,13 +42,13 @@
 
     /// Time left for the current stage; `None` if it cannot be in time any more.
     pub(super) fn stage_time(&self, key: RequestKey) -> Option<Duration> {
-        let held = &self.requests[key];
-        let left = held.deadline.saturating_sub(self.now);
-        let stage = held.stage();
-        let Some(known) = self.estimator(&held.pipeline.name, &stage.name) else {
+        let active = &self.requests[key];
+        let left = active.deadline.saturating_sub(self.now);
+        let stage = active.stage();
+        let Some(known) = self.estimator(&active.pipeline.name, &stage.name) else {
             return Some(left);
         };
-        let later = self.estimators(&held.pipeline, held.progress.stage + 1);
+        let later = self.estimators(&active.pipeline, active.progress.stage + 1);
         timing::stage_time(left, known, &later)
     }
 
@@ -76,11 +76,11 @@
     }
 
     fn share(&self, team: &TeamName, weight: u32) -> admission::Share {
-        let held = self.teams.get(team).map_or(0, |using| using.held);
-        let others = self.teams.iter().filter(|(name, using)| *name != team && using.held > 0);
-        let others: u32 = others.map(|(_, using)| using.weight).sum();
+        let active = self.teams.get(team).map_or(0, |usage| usage.active);
+        let others = self.teams.iter().filter(|(name, usage)| *name != team && usage.active > 0);
+        let others: u32 = others.map(|(_, usage)| usage.weight).sum();
         admission::Share {
-            active: held,
+            active,
             total: u32::try_from(self.requests.len()).unwrap_or(u32::MAX),
             weight: f64::from(weight) / f64::from((weight + others).max(1)),
             ..Default::default()
@@ -107,24 +107,25 @@
 
     /// When to come back: once what waits ahead now has drained.
     pub(super) fn retry_after(&self, key: RequestKey) -> Duration {
-        let held = &self.requests[key];
-        let stages = held.pipeline.stages.iter().skip(held.progress.stage);
-        let wait = stages.map(|stage| self.wait(stage, &held.request.id.team, held.deadline)).sum();
+        let active = &self.requests[key];
+        let stages = active.pipeline.stages.iter().skip(active.progress.stage);
+        let wait =
+            stages.map(|stage| self.wait(stage, &active.request.id.team, active.deadline)).sum();
         admission::refusal(RefusalKind::Expired, wait).retry_after
     }
 
     /// Counts a request of a team in.
     pub(super) fn add_team_request(&mut self, team: &TeamName, weight: u32) {
-        let using = self.teams.entry(team.clone()).or_default();
-        using.held += 1;
-        using.weight = weight;
+        let usage = self.teams.entry(team.clone()).or_default();
+        usage.active += 1;
+        usage.weight = weight;
     }
 
     /// Counts a request of a team out.
     pub(super) fn remove_team_request(&mut self, team: &TeamName) {
-        let Some(using) = self.teams.get_mut(team) else { return };
-        using.held -= 1;
-        if using.held == 0 {
+        let Some(usage) = self.teams.get_mut(team) else { return };
+        usage.active -= 1;
+        if usage.active == 0 {
             self.teams.remove(team);
         }
     }
--- a/crates/core/src/instance/lanes.rs
+++ b/crates/core/src/instance/lanes.rs
@@ -62,17 +62,17 @@
 
     /// The pools that something waits for.
     pub fn pools(&self) -> Vec<PoolName> {
-        let waiting = self.by_pool.iter().filter(|(_, lane)| !lane.queue.is_empty());
+        let waiting = self.by_pool.iter().filter(|(_, pool_queue)| !pool_queue.queue.is_empty());
         waiting.map(|(pool, _)| pool.clone()).collect()
     }
 
     /// Adds a call to its pool's queue.
     pub fn push(&mut self, now: Duration, pool: &PoolName, waiting: WaitingCall<RequestKey>) {
         let waiting = if self.is_fair { waiting } else { first_come_entry(now, waiting) };
-        let lane = self.by_pool.entry(pool.clone()).or_default();
-        lane.team_rates.entry(waiting.team.clone()).or_default();
-        lane.queue.push(waiting);
-        lane.update_rates(now);
+        let pool_queue = self.by_pool.entry(pool.clone()).or_default();
+        pool_queue.team_rates.entry(waiting.team.clone()).or_default();
+        pool_queue.queue.push(waiting);
+        pool_queue.update_rates(now);
     }
 
     /// Takes the next call out. [`PoolQueues::record_dispatch`] or [`PoolQueues::refund`] says what became of it.
@@ -82,33 +82,33 @@
 
     /// A call that came out got a place.
     pub fn record_dispatch(&mut self, now: Duration, pool: &str, team: &str, cost: f64) {
-        let Some(lane) = self.by_pool.get_mut(pool) else { return };
-        lane.drain_rate.record_dispatch(now, cost);
-        if let Some(drain) = lane.team_rates.get_mut(team) {
+        let Some(pool_queue) = self.by_pool.get_mut(pool) else { return };
+        pool_queue.drain_rate.record_dispatch(now, cost);
+        if let Some(drain) = pool_queue.team_rates.get_mut(team) {
             drain.record_dispatch(now, cost);
         }
-        lane.update_rates(now);
+        pool_queue.update_rates(now);
     }
 
     /// A call that came out got no place. So it says nothing of how fast places
     /// come free, and its team has not had its turn.
     pub fn refund(&mut self, now: Duration, pool: &str, team: &str, cost: f64) {
-        let Some(lane) = self.by_pool.get_mut(pool) else { return };
+        let Some(pool_queue) = self.by_pool.get_mut(pool) else { return };
         let team = if self.is_fair { team } else { NO_TEAM };
-        lane.queue.refund(team, cost);
-        lane.update_rates(now);
+        pool_queue.queue.refund(team, cost);
+        pool_queue.update_rates(now);
     }
 
     /// Takes a call out, wherever it waits in its pool.
     pub fn remove(&mut self, now: Duration, pool: &str, key: RequestKey) {
-        let Some(lane) = self.by_pool.get_mut(pool) else { return };
-        lane.queue.remove(key);
-        lane.update_rates(now);
+        let Some(pool_queue) = self.by_pool.get_mut(pool) else { return };
+        pool_queue.queue.remove(key);
+        pool_queue.update_rates(now);
     }
 
     /// Calls that wait for a pool.
     pub fn len(&self, pool: &str) -> usize {
-        self.by_pool.get(pool).map_or(0, |lane| lane.queue.len())
+        self.by_pool.get(pool).map_or(0, |pool_queue| pool_queue.queue.len())
     }
 
     /// Whether nothing waits for a pool.
@@ -118,30 +118,31 @@
 
     /// Whether calls of other teams wait for a pool.
     pub fn has_other_teams(&self, pool: &str, team: &str) -> bool {
-        self.by_pool.get(pool).is_some_and(|lane| lane.queue.has_other_teams(team))
+        self.by_pool.get(pool).is_some_and(|pool_queue| pool_queue.queue.has_other_teams(team))
     }
 
     /// How long all that waits for a pool takes to leave; `None` if too little is known.
     pub fn backlog(&self, now: Duration, pool: &str) -> Option<Duration> {
-        let lane = self.by_pool.get(pool)?;
-        lane.drain_rate.time_to_drain(now, lane.queue.cost())
+        let pool_queue = self.by_pool.get(pool)?;
+        pool_queue.drain_rate.time_to_drain(now, pool_queue.queue.cost())
     }
 
     /// How long a new call waits for a pool, at a high quantile. Zero where too
     /// little is known.
     pub fn wait(&self, now: Duration, pool: &str, call: &NewCall<'_>) -> Duration {
-        let Some(lane) = self.by_pool.get(pool) else { return Duration::ZERO };
-        let mean = if self.is_fair { lane.fair_wait(now, call) } else { self.backlog(now, pool) };
+        let Some(pool_queue) = self.by_pool.get(pool) else { return Duration::ZERO };
+        let mean =
+            if self.is_fair { pool_queue.fair_wait(now, call) } else { self.backlog(now, pool) };
         let mean = mean.unwrap_or_default();
-        let turn = lane.drain_rate.time_to_drain(now, call.cost).unwrap_or(mean);
-        high_quantile(mean, turn)
+        let interval = pool_queue.drain_rate.time_to_drain(now, call.cost).unwrap_or(mean);
+        high_quantile(mean, interval)
     }
 }
 
 /// The wait that is hardly exceeded, from the mean wait and the time between
 /// two calls that get a place: their number in a given time spreads by its root.
-fn high_quantile(mean: Duration, turn: Duration) -> Duration {
-    let calls = (mean.as_secs_f64() / turn.as_secs_f64().max(f64::MIN_POSITIVE)).max(1.0);
+fn high_quantile(mean: Duration, interval: Duration) -> Duration {
+    let calls = (mean.as_secs_f64() / interval.as_secs_f64().max(f64::MIN_POSITIVE)).max(1.0);
     mean.mul_f64(1.0 + DEVIATIONS / calls.sqrt())
 }
 
--- a/crates/core/src/instance/platform.rs
+++ b/crates/core/src/instance/platform.rs
@@ -83,13 +83,13 @@
         self.has_listing = true;
         self.members.listed(self.now, &listing.instances);
         let before = self.table.leaving_marks().len();
-        let chooser = Params {
+        let params = Params {
             name: &self.identity.name,
             data_centre: &self.identity.data_centre,
             size: self.settings.subset,
             evacuated: self.table.evacuated(),
         };
-        let endpoints = subset::choose(chooser, &listing.endpoints);
+        let endpoints = subset::choose(params, &listing.endpoints);
         self.table.listed(self.now, &endpoints);
         let after = self.table.leaving_marks().len();
         self.counters.leaving_learnt += after.saturating_sub(before) as u64;
--- a/crates/core/src/instance/policies.rs
+++ b/crates/core/src/instance/policies.rs
@@ -54,19 +54,19 @@
 
     /// What a program is told of a held request and its current stage.
     pub(super) fn stage_facts(&self, key: RequestKey) -> Facts {
-        let held = &self.requests[key];
-        let stage = held.stage();
-        let left = held.deadline.saturating_sub(self.now);
-        let estimate = self.estimate(&held.request, &held.pipeline, held.weight, None);
-        let costs = held.pipeline.stages.iter().map(|stage| self.cost(&stage.pool));
+        let active = &self.requests[key];
+        let stage = active.stage();
+        let left = active.deadline.saturating_sub(self.now);
+        let estimate = self.estimate(&active.request, &active.pipeline, active.weight, None);
+        let costs = active.pipeline.stages.iter().map(|stage| self.cost(&stage.pool));
         let costs: Vec<f64> = costs.collect();
-        let (spent, cost) = costs.split_at(held.progress.stage);
+        let (spent, cost) = costs.split_at(active.progress.stage);
         Facts {
-            team: held.request.id.team.clone(),
-            pipeline: held.pipeline.name.clone(),
+            team: active.request.id.team.clone(),
+            pipeline: active.pipeline.name.clone(),
             stage: stage.name.clone(),
-            index: u32::try_from(held.progress.stage).unwrap_or(u32::MAX),
-            idempotent: held.request.idempotent,
+            index: u32::try_from(active.progress.stage).unwrap_or(u32::MAX),
+            idempotent: active.request.idempotent,
             left,
             wait: estimate.wait,
             work: estimate.work,
--- a/crates/core/src/instance/replies.rs
+++ b/crates/core/src/instance/replies.rs
@@ -103,16 +103,16 @@
 
     /// Moves pieces whose turn has come to the request, and on to its caller.
     fn deliver_pieces(&mut self, key: RequestKey, call: CallKey) {
-        let held = &mut self.requests[key];
+        let active = &mut self.requests[key];
         let early = &mut self.calls[call].out_of_order;
-        let last = held.progress.stage + 1 == held.pipeline.stages.len();
-        let caller = held.caller.filter(|_| held.request.stream && last);
+        let last = active.progress.stage + 1 == active.pipeline.stages.len();
+        let caller = active.caller.filter(|_| active.request.stream && last);
         while let Some((index, text)) = early.pop_first() {
-            if index as usize != held.progress.pieces.len() {
+            if index as usize != active.progress.pieces.len() {
                 early.insert(index, text);
                 return;
             }
-            held.progress.pieces.push(text.clone());
+            active.progress.pieces.push(text.clone());
             if let Some(caller) = caller {
                 self.actions.push(Action::Stream { caller, text });
             }
@@ -133,8 +133,8 @@
     /// How long a stream of the current stage may be silent; `None` if too
     /// little is known.
     fn stall_timeout(&self, key: RequestKey) -> Option<Duration> {
-        let held = &self.requests[key];
-        let usual = self.estimator(&held.pipeline.name, &held.stage().name)?.quantile(0.5)?;
+        let active = &self.requests[key];
+        let usual = self.estimator(&active.pipeline.name, &active.stage().name)?.quantile(0.5)?;
         Some(usual.mul_f64(STALL_FACTOR).max(MIN_STALL_TIMEOUT))
     }
 
@@ -150,8 +150,8 @@
         }
         let progress = &self.requests[key].progress;
         let pool = self.requests[key].stage().pool.clone();
-        let tired = progress.attempts >= MAX_ATTEMPTS;
-        if tired || self.table.pool_free(self.now, &pool) == 0 || !self.try_withdraw() {
+        let is_exhausted = progress.attempts >= MAX_ATTEMPTS;
+        if is_exhausted || self.table.pool_free(self.now, &pool) == 0 || !self.try_withdraw() {
             return self.timers.set(self.now + wait, Timer::Stall(call));
         }
         self.actions.push(Action::Cancel(call.id()));
@@ -185,20 +185,20 @@
 
     fn finish_stage(&mut self, key: RequestKey, flight: &CallInFlight, output: Text) {
         let now = self.now;
-        let held = &mut self.requests[key];
-        let stage = held.stage().name.clone();
-        let took = now.saturating_sub(held.progress.started_at);
-        let (pipeline, name) = (held.pipeline.name.clone(), stage.clone());
-        held.reports.push(StageReport {
+        let active = &mut self.requests[key];
+        let stage = active.stage().name.clone();
+        let took = now.saturating_sub(active.progress.started_at);
+        let (pipeline, name) = (active.pipeline.name.clone(), stage.clone());
+        active.reports.push(StageReport {
             stage,
             endpoint: flight.endpoint.clone(),
-            attempts: held.progress.attempts,
+            attempts: active.progress.attempts,
             took,
         });
         let run = now.saturating_sub(flight.sent_at);
-        let next = held.progress.stage + 1;
-        held.progress = StageProgress::new(next, output.clone(), now);
-        let done = next == held.pipeline.stages.len();
+        let next = active.progress.stage + 1;
+        active.progress = StageProgress::new(next, output.clone(), now);
+        let done = next == active.pipeline.stages.len();
         let known = self.latencies.entry(pipeline).or_default().entry(name).or_default();
         known.record(now, run);
         if !done {
@@ -228,8 +228,8 @@
     /// A call ended of which nothing ran.
     fn end_unrun_call(&mut self, call: CallKey, result: CallResult) {
         let flight = self.remove_call(call, result);
-        let held = &mut self.requests[flight.request];
-        held.possible_runs -= 1;
+        let active = &mut self.requests[flight.request];
+        active.possible_runs -= 1;
         self.retry_not_run(flight.request);
     }
 
--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -43,11 +43,11 @@
             return self.on_deadline(key);
         }
         let priority = self.priority(key);
-        let held = &mut self.requests[key];
-        held.progress.is_queued = true;
-        let team = held.request.id.team.clone();
-        let (weight, deadline) = (held.weight, held.deadline);
-        let pool = held.stage().pool.clone();
+        let active = &mut self.requests[key];
+        active.progress.is_queued = true;
+        let team = active.request.id.team.clone();
+        let (weight, deadline) = (active.weight, active.deadline);
+        let pool = active.stage().pool.clone();
         let cost = self.cost(&pool);
         let waiting = queue::WaitingCall { key, team, weight, deadline, cost, priority };
         self.queues.push(self.now, &pool, waiting);
@@ -70,8 +70,8 @@
                 continue;
             }
             let first = self.requests[key].progress.attempts == 0;
-            let why = if first { CallReason::First } else { CallReason::Retry };
-            if !self.send_call(key, why) {
+            let reason = if first { CallReason::First } else { CallReason::Retry };
+            if !self.send_call(key, reason) {
                 self.refund_queue(key, pool);
                 self.schedule_requeue(key);
                 return;
@@ -83,78 +83,78 @@
 
     /// A call that came out of its queue gets no place after all.
     fn refund_queue(&mut self, key: RequestKey, pool: &str) {
-        let held = &self.requests[key];
+        let active = &self.requests[key];
         // Past its deadline it came out at no cost.
-        let cost = if held.deadline <= self.now { 0.0 } else { self.cost(pool) };
-        self.queues.refund(self.now, pool, &held.request.id.team, cost);
+        let cost = if active.deadline <= self.now { 0.0 } else { self.cost(pool) };
+        self.queues.refund(self.now, pool, &active.request.id.team, cost);
     }
 
     /// Sends one call. False if no endpoint may take it now.
-    fn send_call(&mut self, key: RequestKey, why: CallReason) -> bool {
-        let Some(endpoint) = self.choose_endpoint(key, why) else { return false };
+    fn send_call(&mut self, key: RequestKey, reason: CallReason) -> bool {
+        let Some(endpoint) = self.choose_endpoint(key, reason) else { return false };
         let Some(addr) = self.table.endpoint(&endpoint).map(|known| known.addr.clone()) else {
             return false;
         };
-        let held = &mut self.requests[key];
-        held.progress.attempts += 1;
-        held.progress.tried.push(endpoint.clone());
-        held.possible_runs += 1;
+        let active = &mut self.requests[key];
+        active.progress.attempts += 1;
+        active.progress.tried.push(endpoint.clone());
+        active.possible_runs += 1;
         let call = self.calls.insert(CallInFlight {
             request: key,
             endpoint: endpoint.clone(),
-            stage: u32::try_from(held.progress.stage).expect("pipelines are short"),
-            attempt: held.progress.attempts,
+            stage: u32::try_from(active.progress.stage).expect("pipelines are short"),
+            attempt: active.progress.attempts,
             sent_at: self.now,
             last_piece_at: None,
             pieces: 0,
             out_of_order: Default::default(),
         });
-        held.progress.calls.push(call);
+        active.progress.calls.push(call);
         self.table.started(self.now, &endpoint);
-        self.count_call(why);
+        self.count_call(reason);
         let call = self.build_call(call, addr);
         self.set_hedge_timer(key, call.id.into());
         self.actions.push(Action::Call(call));
         true
     }
 
-    fn choose_endpoint(&mut self, key: RequestKey, why: CallReason) -> Option<EndpointName> {
+    fn choose_endpoint(&mut self, key: RequestKey, reason: CallReason) -> Option<EndpointName> {
         let tried = self.requests[key].progress.tried.clone();
-        let fresh = self.choose_excluding(key, &tried, why);
-        if fresh.is_some() || why == CallReason::Hedge || tried.is_empty() {
+        let fresh = self.choose_excluding(key, &tried, reason);
+        if fresh.is_some() || reason == CallReason::Hedge || tried.is_empty() {
             return fresh;
         }
         // Every endpoint was tried: better one of them again than none.
-        self.choose_excluding(key, &[], why)
+        self.choose_excluding(key, &[], reason)
     }
 
     fn choose_excluding(
         &mut self,
         key: RequestKey,
         exclude: &[EndpointName],
-        why: CallReason,
+        reason: CallReason,
     ) -> Option<EndpointName> {
         let decisions = self.settings.decisions;
-        let held = &self.requests[key];
-        let stage = held.stage();
+        let active = &self.requests[key];
+        let stage = active.stage();
         let prefixed = decisions.affinity && self.is_engine(stage);
-        let prefix = prefixed.then(|| self.content.prefix(&held.progress.input));
+        let prefix = prefixed.then(|| self.content.prefix(&active.progress.input));
         let mut rng = self.rng.clone();
         let peers = |name: &str| self.members.in_flight(self.now, name);
-        let demand = routing::Criteria { pool: &stage.pool, prefix, exclude, peers: &peers };
+        let criteria = routing::Criteria { pool: &stage.pool, prefix, exclude, peers: &peers };
         let chosen = if !decisions.load_aware {
-            routing::choose_scored(&self.table, self.now, &demand, &mut rng, &|_| Some(0.0))
+            routing::choose_scored(&self.table, self.now, &criteria, &mut rng, &|_| Some(0.0))
         } else if let Some(program) =
             self.program(key).filter(|program| program.defines(Function::Route))
         {
             let facts = self.stage_facts(key);
             let score =
                 |endpoint: &Endpoint| program.route(&facts, &self.endpoint_facts(endpoint)).given();
-            routing::choose_scored(&self.table, self.now, &demand, &mut rng, &score)
-        } else if why == CallReason::First {
-            routing::choose(&self.table, self.now, &demand, &mut rng)
+            routing::choose_scored(&self.table, self.now, &criteria, &mut rng, &score)
+        } else if reason == CallReason::First {
+            routing::choose(&self.table, self.now, &criteria, &mut rng)
         } else {
-            routing::choose_avoiding_probes(&self.table, self.now, &demand, &mut rng)
+            routing::choose_avoiding_probes(&self.table, self.now, &criteria, &mut rng)
         };
         self.rng = rng;
         chosen
@@ -162,21 +162,21 @@
 
     fn build_call(&self, call: CallKey, addr: std::sync::Arc<str>) -> Call {
         let flight = &self.calls[call];
-        let held = &self.requests[flight.request];
-        let stage = held.stage();
+        let active = &self.requests[flight.request];
+        let stage = active.stage();
         Call {
             id: call.id(),
             endpoint: flight.endpoint.clone(),
             addr,
             echo: self.echo(flight),
             stage: stage.name.clone(),
-            input: held.progress.input.clone(),
+            input: active.progress.input.clone(),
             deadline: self
                 .stage_time(flight.request)
-                .unwrap_or(held.deadline.saturating_sub(self.now)),
+                .unwrap_or(active.deadline.saturating_sub(self.now)),
             engine: self.is_engine(stage),
             max_tokens: stage.max_tokens,
-            resume: held.progress.pieces.clone(),
+            resume: active.progress.pieces.clone(),
         }
     }
 
@@ -198,10 +198,10 @@
 
     /// The deadline has passed, or is out of reach.
     pub(super) fn on_deadline(&mut self, key: RequestKey) {
-        let Some(held) = self.requests.get(key) else { return };
-        let outcome = if held.possible_runs > 0 {
-            let stage = held.stage().name.clone();
-            let again = held.request.idempotent.then(|| self.retry_after(key));
+        let Some(active) = self.requests.get(key) else { return };
+        let outcome = if active.possible_runs > 0 {
+            let stage = active.stage().name.clone();
+            let again = active.request.idempotent.then(|| self.retry_after(key));
             uncertain_outcome(DoubtKind::TimedOut, Some(stage), again)
         } else {
             self.not_run_outcome(key)
@@ -229,8 +229,8 @@
     }
 
     pub(super) fn on_requeue_timer(&mut self, key: RequestKey) {
-        let Some(held) = self.requests.get(key) else { return };
-        if !held.progress.is_queued && held.progress.calls.is_empty() {
+        let Some(active) = self.requests.get(key) else { return };
+        if !active.progress.is_queued && active.progress.calls.is_empty() {
             self.begin_stage(key);
         }
     }
@@ -272,24 +272,24 @@
     }
 
     fn conclude_failed(&mut self, key: RequestKey) {
-        let held = &self.requests[key];
-        let stage = held.stage().name.clone();
-        let again = held.request.idempotent.then(|| self.retry_after(key));
+        let active = &self.requests[key];
+        let stage = active.stage().name.clone();
+        let again = active.request.idempotent.then(|| self.retry_after(key));
         self.conclude(key, uncertain_outcome(DoubtKind::StageFailed, Some(stage), again));
     }
 
     fn is_repeatable(&self, key: RequestKey) -> bool {
-        let held = &self.requests[key];
-        held.request.idempotent || held.stage().repeatable
+        let active = &self.requests[key];
+        active.request.idempotent || active.stage().repeatable
     }
 
     /// Sets the timer for a second call beside this one.
     fn set_hedge_timer(&mut self, key: RequestKey, call: CallKey) {
-        let held = &self.requests[key];
+        let active = &self.requests[key];
         if !self.settings.decisions.hedging || !self.is_repeatable(key) {
             return;
         }
-        let known = self.estimator(&held.pipeline.name, &held.stage().name);
+        let known = self.estimator(&active.pipeline.name, &active.stage().name);
         let Some(left) = self.stage_time(key) else { return };
         let Some(after) = known.and_then(|known| timing::hedge_delay(known, left)) else { return };
         self.timers.set(self.now + after.max(MIN_HEDGE_DELAY), Timer::Hedge(call));
@@ -340,9 +340,9 @@
         pool.is_some_and(|pool| pool.kind == PoolKind::Engine)
     }
 
-    fn count_call(&mut self, why: CallReason) {
+    fn count_call(&mut self, reason: CallReason) {
         self.counters.calls += 1;
-        match why {
+        match reason {
             CallReason::First => self.budget.deposit(),
             CallReason::Retry => self.counters.retries += 1,
             CallReason::Hedge => self.counters.hedges += 1,
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -58,10 +58,10 @@
 pub fn choose(
     table: &Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     rng: &mut SmallRng,
 ) -> Option<EndpointName> {
-    probe(table, now, demand).or_else(|| choose_avoiding_probes(table, now, demand, rng))
+    probe(table, now, criteria).or_else(|| choose_avoiding_probes(table, now, criteria, rng))
 }
 
 /// As [`choose`], for a call that mustn't be risked: it is a probe only where
@@ -69,14 +69,14 @@
 pub fn choose_avoiding_probes(
     table: &Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     rng: &mut SmallRng,
 ) -> Option<EndpointName> {
-    let free = avoiding_probes(table, now, demand);
-    let scale = PoolAverages::of(table, demand.pool);
-    let cost = |endpoint: &Endpoint| cost(endpoint, now, demand, &scale);
-    if let Some(prefix) = demand.prefix
-        && let Some(near) = affinity_endpoint(&free, demand, prefix, cost)
+    let free = avoiding_probes(table, now, criteria);
+    let averages = PoolAverages::of(table, criteria.pool);
+    let cost = |endpoint: &Endpoint| cost(endpoint, now, criteria, &averages);
+    if let Some(prefix) = criteria.prefix
+        && let Some(near) = affinity_endpoint(&free, criteria, prefix, cost)
     {
         return Some(near.name.clone());
     }
@@ -88,28 +88,28 @@
 pub fn choose_scored(
     table: &Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     rng: &mut SmallRng,
     score: &dyn Fn(&Endpoint) -> Option<f64>,
 ) -> Option<EndpointName> {
-    if let Some(probe) = probe(table, now, demand) {
+    if let Some(probe) = probe(table, now, criteria) {
         return Some(probe);
     }
-    let free = avoiding_probes(table, now, demand);
+    let free = avoiding_probes(table, now, criteria);
     let drawn = free.choose_multiple(rng, SCORED_ENDPOINTS);
     let scores: Option<Vec<(f64, &Endpoint)>> =
         drawn.map(|endpoint| Some((score(endpoint)?, *endpoint))).collect();
-    let Some(scores) = scores else { return choose_avoiding_probes(table, now, demand, rng) };
+    let Some(scores) = scores else { return choose_avoiding_probes(table, now, criteria, rng) };
     let best = scores.into_iter().max_by(|a, b| a.0.total_cmp(&b.0));
     best.map(|(_, endpoint)| endpoint.name.clone())
 }
 
 /// An endpoint that waits for its probe, unless the call is a repeat.
-fn probe(table: &Table, now: Duration, demand: &Criteria<'_>) -> Option<EndpointName> {
-    if !demand.exclude.is_empty() {
+fn probe(table: &Table, now: Duration, criteria: &Criteria<'_>) -> Option<EndpointName> {
+    if !criteria.exclude.is_empty() {
         return None;
     }
-    let due = candidates(table, now, demand).find(|endpoint| endpoint.is_probe_due(now))?;
+    let due = candidates(table, now, criteria).find(|endpoint| endpoint.is_probe_due(now))?;
     Some(due.name.clone())
 }
 
@@ -117,9 +117,9 @@
 fn avoiding_probes<'t>(
     table: &'t Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
 ) -> Vec<&'t Endpoint> {
-    let free: Vec<&Endpoint> = candidates(table, now, demand).collect();
+    let free: Vec<&Endpoint> = candidates(table, now, criteria).collect();
     let proven = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
     let proven: Vec<&Endpoint> = proven.collect();
     if proven.is_empty() { free } else { proven }
@@ -128,10 +128,12 @@
 fn candidates<'t>(
     table: &'t Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
 ) -> impl Iterator<Item = &'t Endpoint> {
-    let pool = table.pool(demand.pool);
-    pool.filter(move |endpoint| endpoint.free(now) > 0 && !demand.exclude.contains(&endpoint.name))
+    let pool = table.pool(criteria.pool);
+    pool.filter(move |endpoint| {
+        endpoint.free(now) > 0 && !criteria.exclude.contains(&endpoint.name)
+    })
 }
 
 fn better_of_two<'t>(
@@ -155,11 +157,12 @@
 /// The endpoint that likely holds the prefix, if it isn't too full or too slow.
 fn affinity_endpoint<'t>(
     free: &[&'t Endpoint],
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     prefix: u64,
     cost: impl Fn(&Endpoint) -> f64,
 ) -> Option<&'t Endpoint> {
-    let load = |endpoint: &Endpoint| f64::from(endpoint.in_flight + (demand.peers)(&endpoint.name));
+    let load =
+        |endpoint: &Endpoint| f64::from(endpoint.in_flight + (criteria.peers)(&endpoint.name));
     let total: f64 = free.iter().map(|endpoint| load(endpoint)).sum();
     let most = ((total + 1.0) / free.len() as f64 * LOAD_BOUND).ceil();
     let slowest = lower_median(free.iter().map(|endpoint| cost(endpoint)))? * COST_BOUND;
@@ -212,25 +215,31 @@
 
 /// What is still true of something said `age` ago. Calls come and go in the
 /// time that a call takes, so that is how fast it becomes worthless.
-fn freshness(age: Duration, scale: &PoolAverages) -> f64 {
-    (-age.as_secs_f64() / scale.call_latency).exp2()
+fn freshness(age: Duration, averages: &PoolAverages) -> f64 {
+    (-age.as_secs_f64() / averages.call_latency).exp2()
 }
 
 /// Expected time of a call, up to a factor that all of the pool share.
-fn cost(endpoint: &Endpoint, now: Duration, demand: &Criteria<'_>, scale: &PoolAverages) -> f64 {
-    let peers = f64::from((demand.peers)(&endpoint.name)) * freshness(PEERS_AGE_ESTIMATE, scale);
+fn cost(
+    endpoint: &Endpoint,
+    now: Duration,
+    criteria: &Criteria<'_>,
+    averages: &PoolAverages,
+) -> f64 {
+    let peers =
+        f64::from((criteria.peers)(&endpoint.name)) * freshness(PEERS_AGE_ESTIMATE, averages);
     let queued = endpoint
         .reported_queue(now)
-        .map_or(0.0, |(queued, age)| f64::from(queued) * freshness(age, scale));
+        .map_or(0.0, |(queued, age)| f64::from(queued) * freshness(age, averages));
     let ahead = f64::from(endpoint.in_flight) + peers + queued + 1.0;
-    let places = endpoint.places().map_or(scale.slots, f64::from);
-    ahead / places * expected_latency(endpoint, now, scale)
+    let places = endpoint.places().map_or(averages.slots, f64::from);
+    ahead / places * expected_latency(endpoint, now, averages)
         / endpoint.good_share().max(MIN_SUCCESS_RATE)
 }
 
 /// The endpoint's usual time; without news it tends to the pool's.
-fn expected_latency(endpoint: &Endpoint, now: Duration, scale: &PoolAverages) -> f64 {
-    let Some((took, at)) = endpoint.took() else { return scale.took };
+fn expected_latency(endpoint: &Endpoint, now: Duration, averages: &PoolAverages) -> f64 {
+    let Some((took, at)) = endpoint.took() else { return averages.took };
     let idle = now.saturating_sub(at).as_secs_f64() / DEVIATION_HALF_LIFE.as_secs_f64();
-    scale.took + (took.as_secs_f64() - scale.took) * (-idle).exp2()
+    averages.took + (took.as_secs_f64() - averages.took) * (-idle).exp2()
 }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -42,33 +42,33 @@
 
 /// The endpoints that an instance keeps to, out of the whole list. A pool that
 /// is no larger than the subset is kept whole.
-pub fn choose(chooser: Params<'_>, entries: &[EndpointEntry]) -> Vec<EndpointEntry> {
+pub fn choose(params: Params<'_>, entries: &[EndpointEntry]) -> Vec<EndpointEntry> {
     let mut pools: BTreeMap<&PoolName, Vec<&EndpointEntry>> = BTreeMap::new();
     for entry in entries {
         pools.entry(&entry.pool).or_default().push(entry);
     }
-    pools.into_values().flat_map(|pool| choose_from_pool(chooser, pool)).cloned().collect()
+    pools.into_values().flat_map(|pool| choose_from_pool(params, pool)).cloned().collect()
 }
 
 fn choose_from_pool<'a>(
-    chooser: Params<'_>,
+    params: Params<'_>,
     mut pool: Vec<&'a EndpointEntry>,
 ) -> Vec<&'a EndpointEntry> {
-    if pool.len() <= chooser.size {
+    if pool.len() <= params.size {
         return pool;
     }
-    let is_empty = |entry: &EndpointEntry| chooser.evacuated.contains(&entry.data_centre);
-    let place =
-        |entry: &&EndpointEntry| (is_empty(entry), Reverse(rank(chooser.name, &entry.name)));
-    pool.sort_by_key(place);
+    let is_evacuated = |entry: &EndpointEntry| params.evacuated.contains(&entry.data_centre);
+    let sort_key =
+        |entry: &&EndpointEntry| (is_evacuated(entry), Reverse(rank(params.name, &entry.name)));
+    pool.sort_by_key(sort_key);
     let is_local =
-        |entry: &&EndpointEntry| *entry.data_centre == *chooser.data_centre && !is_empty(entry);
-    let reserved = (chooser.size as f64 * LOCAL_SHARE) as usize;
+        |entry: &&EndpointEntry| *entry.data_centre == *params.data_centre && !is_evacuated(entry);
+    let reserved = (params.size as f64 * LOCAL_SHARE) as usize;
     let (local, other): (Vec<_>, Vec<_>) = pool.into_iter().partition(is_local);
     let near = reserved.min(local.len());
     let mut rest = [&local[near..], &other].concat();
-    rest.sort_by_key(place);
-    rest.truncate(chooser.size - near);
+    rest.sort_by_key(sort_key);
+    rest.truncate(params.size - near);
     [&local[..near], &rest].concat()
 }
 
--- a/crates/core/src/timing.rs
+++ b/crates/core/src/timing.rs
@@ -74,11 +74,11 @@
 
 /// The stage's part of `left` when every stage has to hurry alike.
 fn proportional_share(left: Duration, stage: Duration, later: Duration) -> Duration {
-    let all = (stage + later).as_secs_f64();
-    if all <= 0.0 {
+    let total = (stage + later).as_secs_f64();
+    if total <= 0.0 {
         return left;
     }
-    left.mul_f64(stage.as_secs_f64() / all)
+    left.mul_f64(stage.as_secs_f64() / total)
 }
 
 fn sum_quantiles(stages: &[&Estimator], q: f64) -> Duration {
