--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -13,7 +13,7 @@
     model::Incarnation,
     relay::{
         Relay, Settings,
-        allowance::Bound,
+        allowance::RetryBudgetConfig,
         config::{Config, Limits, Pieces, Service},
         directory::{Change, Entry},
         fingerprint::Fingerprint,
@@ -47,24 +47,24 @@
     let mut relay = relay(room);
     // Every endpoint gets a call, or all the results that it has room for.
     for ticket in 0..ENDPOINTS as u64 {
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_000_000));
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_000_000));
     }
     relay.take_actions();
     for ticket in 1000..1000 + waiting {
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
     }
     relay.take_actions();
     let mut ticket = 1_000_000;
     cost::of(EFFORT, || {
         ticket += 1;
-        relay.take_over(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
-        relay.recalled(ticket);
+        relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
+        relay.on_handover_recall(ticket);
         relay.take_actions()
     })
 }
 
 fn relay(room: u64) -> Relay {
-    let bound = Bound { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
+    let bound = RetryBudgetConfig { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
@@ -102,7 +102,7 @@
             is_leaving: false,
             cold_left: None,
         };
-        relay.change(Duration::ZERO, Change::Put(entry));
+        relay.apply_change(Duration::ZERO, Change::Put(entry));
     }
     relay
 }
--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -14,8 +14,8 @@
         timers::Timer,
     },
     model::{
-        CallerId, Doubt, DoubtKind, Invalid, Outcome, Refusal, RefusalKind, Request, RequestId,
-        StageName,
+        CallerId, Invalid, Outcome, Refusal, RefusalKind, Request, RequestId, StageName,
+        Uncertainty, UncertaintyKind,
     },
 };
 
@@ -145,7 +145,7 @@
         // A non-idempotent request that runs is left to its end: its caller
         // may come back for the outcome.
         if self.requests[key].request.idempotent {
-            self.conclude(key, uncertain_outcome(DoubtKind::TimedOut, None, None));
+            self.conclude(key, uncertain_outcome(UncertaintyKind::TimedOut, None, None));
         } else if self.requests[key].possible_runs == 0 {
             self.conclude(key, refusal_outcome(RefusalKind::Expired));
         }
@@ -176,8 +176,7 @@
 fn resolve_request(
     plan: &Plan,
     request: &Request,
-    digest: u64,
-) -> Result<ResolvedRequest, Outcome> {
+    digest: u64) -> Result<ResolvedRequest, Outcome> {
     let pipeline = plan.pipeline(&request.pipeline);
     let pipeline = pipeline.ok_or(Outcome::Invalid(Invalid::UnknownPipeline))?;
     let team = plan.team(&request.id.team).ok_or(Outcome::Invalid(Invalid::UnknownTeam))?;
@@ -194,7 +193,7 @@
 pub(super) fn qualify_not_run(request: &Request, won: bool, outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::NotRun(refusal) if request.repeat && !request.idempotent && !won => {
-            uncertain_outcome(DoubtKind::EarlierUnknown, None, Some(refusal.retry_after))
+            uncertain_outcome(UncertaintyKind::EarlierUnknown, None, Some(refusal.retry_after))
         }
         outcome => outcome,
     }
@@ -206,15 +205,15 @@
 }
 
 pub(super) fn uncertain_outcome(
-    kind: DoubtKind,
+    kind: UncertaintyKind,
     stage: Option<StageName>,
     retry_after: Option<Duration>,
 ) -> Outcome {
-    Outcome::MayHaveRun(Doubt { kind, stage, retry_after })
+    Outcome::MayHaveRun(Uncertainty { kind, stage, retry_after })
 }
 
 pub(super) fn in_progress() -> Outcome {
-    uncertain_outcome(DoubtKind::InProgress, None, Some(RETRY_IN_PROGRESS))
+    uncertain_outcome(UncertaintyKind::InProgress, None, Some(RETRY_IN_PROGRESS))
 }
 
 pub(super) fn key_reused() -> Outcome {
--- a/crates/core/src/instance/platform.rs
+++ b/crates/core/src/instance/platform.rs
@@ -81,7 +81,7 @@
 
     pub(super) fn on_listing(&mut self, listing: &Listing) {
         self.has_listing = true;
-        self.members.listed(self.now, &listing.instances);
+        self.members.apply_listing(self.now, &listing.instances);
         let before = self.table.leaving_marks().len();
         let params = Params {
             name: &self.identity.name,
@@ -90,7 +90,7 @@
             evacuated: self.table.evacuated(),
         };
         let endpoints = subset::choose(params, &listing.endpoints);
-        self.table.listed(self.now, &endpoints);
+        self.table.apply_listing(self.now, &endpoints);
         let after = self.table.leaving_marks().len();
         self.counters.leaving_learnt += after.saturating_sub(before) as u64;
     }
@@ -107,7 +107,7 @@
 
     /// Whether a newer configuration could be in force without a chance to know.
     pub(super) fn is_isolated(&self) -> bool {
-        let heard = self.last_log_read.max(self.members.last_heard());
+        let heard = self.last_log_read.max(self.members.last_received());
         let silent = heard.is_none_or(|at| self.now.saturating_sub(at) > self.settings.isolation);
         silent && self.members.has_listed_peers()
     }
--- a/crates/core/src/instance/replies.rs
+++ b/crates/core/src/instance/replies.rs
@@ -50,7 +50,7 @@
     fn record_load(&mut self, call: CallKey, load: Option<Load>) {
         let Some(load) = load else { return };
         let endpoint = self.calls[call].endpoint.clone();
-        self.table.reported(self.now, &endpoint, load);
+        self.table.load_reported(self.now, &endpoint, load);
     }
 
     /// False, and the endpoint distrusted, if the echo is another call's.
@@ -60,7 +60,7 @@
         }
         self.counters.echo_mismatch += 1;
         self.actions.push(Action::Cancel(call.id()));
-        self.end_failed_call(call, CallResult::Distrusted);
+        self.end_failed_call(call, CallResult::Mismatched);
         false
     }
 
@@ -151,7 +151,7 @@
         let progress = &self.requests[key].progress;
         let pool = self.requests[key].stage().pool.clone();
         let is_exhausted = progress.attempts >= MAX_ATTEMPTS;
-        if is_exhausted || self.table.pool_free(self.now, &pool) == 0 || !self.try_withdraw() {
+        if is_exhausted || self.table.pool_free_slots(self.now, &pool) == 0 || !self.try_withdraw() {
             return self.timers.set(self.now + wait, Timer::Stall(call));
         }
         self.actions.push(Action::Cancel(call.id()));
@@ -219,8 +219,7 @@
         self.counters.failed_calls += 1;
         match failure {
             CallFailure::NotSent => self.end_unrun_call(call, CallResult::Failed),
-            CallFailure::Cut | CallFailure::Malformed => {
-                self.end_failed_call(call, CallResult::Failed)
+            CallFailure::Cut | CallFailure::Malformed => self.end_failed_call(call, CallResult::Failed)
             }
         }
     }
--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -12,7 +12,7 @@
         held::{CallInFlight, CallKey, ClaimState, RequestKey},
         timers::Timer,
     },
-    model::{DoubtKind, Echo, EndpointName, Outcome, PoolName, Refusal, RefusalKind},
+    model::{Echo, EndpointName, Outcome, PoolName, Refusal, RefusalKind, UncertaintyKind},
     policy::Function,
     queue, routing, timing,
 };
@@ -61,7 +61,7 @@
     }
 
     fn dispatch_pool(&mut self, pool: &PoolName) {
-        while self.table.pool_free(self.now, pool) > 0 {
+        while self.table.pool_free_slots(self.now, pool) > 0 {
             let Some(key) = self.queues.pop(self.now, pool) else { return };
             self.requests[key].progress.is_queued = false;
             if self.is_infeasible(key) {
@@ -110,7 +110,7 @@
             out_of_order: Default::default(),
         });
         active.progress.calls.push(call);
-        self.table.started(self.now, &endpoint);
+        self.table.call_started(self.now, &endpoint);
         self.count_call(reason);
         let call = self.build_call(call, addr);
         self.set_hedge_timer(key, call.id.into());
@@ -202,7 +202,7 @@
         let outcome = if active.possible_runs > 0 {
             let stage = active.stage().name.clone();
             let again = active.request.idempotent.then(|| self.retry_after(key));
-            uncertain_outcome(DoubtKind::TimedOut, Some(stage), again)
+            uncertain_outcome(UncertaintyKind::TimedOut, Some(stage), again)
         } else {
             self.not_run_outcome(key)
         };
@@ -275,7 +275,7 @@
         let active = &self.requests[key];
         let stage = active.stage().name.clone();
         let again = active.request.idempotent.then(|| self.retry_after(key));
-        self.conclude(key, uncertain_outcome(DoubtKind::StageFailed, Some(stage), again));
+        self.conclude(key, uncertain_outcome(UncertaintyKind::StageFailed, Some(stage), again));
     }
 
     fn is_repeatable(&self, key: RequestKey) -> bool {
@@ -308,7 +308,7 @@
         }
         let stage = &self.requests[key].pipeline.stages[progress.stage];
         let pool = stage.pool.clone();
-        if self.table.pool_free(self.now, &pool) == 0 || !self.queues.is_empty(&pool) {
+        if self.table.pool_free_slots(self.now, &pool) == 0 || !self.queues.is_empty(&pool) {
             return;
         }
         if self.try_withdraw() {
@@ -329,10 +329,9 @@
         &mut self,
         flight: &CallInFlight,
         result: CallResult,
-        tokens: Option<u32>,
-    ) {
+        tokens: Option<u32>) {
         let took = self.now.saturating_sub(flight.sent_at);
-        self.table.ended(self.now, &flight.endpoint, CallEnd { took, result, tokens });
+        self.table.call_ended(self.now, &flight.endpoint, CallEnd { took, result, tokens });
     }
 
     pub(super) fn is_engine(&self, stage: &Stage) -> bool {
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -9,7 +9,7 @@
 use crate::{
     model::InstanceName,
     relay::{
-        exchange::{Exchange, ExchangeOf},
+        exchange::{CallPurpose, Exchange},
         fingerprint::Fingerprint,
         machine::Relay,
         model::{Action, CallKey, EndpointKey, ExchangeKey, Probed, Refusal},
@@ -55,23 +55,23 @@
 impl Relay {
     /// The platform's table of contents that are held back has been read: requests
     /// may be sent.
-    pub fn know_quarantine(&mut self) {
+    pub fn mark_quarantine_read(&mut self) {
         self.knows_quarantine = true;
     }
 
     /// Everything that is held back.
-    pub fn held_back(&self) -> impl Iterator<Item = (Fingerprint, &Hold)> {
+    pub fn quarantined(&self) -> impl Iterator<Item = (Fingerprint, &Hold)> {
         self.quarantine.all()
     }
 
     /// The runs that a call is for: one, or those of all whose pieces it has.
     pub(super) fn runs_of(&self, now: Duration, call: CallKey) -> Vec<Run> {
         let Some(state) = self.calls.get(call) else { return Vec::new() };
-        let is_late = state.answered.is_some_and(|at| now >= at + quarantine::BEGINNING);
+        let is_late = state.answered_at.is_some_and(|at| now >= at + quarantine::BEGINNING);
         let run = |content| Run { content, is_late };
         match state.exchange {
-            ExchangeOf::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
-            ExchangeOf::Exchange(key) => {
+            CallPurpose::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
+            CallPurpose::Exchange(key) => {
                 self.exchanges.get(key).map(|it| run(it.content)).into_iter().collect()
             }
         }
@@ -96,7 +96,7 @@
     }
 
     /// A new connection told whether an endpoint that cut runs is there.
-    pub fn probed(&mut self, now: Duration, endpoint: EndpointKey, probed: Probed) {
+    pub fn on_probe(&mut self, now: Duration, endpoint: EndpointKey, probed: Probed) {
         let Some(cuts) = self.cuts.get_mut(&endpoint) else { return };
         cuts.is_probed = false;
         if probed == Probed::Gone {
@@ -132,13 +132,13 @@
         self.tell_keepers(&crashes);
         self.actions.push(Action::Crashed { life, crashes: crashes.clone() });
         for crash in &crashes {
-            self.suspect(now, crash);
+            self.on_crash(now, crash);
         }
     }
 
     /// Takes in a crash, seen here or by a peer. Where the content is held back already,
     /// somebody has not heard of it: all are told again.
-    pub fn suspect(&mut self, now: Duration, crash: &Crash) {
+    pub fn on_crash(&mut self, now: Duration, crash: &Crash) {
         if let Some(Hold { crashes, .. }) = self.quarantine.held(crash.content) {
             let (content, crashes) = (crash.content, *crashes);
             self.actions.push(Action::Quarantine { content, crashes });
@@ -148,7 +148,7 @@
             return;
         };
         match self.was_answered(content, since) {
-            true => self.consulted(now, content, true),
+            true => self.on_consultation(now, content, true),
             false => self.actions.push(Action::Consult { content, since }),
         }
     }
@@ -161,31 +161,31 @@
 
     /// All instances that could be asked have said whether they had a content answered
     /// meanwhile.
-    pub fn consulted(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
+    pub fn on_consultation(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
         if was_answered {
             self.actions.push(Action::Acquitted(content));
         }
         if let Some(crashes) = self.quarantine.consulted(content, was_answered) {
-            self.hold_back(now, content, crashes);
+            self.quarantine_content(now, content, crashes);
             self.actions.push(Action::Quarantine { content, crashes });
         }
     }
 
     /// The platform's table says that a content is held back.
-    pub fn recorded(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
-        self.hold_back(now, content, crashes);
+    pub fn on_quarantine_record(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
+        self.quarantine_content(now, content, crashes);
         self.quarantine.note_recorded(content);
     }
 
     /// The platform's table has no record of a content any more.
-    pub fn unrecorded(&mut self, content: Fingerprint) {
+    pub fn on_quarantine_removal(&mut self, content: Fingerprint) {
         if self.quarantine.release(content).is_some() {
             self.actions.push(Action::Released(content));
         }
     }
 
     /// An operator releases a content. False if it is not held back.
-    pub fn lift(&mut self, content: Fingerprint) -> bool {
+    pub fn release_content(&mut self, content: Fingerprint) -> bool {
         let is_held = self.quarantine.release(content).is_some();
         if is_held {
             self.actions.push(Action::Released(content));
@@ -235,7 +235,7 @@
     }
 
     /// Holds a content back from now on.
-    pub fn hold_back(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
+    pub fn quarantine_content(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
         let jitter = self.rng.random();
         if self.quarantine.hold(now, content, crashes, jitter) {
             self.actions.push(Action::HeldBack { content, crashes });
@@ -248,7 +248,7 @@
     /// that has begun has got over its beginning and goes on.
     fn stop_runs(&mut self, now: Duration, content: Fingerprint) {
         let open = self.exchanges.iter();
-        let is_held = |exchange: &Exchange| exchange.content == content && !exchange.has_begun;
+        let is_held = |exchange: &Exchange| exchange.content == content && !exchange.has_sent_head;
         let open: Vec<_> = open.filter(|(_, it)| is_held(it)).map(|(key, _)| key).collect();
         for key in open {
             self.stop_work(now, key);
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -24,7 +24,7 @@
 
 impl Relay {
     /// Whoever batches a service says that pieces wait there.
-    pub fn queue_told(&mut self, now: Duration, service: ServiceName) {
+    pub fn on_backlog_notice(&mut self, now: Duration, service: ServiceName) {
         self.queues.insert(service, now);
     }
 
@@ -39,14 +39,18 @@
             return;
         }
         self.next_word = now + PAUSE;
-        let waited_for: Vec<_> =
-            self.batches.services().into_iter().filter(|it| self.has_backlog(now, it)).collect();
+        let waited_for: Vec<_> = self
+            .batches
+            .waiting_services()
+            .into_iter()
+            .filter(|it| self.has_backlog(now, it))
+            .collect();
         if waited_for.is_empty() {
             return;
         }
         let peers = self.other_batchers();
         for service in waited_for {
-            self.queue_told(now, service.clone());
+            self.on_backlog_notice(now, service.clone());
             let words = peers
                 .iter()
                 .map(|peer| Action::TellQueue { peer: peer.clone(), service: service.clone() });
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -117,8 +117,7 @@
 fn avoiding_probes<'t>(
     table: &'t Table,
     now: Duration,
-    criteria: &Criteria<'_>,
-) -> Vec<&'t Endpoint> {
+    criteria: &Criteria<'_>) -> Vec<&'t Endpoint> {
     let free: Vec<&Endpoint> = candidates(table, now, criteria).collect();
     let proven = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
     let proven: Vec<&Endpoint> = proven.collect();
@@ -131,9 +130,7 @@
     criteria: &Criteria<'_>,
 ) -> impl Iterator<Item = &'t Endpoint> {
     let pool = table.pool(criteria.pool);
-    pool.filter(move |endpoint| {
-        endpoint.free(now) > 0 && !criteria.exclude.contains(&endpoint.name)
-    })
+    pool.filter(move |endpoint| endpoint.free(now) > 0 && !criteria.exclude.contains(&endpoint.name))
 }
 
 fn better_of_two<'t>(
@@ -192,9 +189,10 @@
 
 impl PoolAverages {
     fn of(table: &Table, pool: &str) -> PoolAverages {
-        let took = table.pool(pool).filter_map(Endpoint::took).map(|(took, _)| took.as_secs_f64());
+        let took =
+            table.pool(pool).filter_map(Endpoint::latency).map(|(took, _)| took.as_secs_f64());
         let places = table.pool(pool).filter_map(Endpoint::places).map(f64::from);
-        let whole = table.pool(pool).filter_map(Endpoint::took_whole);
+        let whole = table.pool(pool).filter_map(Endpoint::call_latency);
         let whole = mean(whole.map(|whole| whole.as_secs_f64())).unwrap_or(1.0);
         PoolAverages {
             took: mean(took).unwrap_or(1.0),
@@ -234,12 +232,12 @@
     let ahead = f64::from(endpoint.in_flight) + peers + queued + 1.0;
     let places = endpoint.places().map_or(averages.slots, f64::from);
     ahead / places * expected_latency(endpoint, now, averages)
-        / endpoint.good_share().max(MIN_SUCCESS_RATE)
+        / endpoint.success_rate().max(MIN_SUCCESS_RATE)
 }
 
 /// The endpoint's usual time; without news it tends to the pool's.
 fn expected_latency(endpoint: &Endpoint, now: Duration, averages: &PoolAverages) -> f64 {
-    let Some((took, at)) = endpoint.took() else { return averages.took };
+    let Some((took, at)) = endpoint.latency() else { return averages.took };
     let idle = now.saturating_sub(at).as_secs_f64() / DEVIATION_HALF_LIFE.as_secs_f64();
     averages.took + (took.as_secs_f64() - averages.took) * (-idle).exp2()
 }
--- a/crates/core/tests/testsuite/relay/calls.rs
+++ b/crates/core/tests/testsuite/relay/calls.rs
@@ -4,7 +4,7 @@
 use peatdeck_core::{
     model::Incarnation,
     relay::{
-        allowance::Bound,
+        allowance::RetryBudgetConfig,
         config::{Engine, Kind, Route},
         directory::Entry,
         model::{Action, Arrival, Failure},
@@ -125,7 +125,7 @@
 #[test]
 fn repetition_keeps_its_bound() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
-    let bound = Bound { ratio: 0.0, slack: 2.5, window: ms(10_000) };
+    let bound = RetryBudgetConfig { ratio: 0.0, slack: 2.5, window: ms(10_000) };
     let mut world = World::with_bound(config.build(), bound);
     world.put(entry("a", "desk"));
     world.put(entry("b", "desk"));
@@ -142,7 +142,7 @@
 #[test]
 fn instances_that_are_out_of_sight_keep_their_share_of_the_bound() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Idempotent, "desk"));
-    let bound = Bound { ratio: 0.0, slack: 100.0, window: ms(10_000) };
+    let bound = RetryBudgetConfig { ratio: 0.0, slack: 100.0, window: ms(10_000) };
     let mut world = World::with_bound(config.build(), bound);
     world.put(entry("a", "desk"));
     world.put(entry("b", "desk"));
@@ -243,7 +243,7 @@
     let mut world = World::plain(Kind::Once);
     world.arrive(arrival("1", "r"));
     let call = world.call();
-    world.relay.end_all(world.now);
+    world.relay.end_all_exchanges(world.now);
     world.collect();
     assert_eq!(world.refusals(), ["502 failed never"]);
     assert_eq!(world.actions, [Action::Cancel(call.key)]);
@@ -299,8 +299,8 @@
         world.arrive(asking_engine(&format!("before-{idx}"), "resumable"));
         let call = world.call();
         world.advance(ms(100));
-        world.relay.opened(world.now, call.key, &head(200));
-        world.relay.ended(world.now, call.key);
+        world.relay.on_reply_head(world.now, call.key, &head(200));
+        world.relay.on_stream_end(world.now, call.key);
         world.collect();
     }
     world.actions.clear();
@@ -346,7 +346,7 @@
     let mut world = engines();
     world.arrive(asking_engine("1", "resumable"));
     let call = world.call();
-    assert!(world.relay.opened(world.now, call.key, &head(200)));
+    assert!(world.relay.on_reply_head(world.now, call.key, &head(200)));
     world.advance(ms(3000));
     assert!(world.calls().is_empty());
 }
