--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -176,7 +176,8 @@
 fn resolve_request(
     plan: &Plan,
     request: &Request,
-    digest: u64) -> Result<ResolvedRequest, Outcome> {
+    digest: u64,
+) -> Result<ResolvedRequest, Outcome> {
     let pipeline = plan.pipeline(&request.pipeline);
     let pipeline = pipeline.ok_or(Outcome::Invalid(Invalid::UnknownPipeline))?;
     let team = plan.team(&request.id.team).ok_or(Outcome::Invalid(Invalid::UnknownTeam))?;
--- a/crates/core/src/instance/replies.rs
+++ b/crates/core/src/instance/replies.rs
@@ -151,7 +151,8 @@
         let progress = &self.requests[key].progress;
         let pool = self.requests[key].stage().pool.clone();
         let is_exhausted = progress.attempts >= MAX_ATTEMPTS;
-        if is_exhausted || self.table.pool_free_slots(self.now, &pool) == 0 || !self.try_withdraw() {
+        if is_exhausted || self.table.pool_free_slots(self.now, &pool) == 0 || !self.try_withdraw()
+        {
             return self.timers.set(self.now + wait, Timer::Stall(call));
         }
         self.actions.push(Action::Cancel(call.id()));
@@ -219,7 +220,8 @@
         self.counters.failed_calls += 1;
         match failure {
             CallFailure::NotSent => self.end_unrun_call(call, CallResult::Failed),
-            CallFailure::Cut | CallFailure::Malformed => self.end_failed_call(call, CallResult::Failed)
+            CallFailure::Cut | CallFailure::Malformed => {
+                self.end_failed_call(call, CallResult::Failed)
             }
         }
     }
--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -329,7 +329,8 @@
         &mut self,
         flight: &CallInFlight,
         result: CallResult,
-        tokens: Option<u32>) {
+        tokens: Option<u32>,
+    ) {
         let took = self.now.saturating_sub(flight.sent_at);
         self.table.call_ended(self.now, &flight.endpoint, CallEnd { took, result, tokens });
     }
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -70,7 +70,8 @@
         now: Duration,
         call: CallKey,
         failure: Failure,
-        is_unrun: bool) {
+        is_unrun: bool,
+    ) {
         let step = if is_unrun { Step::Refused(None) } else { Step::Failed(failure) };
         let is_cut = !is_unrun && failure == Failure::Cut;
         if let Some(state) = self.calls.get(call).filter(|_| is_cut) {
@@ -114,7 +115,8 @@
         &mut self,
         now: Duration,
         key: HandoverKey,
-        results: Option<Vec<PieceResult>>) {
+        results: Option<Vec<PieceResult>>,
+    ) {
         let Some(Handover { exchange, peer, pieces }) = self.handovers.remove(key) else { return };
         let Some(state) = self.exchanges.get_mut(exchange) else { return };
         state.handovers.retain(|other| *other != key);
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -117,7 +117,8 @@
 fn avoiding_probes<'t>(
     table: &'t Table,
     now: Duration,
-    criteria: &Criteria<'_>) -> Vec<&'t Endpoint> {
+    criteria: &Criteria<'_>,
+) -> Vec<&'t Endpoint> {
     let free: Vec<&Endpoint> = candidates(table, now, criteria).collect();
     let proven = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
     let proven: Vec<&Endpoint> = proven.collect();
@@ -130,7 +131,9 @@
     criteria: &Criteria<'_>,
 ) -> impl Iterator<Item = &'t Endpoint> {
     let pool = table.pool(criteria.pool);
-    pool.filter(move |endpoint| endpoint.free(now) > 0 && !criteria.exclude.contains(&endpoint.name))
+    pool.filter(move |endpoint| {
+        endpoint.free(now) > 0 && !criteria.exclude.contains(&endpoint.name)
+    })
 }
 
 fn better_of_two<'t>(
