--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,16 +1,14 @@
-//! Whether a request is taken in.
+//! Decides whether a request is admitted.
 //!
-//! A request is admitted if what waits before it and what its stages need, at
-//! a high quantile, fit its deadline, and if its team is within its share.
-//! Otherwise it is refused at once, before anything of it runs, and told when
-//! coming back would help. That time is worked out from how fast the queue
-//! drains; it isn't a constant.
+//! A request is admitted if the calls queued before it and the work of its stages, at a high
+//! quantile, fit its deadline, and if its team is within its share. Otherwise it is refused before
+//! anything of it runs, with the time after which a retry may succeed. That time is computed from
+//! the rate at which the queue drains ([`drain`]).
 //!
-//! [`drain`] measures that rate.
 //!
-//! The trap: estimates come from requests that ran. If they say that nothing
-//! can be in time, nothing runs, and they never change again. [`probe`] lets
-//! one request through from time to time.
+//!
+//! Estimates come from requests that ran. If they all say that deadlines can't be met, nothing runs
+//! and the estimates never change again. [`probe`] therefore admits one request from time to time.
 
 pub mod drain;
 pub mod probe;
@@ -23,51 +21,51 @@
 #[cfg(doc)]
 use crate::timing;
 
-/// What a decision rests on.
+/// The values that an admission decision is based on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Estimate {
     /// Time until the deadline.
     pub left: Duration,
-    /// Time until the first stage gets a place: the queue ahead over the drain rate.
+    /// Time until the first stage gets a slot: the queue ahead over the drain rate.
     pub wait: Duration,
-    /// Time that the remaining stages need, at a high quantile: [`timing::work`].
+    /// Time that the remaining stages need, at a high quantile; see [`timing::work`].
     pub work: Duration,
-    /// Time that they need at least: [`timing::min_work`].
+    /// Time that the remaining stages need at the least; see [`timing::min_work`].
     pub min_work: Duration,
-    /// How the team stands.
+    /// The team's use of this instance.
     pub share: Share,
 }
 
-/// How a team stands among the others on this instance.
+/// A team's use of this instance compared with other teams.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Share {
-    /// Requests of the team that the instance holds.
+    /// Active requests of the team on this instance.
     pub active: u32,
-    /// Requests of it that the configuration allows at the most.
+    /// The most active requests that the configuration allows the team; `None` if unlimited.
     pub max_active: Option<u32>,
-    /// Requests that the instance holds of all teams.
+    /// Active requests of all teams on this instance.
     pub total: u32,
-    /// The team's weight over the weights of all teams that have requests here, itself included.
+    /// The team's weight over the weights of all teams with active requests here, itself included.
     pub weight: f64,
-    /// Whether requests of other teams wait long for places that this one needs.
+    /// Whether requests of other teams wait long for slots that this request needs.
     pub is_contended: bool,
 }
 
-/// How far beyond its share a team may go while others wait.
+/// Factor by which a team may exceed its share while other teams wait.
 const MAX_SHARE_FACTOR: f64 = 2.0;
-/// Requests that a team may hold whatever its share: so few are chance.
+/// Requests that a team may have whatever its share; so few can coincide by chance.
 const MIN_ALLOWED: f64 = 4.0;
-/// The soonest that a caller is asked back.
+/// The shortest `retry_after` of a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// The latest that a caller is asked back.
+/// The longest `retry_after` of a refusal.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// The most that a time to come back is stretched by, as a share of it.
+/// The largest random extension of `retry_after`, as a fraction of it.
 const MAX_JITTER: f64 = 0.25;
 
-/// Decides.
+/// Decides whether to admit a request.
 ///
 /// # Errors
-/// The refusal to send, with the time after which a repeat has a chance.
+/// Returns the refusal to send, with the time after which a retry may succeed.
 pub fn decide(estimate: &Estimate) -> Result<(), Refusal> {
     if required_time(estimate) > estimate.left {
         return Err(refusal(RefusalKind::Infeasible, time_until_feasible(estimate)));
@@ -78,36 +76,37 @@
     Ok(())
 }
 
-/// While nothing waits, a try costs nobody anything: it needs a chance only.
+/// Time that must be left until the deadline. While nothing waits, a request that turns out to be
+/// late delays no other, so it only needs the time of a fast run.
 fn required_time(estimate: &Estimate) -> Duration {
     if estimate.wait.is_zero() { estimate.min_work } else { estimate.wait + estimate.work }
 }
 
-/// A refusal whose time to come back is kept within sensible bounds.
+/// Creates a refusal with `retry_after` limited to `MIN_RETRY_AFTER..=MAX_RETRY_AFTER`.
 pub fn refusal(kind: RefusalKind, retry_after: Duration) -> Refusal {
     Refusal { kind, retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER) }
 }
 
-/// Stretches the time to come back at random, so that callers refused together
-/// don't return together.
+/// Extends `retry_after` at random, so that callers that were refused together don't retry
+/// together.
 pub fn add_jitter(refusal: Refusal, rng: &mut SmallRng) -> Refusal {
     let factor = 1.0 + rng.random::<f64>() * MAX_JITTER;
     Refusal { retry_after: refusal.retry_after.mul_f64(factor), ..refusal }
 }
 
-/// How long `ahead` calls keep a new one waiting when `places` work on them
-/// at once and a call takes `service` on average.
+/// Expected wait of a new call behind `ahead` calls, if `places` calls run at once and each takes
+/// `service` on average.
 pub fn expected_wait(ahead: f64, places: u32, service: Duration) -> Duration {
-    // Without places it is for ever, which the bound below cuts off.
+    // Without slots the quotient is infinite, which the limit below cuts off.
     let rounds = ahead.max(0.0) / f64::from(places);
     Duration::try_from_secs_f64(service.as_secs_f64() * rounds)
         .unwrap_or(MAX_RETRY_AFTER)
         .min(MAX_RETRY_AFTER)
 }
 
-/// The queue shortens as time passes, so the request fits once the excess is
-/// gone. Where the work alone is too much for the deadline, only quieter
-/// stages help: when the queue is gone.
+/// The queue shrinks as time passes, so the request fits once the excess has drained. If the work
+/// alone exceeds the deadline, a retry can only succeed once the stages are faster, which is
+/// estimated as the time until the queue has drained.
 fn time_until_feasible(estimate: &Estimate) -> Duration {
     let needed = estimate.wait + estimate.work;
     if estimate.work > estimate.left {
@@ -116,7 +115,8 @@
     needed.saturating_sub(estimate.left)
 }
 
-/// Requests leave at the rate of their work; the excess has to leave first.
+/// The team's requests finish at the rate of their work; those beyond its share have to finish
+/// first.
 fn time_until_within_share(estimate: &Estimate) -> Duration {
     let share = &estimate.share;
     let allowed = allowed_requests(share);
@@ -129,7 +129,7 @@
     f64::from(share.active) + 1.0 > allowed_requests(share)
 }
 
-/// Requests that the team may hold now.
+/// Number of active requests that the team may have now.
 fn allowed_requests(share: &Share) -> f64 {
     let most = share.max_active.map_or(f64::INFINITY, f64::from);
     if !share.is_contended {
--- a/crates/core/src/admission/drain.rs
+++ b/crates/core/src/admission/drain.rs
@@ -1,11 +1,11 @@
-//! How fast a queue drains.
+//! Measures how fast a queue drains.
 //!
-//! Only time in which calls wait counts: what leaves an empty queue shows the
+//! Only time in which calls wait counts: the rate at which calls leave an empty queue shows the
 //! demand, not the capacity.
 
 use std::time::Duration;
 
-/// Span over which the rate is averaged.
+/// Time constant of the exponential average.
 const WINDOW: Duration = Duration::from_secs(10);
 /// Busy time before the rate is trusted.
 const MIN_BUSY: Duration = Duration::from_millis(200);
@@ -13,21 +13,21 @@
 /// Measures the rate at which cost leaves a queue while calls wait in it.
 #[derive(Debug, Clone, Default)]
 pub struct DrainRate {
-    /// Cost that left, faded.
+    /// Cost that left, with exponentially decaying weight.
     served: f64,
-    /// Busy seconds, faded alike.
+    /// Seconds in which calls waited, with the same decay.
     busy: f64,
-    /// Since when calls wait, or the last one left while others waited.
+    /// Time up to which `busy` is accounted; `None` while no call waits.
     busy_since: Option<Duration>,
 }
 
 impl DrainRate {
-    /// A meter that has seen nothing.
+    /// A meter without measurements.
     pub fn new() -> DrainRate {
         DrainRate::default()
     }
 
-    /// Says whether calls wait; after each push, pop and removal.
+    /// Sets whether calls wait; called after each push, pop and removal.
     pub fn set_waiting(&mut self, now: Duration, any: bool) {
         if any {
             self.busy_since.get_or_insert(now);
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A waiting call of that cost got a place.
+    /// Records that a waiting call of that cost got a slot.
     pub fn record_dispatch(&mut self, now: Duration, cost: f64) {
         self.advance(now);
         if self.busy_since.is_some() {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Time until `ahead` has left; `None` if too little is known.
+    /// Time until cost `ahead` has drained; `None` if too little was measured.
     pub fn time_to_drain(&self, now: Duration, ahead: f64) -> Option<Duration> {
         let open = self.busy_since.map_or(0.0, |from| now.saturating_sub(from).as_secs_f64());
         let busy = self.busy + open;
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,15 +1,15 @@
-//! One budget for all repetition: retries and hedges.
+//! One retry budget for all retries and hedges of an instance.
 //!
-//! Every first attempt earns a part of a token, every repetition spends a
-//! whole one. So repetition stays under a fixed share of the traffic, however
-//! many calls fail, and a failing pool isn't hit by a storm of retries.
+//! Every first attempt deposits a fraction of a token and every retry or hedge withdraws one.
+//! Retries and hedges thus stay below a fixed share of the traffic however many calls fail, so that
+//! a failing pool doesn't get a retry storm.
 
-/// How much repetition is allowed.
+/// Settings of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// Tokens earned by a first attempt.
+    /// Tokens deposited by a first attempt.
     pub ratio: f64,
-    /// Tokens kept at the most, and held at the start.
+    /// The most tokens that the budget holds; it starts with as many.
     pub burst: f64,
 }
 
@@ -19,14 +19,14 @@
     }
 }
 
-/// A token bucket that traffic itself fills.
+/// A token bucket that first attempts fill and retries and hedges drain.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     settings: Settings,
     tokens: f64,
 }
 
-/// Rounding slack, so that ten tenths make one token.
+/// Tolerance for rounding, so that ten deposits of 0.1 make one token.
 const EPSILON: f64 = 1e-9;
 
 impl RetryBudget {
@@ -35,12 +35,12 @@
         RetryBudget { settings, tokens: settings.burst }
     }
 
-    /// Counts a first attempt.
+    /// Deposits the tokens of a first attempt.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.settings.ratio).min(self.settings.burst);
     }
 
-    /// Pays for one repetition; false if the budget doesn't allow it.
+    /// Withdraws a token for a retry or a hedge; false if there is none.
     pub fn try_withdraw(&mut self) -> bool {
         if self.tokens + EPSILON < 1.0 {
             return false;
@@ -49,7 +49,7 @@
         true
     }
 
-    /// Tokens left.
+    /// Tokens in the budget.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
--- a/crates/core/src/instance/lanes.rs
+++ b/crates/core/src/instance/lanes.rs
@@ -75,7 +75,8 @@
         pool_queue.update_rates(now);
     }
 
-    /// Takes the next call out. [`PoolQueues::record_dispatch`] or [`PoolQueues::refund`] says what became of it.
+    /// Takes the next call out. [`PoolQueues::record_dispatch`] or [`PoolQueues::refund`] says what
+    /// became of it.
     pub fn pop(&mut self, now: Duration, pool: &str) -> Option<RequestKey> {
         self.by_pool.get_mut(pool)?.queue.pop(now)
     }
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -1,18 +1,17 @@
-//! Online quantiles of how long something takes.
+//! Estimates quantiles of durations online.
 //!
-//! An [`Estimator`] is a histogram with buckets of constant relative width.
-//! Samples lose weight exponentially with age, so that a quantile follows the
-//! last minutes. Memory is fixed, and a quantile is off by at most the width
-//! of a bucket.
+//! An [`Estimator`] is a histogram with buckets of constant relative width. Samples lose weight
+//! exponentially with age, so that a quantile reflects the last minutes. Memory is fixed, and the
+//! error of a quantile is at most the width of a bucket.
 //!
-//! The trap: quantiles of stages don't add up to the quantile of their sum;
-//! the sum of high quantiles is a safe upper estimate.
+//! Quantiles of stages don't add up to the quantile of their sum; the sum of high quantiles is a
+//! safe upper estimate.
 
 use std::time::Duration;
 
 /// Upper bound of the first bucket.
 const FIRST_BOUND: Duration = Duration::from_micros(100);
-/// Ratio between the bounds of neighbouring buckets.
+/// Ratio between the upper bounds of adjacent buckets.
 const BOUND_RATIO: f64 = 1.1;
 /// Number of buckets; the last one reaches beyond ten minutes.
 const BUCKETS: usize = 168;
@@ -21,10 +20,10 @@
 /// Half-lives after which all weights are scaled down, to stay far from overflow.
 const RESCALE_AFTER: f64 = 64.0;
 
-/// Quantiles over recent durations.
+/// A histogram of recent durations.
 #[derive(Debug, Clone)]
 pub struct Estimator {
-    /// Weight in each bucket, relative to `origin`.
+    /// Weight in each bucket, relative to a sample taken at `reference_time`.
     buckets: Box<[f64; BUCKETS]>,
     total: f64,
     reference_time: Duration,
@@ -48,7 +47,7 @@
         }
     }
 
-    /// Takes in one sample.
+    /// Records one sample.
     pub fn record(&mut self, now: Duration, took: Duration) {
         let age = half_lives(now.saturating_sub(self.reference_time));
         if age > RESCALE_AFTER {
@@ -60,7 +59,7 @@
         self.count += 1;
     }
 
-    /// The duration that a share `q` of recent samples stays within; `None` without samples.
+    /// The duration that a fraction `q` of recent samples doesn't exceed; `None` without samples.
     pub fn quantile(&self, q: f64) -> Option<Duration> {
         if self.count == 0 {
             return None;
@@ -80,7 +79,7 @@
         Some(found)
     }
 
-    /// Samples taken in since the start.
+    /// Number of samples recorded so far.
     pub fn count(&self) -> u64 {
         self.count
     }
@@ -108,7 +107,7 @@
     idx.min(BUCKETS - 1)
 }
 
-/// The duration that a part of a bucket's samples stays within, if they lie evenly in it.
+/// The duration that a fraction of a bucket's samples doesn't exceed, if they are spread evenly.
 fn interpolate(idx: usize, part: f64) -> Duration {
     let lower = idx.checked_sub(1).map_or(Duration::ZERO, upper_bound);
     lower + (upper_bound(idx) - lower).mul_f64(part)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,40 +1,38 @@
-//! Every decision that peatdeck takes, as plain state machines.
+//! All decisions of the system, as state machines without I/O.
 //!
-//! Nothing here does I/O, reads a clock or draws from a random source of its
-//! own. An input arrives with its time; the answer is a list of actions for
-//! the event loop that drives the machine. The same code can therefore be
-//! replayed from a recorded trace and fuzzed against an oracle.
+//! Nothing here does I/O, reads a clock or creates its own random numbers. The event loop passes
+//! each input with its time and carries out the actions that the state machine returns. The same
+//! code can therefore be replayed from a recorded trace and fuzzed against an oracle.
 //!
-//! Traps to know before reading on:
+//! Invariants to know first:
 //!
-//! - **Time** is a [`std::time::Duration`] since the instance started, taken
-//!   from a monotonic clock by the driver. It may jump ahead by any amount
-//!   (the process was paused). Safety never depends on it; it only decides
-//!   when to give up.
-//! - **Gossip and load reports** may be stale or missing. They decide where
-//!   to send a call, never whether it may run.
-//! - **The log** is the only thing that instances agree through. What was
-//!   read back from it counts; an acknowledged or lost append does not.
+//! - **Time** is a [`std::time::Duration`] since the instance started, taken by the event loop from
+//!   a monotonic clock. It may jump ahead by any amount if the process was paused. Safety never
+//!   depends on time; time only decides when to give up.
+//! - **Gossip and load reports** may be stale or missing. They decide where a call is sent, never
+//!   whether it may run.
+//! - **The log** is the only means by which instances agree. Only records read back from it count;
+//!   neither an acknowledged nor a failed append proves anything.
 //!
-//! Map of the modules:
+//! Modules:
 //!
-//! - [`model`]: names and the small values that everything shares.
-//! - [`document`]: the configuration document, [`check`]: whether it is valid.
-//! - [`record`]: what is written to the log's streams.
-//! - [`config_log`]: which configuration is in force, a fold over the log.
-//! - [`claims`]: at most one run of a non-idempotent request.
-//! - [`membership`]: peers, their liveness and what they tell each other.
-//! - [`endpoints`]: what is known of each endpoint; leaving is sticky.
-//! - [`subset`]: which endpoints of a large pool an instance keeps to.
-//! - [`routing`], [`limits`], [`latency`]: where a call goes.
-//! - [`timing`]: how the remaining time is split over stages, and when to hedge.
-//! - [`admission`], [`queue`], [`budget`]: what is taken in, in which order,
-//!   and how much repetition is allowed.
-//! - [`policy`]: operators' short programs.
-//! - [`instance`]: one entry instance, made of all of the above.
-//! - [`relay`]: opaque exchanges, routed by host and path.
-//! - [`trace`]: an instance's inputs recorded and replayed, [`content`]: the
-//!   callers' texts in them, kept or hashed.
+//! - [`model`]: names and small values that all modules share.
+//! - [`document`]: the configuration document; [`check`]: its validation.
+//! - [`record`]: the records of the log's streams.
+//! - [`config_log`]: computes the configuration in force from the log.
+//! - [`claims`]: ensures that a non-idempotent request runs at most once.
+//! - [`membership`]: peers, their liveness and the gossip between them.
+//! - [`endpoints`]: the state of each endpoint; once leaving, an incarnation stays leaving.
+//! - [`subset`]: which endpoints of a large pool an instance uses.
+//! - [`routing`], [`limits`], [`latency`]: which endpoint gets a call.
+//! - [`timing`]: splits the remaining time over the stages and decides when to hedge.
+//! - [`admission`], [`queue`], [`budget`]: which requests are admitted, in which order they run,
+//!   and how many retries and hedges are allowed.
+//! - [`policy`]: operators' scripts.
+//! - [`instance`]: one entry instance, composed of the modules above.
+//! - [`relay`]: exchanges with opaque bodies, routed by host and path.
+//! - [`trace`]: records and replays an instance's inputs; [`content`]: whether traces keep or hash
+//!   the callers' texts.
 
 pub mod admission;
 pub mod budget;
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -1,19 +1,16 @@
-//! Which endpoints of a large pool one instance keeps to.
+//! Chooses which endpoints of a large pool an instance uses.
 //!
-//! Hundreds of instances before thousands of endpoints must not all know and
-//! call all of them: every decision would pass over the whole pool, every
-//! endpoint would hold a connection to every instance, and the little that one
-//! instance sends to each would teach it nothing about their speed.
+//! With hundreds of instances and thousands of endpoints, not every instance can call every
+//! endpoint: every decision would scan the whole pool, every endpoint would have a connection to
+//! every instance, and each instance would send too few calls to an endpoint to measure its speed.
 //!
-//! Each instance ranks the endpoints by a hash of both names (rendezvous
-//! hashing) and keeps to the first few: half of them out of its own data
-//! centre as far as it has them, the rest out of all. Nobody has to agree on
-//! anything; an endpoint that comes or goes changes one place in a few
-//! instances' subsets, and an instance that comes or goes changes no other's.
+//! Each instance ranks the endpoints by a hash of both names (rendezvous hashing) and uses the
+//! first few: half of them from its own data centre as far as it has them, the rest from all. This
+//! needs no coordination: an endpoint that is added or removed changes one entry in a few
+//! instances' subsets, and an instance that is added or removed changes no other instance's subset.
 //!
-//! The trap: subsets drawn independently cover the endpoints unevenly, by
-//! chance. Routing by load evens that out, as long as an endpoint's other
-//! callers show in its reports.
+//! Subsets drawn independently cover the endpoints unevenly. Routing by load evens that out, as
+//! long as an endpoint's load reports include its other callers.
 
 use std::{
     cmp::Reverse,
@@ -24,24 +21,24 @@
 
 use crate::model::{DataCentre, EndpointEntry, PoolName};
 
-/// Share of a subset that comes out of the instance's own data centre first.
+/// Share of a subset that is reserved for the instance's own data centre.
 const LOCAL_SHARE: f64 = 0.5;
 
-/// Who chooses.
+/// What a subset is computed from.
 #[derive(Debug, Clone, Copy)]
 pub struct Params<'a> {
-    /// The instance.
+    /// Name of the instance.
     pub name: &'a str,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: &'a str,
-    /// Endpoints of a pool that it keeps to, at the most.
+    /// The most endpoints of one pool in the subset.
     pub size: usize,
-    /// Data centres whose endpoints get nothing: they come last.
+    /// Evacuated data centres; their endpoints rank last.
     pub evacuated: &'a BTreeSet<DataCentre>,
 }
 
-/// The endpoints that an instance keeps to, out of the whole list. A pool that
-/// is no larger than the subset is kept whole.
+/// The endpoints of the whole list that an instance uses. A pool that is no larger than the subset
+/// is used whole.
 pub fn choose(params: Params<'_>, entries: &[EndpointEntry]) -> Vec<EndpointEntry> {
     let mut pools: BTreeMap<&PoolName, Vec<&EndpointEntry>> = BTreeMap::new();
     for entry in entries {
@@ -72,8 +69,8 @@
     [&local[..near], &rest].concat()
 }
 
-/// How much an endpoint is an instance's; a leaving one keeps its place, so
-/// that its leaving is seen.
+/// Rank of an endpoint for an instance. A leaving endpoint keeps its rank, so that the instance
+/// sees that it leaves.
 fn rank(instance: &str, endpoint: &str) -> u64 {
     xxh3::xxh3_64_with_seed(endpoint.as_bytes(), xxh3::xxh3_64(instance.as_bytes()))
 }
--- a/crates/core/src/timing.rs
+++ b/crates/core/src/timing.rs
@@ -1,21 +1,20 @@
-//! How a request's remaining time is spent.
+//! Splits a request's remaining time over its stages and times hedges.
 //!
-//! All stages share one deadline. [`stage_time`] gives a stage what remains
-//! less what the later stages need, and gives the request up once even a usual
-//! run can't be in time. [`hedge_delay`] says how long to wait for a straggler
-//! before a second call is worth its cost.
+//! All stages share one deadline. [`stage_time`] gives a stage the remaining time less what the
+//! later stages need, and gives up the request once even a median run would be late.
+//! [`hedge_delay`] says how long to wait for a straggler before a second call is worth its cost.
 
 use std::time::Duration;
 
 use crate::latency::Estimator;
 
-/// Quantile that a later stage's time is reserved at.
+/// Quantile of a later stage's time that is reserved for it.
 const RESERVED_QUANTILE: f64 = 0.9;
-/// Quantile of a quick run: with less time than that, a try isn't worth its cost.
+/// Quantile of a fast run; with less time than that, a request isn't worth its cost.
 const MIN_WORK_QUANTILE: f64 = 0.25;
-/// Quantile of a stage's run that a call must still have time for.
+/// Quantile of a stage's time that must be left for a call to be started.
 const START_QUANTILE: f64 = 0.75;
-/// Quantile of a usual run.
+/// Quantile of a typical run.
 const MEDIAN: f64 = 0.5;
 /// Quantile after which a call counts as a straggler.
 const STRAGGLER_QUANTILE: f64 = 0.95;
@@ -23,13 +22,13 @@
 const AMPLE_HEDGE_QUANTILE: f64 = 0.9;
 /// Quantile of a run that a hedge must have time for.
 const MIN_HEDGE_QUANTILE: f64 = 0.75;
-/// How far a hedge is put off from the first moment that makes sense to the
-/// last, as a share.
+/// How far a hedge is postponed from the straggler time towards the latest useful time, as a
+/// fraction.
 const POSTPONEMENT: f64 = 0.5;
 /// Samples before a stage's quantiles are trusted for hedging.
 const MIN_SAMPLES: u64 = 20;
 
-/// Time that a stage may take; `None` if the request can't be in time any more.
+/// Time that a stage may take; `None` if the request can no longer meet its deadline.
 pub fn stage_time(left: Duration, stage: &Estimator, later: &[&Estimator]) -> Option<Duration> {
     let least = quantile(stage, START_QUANTILE) + sum_quantiles(later, MEDIAN);
     if left.is_zero() || least > left {
@@ -43,21 +42,21 @@
     Some(proportional_share(left, usual, sum_quantiles(later, MEDIAN)))
 }
 
-/// Time that a request's stages need from here on, at a high quantile.
+/// Time that the given stages need, at a high quantile.
 pub fn work(stages: &[&Estimator]) -> Duration {
     sum_quantiles(stages, RESERVED_QUANTILE)
 }
 
-/// Time that a request's stages need at least to have a chance.
+/// Time that the given stages need for a chance to meet the deadline.
 pub fn min_work(stages: &[&Estimator]) -> Duration {
     sum_quantiles(stages, MIN_WORK_QUANTILE)
 }
 
-/// How long to wait for a call before a hedge is sent; `None` if a hedge isn't
-/// worth it: too little is known, or it couldn't be in time.
+/// How long to wait for a call before a hedge is sent; `None` if a hedge isn't worth its cost
+/// because too little is known or it would be late.
 ///
-/// A hedge is for the deadline's sake. While there is time, waiting on saves
-/// its cost, since most stragglers end by themselves.
+/// A hedge serves to meet the deadline. While there is time, waiting saves the cost of a second
+/// call, since most stragglers end by themselves.
 pub fn hedge_delay(stage: &Estimator, time: Duration) -> Option<Duration> {
     if stage.count() < MIN_SAMPLES {
         return None;
@@ -72,7 +71,7 @@
     (delay >= run).then_some(delay)
 }
 
-/// The stage's part of `left` when every stage has to hurry alike.
+/// The stage's part of `left` if all stages have to run proportionally faster.
 fn proportional_share(left: Duration, stage: Duration, later: Duration) -> Duration {
     let total = (stage + later).as_secs_f64();
     if total <= 0.0 {
@@ -85,7 +84,7 @@
     stages.iter().map(|stage| quantile(stage, q)).sum()
 }
 
-/// A stage without samples is taken to need no time: it has to be tried.
+/// The quantile, or zero for a stage without samples: such a stage has to be tried.
 fn quantile(stage: &Estimator, q: f64) -> Duration {
     stage.quantile(q).unwrap_or_default()
 }
