--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -5,8 +5,6 @@
 //! anything of it runs, with the time after which a retry may succeed. That time is computed from
 //! the rate at which the queue drains ([`drain`]).
 //!
-//!
-//!
 //! Estimates come from requests that ran. If they all say that deadlines can't be met, nothing runs
 //! and the estimates never change again. [`probe`] therefore admits one request from time to time.
 
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -1,26 +1,23 @@
-//! One entry instance as a state machine: inputs in, actions out.
+//! One entry instance as a state machine: it turns inputs into actions.
 //!
-//! The event loop round it owns the sockets. It feeds every [`Input`] with its
-//! time to [`Instance::handle`] and carries out the [`Action`]s in order. It
-//! takes no decision of its own.
+//! The event loop owns the sockets. It passes every [`Input`] with its time to [`Instance::handle`]
+//! and carries out the returned [`Action`]s in order. It takes no decisions.
 //!
-//! A request is *held* from its arrival until its one outcome is sent. While
-//! held it waits for its claim (non-idempotent requests only), then goes
-//! through its stages: waiting in a pool's queue, then running as one or more
-//! calls. The traps:
+//! A request is *active* from its arrival until its one outcome is sent. A non-idempotent request
+//! first waits for its claim. Each stage of a request then waits in its pool's queue and runs as
+//! one or more calls. Rules:
 //!
-//! - Timers fire before anything else is looked at, so that a process that
-//!   was paused past a deadline cannot act on a late reply or a late claim.
-//! - A call counts as *written* from the moment it is handed out, until the
-//!   event loop or the endpoint proves that nothing of it ran. "Not run" is
-//!   only said while no call counts as written.
-//! - Nothing here trusts a reply's content further than its echo.
+//! - Timers are handled before the input, so that a process that was paused past a deadline cannot
+//!   act on a late reply or a late claim.
+//! - A call counts as possibly run from the moment it is handed to the event loop until the event
+//!   loop or the endpoint proves that nothing of it ran. The outcome is `NotRun` only while no call
+//!   of the request counts as possibly run.
+//! - A reply is accepted only if its echo matches the call; no other content of it is trusted.
 //!
-//! Map of the submodules, in the order a request meets them: [`admit`],
-//! [`claiming`], [`stages`], [`replies`], [`ending`]; beside them [`platform`]
-//! (log and list), [`peers`], [`plan`], [`policies`], [`estimates`], [`status`];
-//! and the state they work on: [`held`], [`lanes`], [`timers`], [`finished`],
-//! [`counters`], [`settings`].
+//! Submodules in the order in which they handle a request: [`admit`], [`claiming`], [`stages`],
+//! [`replies`], [`ending`]. Others: [`platform`] (log and list), [`peers`], [`plan`], [`policies`],
+//! [`estimates`], [`status`]. State: [`held`], [`lanes`], [`timers`], [`finished`], [`counters`],
+//! [`settings`].
 
 pub mod action;
 pub mod admit;
@@ -102,14 +99,14 @@
     actions: Vec<Action>,
 }
 
-/// What an append carried.
+/// What a pending append contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AppendKind {
     Snapshot,
     Claims,
 }
 
-/// A stop in progress.
+/// A planned stop in progress.
 #[derive(Debug, Clone, Copy)]
 struct Stopping {
     since: Duration,
@@ -118,8 +115,8 @@
 }
 
 impl Instance {
-    /// An instance that knows nothing yet. `seed` feeds its random choices and
-    /// the numbers of its claims, so it must differ between lives.
+    /// An instance without any state. `seed` seeds its random choices and the nonces of its claims,
+    /// so it must differ between incarnations.
     pub fn new(identity: Identity, settings: Settings, seed: u64) -> Instance {
         Instance {
             rng: SmallRng::seed_from_u64(seed),
@@ -154,15 +151,15 @@
         }
     }
 
-    /// As [`Instance::new`], for a replay of texts that may be hashed.
+    /// Sets how texts are treated; a replay may have only their hashes.
     #[must_use]
     pub fn with_content(self, content: Content) -> Instance {
         Instance { content, ..self }
     }
 
-    /// Takes one input and says what is to be done, in order.
+    /// Handles one input and returns the actions to carry out, in order.
     ///
-    /// `now` never goes back; it may jump ahead by any amount.
+    /// `now` is monotonic; it may jump ahead by any amount.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Action> {
         self.now = self.now.max(now);
         self.table.tick(self.now);
@@ -175,7 +172,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Input::Tick`] is wanted, on the clock of `handle`.
+    /// When [`Input::Tick`] should be passed at the latest, as a time for [`Instance::handle`].
     pub fn next_wake(&self) -> Option<Duration> {
         [
             self.timers.next(),
@@ -189,24 +186,24 @@
         .min()
     }
 
-    /// Where the next read of the configuration stream starts.
+    /// Offset at which the next read of the configuration stream starts.
     pub fn next_config_offset(&self) -> Offset {
         self.fold.next_offset()
     }
 
-    /// Where the next read of the claims stream starts.
+    /// Offset at which the next read of the claims stream starts.
     pub fn next_claims_offset(&self) -> Offset {
         self.claims.next_offset()
     }
 
-    /// The configuration in force as it was folded; `None` while it is not known.
+    /// The configuration in force; `None` while it is unknown.
     pub fn in_force(&self) -> Option<&Snapshot> {
         self.fold.current()
     }
 
-    /// Whether a stream was once read to its end. Until then it should be read
-    /// without waiting for new records: only a read that gives none shows the
-    /// end, and under load a read that waits always gives some.
+    /// Whether a stream has been read to its end at least once. Until then it should be read
+    /// without waiting for new records: only an empty read shows the end, and under load a read
+    /// that waits always returns some.
     pub fn has_reached_end(&self, stream: Stream) -> bool {
         match stream {
             Stream::Config => self.fold.has_reached_end(),
@@ -214,7 +211,7 @@
         }
     }
 
-    /// Events counted so far.
+    /// Counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
--- a/crates/core/src/instance/action.rs
+++ b/crates/core/src/instance/action.rs
@@ -1,4 +1,4 @@
-//! What an instance wants done. The event loop does it in the given order.
+//! Actions that an instance requests. The event loop carries them out in order.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,92 +14,92 @@
     record::{ClaimBatch, ConfigRecord},
 };
 
-/// One thing to do.
+/// An action for the event loop.
 #[message]
 pub enum Action {
     /// Send a caller its one final outcome.
     Answer {
-        /// The caller.
+        /// Caller that sent the request.
         caller: CallerId,
-        /// The outcome.
+        /// Final outcome of the request.
         outcome: Outcome,
     },
     /// Send a caller a piece of the last stage's text.
     Stream {
-        /// The caller.
+        /// Caller that asked for a stream.
         caller: CallerId,
-        /// The piece.
+        /// Next piece of text.
         text: Text,
     },
     /// Call an endpoint.
     Call(Call),
-    /// Cancel a call: close its stream and free its place. No event of it is wanted any more.
+    /// Cancel a call by closing its stream. The instance ignores later events of the call.
     Cancel(CallId),
-    /// Append to the configuration stream.
+    /// Append a record to the configuration stream.
     AppendConfig {
-        /// The append.
+        /// Identifies the append in later inputs.
         append: AppendId,
-        /// What to append.
+        /// Record to append.
         record: ConfigRecord,
     },
-    /// Append to the claims stream.
+    /// Append records to the claims stream.
     AppendClaims {
-        /// The append.
+        /// Identifies the append in later inputs.
         append: AppendId,
-        /// What to append.
+        /// Records to append.
         batch: ClaimBatch,
     },
-    /// Send gossip to a peer. Its reply comes back as an input; none is expected
-    /// where the message is itself a reply.
+    /// Send gossip to a peer. Its reply is passed back as an input; a message that is itself a
+    /// reply gets none.
     Gossip {
-        /// The peer.
+        /// Peer that receives the message.
         to: InstanceName,
-        /// Where it listens, `ip:port`.
+        /// The peer's address, `ip:port`.
         addr: Arc<str>,
-        /// The message.
+        /// Message to send.
         message: Gossip,
     },
     /// Ask a peer for the outcome of a request.
     AskOutcome {
-        /// The peer.
+        /// Peer that holds the claim.
         to: InstanceName,
-        /// Where it listens, `ip:port`.
+        /// The peer's address, `ip:port`.
         addr: Arc<str>,
-        /// The request.
+        /// Identity of the request.
         key: RequestId,
     },
-    /// Answer a peer's question.
+    /// Answer a peer's query for an outcome.
     TellOutcome {
-        /// The question.
+        /// Number of the query, from `Input::OutcomeAsked`.
         question: u64,
-        /// What is known.
+        /// State of the request on this instance.
         answer: PeerOutcome,
     },
-    /// The instance has finished what it held; the process should exit.
+    /// Exit the process: no request is active any more.
     Exit,
 }
 
 /// A call to an endpoint.
 #[message]
 pub struct Call {
-    /// The call.
+    /// Identifies the call in later inputs.
     pub id: CallId,
-    /// The endpoint.
+    /// Endpoint to call.
     pub endpoint: EndpointName,
-    /// Where it listens, `ip:port`.
+    /// The endpoint's address, `ip:port`.
     pub addr: Arc<str>,
-    /// What the reply must send back.
+    /// Values that the endpoint must return with its reply.
     pub echo: Echo,
-    /// The stage's name.
+    /// Name of the stage.
     pub stage: StageName,
-    /// The stage's input.
+    /// Input of the stage.
     pub input: Text,
     /// Time left for this call.
     pub deadline: Duration,
     /// Whether the endpoint is an engine.
     pub engine: bool,
-    /// Tokens to generate at the most; engines only.
+    /// The most tokens to generate; only for engines.
     pub max_tokens: Option<u32>,
-    /// Pieces already held, when a cut generation goes on; engines only.
+    /// Pieces that an earlier call already generated, which this call continues; only for engines.
     pub resume: Vec<Text>,
 }
--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -1,4 +1,4 @@
-//! Taking a request in, or telling its caller at once why not.
+//! Admits requests or refuses them at once.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,10 +19,10 @@
     },
 };
 
-/// When to come back to an instance that is not ready or is stopping: another
-/// one behind the balancer can be asked at once, so the time is short.
+/// `retry_after` of an instance that is not ready or is stopping. It is short because the balancer
+/// can send the retry to another instance at once.
 pub const RETRY_ELSEWHERE: Duration = Duration::from_secs(1);
-/// When to ask again for the outcome of a request that still runs.
+/// `retry_after` for the outcome of a request that is still running.
 pub const RETRY_IN_PROGRESS: Duration = Duration::from_secs(1);
 
 impl Instance {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Every reason not to take a request, cheapest first.
+    /// Checks all reasons to reject a request, cheapest first.
     fn admit(&mut self, request: &Request) -> Result<ResolvedRequest, Outcome> {
         let digest = self.content.digest(request);
         self.check_duplicate(&request.id, digest)?;
@@ -45,7 +45,7 @@
         let plan = self.plan.clone().ok_or_else(|| refusal_outcome(RefusalKind::NotReady))?;
         let accepted = resolve_request(&plan, request, digest)?;
         if claimed {
-            // "Not run" would be untrue: the holder of the claim is asked instead.
+            // `NotRun` could be false here, so the holder of the claim is asked for the outcome.
             return Ok(accepted);
         }
         self.check_endpoints(&accepted.pipeline)?;
@@ -65,7 +65,7 @@
         Ok(())
     }
 
-    /// A key that is held here, was held here or is claimed already.
+    /// Rejects or answers a key that is active, finished or claimed already.
     fn check_duplicate(&self, key: &RequestId, digest: u64) -> Result<(), Outcome> {
         if let Some(active) = self.by_id.get(key).and_then(|key| self.requests.get(*key)) {
             return Err(if active.digest == digest { in_progress() } else { key_reused() });
@@ -84,7 +84,7 @@
         if all { Ok(()) } else { Err(refusal_outcome(RefusalKind::NoEndpoint)) }
     }
 
-    /// True for a request that is let through against the estimate.
+    /// Returns true for a request that is admitted as a probe against the estimate.
     fn check_feasible(
         &mut self,
         request: &Request,
@@ -142,8 +142,7 @@
         let Some(key) = self.callers.remove(&caller) else { return };
         self.counters.callers_gone += 1;
         self.requests[key].caller = None;
-        // A non-idempotent request that runs is left to its end: its caller
-        // may come back for the outcome.
+        // A non-idempotent request that runs is completed: its caller may retry to get the outcome.
         if self.requests[key].request.idempotent {
             self.conclude(key, uncertain_outcome(UncertaintyKind::TimedOut, None, None));
         } else if self.requests[key].possible_runs == 0 {
@@ -151,13 +150,13 @@
         }
     }
 
-    /// Sends a caller that is not held its outcome.
+    /// Sends the outcome of a request that isn't active.
     pub(super) fn send_outcome(&mut self, caller: CallerId, outcome: Outcome) {
         self.count_outcome(&outcome);
         self.actions.push(Action::Answer { caller, outcome });
     }
 
-    /// The held request of a claim attempt that is not decided yet.
+    /// The active request whose claim attempt `nonce` is undecided.
     pub(super) fn waiting_claimant(&self, id: &RequestId, nonce: u64) -> Option<RequestKey> {
         let key = *self.by_id.get(id)?;
         let waiting = Claim { nonce, state: ClaimState::Waiting };
@@ -165,7 +164,7 @@
     }
 }
 
-/// What the configuration says of a request that may be taken in.
+/// A request's pipeline and team in the configuration in force.
 pub(super) struct ResolvedRequest {
     pub(super) pipeline: Rc<Pipeline>,
     pub(super) team: Rc<Team>,
@@ -184,13 +183,13 @@
     Ok(ResolvedRequest { pipeline: pipeline.clone(), team: team.clone(), digest, is_probe: false })
 }
 
-/// What a request is told that arrives after the instance's exit.
+/// Outcome of a request that arrives after [`Action::Exit`].
 pub fn outcome_after_exit(request: &Request) -> Outcome {
     qualify_not_run(request, false, refusal_outcome(RefusalKind::Stopping))
 }
 
-/// The outcome as it may be told. "Not run" speaks for the request, and a
-/// repeat whose claim was not read cannot know of its earlier attempts.
+/// Turns `NotRun` into `MayHaveRun` for a repeat whose claim was not won: `NotRun` covers all
+/// attempts at the request, and without the claim the earlier ones are unknown.
 pub(super) fn qualify_not_run(request: &Request, won: bool, outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::NotRun(refusal) if request.repeat && !request.idempotent && !won => {
@@ -200,7 +199,7 @@
     }
 }
 
-/// A refusal by this instance that another instance may not share.
+/// A refusal for a reason that may not apply to other instances.
 pub(super) fn refusal_outcome(kind: RefusalKind) -> Outcome {
     Outcome::NotRun(Refusal { kind, retry_after: RETRY_ELSEWHERE })
 }
--- a/crates/core/src/instance/claiming.rs
+++ b/crates/core/src/instance/claiming.rs
@@ -1,8 +1,7 @@
-//! Claims of non-idempotent requests, from the instance's side.
+//! Handles the claims of active non-idempotent requests.
 //!
-//! The claim itself is decided in [`crate::claims`]; here a held request waits
-//! for the decision, runs when it has won, and learns from the winner what to
-//! tell its caller when it has lost.
+//! [`crate::claims`] decides the claims. Here a request waits for the decision, runs if its claim
+//! has won, and otherwise gets its outcome from the instance that won.
 
 use rand::Rng;
 
@@ -21,7 +20,7 @@
 };
 
 impl Instance {
-    /// Asks for the claim of a request that was just taken in.
+    /// Requests the claim of a newly admitted request.
     pub(super) fn start_claim(&mut self, key: RequestKey) {
         let nonce: u64 = self.rng.random();
         let active = &mut self.requests[key];
@@ -67,7 +66,7 @@
         self.begin_stage(key);
     }
 
-    /// Asks the winner, where it can be reached, and bounds the wait.
+    /// Asks the winner for the outcome if its address is known, with a time limit.
     fn ask_winner(&mut self, key: RequestKey, holder: &claims::Holder) {
         self.counters.claims_lost += 1;
         let addr = self.members.addr(&holder.instance);
@@ -120,8 +119,8 @@
         }
     }
 
-    /// What a loser says that the winner did not answer. Asking again helps
-    /// only while that life of the winner may still answer.
+    /// Outcome for a request that lost its claim to a winner that did not answer. A retry can help
+    /// only while that incarnation of the winner is alive.
     fn unknown_winner_outcome(&self, holder: &claims::Holder) -> Outcome {
         let finished = holder.finished.is_some();
         let kind = if finished {
@@ -133,7 +132,7 @@
         uncertain_outcome(kind, None, lives.then_some(RETRY_IN_PROGRESS))
     }
 
-    /// Ends a request that does not hold its claim.
+    /// Concludes a request that does not hold its claim.
     fn conclude_lost(&mut self, key: RequestKey, outcome: Outcome) {
         if let Some(claim) = &mut self.requests[key].claim {
             claim.state = ClaimState::Lost;
@@ -141,7 +140,7 @@
         self.conclude(key, outcome);
     }
 
-    /// Tells a peer what became of a request whose claim this instance holds.
+    /// Answers a peer's query for the outcome of a request whose claim this instance holds.
     pub(super) fn on_outcome_query(&mut self, question: u64, id: &RequestId) {
         let answer = match (self.finished.get(id), self.by_id.contains_key(id)) {
             (Some(ended), _) => PeerOutcome::Finished(ended.outcome.clone()),
@@ -151,7 +150,7 @@
         self.actions.push(Action::TellOutcome { question, answer });
     }
 
-    /// Appends what is owed to the claims stream, once its time has come.
+    /// Appends the pending facts to the claims stream once they are due.
     pub(super) fn flush_claims(&mut self) {
         let Some(facts) = self.claims.flush(self.now) else { return };
         let append = self.next_append(AppendKind::Claims);
@@ -172,7 +171,7 @@
 }
 
 impl claims::UnreadyKind {
-    /// What a caller is told.
+    /// Maps the reason to the refusal that a caller gets.
     pub fn refusal(self) -> RefusalKind {
         match self {
             claims::UnreadyKind::CatchingUp | claims::UnreadyKind::LogUnavailable => {
--- a/crates/core/src/instance/counters.rs
+++ b/crates/core/src/instance/counters.rs
@@ -1,6 +1,6 @@
-//! Counters of an instance. They only rise; the event loop sends the differences on.
+//! Counters of an instance. They only increase; the event loop reports the differences.
 
-/// Declares the counters once: field, name on the wire, meaning.
+/// Declares each counter once: its field, which is also its outer name, and its meaning.
 macro_rules! counters {
     ($($(#[doc = $doc:literal])+ $name:ident,)+) => {
         /// Events counted since the instance started.
@@ -10,12 +10,12 @@
         }
 
         impl Counters {
-            /// Every counter with its name.
+            /// Iterates over the names and values of all counters.
             pub fn each(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$((stringify!($name), self.$name),)+].into_iter()
             }
 
-            /// Every counter's name with its meaning, for the reference page.
+            /// Iterates over the names and meanings of all counters, for the reference page.
             pub fn meanings() -> impl Iterator<Item = (&'static str, &'static str)> {
                 [$((stringify!($name), concat!($($doc,)+)),)+].into_iter()
             }
@@ -24,53 +24,53 @@
 }
 
 counters! {
-    /// Requests whose form was right.
+    /// Well-formed requests received.
     received,
-    /// Requests answered whole.
+    /// Requests answered completely.
     answered,
-    /// Requests told that nothing ran.
+    /// Requests with the outcome that nothing of them ran.
     not_run,
-    /// Requests told that something may have run.
+    /// Requests with the outcome that something of them may have run.
     may_have_run,
-    /// Requests that were wrong in themselves.
+    /// Requests rejected as invalid.
     invalid,
-    /// Callers that went away before their answer.
+    /// Callers that disconnected before their answer.
     callers_gone,
     /// Calls sent to endpoints.
     calls,
     /// Calls sent again after a failure.
     retries,
-    /// Calls sent beside a slow one.
+    /// Hedges: second calls sent beside a slow one.
     hedges,
-    /// Generations taken up by another engine where one was cut.
+    /// Interrupted generations that another engine continued.
     resumes,
     /// Calls cancelled.
     cancelled,
-    /// Retries and hedges that the budget did not allow.
+    /// Retries and hedges that the retry budget did not allow.
     budget_denied,
     /// Replies dropped because they belong to another request, stage or attempt.
     echo_mismatch,
-    /// Replies or pieces that came after their call had ended.
+    /// Replies or pieces that arrived after their call had ended.
     late_replies,
-    /// Pieces of text that came twice.
+    /// Pieces of text received twice.
     duplicate_pieces,
     /// Streams whose end did not match their pieces.
     torn_streams,
-    /// Calls that endpoints refused.
+    /// Calls refused by endpoints.
     refused_calls,
-    /// Calls that ended without a whole reply.
+    /// Calls that ended without a complete reply.
     failed_calls,
-    /// Claims asked for.
+    /// Claims requested.
     claims,
     /// Claims read back as the first for their key.
     claims_won,
-    /// Claims that another instance, or an earlier request, holds.
+    /// Claims lost to another instance or an earlier request.
     claims_lost,
     /// Claims given up before anything ran.
     claims_voided,
-    /// Configuration versions that came into force here.
+    /// Configuration versions that came into force on this instance.
     versions,
-    /// Policy programs that failed and were passed over.
+    /// Policy evaluations that failed, so that the built-in decision applied.
     policy_errors,
     /// Reads of the log that failed.
     log_read_failures,
@@ -80,6 +80,6 @@
     gossip_sent,
     /// Gossip messages received.
     gossip_received,
-    /// Endpoints learnt to be leaving from the list, an operator or a peer.
+    /// Endpoints newly known to be leaving, from the list, an operator or a peer.
     leaving_learnt,
 }
--- a/crates/core/src/instance/ending.rs
+++ b/crates/core/src/instance/ending.rs
@@ -1,4 +1,4 @@
-//! Ending a request: its one outcome is sent, everything of it is let go.
+//! Ends requests: sends their one outcome and releases what they hold.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 };
 
 impl Instance {
-    /// Sends a held request's outcome and forgets the request.
+    /// Sends an active request's outcome and removes the request.
     pub(super) fn conclude(&mut self, key: RequestKey, outcome: Outcome) {
         let Some(active) = self.requests.remove(key) else { return };
         self.release_resources(key, &active);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Cancels its calls and takes it out of its queue.
+    /// Cancels a request's calls and removes it from its queue.
     fn release_resources(&mut self, key: RequestKey, active: &ActiveRequest) {
         for call in &active.progress.calls {
             self.cancel(*call);
@@ -37,8 +37,8 @@
         self.remove_team_request(&active.request.id.team);
     }
 
-    /// Tells the log what became of a claim: void where nothing ran, finished
-    /// otherwise. A claim that was lost is somebody else's to settle.
+    /// Appends the result of a claim to the log: void if nothing ran, finished otherwise. Lost
+    /// claims are resolved by the winner.
     fn resolve_claim(&mut self, active: &ActiveRequest, outcome: &Outcome) {
         let Some(claim) = active.claim else { return };
         let id = &active.request.id;
@@ -79,7 +79,7 @@
         self.stopping = Some(Stopping { since: self.now, idle_since: None, has_exited: false });
     }
 
-    /// Exits once nothing is held and the log has what it is owed.
+    /// Requests the exit once no request is active and all claim facts are in the log.
     pub(super) fn check_stop(&mut self) {
         let Some(mut stop) = self.stopping.filter(|stop| !stop.has_exited) else { return };
         let idle = self.requests.is_empty() && self.now >= stop.since + self.settings.grace;
@@ -95,8 +95,7 @@
         self.stopping = Some(stop);
     }
 
-    /// When a stop should be looked at again by time alone; while requests
-    /// are held, their ends bring it on.
+    /// When a stop proceeds by time alone. While requests are active, their ends make it proceed.
     pub(super) fn stop_wake(&self) -> Option<Duration> {
         let stop = self.stopping.filter(|stop| !stop.has_exited)?;
         let next = match stop.idle_since {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
 //! All decisions of the system, as state machines without I/O.
 //!
-//! Nothing here does I/O, reads a clock or creates its own random numbers. The event loop passes
+//! Nothing here does I/O, reads a clock or seeds its own random numbers. The event loop passes
 //! each input with its time and carries out the actions that the state machine returns. The same
 //! code can therefore be replayed from a recorded trace and fuzzed against an oracle.
 //!
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,31 +1,30 @@
-//! How many calls one instance lets run at an endpoint at once.
+//! Limits the calls that one instance has in flight at an endpoint.
 //!
-//! An [`AdaptiveLimit`] learns from the endpoint's own times and load reports, so that
-//! instances needn't know each other's plans. It grows by one a round while
-//! all of it is in use, and shrinks by a factor on a sign of congestion: times
-//! well above their usual level, a long queue in a report, or a refusal
-//! because the endpoint is busy. A round is as many calls as the limit has
-//! places, so that growth doesn't depend on the rate.
+//! An [`AdaptiveLimit`] adapts to the endpoint's latency and load reports, so that instances need
+//! no coordination. It grows by one per round while all of it is in use, and shrinks by a factor on
+//! a sign of congestion: latency well above the baseline, a long queue in a load report, or a
+//! refusal because the endpoint is busy. A round is as many calls as the limit allows at once, so
+//! that growth doesn't depend on the rate of calls.
 //!
-//! Traps:
+//! Design notes:
 //!
-//! - Times of single calls vary widely, so a round is judged by its median.
-//! - Under steady load times stay high, and a level that followed them would
-//!   soon call them usual. So the usual level falls fast and rises slowly, and
-//!   hardly at all while the limit is used up.
-//! - One congestion is seen by many calls. Calls that were sent before the
-//!   limit shrank, and reports from before, don't shrink it again.
+//! - Latencies of single calls vary widely, so a round is judged by its median.
+//! - Under steady load latency stays high, and a baseline that followed it would soon take that for
+//!   normal. So the baseline falls fast and rises slowly, and hardly at all while the limit is used
+//!   up.
+//! - Many calls see the same congestion. Calls that were sent before the limit shrank, and load
+//!   reports from before, don't shrink it again.
 
 use std::time::Duration;
 
-/// How a limit moves.
+/// Bounds of an adaptive limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// Where it starts.
+    /// Initial value.
     pub initial: u32,
-    /// It never falls below.
+    /// Lower bound.
     pub min: u32,
-    /// It never grows beyond.
+    /// Upper bound.
     pub max: u32,
 }
 
@@ -35,39 +34,39 @@
     }
 }
 
-/// Rise of the median over the usual level that counts as congestion.
+/// Ratio of a round's median to the baseline above which there is congestion.
 const TOLERANCE: f64 = 2.0;
-/// Reported queue, as a share of the endpoint's places, that counts as congestion.
+/// Reported queue, as a fraction of the endpoint's slots, above which there is congestion.
 const QUEUE_SHARE: f64 = 0.25;
-/// What is left of the limit after congestion.
+/// Factor by which the limit shrinks on congestion.
 const SHRINK_FACTOR: f64 = 0.8;
-/// Fewest calls in a round.
+/// The fewest calls in a round.
 const MIN_ROUND: usize = 8;
-/// Most calls in a round.
+/// The most calls in a round.
 const MAX_ROUND: usize = 64;
-/// Weight of a new median in the usual level when it lies above.
+/// Weight of a new median above the baseline in the new baseline.
 const BASELINE_RISE: f64 = 0.05;
-/// The same while the limit is used up.
+/// Weight of a new median above the baseline while the limit is used up.
 const BASELINE_RISE_FULL: f64 = 0.002;
-/// Weight of a new median in the usual level when it lies below.
+/// Weight of a new median below the baseline in the new baseline.
 const BASELINE_FALL: f64 = 0.3;
 
-/// An adaptive limit.
+/// A limit on calls in flight that adapts to congestion.
 #[derive(Debug, Clone)]
 pub struct AdaptiveLimit {
     settings: Settings,
     value: f64,
     baseline: Option<f64>,
-    /// Times of the round so far, in seconds.
+    /// Latencies of the current round, in seconds.
     samples: Vec<f64>,
-    /// Whether all of the limit was in use at some time of the round.
+    /// Whether the limit was used up at some time in the current round.
     was_full: bool,
-    /// When it last shrank.
+    /// When the limit last shrank.
     shrunk_at: Option<Duration>,
 }
 
 impl AdaptiveLimit {
-    /// A limit at its start.
+    /// A limit at its initial value.
     pub fn new(settings: Settings) -> AdaptiveLimit {
         AdaptiveLimit {
             settings,
@@ -79,12 +78,13 @@
         }
     }
 
-    /// Calls allowed at once.
+    /// The most calls in flight.
     pub fn value(&self) -> u32 {
         self.value as u32
     }
 
-    /// Takes in the time of a call that ended well. `in_flight` counts it.
+    /// Records a completed call that took `unit`, per token for an engine. `in_flight` includes the
+    /// call.
     pub fn record_completion(&mut self, now: Duration, unit: Duration, in_flight: u32) {
         self.was_full |= in_flight >= self.value();
         self.samples.push(unit.as_secs_f64());
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Takes in a call that was cancelled after `unit`. A quick end tells nothing,
-    /// a late one that the call would have taken longer still. Without these, an
-    /// endpoint that answers few calls in time would be judged by those few.
+    /// Records a call that was cancelled after `unit`. A fast one is ignored; a slow one would have
+    /// taken longer still. Without these an endpoint that answers few calls in time would be judged
+    /// by those few.
     pub fn record_cancellation(&mut self, now: Duration, unit: Duration, in_flight: u32) {
         let is_slow = self.baseline.is_some_and(|usual| unit.as_secs_f64() > usual * TOLERANCE);
         if is_slow {
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Takes in a refusal because the endpoint is busy, of a call sent at `sent`.
+    /// Records that the endpoint refused a call sent at `sent` because it was busy.
     pub fn record_refusal(&mut self, now: Duration, sent: Duration) {
         if !self.predates_shrink(sent) {
             self.shrink(now);
         }
     }
 
-    /// Takes in a report that was true at `at`.
+    /// Records a load report that was made at `at`.
     pub fn record_report(&mut self, now: Duration, at: Duration, queued: u32, places: u32) {
         let is_long = f64::from(queued) > f64::from(places) * QUEUE_SHARE;
         if is_long && !self.predates_shrink(at) {
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,44 +1,43 @@
-//! Stage calls of one pool that wait for a free place.
+//! Queues the stage calls that wait for a slot in a pool.
 //!
-//! Within a team the earliest deadline goes first, unless a policy gave a
-//! priority. Between teams it is deficit round robin: each round credits a
-//! team with its weight, and a call goes out when the credit covers its cost.
-//! A team without waiting calls gathers credit for one call at the most, so its
-//! share is lent to the others and isn't owed later.
+//! Within a team the call with the earliest deadline is next, unless a policy sets a priority.
+//! Between teams it is deficit round robin: each round credits a team with its weight, and its next
+//! call leaves the queue when the credit covers the call's cost. A team without waiting calls
+//! accumulates credit for at most one call, so its share goes to the others and isn't owed later.
 //!
-//! Rounds aren't walked one by one: [`Queue::pop`] works out how many rounds
-//! each team still needs and takes the team that needs the fewest.
+//! Rounds aren't iterated: [`Queue::pop`] computes how many rounds each team still needs and takes
+//! the team that needs the fewest.
 
 use std::{cmp::Ordering, collections::BTreeMap, time::Duration};
 
 use crate::model::TeamName;
 
-/// One waiting call.
+/// A call to be queued.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingCall<K> {
-    /// What the instance knows it by.
+    /// Identifies the call to its owner.
     pub key: K,
-    /// The team it is for.
+    /// Team that sent the request.
     pub team: TeamName,
     /// The team's weight.
     pub weight: u32,
-    /// When its stage must have started at the latest to be of use, since the instance's start.
+    /// When the request is due, since the instance's start; the call is useless after that.
     pub deadline: Duration,
-    /// Its estimated cost; at least a small positive number.
+    /// Estimated cost; values below 1e-6 count as 1e-6.
     pub cost: f64,
-    /// Larger goes first within the team; 0 unless a policy says otherwise.
+    /// Within the team, calls with larger values leave first; 0 unless a policy sets it.
     pub priority: f64,
 }
 
-/// Waiting calls of one pool.
+/// The queue of one pool.
 #[derive(Debug, Clone)]
 pub struct Queue<K> {
     teams: Vec<Team<K>>,
-    /// The team whose turn is next among equals.
+    /// The team that goes next if several need the same number of rounds.
     next_turn: usize,
-    /// Rounds so far.
+    /// Rounds so far; can be fractional.
     round: f64,
-    /// Numbers the pushes, so that equals keep their order.
+    /// Number of the next push, which orders otherwise equal calls.
     seq: u64,
     len: usize,
 }
@@ -48,7 +47,7 @@
     name: TeamName,
     weight: f64,
     deficit: f64,
-    /// The round in which its last waiting call left.
+    /// The round in which the team's last waiting call left.
     idle_round: f64,
     waiting: BTreeMap<Rank, Call<K>>,
 }
@@ -59,7 +58,7 @@
     cost: f64,
 }
 
-/// Order within a team.
+/// Sort key of a call within its team.
 #[derive(Debug, Clone, Copy)]
 struct Rank {
     priority: f64,
@@ -103,7 +102,7 @@
         Queue { teams: Vec::new(), next_turn: 0, round: 0.0, seq: 0, len: 0 }
     }
 
-    /// Adds a call. Its key must not be waiting already.
+    /// Adds a call. Its key must not be queued already.
     pub fn push(&mut self, waiting: WaitingCall<K>) {
         let rank = Rank { priority: waiting.priority, deadline: waiting.deadline, seq: self.seq };
         self.seq += 1;
@@ -116,8 +115,8 @@
         team.waiting.insert(rank, call);
     }
 
-    /// Takes out the call that is next. One whose deadline has passed comes out
-    /// too, at no cost to its team: its owner gives it up.
+    /// Removes the next call and returns its key. Calls past their deadline are returned first, at
+    /// no cost to their team; the caller of this method has to give them up.
     pub fn pop(&mut self, now: Duration) -> Option<K> {
         if let Some(key) = self.pop_expired(now) {
             return Some(key);
@@ -137,15 +136,15 @@
         Some(call.key)
     }
 
-    /// Gives a team back what a call cost that came out and got no place. A call
-    /// whose deadline had passed cost nothing: nothing is given back for it.
+    /// Refunds a team for a call that left the queue and got no slot. A call past its deadline cost
+    /// nothing, so its refund is zero.
     pub fn refund(&mut self, name: &str, cost: f64) {
         let Some(team) = self.teams.iter_mut().find(|team| &*team.name == name) else { return };
         team.deficit += cost;
         team.drop_credit(self.round);
     }
 
-    /// Takes a call out, wherever it is; false if it doesn't wait.
+    /// Removes a call, wherever it is in the queue; false if it isn't queued.
     pub fn remove(&mut self, key: K) -> bool {
         for team in &mut self.teams {
             let found = team.waiting.iter().find(|(_, call)| call.key == key);
@@ -158,22 +157,22 @@
         false
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no call waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether calls of a team wait.
+    /// Whether calls of the team wait.
     pub fn has_team(&self, name: &str) -> bool {
         self.teams.iter().any(|team| &*team.name == name && !team.waiting.is_empty())
     }
 
-    /// Cost of a team's waiting calls that would go before its new one with that deadline.
+    /// Cost of the team's waiting calls that would leave before a new one with that deadline.
     pub fn own_cost_ahead(&self, name: &str, deadline: Duration) -> f64 {
         let own = self.teams.iter().find(|team| &*team.name == name);
         own.map_or(0.0, |own| own.cost_before(deadline))
@@ -184,10 +183,10 @@
         self.teams.iter().any(|team| &*team.name != name && !team.waiting.is_empty())
     }
 
-    /// Cost of all that would go before a new call of that team with that deadline.
+    /// Cost of all calls that would leave before a new call of the team with that deadline.
     ///
-    /// The team's own earlier calls, and of each other team what its weight
-    /// lets through meanwhile, or all that it has waiting if that is less.
+    /// This is the cost of the team's own earlier calls, and for each other team what its weight
+    /// lets through meanwhile or all that it has waiting, whichever is less.
     pub fn cost_ahead(&self, team: &str, deadline: Duration) -> f64 {
         let own = self.teams.iter().find(|other| &*other.name == team);
         let weight = own.map_or(1.0, |own| own.weight);
@@ -227,7 +226,7 @@
         None
     }
 
-    /// The team that needs the fewest rounds; among equals the one whose turn it is.
+    /// The team that needs the fewest rounds; `next_turn` decides between equals.
     fn next_team(&self) -> Option<usize> {
         let count = self.teams.len();
         let order = (0..count).map(|step| (self.next_turn + step) % count);
@@ -253,7 +252,7 @@
         Team { name, weight: 1.0, deficit: 0.0, idle_round: 0.0, waiting: BTreeMap::new() }
     }
 
-    /// Rounds until the credit covers the first call.
+    /// Rounds until the credit covers the team's next call.
     fn rounds_needed(&self) -> f64 {
         let cost = self.waiting.values().next().map_or(0.0, |call| call.cost);
         ((cost - self.deficit) / self.weight).max(0.0)
@@ -268,7 +267,7 @@
         earlier.map(|(_, call)| call.cost).sum()
     }
 
-    /// A team without waiting calls keeps no credit.
+    /// Drops the credit of a team without waiting calls.
     fn drop_credit(&mut self, round: f64) {
         if self.waiting.is_empty() {
             self.deficit = self.deficit.min(0.0);
@@ -276,9 +275,9 @@
         }
     }
 
-    /// A first call finds what the team's share was since it had none waiting,
-    /// up to its own cost. So a small team's single calls needn't wait for
-    /// rounds that it was entitled to already.
+    /// Credits a team that had no waiting call with its share of the rounds since then, up to the
+    /// cost of the new call. The single calls of a small team thus needn't wait for rounds that it
+    /// was already entitled to.
     fn credit_idle_rounds(&mut self, round: f64, cost: f64) {
         if self.waiting.is_empty() {
             let saved = (round - self.idle_round) * self.weight;
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,19 +1,17 @@
-//! Which endpoint gets a call.
+//! Chooses the endpoint that gets a call.
 //!
-//! Two endpoints are drawn at random and the better one is taken. That is
-//! nearly as good as taking the best, and instances with the same stale view
-//! don't all run to the same endpoint. Better means less expected time: calls
-//! that are there or wait there, over what the endpoint gets done. What peers
-//! and reports say counts less the older it is beside the time of a call: calls
-//! of a tenth of a second are long over when a report of them arrives.
+//! Of two endpoints drawn at random the one with the lower expected time is taken. That is nearly
+//! as good as taking the best of all, and instances with the same stale view don't all choose the
+//! same endpoint. The expected time is computed from the calls that run or wait at the endpoint and
+//! from its speed. Data from peers and load reports count less the older they are relative to the
+//! duration of a call: calls of 100 ms have long ended when a report of them arrives.
 //!
-//! A call with a prompt prefix goes where that prefix is likely cached: to
-//! the pool's first endpoint by rendezvous hash, unless it holds clearly more
-//! than the average or is much slower, then to the second, then as without a
-//! prefix.
+//! A call with a prompt prefix goes to the endpoint that has likely cached the prefix: the pool's
+//! first by rendezvous hash, or the second if the first has clearly more calls than the average or
+//! is much slower. If that holds for both, the prefix is ignored.
 //!
-//! A probe that is due is sent first: nothing else brings an ejected endpoint
-//! back. A repeated call never is a probe.
+//! An ejected endpoint whose probe is due gets the next call, since only a successful call can
+//! bring it back. A repeated call is never used as a probe.
 
 use std::time::Duration;
 
@@ -25,36 +23,36 @@
     model::EndpointName,
 };
 
-/// What a call asks for.
+/// What is required of the endpoint for a call.
 pub struct Criteria<'a> {
-    /// The pool.
+    /// The pool to choose from.
     pub pool: &'a str,
-    /// Hash of the prompt's start, for engines.
+    /// Hash of the start of the prompt; only for engines.
     pub prefix: Option<u64>,
-    /// Endpoints that are out of the question: tried already.
+    /// Endpoints not to be chosen because they were already tried.
     pub exclude: &'a [EndpointName],
-    /// Calls that the peers have in flight at an endpoint.
+    /// Returns how many calls the peers have in flight at an endpoint.
     pub peers: &'a dyn Fn(&str) -> u32,
 }
 
-/// How far above the average an endpoint may be filled for a prefix's sake.
+/// Ratio to the average load up to which an endpoint is chosen for its cached prefix.
 const LOAD_BOUND: f64 = 1.25;
-/// How old the peers' counts usually are.
+/// Typical age of the peers' counts of calls in flight.
 const PEERS_AGE_ESTIMATE: Duration = Duration::from_millis(200);
-/// The shortest call that is counted with, in seconds.
+/// Lower bound on the duration of a call in the computation, in seconds.
 const MIN_CALL_SECONDS: f64 = 1e-3;
-/// Endpoints tried for a prefix.
+/// Number of endpoints that are considered for a prefix.
 const AFFINITY_DEPTH: usize = 2;
-/// How far above the usual cost an endpoint may be for a prefix's sake.
+/// Ratio to the median cost up to which an endpoint is chosen for its cached prefix.
 const COST_BOUND: f64 = 3.0;
-/// Time after which half of an endpoint's deviation from its pool is forgotten.
+/// Time in which an endpoint's deviation from its pool's average decays to half.
 const DEVIATION_HALF_LIFE: Duration = Duration::from_secs(10);
-/// Endpoints that a policy scores for a call.
+/// Number of endpoints that a policy scores for a call.
 const SCORED_ENDPOINTS: usize = 4;
-/// The least share of good calls that is counted with.
+/// Lower bound on the success rate in the computation.
 const MIN_SUCCESS_RATE: f64 = 0.05;
 
-/// Picks an endpoint; `None` if none may get the call now.
+/// Chooses an endpoint; `None` if no endpoint may get the call now.
 pub fn choose(
     table: &Table,
     now: Duration,
@@ -64,8 +62,7 @@
     probe(table, now, criteria).or_else(|| choose_avoiding_probes(table, now, criteria, rng))
 }
 
-/// As [`choose`], for a call that mustn't be risked: it is a probe only where
-/// nothing else is free.
+/// Like [`choose`], but uses the call as a probe only if no other endpoint is free.
 pub fn choose_avoiding_probes(
     table: &Table,
     now: Duration,
@@ -83,8 +80,8 @@
     better_of_two(&free, rng, cost).map(|endpoint| endpoint.name.clone())
 }
 
-/// As [`choose`], by a policy's score: of a few drawn at random the one
-/// with the largest. Where the policy has no score, the built-in choice holds.
+/// Like [`choose`], but takes the endpoint with the highest score of a few drawn at random. If the
+/// policy gives no score, the built-in choice applies.
 pub fn choose_scored(
     table: &Table,
     now: Duration,
@@ -104,7 +101,7 @@
     best.map(|(_, endpoint)| endpoint.name.clone())
 }
 
-/// An endpoint that waits for its probe, unless the call is a repeat.
+/// An endpoint whose probe is due, unless the call is a repeat.
 fn probe(table: &Table, now: Duration, criteria: &Criteria<'_>) -> Option<EndpointName> {
     if !criteria.exclude.is_empty() {
         return None;
@@ -113,7 +110,7 @@
     Some(due.name.clone())
 }
 
-/// Free endpoints that aren't to be probed; those too if there are no others.
+/// Free endpoints whose probe isn't due; if there are none, all free ones.
 fn avoiding_probes<'t>(
     table: &'t Table,
     now: Duration,
@@ -154,7 +151,7 @@
     }
 }
 
-/// The endpoint that likely holds the prefix, if it isn't too full or too slow.
+/// The endpoint that has likely cached the prefix, unless its load or cost is too high.
 fn affinity_endpoint<'t>(
     free: &[&'t Endpoint],
     criteria: &Criteria<'_>,
@@ -180,13 +177,13 @@
     values.get(values.len().saturating_sub(1) / 2).copied()
 }
 
-/// What is usual in a pool.
+/// Averages over a pool.
 struct PoolAverages {
-    /// Seconds a call, or a token for an engine.
+    /// Seconds per call, or per token for an engine.
     took: f64,
-    /// Seconds a whole call.
+    /// Seconds per whole call.
     call_latency: f64,
-    /// Calls that an endpoint works on at once.
+    /// Calls that an endpoint runs at once.
     slots: f64,
 }
 
@@ -214,13 +211,13 @@
     (count > 0.0).then(|| sum / count)
 }
 
-/// What is still true of something said `age` ago. Calls come and go in the
-/// time that a call takes, so that is how fast it becomes worthless.
+/// Weight of data that is `age` old. It halves in the time that a call takes, since that is how
+/// fast calls come and go.
 fn freshness(age: Duration, averages: &PoolAverages) -> f64 {
     (-age.as_secs_f64() / averages.call_latency).exp2()
 }
 
-/// Expected time of a call, up to a factor that all of the pool share.
+/// Expected time of a call, up to a factor that is the same for the whole pool.
 fn cost(
     endpoint: &Endpoint,
     now: Duration,
@@ -238,7 +235,7 @@
         / endpoint.success_rate().max(MIN_SUCCESS_RATE)
 }
 
-/// The endpoint's usual time; without news it tends to the pool's.
+/// The endpoint's latency, which tends to the pool's average while no new call ends.
 fn expected_latency(endpoint: &Endpoint, now: Duration, averages: &PoolAverages) -> f64 {
     let Some((took, at)) = endpoint.latency() else { return averages.took };
     let idle = now.saturating_sub(at).as_secs_f64() / DEVIATION_HALF_LIFE.as_secs_f64();
