--- a/crates/core/src/instance/estimates.rs
+++ b/crates/core/src/instance/estimates.rs
@@ -1,4 +1,4 @@
-//! How long things will take: what admission, hedging and callers are told by.
+//! Estimates of wait and work time for admission, hedging and `retry_after`.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,19 +13,20 @@
     timing,
 };
 
-/// Part of a request's time from which on a queue is long: shares are held to.
+/// Fraction of a request's remaining time above which a queue counts as long, so that team shares
+/// are enforced.
 const LONG_QUEUE_SHARE: f64 = 0.5;
 
-/// Times of each stage of each pipeline.
+/// Run times of each stage of each pipeline.
 pub type Latencies = HashMap<PipelineName, HashMap<StageName, Estimator>>;
 
-/// What a team holds here.
+/// A team's use of this instance.
 #[data]
 #[derive(Copy, Default)]
 pub struct TeamUsage {
-    /// Requests held.
+    /// Number of active requests.
     pub active: u32,
-    /// The team's weight.
+    /// The team's weight in its newest request.
     pub weight: u32,
 }
 
@@ -34,13 +35,14 @@
         self.latencies.get(pipeline)?.get(stage)
     }
 
-    /// What is known of a pipeline's stages, from one on.
+    /// The estimators of a pipeline's stages, beginning with stage `from`; stages that never ran
+    /// have none.
     pub(super) fn estimators(&self, pipeline: &Pipeline, from: usize) -> Vec<&Estimator> {
         let stages = pipeline.stages.iter().skip(from);
         stages.filter_map(|stage| self.estimator(&pipeline.name, &stage.name)).collect()
     }
 
-    /// Time left for the current stage; `None` if it cannot be in time any more.
+    /// Time that the current stage may take; `None` if the deadline can no longer be met.
     pub(super) fn stage_time(&self, key: RequestKey) -> Option<Duration> {
         let active = &self.requests[key];
         let left = active.deadline.saturating_sub(self.now);
@@ -52,7 +54,7 @@
         timing::stage_time(left, known, &later)
     }
 
-    /// What admission needs to know of a request.
+    /// The values that the admission decision on a request is based on.
     pub(super) fn estimate(
         &self,
         request: &Request,
@@ -87,9 +89,8 @@
         }
     }
 
-    /// Whether a request would take places that other teams need: they wait in
-    /// a pool of its pipeline, and long. A short queue is the chance of
-    /// arrivals, and all in it are served in time.
+    /// Whether a request would take slots that other teams need: their calls wait long for a pool
+    /// of its pipeline. A short queue arises by chance and all its calls are served in time.
     fn is_contended(&self, pipeline: &Pipeline, team: &TeamName, left: Duration) -> bool {
         let long = left.mul_f64(LONG_QUEUE_SHARE);
         let mut pools = pipeline.stages.iter().map(|stage| &*stage.pool);
@@ -99,13 +100,13 @@
         })
     }
 
-    /// How long a new call would wait for a place in a stage's pool.
+    /// Expected wait of a new call for a slot in a stage's pool.
     fn wait(&self, stage: &Stage, team: &TeamName, deadline: Duration) -> Duration {
         let cost = self.cost(&stage.pool);
         self.queues.wait(self.now, &stage.pool, &lanes::NewCall { team, deadline, cost })
     }
 
-    /// When to come back: once what waits ahead now has drained.
+    /// When to retry: once the calls that are queued now have drained.
     pub(super) fn retry_after(&self, key: RequestKey) -> Duration {
         let active = &self.requests[key];
         let stages = active.pipeline.stages.iter().skip(active.progress.stage);
@@ -114,14 +115,14 @@
         admission::refusal(RefusalKind::Expired, wait).retry_after
     }
 
-    /// Counts a request of a team in.
+    /// Counts a new active request of a team.
     pub(super) fn add_team_request(&mut self, team: &TeamName, weight: u32) {
         let usage = self.teams.entry(team.clone()).or_default();
         usage.active += 1;
         usage.weight = weight;
     }
 
-    /// Counts a request of a team out.
+    /// Removes an active request of a team from the count.
     pub(super) fn remove_team_request(&mut self, team: &TeamName) {
         let Some(usage) = self.teams.get_mut(team) else { return };
         usage.active -= 1;
--- a/crates/core/src/instance/finished.rs
+++ b/crates/core/src/instance/finished.rs
@@ -1,7 +1,7 @@
-//! Outcomes of finished non-idempotent requests, kept for repeats.
+//! Keeps the outcomes of finished non-idempotent requests for repeats.
 //!
-//! Bounded: the oldest goes first. What is gone from here is still protected
-//! by its claim in the log; only its answer can no longer be told.
+//! The size is bounded and the oldest outcome is evicted first. After that the claim in the log
+//! still prevents a second run, but the outcome is no longer available.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,16 +9,16 @@
 
 use crate::model::{Outcome, RequestId};
 
-/// A finished request.
+/// A finished request and its outcome.
 #[data]
 pub struct FinishedRequest {
-    /// Digest of the request.
+    /// Digest of the request, to detect a reused key.
     pub digest: u64,
-    /// How it ended.
+    /// The outcome that its caller got.
     pub outcome: Outcome,
 }
 
-/// The newest finished requests.
+/// The outcomes of the newest finished requests.
 #[derive(Debug)]
 pub struct FinishedRequests {
     outcomes: HashMap<RequestId, FinishedRequest>,
@@ -27,12 +27,12 @@
 }
 
 impl FinishedRequests {
-    /// Room for `capacity` outcomes.
+    /// An empty store with room for `capacity` outcomes.
     pub fn new(capacity: usize) -> FinishedRequests {
         FinishedRequests { outcomes: HashMap::new(), order: VecDeque::new(), capacity }
     }
 
-    /// Keeps an outcome.
+    /// Stores an outcome and evicts the oldest one if the store is full.
     pub fn insert(&mut self, key: RequestId, ended: FinishedRequest) {
         if self.outcomes.insert(key.clone(), ended).is_none() {
             self.order.push_back(key);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What became of a request.
+    /// The finished request with that key, unless it was evicted.
     pub fn get(&self, key: &RequestId) -> Option<&FinishedRequest> {
         self.outcomes.get(key)
     }
--- a/crates/core/src/instance/held.rs
+++ b/crates/core/src/instance/held.rs
@@ -1,4 +1,4 @@
-//! A request while the instance holds it, and its calls in flight.
+//! Active requests and their calls in flight.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -10,14 +10,14 @@
 };
 
 slotmap::new_key_type! {
-    /// A request that the instance holds.
+    /// Key of an active request.
     pub struct RequestKey;
-    /// A call in flight.
+    /// Key of a call in flight.
     pub struct CallKey;
 }
 
 impl CallKey {
-    /// The call's number outside; a slot's next use gives another number.
+    /// The id that identifies the call outside the instance; a reused slot gives a new id.
     pub fn id(self) -> CallId {
         CallId(slotmap::Key::data(&self).as_ffi())
     }
@@ -29,87 +29,87 @@
     }
 }
 
-/// A request that the instance holds.
+/// A request that has no outcome yet.
 #[data]
 pub struct ActiveRequest {
-    /// Who is to be answered; `None` once the caller went away.
+    /// Connection that gets the outcome; `None` once the caller disconnected.
     pub caller: Option<CallerId>,
-    /// The request.
+    /// The request as the caller sent it.
     pub request: Request,
-    /// Its pipeline, as it was in force when the request came.
+    /// The pipeline from the configuration that was in force when the request arrived.
     pub pipeline: Rc<Pipeline>,
-    /// Digest of what makes two requests with the same key the same.
+    /// Digest of the request; it detects a key that is reused for another request.
     pub digest: u64,
-    /// When its answer is due.
+    /// When the answer is due, since the instance's start.
     pub deadline: Duration,
-    /// Its claim, for a request that is not idempotent.
+    /// Claim of the request; `None` for an idempotent request.
     pub claim: Option<Claim>,
-    /// Calls that were sent and not proven unwritten. Above 0, something may
-    /// have run.
+    /// Number of calls that were sent and not proven not to have run. Above 0, something may have
+    /// run.
     pub possible_runs: u32,
-    /// The stage it is in.
+    /// State of the current stage.
     pub progress: StageProgress,
-    /// The stages that are done.
+    /// Reports of the completed stages.
     pub reports: Vec<StageReport>,
-    /// Whether it was let through against the estimate, so that the estimate
-    /// can change. It is not given up by that estimate either.
+    /// Whether it was admitted as a probe against the estimate. The estimate then doesn't end it
+    /// early either.
     pub is_probe: bool,
-    /// Weight of its team.
+    /// Weight of the team when the request was admitted.
     pub weight: u32,
 }
 
 impl ActiveRequest {
-    /// The stage that it is in.
+    /// The current stage.
     pub fn stage(&self) -> &Stage {
         &self.pipeline.stages[self.progress.stage]
     }
 }
 
-/// A claim of a held request.
+/// The claim of an active request.
 #[data]
 #[derive(Copy)]
 pub struct Claim {
-    /// The attempt to claim.
+    /// Identifies the claim attempt.
     pub nonce: u64,
-    /// How far it has got.
+    /// State of the claim attempt.
     pub state: ClaimState,
 }
 
-/// How far a claim has got.
+/// State of a claim attempt.
 #[data]
 #[derive(Copy, Eq)]
 pub enum ClaimState {
-    /// Not read back yet.
+    /// The claim wasn't read back yet.
     Waiting,
-    /// Read back as the first for its key.
+    /// The claim was read back as the first for its key.
     Won,
-    /// Another holds the key; it is being asked for the outcome.
+    /// Another claim holds the key; its instance was asked for the outcome.
     Lost,
 }
 
-/// Where a request is in its current stage.
+/// State of a request's current stage.
 #[data]
 pub struct StageProgress {
-    /// The stage's position.
+    /// Index of the stage in its pipeline.
     pub stage: usize,
-    /// The stage's input.
+    /// Input of the stage.
     pub input: Text,
     /// When the stage began.
     pub started_at: Duration,
-    /// Attempts made.
+    /// Number of calls sent for this stage.
     pub attempts: u32,
     /// Calls in flight; more than one while a hedge runs.
     pub calls: Vec<CallKey>,
-    /// Endpoints tried in this stage, not to be tried again before others.
+    /// Endpoints that were called in this stage; others are preferred.
     pub tried: Vec<EndpointName>,
-    /// Pieces of text held; a cut generation goes on behind them.
+    /// Pieces of text received so far; another engine continues after them if the call is cut.
     pub pieces: Vec<Text>,
     /// Whether it waits in its pool's queue.
     pub is_queued: bool,
 }
 
 impl StageProgress {
-    /// The start of a stage.
+    /// State at the start of a stage.
     pub fn new(stage: usize, input: Text, since: Duration) -> StageProgress {
         StageProgress {
             stage,
@@ -124,26 +124,26 @@
     }
 }
 
-/// A call in flight.
+/// A call that was sent and hasn't ended.
 #[data]
 pub struct CallInFlight {
-    /// Its request.
+    /// Key of its request.
     pub request: RequestKey,
-    /// Its endpoint.
+    /// Endpoint that was called.
     pub endpoint: EndpointName,
-    /// The stage's position.
+    /// Index of the stage in its pipeline.
     pub stage: u32,
-    /// The attempt's number.
+    /// Number of the attempt at the stage, from 1.
     pub attempt: u32,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent_at: Duration,
-    /// When the last piece came; `None` before the first.
+    /// When the last piece arrived; `None` before the first.
     pub last_piece_at: Option<Duration>,
-    /// Pieces that it brought.
+    /// Number of pieces received.
     pub pieces: u32,
-    /// Pieces that came ahead of their turn.
+    /// Pieces that arrived before an earlier one, by index.
     pub out_of_order: BTreeMap<u32, Text>,
 }
 
-/// Pieces that may wait for an earlier one before the stream counts as torn.
+/// The most pieces that may wait for an earlier one; above that the stream counts as torn.
 pub const MAX_OUT_OF_ORDER: usize = 256;
--- a/crates/core/src/instance/input.rs
+++ b/crates/core/src/instance/input.rs
@@ -1,4 +1,4 @@
-//! What can happen to an instance.
+//! Inputs of an instance.
 
 use std::sync::Arc;
 
@@ -13,36 +13,36 @@
     record::{Batch, ClaimBatch, ConfigRecord, Offset, Stream},
 };
 
-/// One thing that happened. The time of it comes beside it.
+/// An event that an instance handles. Its time is passed with it.
 #[message]
 pub enum Input {
-    /// A caller sent a request whose form is right.
+    /// A caller sent a well-formed request.
     Submit {
-        /// The caller to answer.
+        /// Connection that gets the outcome.
         caller: CallerId,
-        /// Its request.
+        /// The parsed request.
         request: Request,
     },
-    /// A caller went away before its answer was sent.
+    /// A caller disconnected before it got its answer.
     CallerGone(CallerId),
-    /// Something came of a call to an endpoint.
+    /// An event of a call to an endpoint.
     Call {
-        /// The call.
+        /// Id from the `Call` action.
         call: CallId,
-        /// What came of it.
+        /// What happened.
         event: CallEvent,
     },
     /// Records of the configuration stream were read.
     ConfigRead(Batch<ConfigRecord>),
     /// Records of the claims stream were read.
     ClaimsRead(Batch<ClaimBatch>),
-    /// A read of a stream failed: the log is out or slow.
+    /// A read of a stream failed because the log is unavailable or slow.
     ReadFailed(Stream),
     /// An append was acknowledged.
     Appended {
-        /// The append.
+        /// Id from the append action.
         append: AppendId,
-        /// Where it stands.
+        /// Where the record was written.
         offset: Offset,
     },
     /// An append failed or went unanswered. It may have taken effect.
@@ -51,107 +51,107 @@
     Listed(Listing),
     /// The platform's list could not be read.
     ListFailed,
-    /// A peer sent its gossip, as a question or as an answer.
+    /// A peer sent gossip, either on its own or as a reply.
     Gossip(Gossip),
     /// A peer could not be reached.
     PeerFailed(InstanceName),
-    /// A peer asks for the outcome of a request that it lost the claim of.
+    /// A peer asks for the outcome of a request whose claim it lost to this instance.
     OutcomeAsked {
-        /// Numbers the question, for the answer to go back by.
+        /// Number of the query, to be returned with the answer.
         question: u64,
-        /// The request.
+        /// Identity of the request.
         key: RequestId,
     },
-    /// A peer told what became of a request.
+    /// A peer answered a query for the outcome of a request.
     OutcomeTold {
-        /// The request.
+        /// Identity of the request.
         key: RequestId,
-        /// The peer that was asked.
+        /// Peer that was asked.
         peer: InstanceName,
-        /// What it knows; `None` if it could not be reached.
+        /// State of the request on that peer; `None` if the peer could not be reached.
         answer: Option<PeerOutcome>,
     },
-    /// The process was told to stop.
+    /// The process received a request to stop.
     Stop,
-    /// Time passed.
+    /// No event; time has passed.
     Tick,
 }
 
-/// What a peer knows of a request.
+/// State of a request on a peer.
 #[message]
 pub enum PeerOutcome {
-    /// It ended so.
+    /// The request ended with this outcome.
     Finished(Outcome),
-    /// It still runs.
+    /// The request is still running.
     Running,
-    /// Not known here.
+    /// The peer has no record of the request.
     Unknown,
 }
 
-/// What can come of a call.
+/// An event of a call.
 #[message]
 pub enum CallEvent {
     /// A piece of generated text.
     Chunk {
-        /// What the endpoint says it belongs to.
+        /// Echo that the endpoint sent.
         echo: Echo,
-        /// Position of the piece among the tokens, from 0.
+        /// Index of the piece among the tokens, from 0.
         index: u32,
-        /// The piece.
+        /// Text of the piece.
         text: Text,
     },
-    /// The whole reply of a service, or the end of an engine's stream.
+    /// The complete reply of a service, or the end of an engine's stream.
     Reply {
-        /// What the endpoint says it belongs to.
+        /// Echo that the endpoint sent.
         echo: Echo,
-        /// The output; for an engine, `None`: the pieces are the output.
+        /// Output of a service; `None` for an engine, whose pieces are the output.
         output: Option<Text>,
-        /// Tokens in the whole output, for an engine.
+        /// Number of tokens in the complete output; only for engines.
         tokens: Option<u32>,
-        /// The endpoint's load, where it reports it.
+        /// Load of the endpoint, if it reports it.
         load: Option<Load>,
     },
-    /// The endpoint says that it did not run the call.
+    /// The endpoint refused the call and did not run it.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: RefuseReason,
-        /// The endpoint's load, where it reports it.
+        /// Load of the endpoint, if it reports it.
         load: Option<Load>,
     },
-    /// The call ended without a whole reply.
+    /// The call ended without a complete reply.
     Failed(CallFailure),
 }
 
-/// Why an endpoint did not run a call.
+/// Why an endpoint refused a call.
 #[message]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RefuseReason {
-    /// It is going away.
+    /// The endpoint is leaving.
     Leaving,
-    /// It has no place free.
+    /// The endpoint has no free slot.
     Busy,
 }
 
-/// How a call ended without a whole reply.
+/// How a call failed.
 #[message]
 #[derive(Copy, Eq)]
 pub enum CallFailure {
-    /// Not a byte of it was written: the connection could not be made.
+    /// The connection could not be made, so not a byte of the call was sent.
     NotSent,
-    /// It was cut, in the request or in the reply. It may have run.
+    /// The connection broke during the request or the reply. The call may have run.
     Cut,
-    /// The reply could not be read. It may have run.
+    /// The reply could not be parsed. The call may have run.
     Malformed,
 }
 
-/// Names the settings an instance is started with.
+/// Identifies an instance.
 #[message]
 pub struct Identity {
-    /// Its name in the platform's list.
+    /// Name of the instance in the platform's list.
     pub name: InstanceName,
-    /// Its life.
+    /// Incarnation of the process; larger after a restart.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: Arc<str>,
 }
--- a/crates/core/src/instance/lanes.rs
+++ b/crates/core/src/instance/lanes.rs
@@ -1,4 +1,4 @@
-//! What waits for each pool, and how fast it gets through.
+//! The queue of each pool and the rate at which it drains.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,9 +9,9 @@
     queue::{Queue, WaitingCall},
 };
 
-/// How many times its usual spread a wait is taken to exceed its mean by.
+/// How many standard deviations above its mean a wait is estimated.
 const DEVIATIONS: f64 = 1.0;
-/// The name that all teams share where the order knows no teams.
+/// Name that all teams share where the queue is first come, first served.
 const NO_TEAM: &str = "";
 
 /// The queues of all pools.
@@ -26,13 +26,13 @@
 struct PoolQueue {
     queue: Queue<RequestKey>,
     drain_rate: DrainRate,
-    /// How fast each team's calls get through. What the other teams will send
-    /// meanwhile shows here only, not in what waits now.
+    /// Drain rate of each team's calls. It accounts for calls that other teams will send meanwhile,
+    /// which the current queue doesn't show.
     team_rates: BTreeMap<TeamName, DrainRate>,
 }
 
 impl PoolQueue {
-    /// Tells the meters who waits; after each change of the queue.
+    /// Updates whether calls wait, in total and per team; called after each change of the queue.
     fn update_rates(&mut self, now: Duration) {
         self.drain_rate.set_waiting(now, !self.queue.is_empty());
         for (team, drain) in &mut self.team_rates {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The cost ahead over the rate of the pool, or the team's own over the
-    /// team's rate if that is longer.
+    /// The longer of two estimates: all cost ahead at the pool's rate, and the team's own cost
+    /// ahead at the team's rate.
     fn fair_wait(&self, now: Duration, call: &NewCall<'_>) -> Option<Duration> {
         let all =
             self.drain_rate.time_to_drain(now, self.queue.cost_ahead(call.team, call.deadline));
@@ -54,13 +54,13 @@
 }
 
 impl PoolQueues {
-    /// No queue yet. `fair` orders by deadline and shares between teams;
-    /// otherwise it is first come, first served.
+    /// No queues yet. If `fair`, calls are ordered by deadline and teams get shares; otherwise it
+    /// is first come, first served.
     pub fn new(fair: bool) -> PoolQueues {
         PoolQueues { by_pool: BTreeMap::new(), is_fair: fair }
     }
 
-    /// The pools that something waits for.
+    /// The pools that calls wait for.
     pub fn pools(&self) -> Vec<PoolName> {
         let waiting = self.by_pool.iter().filter(|(_, pool_queue)| !pool_queue.queue.is_empty());
         waiting.map(|(pool, _)| pool.clone()).collect()
@@ -75,13 +75,13 @@
         pool_queue.update_rates(now);
     }
 
-    /// Takes the next call out. [`PoolQueues::record_dispatch`] or [`PoolQueues::refund`] says what
-    /// became of it.
+    /// Removes the next call. [`PoolQueues::record_dispatch`] or [`PoolQueues::refund`] must
+    /// follow.
     pub fn pop(&mut self, now: Duration, pool: &str) -> Option<RequestKey> {
         self.by_pool.get_mut(pool)?.queue.pop(now)
     }
 
-    /// A call that came out got a place.
+    /// Records that a removed call got a slot.
     pub fn record_dispatch(&mut self, now: Duration, pool: &str, team: &str, cost: f64) {
         let Some(pool_queue) = self.by_pool.get_mut(pool) else { return };
         pool_queue.drain_rate.record_dispatch(now, cost);
@@ -91,8 +91,8 @@
         pool_queue.update_rates(now);
     }
 
-    /// A call that came out got no place. So it says nothing of how fast places
-    /// come free, and its team has not had its turn.
+    /// Returns the cost of a removed call that got no slot to its team. The call doesn't count in
+    /// the drain rate, since no slot became free for it.
     pub fn refund(&mut self, now: Duration, pool: &str, team: &str, cost: f64) {
         let Some(pool_queue) = self.by_pool.get_mut(pool) else { return };
         let team = if self.is_fair { team } else { NO_TEAM };
@@ -100,19 +100,19 @@
         pool_queue.update_rates(now);
     }
 
-    /// Takes a call out, wherever it waits in its pool.
+    /// Removes a call, wherever it is in its pool's queue.
     pub fn remove(&mut self, now: Duration, pool: &str, key: RequestKey) {
         let Some(pool_queue) = self.by_pool.get_mut(pool) else { return };
         pool_queue.queue.remove(key);
         pool_queue.update_rates(now);
     }
 
-    /// Calls that wait for a pool.
+    /// Number of calls that wait for a pool.
     pub fn len(&self, pool: &str) -> usize {
         self.by_pool.get(pool).map_or(0, |pool_queue| pool_queue.queue.len())
     }
 
-    /// Whether nothing waits for a pool.
+    /// Whether no call waits for a pool.
     pub fn is_empty(&self, pool: &str) -> bool {
         self.len(pool) == 0
     }
@@ -122,14 +122,13 @@
         self.by_pool.get(pool).is_some_and(|pool_queue| pool_queue.queue.has_other_teams(team))
     }
 
-    /// How long all that waits for a pool takes to leave; `None` if too little is known.
+    /// Time until all calls that wait for a pool have left; `None` if too little was measured.
     pub fn backlog(&self, now: Duration, pool: &str) -> Option<Duration> {
         let pool_queue = self.by_pool.get(pool)?;
         pool_queue.drain_rate.time_to_drain(now, pool_queue.queue.cost())
     }
 
-    /// How long a new call waits for a pool, at a high quantile. Zero where too
-    /// little is known.
+    /// How long a new call waits for a pool, at a high quantile. Zero if too little was measured.
     pub fn wait(&self, now: Duration, pool: &str, call: &NewCall<'_>) -> Duration {
         let Some(pool_queue) = self.by_pool.get(pool) else { return Duration::ZERO };
         let mean =
@@ -140,25 +139,25 @@
     }
 }
 
-/// The wait that is hardly exceeded, from the mean wait and the time between
-/// two calls that get a place: their number in a given time spreads by its root.
+/// A high quantile of the wait, from its mean and the mean interval between calls that get a slot:
+/// the number of such calls in a given time varies by its square root.
 fn high_quantile(mean: Duration, interval: Duration) -> Duration {
     let calls = (mean.as_secs_f64() / interval.as_secs_f64().max(f64::MIN_POSITIVE)).max(1.0);
     mean.mul_f64(1.0 + DEVIATIONS / calls.sqrt())
 }
 
-/// A new call, as far as its wait depends on it.
+/// The properties of a new call that its wait depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct NewCall<'a> {
-    /// Its team.
+    /// Team that sends the request.
     pub team: &'a str,
-    /// When it is due.
+    /// When the request is due.
     pub deadline: Duration,
-    /// Its cost.
+    /// Estimated cost.
     pub cost: f64,
 }
 
-/// First come, first served: one team, an earlier arrival before a later one.
+/// Changes a call so that the queue becomes first come, first served: one team, ordered by arrival.
 fn first_come_entry(now: Duration, waiting: WaitingCall<RequestKey>) -> WaitingCall<RequestKey> {
     WaitingCall {
         team: NO_TEAM.into(),
--- a/crates/core/src/instance/peers.rs
+++ b/crates/core/src/instance/peers.rs
@@ -1,4 +1,4 @@
-//! Gossip, from the instance's side.
+//! Exchanges gossip with peers.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 };
 
 impl Instance {
-    /// Sends the round of gossip that is due.
+    /// Sends a round of gossip if one is due.
     pub(super) fn send_gossip(&mut self) {
         if self.members.next_wake().is_none_or(|at| at > self.now) {
             return;
@@ -57,7 +57,7 @@
     }
 }
 
-/// What this instance can tell, gathered for one message.
+/// The state of this instance that goes into a gossip message.
 struct LocalFacts {
     mark: ConfigMark,
     snapshot: Option<Arc<Snapshot>>,
--- a/crates/core/src/instance/plan.rs
+++ b/crates/core/src/instance/plan.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, made ready for use.
+//! The configuration in force, indexed and compiled.
 
 use std::{collections::HashMap, rc::Rc, sync::Arc};
 
@@ -9,13 +9,13 @@
     record::Version,
 };
 
-/// A configuration made ready for use. Held requests keep the parts that they
-/// began with, so a new version never changes a request under way.
+/// A configuration, indexed and compiled. Active requests keep their pipeline, so a new version
+/// never changes a request that has begun.
 #[derive(Debug)]
 pub struct Plan {
-    /// Its version.
+    /// Version of the configuration.
     pub version: Version,
-    /// Its document.
+    /// The document that the configuration was built from.
     pub document: Arc<Document>,
     pipelines: HashMap<PipelineName, Rc<Pipeline>>,
     teams: HashMap<TeamName, Rc<Team>>,
@@ -23,11 +23,11 @@
 }
 
 impl Plan {
-    /// Compiles a document.
+    /// Indexes a document and compiles its policies.
     ///
     /// # Errors
-    /// If a policy does not compile: the version is accepted elsewhere, so
-    /// this instance must not serve with anything else in its place.
+    /// Fails if a policy does not compile. Other instances may have accepted the version, so this
+    /// instance must not serve any other one instead.
     pub fn new(version: Version, document: Arc<Document>) -> Result<Plan, policy::Error> {
         let pipelines =
             document.pipelines.iter().map(|p| (p.name.clone(), Rc::new(p.clone()))).collect();
@@ -40,22 +40,22 @@
         Ok(Plan { version, document, pipelines, teams, programs })
     }
 
-    /// A pipeline by name.
+    /// The pipeline with that name.
     pub fn pipeline(&self, name: &str) -> Option<&Rc<Pipeline>> {
         self.pipelines.get(name)
     }
 
-    /// A team by name.
+    /// The team with that name.
     pub fn team(&self, name: &str) -> Option<&Rc<Team>> {
         self.teams.get(name)
     }
 
-    /// The program that decides for a pipeline, where one does.
+    /// The policy program of a pipeline, if it has one.
     pub fn program(&self, pipeline: &Pipeline) -> Option<&Rc<policy::Program>> {
         self.programs.get(pipeline.policy.as_ref()?)
     }
 
-    /// Cost of one call to a pool.
+    /// Cost of one call to a pool; 1 for an unknown pool.
     pub fn cost(&self, pool: &str) -> f64 {
         self.document.pool(pool).map_or(1.0, |pool| pool.cost)
     }
--- a/crates/core/src/instance/platform.rs
+++ b/crates/core/src/instance/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's log and list, from the instance's side.
+//! Handles reads and appends of the platform's log, and its list.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -19,7 +19,7 @@
         self.append_snapshot(batch.now_ms);
     }
 
-    /// Takes configuration changes into force, in order.
+    /// Applies changes of the configuration in order.
     pub(super) fn apply(&mut self, changes: Vec<Change>) {
         for change in changes {
             match change {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Appends the folded configuration again before its records expire.
+    /// Appends a snapshot of the configuration if one is due, before its records expire.
     fn append_snapshot(&mut self, now_ms: u64) {
         if self.pending_appends.values().any(|append| *append == AppendKind::Snapshot) {
             return;
@@ -58,7 +58,7 @@
             .push(Action::AppendConfig { append, record: ConfigRecord::Snapshot(snapshot) });
     }
 
-    /// How many live peers come before this instance in keeping snapshots.
+    /// Number of live peers that append snapshots before this instance does.
     fn snapshot_rank(&self) -> u32 {
         let alive = self.members.alive(self.now);
         let before = alive.iter().filter(|peer| **peer < self.identity.name).count();
@@ -100,19 +100,20 @@
         self.counters.leaving_learnt += u64::from(new);
     }
 
-    /// Whether requests are taken: the configuration in force is known.
+    /// Whether requests are accepted, since the configuration in force is known.
     pub(super) fn is_serving(&self) -> bool {
         self.plan.is_some() && self.plan_error.is_none() && !self.is_isolated()
     }
 
-    /// Whether a newer configuration could be in force without a chance to know.
+    /// Whether a newer configuration may be in force because neither the log nor a peer was reached
+    /// recently.
     pub(super) fn is_isolated(&self) -> bool {
         let heard = self.last_log_read.max(self.members.last_received());
         let silent = heard.is_none_or(|at| self.now.saturating_sub(at) > self.settings.isolation);
         silent && self.members.has_listed_peers()
     }
 
-    /// Reasons for not being ready; empty when ready.
+    /// Reasons why the instance is not ready; empty if it is ready.
     pub fn unready_reasons(&self) -> Vec<Arc<str>> {
         let mut reasons: Vec<Arc<str>> = Vec::new();
         if self.stopping.is_some() {
--- a/crates/core/src/instance/policies.rs
+++ b/crates/core/src/instance/policies.rs
@@ -1,9 +1,8 @@
-//! Operators' programs at the points where they may decide.
+//! Evaluates operators' policy programs where they may decide.
 //!
-//! A program only ever chooses among what the built-in rules allow: whom to
-//! refuse although there is room, which waiting call goes first within a team,
-//! which usable endpoint is taken, when a refused caller should come back. It
-//! cannot make a request run twice, or on an endpoint that is leaving.
+//! A program only chooses among what the built-in rules allow: which requests to refuse although
+//! they fit, which call of a team leaves the queue first, which usable endpoint gets a call, and
+//! when a refused caller should retry. It cannot make a request run twice or on a leaving endpoint.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,7 +15,7 @@
 };
 
 impl Instance {
-    /// Admission: the built-in decision, and what the pipeline's program makes of it.
+    /// Decides on admission: the built-in decision, modified by the pipeline's program.
     pub(super) fn decide_admission(
         &mut self,
         request: &Request,
@@ -39,20 +38,20 @@
         Err(admission::refusal(kind, wait))
     }
 
-    /// The priority that a program gives the current stage's call.
+    /// The priority that the program gives to the current stage's call; 0 without a program.
     pub(super) fn priority(&mut self, key: RequestKey) -> f64 {
         let Some(program) = self.program(key) else { return 0.0 };
         let facts = self.stage_facts(key);
         self.count_failure(program.order(&facts)).unwrap_or(0.0)
     }
 
-    /// The program that decides for a held request.
+    /// The policy program of an active request, from the configuration in force.
     pub(super) fn program(&self, key: RequestKey) -> Option<Rc<Program>> {
         let plan = self.plan.as_ref()?;
         plan.program(&self.requests[key].pipeline).cloned()
     }
 
-    /// What a program is told of a held request and its current stage.
+    /// Facts that a program gets about an active request and its current stage.
     pub(super) fn stage_facts(&self, key: RequestKey) -> Facts {
         let active = &self.requests[key];
         let stage = active.stage();
@@ -81,7 +80,7 @@
         }
     }
 
-    /// What a program is told of an endpoint.
+    /// Facts that a program gets about an endpoint.
     pub(super) fn endpoint_facts(&self, endpoint: &Endpoint) -> EndpointFacts {
         EndpointFacts {
             name: endpoint.name.clone(),
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Cost of one call to a pool, by the configuration in force.
+    /// Cost of one call to a pool in the configuration in force; 1 if that is unknown.
     pub(super) fn cost(&self, pool: &str) -> f64 {
         self.plan.as_ref().map_or(1.0, |plan| plan.cost(pool))
     }
@@ -131,7 +130,7 @@
         }
     }
 
-    /// A program's decision; one that failed is counted and passed over.
+    /// Counts a failed evaluation; `None` then and if the program made no decision.
     fn count_failure<T>(&mut self, decision: Decision<T>) -> Option<T> {
         self.counters.policy_errors += u64::from(matches!(decision, Decision::Failed(_)));
         decision.given()
--- a/crates/core/src/instance/replies.rs
+++ b/crates/core/src/instance/replies.rs
@@ -1,9 +1,8 @@
-//! What comes back from calls: pieces, whole replies, refusals, failures.
+//! Handles the events of calls: pieces, complete replies, refusals and failures.
 //!
-//! One reply a stage is taken. For an engine the first call to bring a piece
-//! is the one whose text counts; its siblings are cancelled then, so pieces of
-//! two generations are never mixed. When it is cut, the pieces are kept and
-//! another engine goes on behind them.
+//! Each stage takes one reply. For an engine, the first call that delivers a piece is selected and
+//! the other calls are cancelled, so that pieces of two generations are never mixed. If that call
+//! is cut, the pieces are kept and another engine continues after them.
 
 use std::time::Duration;
 
@@ -20,10 +19,10 @@
     model::{Answer, CallId, Echo, Load, Outcome, StageReport, Text},
 };
 
-/// How long a stream may be silent between two pieces before another engine
-/// takes it up, as a multiple of the stage's usual time for all its pieces.
+/// Time between two pieces after which another engine continues the stream, as a fraction of the
+/// stage's median run time.
 const STALL_FACTOR: f64 = 0.5;
-/// A stream is never taken for stalled sooner than this.
+/// The shortest time after which a stream counts as stalled.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Instance {
@@ -53,7 +52,8 @@
         self.table.load_reported(self.now, &endpoint, load);
     }
 
-    /// False, and the endpoint distrusted, if the echo is another call's.
+    /// Compares a reply's echo with its call. If they differ, ends the call as mismatched and
+    /// returns false.
     fn check_echo(&mut self, call: CallKey, echo: &Echo) -> bool {
         if self.echo(&self.calls[call]) == *echo {
             return true;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Makes a call the one whose text counts.
+    /// Selects a call as the source of the text and cancels the others.
     fn select_call(&mut self, key: RequestKey, call: CallKey) {
         if self.requests[key].progress.calls.len() == 1 {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Moves pieces whose turn has come to the request, and on to its caller.
+    /// Moves the pieces that are next in order to the request and streams them to its caller.
     fn deliver_pieces(&mut self, key: RequestKey, call: CallKey) {
         let active = &mut self.requests[key];
         let early = &mut self.calls[call].out_of_order;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Sets the timer by which a stream must have brought another piece. There
-    /// is one a stream: it is set again when it fires.
+    /// Sets the timer that detects a stalled stream. Each stream has one, which is set again when
+    /// it fires.
     fn set_stall_timer(&mut self, key: RequestKey, call: CallKey) {
         if !self.settings.decisions.hedging || !self.requests[key].request.idempotent {
             return;
@@ -130,16 +130,16 @@
         }
     }
 
-    /// How long a stream of the current stage may be silent; `None` if too
-    /// little is known.
+    /// Time without a piece after which a stream of the current stage counts as stalled; `None`
+    /// without samples of the stage.
     fn stall_timeout(&self, key: RequestKey) -> Option<Duration> {
         let active = &self.requests[key];
         let usual = self.estimator(&active.pipeline.name, &active.stage().name)?.quantile(0.5)?;
         Some(usual.mul_f64(STALL_FACTOR).max(MIN_STALL_TIMEOUT))
     }
 
-    /// A stream may have fallen silent: another engine takes it up, if there is
-    /// room for the call and the budget allows it.
+    /// Continues a stalled stream on another engine if the pool has a free slot and the retry
+    /// budget allows it.
     pub(super) fn on_stall_timer(&mut self, call: CallKey) {
         let Some(flight) = self.calls.get(call) else { return };
         let key = flight.request;
@@ -177,7 +177,7 @@
         self.finish_stage(key, &flight, output);
     }
 
-    /// The text of an engine's stream, if its end says that it is whole.
+    /// The text of an engine's stream; `None` if its end reports other pieces than were received.
     fn complete_text(&self, key: RequestKey, call: CallKey, tokens: Option<u32>) -> Option<Text> {
         let pieces = &self.requests[key].progress.pieces;
         let whole = tokens? as usize == pieces.len() && self.calls[call].out_of_order.is_empty();
@@ -209,8 +209,8 @@
         self.conclude(key, Outcome::Answered(Answer { output, stages }));
     }
 
-    /// The endpoint says that it did not run the call. That it is leaving, the
-    /// table notes with the call's end.
+    /// The endpoint refused the call and did not run it. If the endpoint is leaving, the table
+    /// records that when the call is ended.
     fn on_refusal(&mut self, call: CallKey, reason: RefuseReason) {
         self.counters.refused_calls += 1;
         self.end_unrun_call(call, CallResult::Refused(reason));
@@ -226,7 +226,7 @@
         }
     }
 
-    /// A call ended of which nothing ran.
+    /// Ends a call of which nothing ran.
     fn end_unrun_call(&mut self, call: CallKey, result: CallResult) {
         let flight = self.remove_call(call, result);
         let active = &mut self.requests[flight.request];
@@ -234,7 +234,7 @@
         self.retry_not_run(flight.request);
     }
 
-    /// A call ended without a usable reply. It may have run.
+    /// Ends a call without a usable reply, which may have run.
     fn end_failed_call(&mut self, call: CallKey, result: CallResult) {
         let flight = self.remove_call(call, result);
         self.retry_failed(flight.request);
--- a/crates/core/src/instance/settings.rs
+++ b/crates/core/src/instance/settings.rs
@@ -1,4 +1,4 @@
-//! What an instance is started with.
+//! Settings of an instance.
 
 use std::time::Duration;
 
@@ -6,35 +6,35 @@
 
 use crate::{claims, endpoints, limits, membership};
 
-/// Settings of the decisions. The defaults are what operators should run.
+/// Settings of an instance. The defaults suit production.
 #[message]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Which decisions are on.
+    /// Which decisions are enabled.
     pub decisions: Decisions,
-    /// How long an instance may hear neither the log nor a peer before it
-    /// can no longer know which configuration is in force.
+    /// Time without contact to the log and to any peer after which the instance can no longer know
+    /// which configuration is in force.
     pub isolation: Duration,
-    /// How long a stopping instance still takes requests, so that the
-    /// balancer can notice.
+    /// How long a stopping instance still accepts requests, so that the balancer can notice the
+    /// stop.
     pub grace: Duration,
-    /// How long a stopping instance tries to write what it owes the log,
-    /// after its last request has ended.
+    /// How long a stopping instance tries to append its pending claim facts after its last request
+    /// ended.
     pub settle: Duration,
-    /// How long to wait for another instance to tell a request's outcome, at
-    /// the most; half of the request's remaining time, where that is less.
+    /// The longest wait for another instance to send a request's outcome; half of the request's
+    /// remaining time if that is less.
     pub ask: Duration,
-    /// Finished non-idempotent requests whose outcome is kept for repeats.
+    /// Number of finished non-idempotent requests whose outcome is kept for repeats.
     pub finished: usize,
-    /// Calls in flight at one endpoint where its limit does not adapt.
+    /// The most calls in flight at one endpoint if limits are not adaptive.
     pub limit: u32,
-    /// Endpoints of one pool that the instance keeps to, at the most.
+    /// The most endpoints of one pool that the instance uses.
     pub subset: usize,
     /// Time between gossip rounds.
     pub gossip: Duration,
-    /// How long the log keeps records, as its operators state it.
+    /// The log's retention of records, as configured by its operators.
     pub retention: Duration,
-    /// How long a claim protects its key.
+    /// How long a claim protects its key against a second run.
     pub horizon: Duration,
 }
 
@@ -79,31 +79,31 @@
     }
 }
 
-/// Switches of the single decisions, for experiments.
+/// Switches for single decisions, used in experiments.
 #[message]
 #[derive(Copy, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Decisions {
-    /// Refuse at once what the estimate says cannot be in time.
+    /// Refuse requests at once if the estimate exceeds their deadline.
     pub admission: bool,
-    /// Send a second call where the first is slow.
+    /// Send a second call if the first is slow.
     pub hedging: bool,
-    /// Prefer the engine that is likely to hold a prompt's start in its cache.
+    /// Prefer the engine that has likely cached the start of a prompt.
     pub affinity: bool,
-    /// Leave out endpoints that fail until a probe succeeds.
+    /// Exclude failing endpoints until a probe succeeds.
     pub ejection: bool,
-    /// Adapt the calls in flight at each endpoint to its latency.
+    /// Adapt the limit on calls in flight at each endpoint to its latency.
     pub adaptive_limits: bool,
-    /// Order by deadline and share between teams; first come, first served otherwise.
+    /// Order by deadline and share between teams; otherwise first come, first served.
     pub fair_queue: bool,
-    /// Compare two endpoints by load; take any one otherwise.
+    /// Compare two endpoints by load; otherwise choose at random.
     pub load_aware: bool,
-    /// Retries out of the shared budget; a single retry for each stage otherwise.
+    /// Take retries from the shared retry budget; otherwise allow one retry per stage.
     pub budget: bool,
 }
 
 impl Decisions {
-    /// Everything on.
+    /// All decisions enabled.
     pub const fn full() -> Decisions {
         Decisions {
             admission: true,
@@ -117,8 +117,8 @@
         }
     }
 
-    /// The baseline of the experiments: first come, first served, random
-    /// choice, one retry, no admission control.
+    /// The baseline of the experiments: first come, first served, random endpoints, one retry and
+    /// no admission control.
     pub const fn plain() -> Decisions {
         Decisions {
             admission: false,
@@ -131,7 +131,7 @@
             budget: false,
         }
     }
-    /// Names by which single decisions are switched off.
+    /// Names accepted by [`Decisions::switch_off`].
     pub const NAMES: [&str; 8] = [
         "admission",
         "hedging",
@@ -143,7 +143,7 @@
         "budget",
     ];
 
-    /// Switches one decision off. False if there is none of that name.
+    /// Disables one decision. False if there is none of that name.
     pub fn switch_off(&mut self, name: &str) -> bool {
         let decision = match name {
             "admission" => &mut self.admission,
--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -1,4 +1,4 @@
-//! Sending stage calls: queueing, choosing an endpoint, hedging, retrying.
+//! Runs stages: queues calls, chooses endpoints, hedges and retries.
 
 use std::time::Duration;
 
@@ -17,15 +17,15 @@
     queue, routing, timing,
 };
 
-/// Calls of one stage of one request at the most, hedges included.
+/// The most calls for one stage of one request, hedges included.
 pub const MAX_ATTEMPTS: u32 = 8;
-/// Calls of one stage without the shared budget, in the plain baseline.
+/// The most calls for one stage if the retry budget is disabled, as in the baseline.
 const BASELINE_ATTEMPTS: u32 = 2;
-/// How long a request waits before it is queued again after a refusal; doubles each time.
+/// Delay before a refused request is queued again; doubles with each attempt.
 const REQUEUE_DELAY: Duration = Duration::from_millis(10);
-/// The longest such wait.
+/// The longest such delay.
 const MAX_REQUEUE_DELAY: Duration = Duration::from_millis(500);
-/// A hedge is never sent sooner than this.
+/// The shortest delay of a hedge.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(20);
 
 /// Why a call is sent.
@@ -37,7 +37,7 @@
 }
 
 impl Instance {
-    /// Puts a request into the queue of its current stage's pool.
+    /// Queues a call for a request's current stage.
     pub(super) fn begin_stage(&mut self, key: RequestKey) {
         if self.is_infeasible(key) {
             return self.on_deadline(key);
@@ -53,7 +53,7 @@
         self.queues.push(self.now, &pool, waiting);
     }
 
-    /// Sends what the pools have room for.
+    /// Sends waiting calls to all pools with free slots.
     pub(super) fn dispatch_all(&mut self) {
         for pool in self.queues.pools() {
             self.dispatch_pool(&pool);
@@ -81,15 +81,15 @@
         }
     }
 
-    /// A call that came out of its queue gets no place after all.
+    /// Refunds a call that left its queue and gets no slot.
     fn refund_queue(&mut self, key: RequestKey, pool: &str) {
         let active = &self.requests[key];
-        // Past its deadline it came out at no cost.
+        // A call past its deadline left the queue at no cost.
         let cost = if active.deadline <= self.now { 0.0 } else { self.cost(pool) };
         self.queues.refund(self.now, pool, &active.request.id.team, cost);
     }
 
-    /// Sends one call. False if no endpoint may take it now.
+    /// Sends one call. False if no endpoint may get it now.
     fn send_call(&mut self, key: RequestKey, reason: CallReason) -> bool {
         let Some(endpoint) = self.choose_endpoint(key, reason) else { return false };
         let Some(addr) = self.table.endpoint(&endpoint).map(|known| known.addr.clone()) else {
@@ -124,7 +124,7 @@
         if fresh.is_some() || reason == CallReason::Hedge || tried.is_empty() {
             return fresh;
         }
-        // Every endpoint was tried: better one of them again than none.
+        // All endpoints were tried, so a repeated one is better than none.
         self.choose_excluding(key, &[], reason)
     }
 
@@ -180,7 +180,7 @@
         }
     }
 
-    /// What a reply to a call must send back.
+    /// The echo that a reply to the call must contain.
     pub(super) fn echo(&self, flight: &CallInFlight) -> Echo {
         Echo {
             request: self.requests[flight.request].request.id.clone(),
@@ -196,7 +196,7 @@
         self.stage_time(key).is_none()
     }
 
-    /// The deadline has passed, or is out of reach.
+    /// Ends a request whose deadline has passed or can no longer be met.
     pub(super) fn on_deadline(&mut self, key: RequestKey) {
         let Some(active) = self.requests.get(key) else { return };
         let outcome = if active.possible_runs > 0 {
@@ -209,7 +209,7 @@
         self.conclude(key, outcome);
     }
 
-    /// How a request ends of which nothing ran.
+    /// The outcome of a request of which nothing ran.
     fn not_run_outcome(&self, key: RequestKey) -> Outcome {
         match self.requests[key].claim.map(|claim| claim.state) {
             Some(ClaimState::Waiting) => refusal_outcome(RefusalKind::ClaimUnknown),
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Puts a request back into its queue after a while.
+    /// Queues a request again after a delay.
     fn schedule_requeue(&mut self, key: RequestKey) {
         let attempts = self.requests[key].progress.attempts.min(6);
         let wait = (REQUEUE_DELAY * 2u32.pow(attempts)).min(MAX_REQUEUE_DELAY);
@@ -235,14 +235,14 @@
         }
     }
 
-    /// A call ended without a reply and without having run: tries again.
+    /// Retries after a call of which nothing ran.
     pub(super) fn retry_not_run(&mut self, key: RequestKey) {
         if self.requests[key].progress.calls.is_empty() {
             self.schedule_requeue(key);
         }
     }
 
-    /// A call failed and may have run: tries again where that does no harm.
+    /// Retries after a failed call that may have run, if the stage may be repeated.
     pub(super) fn retry_failed(&mut self, key: RequestKey) {
         if !self.requests[key].progress.calls.is_empty() {
             return;
@@ -264,7 +264,7 @@
         attempts < MAX_ATTEMPTS && self.try_withdraw()
     }
 
-    /// Takes a repetition out of the shared budget.
+    /// Withdraws a retry or a hedge from the shared budget.
     pub(super) fn try_withdraw(&mut self) -> bool {
         let allowed = self.budget.try_withdraw();
         self.counters.budget_denied += u64::from(!allowed);
@@ -283,7 +283,7 @@
         active.request.idempotent || active.stage().repeatable
     }
 
-    /// Sets the timer for a second call beside this one.
+    /// Sets the timer for a hedge of a call.
     fn set_hedge_timer(&mut self, key: RequestKey, call: CallKey) {
         let active = &self.requests[key];
         if !self.settings.decisions.hedging || !self.is_repeatable(key) {
@@ -295,7 +295,7 @@
         self.timers.set(self.now + after.max(MIN_HEDGE_DELAY), Timer::Hedge(call));
     }
 
-    /// The call has been slow: sends another beside it, if that is allowed.
+    /// Sends a hedge for a slow call, if its pool has a free slot and the retry budget allows it.
     pub(super) fn on_hedge_timer(&mut self, call: CallKey) {
         let Some(flight) = self.calls.get(call) else { return };
         let key = flight.request;
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Cancels a call and frees its place.
+    /// Cancels a call and frees its slot.
     pub(super) fn cancel(&mut self, call: CallKey) {
         let Some(flight) = self.calls.remove(call) else { return };
         self.counters.cancelled += 1;
@@ -324,7 +324,7 @@
         self.actions.push(Action::Cancel(call.id()));
     }
 
-    /// Tells the endpoint's record how a call ended.
+    /// Records the end of a call in the endpoint table.
     pub(super) fn end_call(
         &mut self,
         flight: &CallInFlight,
--- a/crates/core/src/instance/status.rs
+++ b/crates/core/src/instance/status.rs
@@ -1,4 +1,4 @@
-//! What an instance tells of itself.
+//! The status report of an instance.
 
 use std::sync::Arc;
 
@@ -11,42 +11,42 @@
     record::Version,
 };
 
-/// What an instance tells of itself.
+/// The status of an instance, for operators.
 #[data]
 pub struct Status {
-    /// Who it is.
+    /// Name, incarnation and data centre of the instance.
     pub identity: Identity,
-    /// Reasons for not being ready; empty when ready.
+    /// Reasons why the instance is not ready; empty if it is ready.
     pub reasons: Vec<Arc<str>>,
     /// The configuration version in force; 0 before any.
     pub version: Version,
-    /// Requests held.
+    /// Number of active requests.
     pub running: u32,
-    /// Peers believed alive.
+    /// Peers considered alive.
     pub peers: Vec<InstanceName>,
-    /// Endpoints.
+    /// Status of each known endpoint.
     pub endpoints: Vec<EndpointStatus>,
 }
 
-/// What is known of one endpoint.
+/// The status of an endpoint, as this instance sees it.
 #[data]
 pub struct EndpointStatus {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: EndpointName,
-    /// Its pool.
+    /// Pool of the endpoint.
     pub pool: PoolName,
-    /// Its life.
+    /// Incarnation of the endpoint; larger after a restart.
     pub incarnation: Incarnation,
-    /// Whether it gets calls.
+    /// Whether the endpoint may get calls, and if not, why.
     pub state: State,
-    /// Calls in flight there.
+    /// Calls of this instance in flight at the endpoint.
     pub in_flight: u32,
-    /// Calls that may be in flight there.
+    /// The most calls that this instance may have in flight there.
     pub limit: u32,
 }
 
 impl Instance {
-    /// The status now.
+    /// The current status.
     pub fn status(&self) -> Status {
         Status {
             identity: self.identity.clone(),
--- a/crates/core/src/instance/timers.rs
+++ b/crates/core/src/instance/timers.rs
@@ -1,7 +1,6 @@
-//! Timers of an instance: what to look at again, and when.
+//! Timers of an instance.
 //!
-//! A timer is never cancelled. When it fires, whoever handles it checks
-//! whether its cause still stands.
+//! Timers are never cancelled. The handler checks whether the cause of the timer still exists.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,23 +8,23 @@
 
 use crate::instance::held::{CallKey, RequestKey};
 
-/// What a timer is for.
+/// The cause of a timer.
 #[data]
 #[derive(Copy)]
 pub enum Timer {
-    /// A request's answer is due.
+    /// A request's deadline.
     Deadline(RequestKey),
-    /// A call has been slow enough for a second one beside it.
+    /// A call may have been slow enough for a hedge.
     Hedge(CallKey),
-    /// A stream should have brought another piece by now.
+    /// A stream may be stalled.
     Stall(CallKey),
-    /// A request that was refused everywhere may be queued again.
+    /// A request that got no endpoint or was refused is queued again.
     Requeue(RequestKey),
-    /// Another instance should have told a request's outcome by now.
+    /// Limits the wait for another instance to send a request's outcome.
     WinnerReply(RequestKey),
 }
 
-/// Timers in the order of their time.
+/// Pending timers, ordered by time.
 #[derive(Debug, Default)]
 pub struct Timers {
     by_time: BTreeMap<(Duration, u64), Timer>,
@@ -39,7 +38,7 @@
         self.by_time.insert((at, self.last), timer);
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         let first = self.by_time.first_entry()?;
         if first.key().0 > now {
