--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -92,12 +92,12 @@
     Refusal { retry_after: refusal.retry_after.mul_f64(factor), ..refusal }
 }
 
-/// Expected wait of a new call behind `ahead` calls, if `places` calls run at once and each takes
-/// `service` on average.
-pub fn expected_wait(ahead: f64, places: u32, service: Duration) -> Duration {
+/// Expected wait of a new call behind `ahead` calls, if `slots` calls run at once and each takes
+/// `service_time` on average.
+pub fn expected_wait(ahead: f64, slots: u32, service_time: Duration) -> Duration {
     // Without slots the quotient is infinite, which the limit below cuts off.
-    let rounds = ahead.max(0.0) / f64::from(places);
-    Duration::try_from_secs_f64(service.as_secs_f64() * rounds)
+    let rounds = ahead.max(0.0) / f64::from(slots);
+    Duration::try_from_secs_f64(service_time.as_secs_f64() * rounds)
         .unwrap_or(MAX_RETRY_AFTER)
         .min(MAX_RETRY_AFTER)
 }
--- a/crates/core/src/admission/drain.rs
+++ b/crates/core/src/admission/drain.rs
@@ -18,7 +18,7 @@
     /// Seconds in which calls waited, with the same decay.
     busy: f64,
     /// Time up to which `busy` is accounted; `None` while no call waits.
-    busy_since: Option<Duration>,
+    counted_until: Option<Duration>,
 }
 
 impl DrainRate {
@@ -30,24 +30,24 @@
     /// Sets whether calls wait; called after each push, pop and removal.
     pub fn set_waiting(&mut self, now: Duration, any: bool) {
         if any {
-            self.busy_since.get_or_insert(now);
+            self.counted_until.get_or_insert(now);
         } else {
             self.advance(now);
-            self.busy_since = None;
+            self.counted_until = None;
         }
     }
 
     /// Records that a waiting call of that cost got a slot.
     pub fn record_dispatch(&mut self, now: Duration, cost: f64) {
         self.advance(now);
-        if self.busy_since.is_some() {
+        if self.counted_until.is_some() {
             self.served += cost;
         }
     }
 
     /// Time until cost `ahead` has drained; `None` if too little was measured.
     pub fn time_to_drain(&self, now: Duration, ahead: f64) -> Option<Duration> {
-        let open = self.busy_since.map_or(0.0, |from| now.saturating_sub(from).as_secs_f64());
+        let open = self.counted_until.map_or(0.0, |start| now.saturating_sub(start).as_secs_f64());
         let busy = self.busy + open;
         if busy < MIN_BUSY.as_secs_f64() || self.served <= 0.0 {
             return None;
@@ -57,11 +57,11 @@
     }
 
     fn advance(&mut self, now: Duration) {
-        let Some(from) = self.busy_since else { return };
-        let span = now.saturating_sub(from).as_secs_f64();
-        let fade = (-span / WINDOW.as_secs_f64()).exp();
-        self.served *= fade;
-        self.busy = self.busy * fade + span;
-        self.busy_since = Some(now.max(from));
+        let Some(start) = self.counted_until else { return };
+        let span = now.saturating_sub(start).as_secs_f64();
+        let decay = (-span / WINDOW.as_secs_f64()).exp();
+        self.served *= decay;
+        self.busy = self.busy * decay + span;
+        self.counted_until = Some(now.max(start));
     }
 }
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -73,7 +73,7 @@
     content: Content,
     now: Duration,
     rng: SmallRng,
-    fold: config_log::ConfigReader,
+    config_reader: config_log::ConfigReader,
     plan: Option<Rc<Plan>>,
     plan_error: Option<Arc<str>>,
     claims: claims::Claims,
@@ -82,7 +82,7 @@
     requests: SlotMap<RequestKey, ActiveRequest>,
     calls: SlotMap<CallKey, CallInFlight>,
     callers: HashMap<CallerId, RequestKey>,
-    by_id: HashMap<RequestId, RequestKey>,
+    claimants: HashMap<RequestId, RequestKey>,
     probes: HashMap<PipelineName, ProbePacer>,
     teams: HashMap<TeamName, TeamUsage>,
     queues: PoolQueues,
@@ -122,7 +122,7 @@
             rng: SmallRng::seed_from_u64(seed),
             content: Content::Keep,
             now: Duration::ZERO,
-            fold: config_log::ConfigReader::new(),
+            config_reader: config_log::ConfigReader::new(),
             plan: None,
             plan_error: None,
             claims: claims::Claims::new(identity.clone(), settings.claims()),
@@ -131,7 +131,7 @@
             requests: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             callers: HashMap::new(),
-            by_id: HashMap::new(),
+            claimants: HashMap::new(),
             probes: HashMap::new(),
             teams: HashMap::new(),
             queues: PoolQueues::new(settings.decisions.fair_queue),
@@ -188,7 +188,7 @@
 
     /// Offset at which the next read of the configuration stream starts.
     pub fn next_config_offset(&self) -> Offset {
-        self.fold.next_offset()
+        self.config_reader.next_offset()
     }
 
     /// Offset at which the next read of the claims stream starts.
@@ -198,7 +198,7 @@
 
     /// The configuration in force; `None` while it is unknown.
     pub fn in_force(&self) -> Option<&Snapshot> {
-        self.fold.current()
+        self.config_reader.current()
     }
 
     /// Whether a stream has been read to its end at least once. Until then it should be read
@@ -206,7 +206,7 @@
     /// that waits always returns some.
     pub fn has_reached_end(&self, stream: Stream) -> bool {
         match stream {
-            Stream::Config => self.fold.has_reached_end(),
+            Stream::Config => self.config_reader.has_reached_end(),
             Stream::Claims => self.claims.is_caught_up(),
         }
     }
--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -29,7 +29,7 @@
     pub(super) fn on_submit(&mut self, caller: CallerId, request: Request) {
         self.counters.received += 1;
         match self.admit(&request) {
-            Ok(accepted) => self.start_request(caller, request, accepted),
+            Ok(resolved) => self.start_request(caller, request, resolved),
             Err(outcome) => self.send_outcome(caller, qualify_not_run(&request, false, outcome)),
         }
     }
@@ -43,14 +43,14 @@
             self.check_open()?;
         }
         let plan = self.plan.clone().ok_or_else(|| refusal_outcome(RefusalKind::NotReady))?;
-        let accepted = resolve_request(&plan, request, digest)?;
+        let resolved = resolve_request(&plan, request, digest)?;
         if claimed {
             // `NotRun` could be false here, so the holder of the claim is asked for the outcome.
-            return Ok(accepted);
+            return Ok(resolved);
         }
-        self.check_endpoints(&accepted.pipeline)?;
-        let probe = self.check_feasible(request, &plan, &accepted)?;
-        Ok(ResolvedRequest { is_probe: probe, ..accepted })
+        self.check_endpoints(&resolved.pipeline)?;
+        let is_probe = self.check_feasible(request, &plan, &resolved)?;
+        Ok(ResolvedRequest { is_probe, ..resolved })
     }
 
     fn check_open(&self) -> Result<(), Outcome> {
@@ -67,7 +67,7 @@
 
     /// Rejects or answers a key that is active, finished or claimed already.
     fn check_duplicate(&self, key: &RequestId, digest: u64) -> Result<(), Outcome> {
-        if let Some(active) = self.by_id.get(key).and_then(|key| self.requests.get(*key)) {
+        if let Some(active) = self.claimants.get(key).and_then(|key| self.requests.get(*key)) {
             return Err(if active.digest == digest { in_progress() } else { key_reused() });
         }
         if let Some(FinishedRequest { digest: known, outcome }) = self.finished.get(key) {
@@ -89,12 +89,12 @@
         &mut self,
         request: &Request,
         plan: &Plan,
-        accepted: &ResolvedRequest,
+        resolved: &ResolvedRequest,
     ) -> Result<bool, Outcome> {
         if !self.settings.decisions.admission {
             return Ok(false);
         }
-        let ResolvedRequest { pipeline, team, .. } = accepted;
+        let ResolvedRequest { pipeline, team, .. } = resolved;
         let estimate = self.estimate(request, pipeline, team.weight, team.max_running);
         let decision = self.decide_admission(request, plan, &estimate);
         let probe = self.probes.entry(pipeline.name.clone()).or_default();
@@ -111,26 +111,26 @@
         }
     }
 
-    fn start_request(&mut self, caller: CallerId, request: Request, accepted: ResolvedRequest) {
-        let due = self.now + request.deadline.min(accepted.pipeline.max_deadline());
+    fn start_request(&mut self, caller: CallerId, request: Request, resolved: ResolvedRequest) {
+        let deadline = self.now + request.deadline.min(resolved.pipeline.max_deadline());
         let progress = StageProgress::new(0, request.input.clone(), self.now);
         let key = self.requests.insert(ActiveRequest {
             caller: Some(caller),
-            pipeline: accepted.pipeline,
-            digest: accepted.digest,
-            deadline: due,
+            pipeline: resolved.pipeline,
+            digest: resolved.digest,
+            deadline,
             claim: None,
             possible_runs: 0,
             progress,
             reports: Vec::new(),
-            is_probe: accepted.is_probe,
-            weight: accepted.team.weight,
+            is_probe: resolved.is_probe,
+            weight: resolved.team.weight,
             request,
         });
         let team = self.requests[key].request.id.team.clone();
-        self.add_team_request(&team, accepted.team.weight);
+        self.add_team_request(&team, resolved.team.weight);
         self.callers.insert(caller, key);
-        self.timers.set(due, Timer::Deadline(key));
+        self.timers.set(deadline, Timer::Deadline(key));
         if self.requests[key].request.idempotent {
             self.begin_stage(key);
         } else {
@@ -158,7 +158,7 @@
 
     /// The active request whose claim attempt `nonce` is undecided.
     pub(super) fn waiting_claimant(&self, id: &RequestId, nonce: u64) -> Option<RequestKey> {
-        let key = *self.by_id.get(id)?;
+        let key = *self.claimants.get(id)?;
         let waiting = Claim { nonce, state: ClaimState::Waiting };
         (self.requests.get(key)?.claim == Some(waiting)).then_some(key)
     }
--- a/crates/core/src/instance/claiming.rs
+++ b/crates/core/src/instance/claiming.rs
@@ -27,7 +27,7 @@
         active.claim = Some(Claim { nonce, state: ClaimState::Waiting });
         let id = active.request.id.clone();
         let digest = active.digest;
-        self.by_id.insert(id.clone(), key);
+        self.claimants.insert(id.clone(), key);
         self.counters.claims += 1;
         let verdict = self.claims.request(self.now, id, digest, nonce);
         self.apply_verdict(key, verdict);
@@ -44,14 +44,14 @@
 
     pub(super) fn on_claims_read(&mut self, batch: &Batch<ClaimBatch>) {
         self.last_log_read = Some(self.now);
-        for decided in self.claims.read(self.now, batch) {
-            self.on_claim_decision(decided);
+        for decision in self.claims.read(self.now, batch) {
+            self.on_claim_decision(decision);
         }
     }
 
-    fn on_claim_decision(&mut self, decided: ClaimDecision) {
-        let Some(key) = self.waiting_claimant(&decided.key, decided.nonce) else { return };
-        match decided.verdict {
+    fn on_claim_decision(&mut self, decision: ClaimDecision) {
+        let Some(key) = self.waiting_claimant(&decision.key, decision.nonce) else { return };
+        match decision.verdict {
             Verdict::Won => self.on_claim_won(key),
             other => self.apply_verdict(key, other),
         }
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn on_outcome_reply(&mut self, id: &RequestId, answer: Option<PeerOutcome>) {
-        let Some(key) = self.by_id.get(id).copied() else { return };
+        let Some(key) = self.claimants.get(id).copied() else { return };
         if !self.is_awaiting_winner(key) {
             return;
         }
@@ -128,8 +128,8 @@
         } else {
             UncertaintyKind::ClaimedElsewhere
         };
-        let lives = self.members.is_alive(self.now, &holder.instance, holder.incarnation);
-        uncertain_outcome(kind, None, lives.then_some(RETRY_IN_PROGRESS))
+        let is_alive = self.members.is_alive(self.now, &holder.instance, holder.incarnation);
+        uncertain_outcome(kind, None, is_alive.then_some(RETRY_IN_PROGRESS))
     }
 
     /// Concludes a request that does not hold its claim.
@@ -142,8 +142,8 @@
 
     /// Answers a peer's query for the outcome of a request whose claim this instance holds.
     pub(super) fn on_outcome_query(&mut self, question: u64, id: &RequestId) {
-        let answer = match (self.finished.get(id), self.by_id.contains_key(id)) {
-            (Some(ended), _) => PeerOutcome::Finished(ended.outcome.clone()),
+        let answer = match (self.finished.get(id), self.claimants.contains_key(id)) {
+            (Some(finished), _) => PeerOutcome::Finished(finished.outcome.clone()),
             (None, true) => PeerOutcome::Running,
             (None, false) => PeerOutcome::Unknown,
         };
--- a/crates/core/src/instance/ending.rs
+++ b/crates/core/src/instance/ending.rs
@@ -42,7 +42,7 @@
     fn resolve_claim(&mut self, active: &ActiveRequest, outcome: &Outcome) {
         let Some(claim) = active.claim else { return };
         let id = &active.request.id;
-        self.by_id.remove(id);
+        self.claimants.remove(id);
         match claim.state {
             ClaimState::Lost => {}
             ClaimState::Waiting => self.void_claim(id, claim.nonce),
@@ -50,8 +50,8 @@
             ClaimState::Won => {
                 let answered = matches!(outcome, Outcome::Answered(_));
                 self.claims.finished(self.now, id, claim.nonce, answered);
-                let ended = FinishedRequest { digest: active.digest, outcome: outcome.clone() };
-                self.finished.insert(id.clone(), ended);
+                let finished = FinishedRequest { digest: active.digest, outcome: outcome.clone() };
+                self.finished.insert(id.clone(), finished);
             }
         }
     }
@@ -82,13 +82,13 @@
     /// Requests the exit once no request is active and all claim facts are in the log.
     pub(super) fn check_stop(&mut self) {
         let Some(mut stop) = self.stopping.filter(|stop| !stop.has_exited) else { return };
-        let idle = self.requests.is_empty() && self.now >= stop.since + self.settings.grace;
-        if !idle {
+        let is_idle = self.requests.is_empty() && self.now >= stop.since + self.settings.grace;
+        if !is_idle {
             return;
         }
         let since = *stop.idle_since.get_or_insert(self.now);
-        let settled = self.claims.is_flushed() || self.now >= since + self.settings.settle;
-        if settled {
+        let is_settled = self.claims.is_flushed() || self.now >= since + self.settings.settle;
+        if is_settled {
             stop.has_exited = true;
             self.actions.push(Action::Exit);
         }
--- a/crates/core/src/instance/estimates.rs
+++ b/crates/core/src/instance/estimates.rs
@@ -47,11 +47,11 @@
         let active = &self.requests[key];
         let left = active.deadline.saturating_sub(self.now);
         let stage = active.stage();
-        let Some(known) = self.estimator(&active.pipeline.name, &stage.name) else {
+        let Some(estimator) = self.estimator(&active.pipeline.name, &stage.name) else {
             return Some(left);
         };
         let later = self.estimators(&active.pipeline, active.progress.stage + 1);
-        timing::stage_time(left, known, &later)
+        timing::stage_time(left, estimator, &later)
     }
 
     /// The values that the admission decision on a request is based on.
@@ -60,7 +60,7 @@
         request: &Request,
         pipeline: &Pipeline,
         weight: u32,
-        max_held: Option<u32>,
+        max_active: Option<u32>,
     ) -> admission::Estimate {
         let left = request.deadline.min(pipeline.max_deadline());
         let stages = pipeline.stages.iter();
@@ -70,7 +70,7 @@
             work: timing::work(&self.estimators(pipeline, 0)),
             min_work: timing::min_work(&self.estimators(pipeline, 0)),
             share: admission::Share {
-                max_active: max_held,
+                max_active,
                 is_contended: self.is_contended(pipeline, &request.id.team, left),
                 ..self.share(&request.id.team, weight)
             },
--- a/crates/core/src/instance/lanes.rs
+++ b/crates/core/src/instance/lanes.rs
@@ -67,11 +67,11 @@
     }
 
     /// Adds a call to its pool's queue.
-    pub fn push(&mut self, now: Duration, pool: &PoolName, waiting: WaitingCall<RequestKey>) {
-        let waiting = if self.is_fair { waiting } else { first_come_entry(now, waiting) };
+    pub fn push(&mut self, now: Duration, pool: &PoolName, call: WaitingCall<RequestKey>) {
+        let call = if self.is_fair { call } else { first_come_entry(now, call) };
         let pool_queue = self.by_pool.entry(pool.clone()).or_default();
-        pool_queue.team_rates.entry(waiting.team.clone()).or_default();
-        pool_queue.queue.push(waiting);
+        pool_queue.team_rates.entry(call.team.clone()).or_default();
+        pool_queue.queue.push(call);
         pool_queue.update_rates(now);
     }
 
@@ -158,12 +158,12 @@
 }
 
 /// Changes a call so that the queue becomes first come, first served: one team, ordered by arrival.
-fn first_come_entry(now: Duration, waiting: WaitingCall<RequestKey>) -> WaitingCall<RequestKey> {
+fn first_come_entry(now: Duration, call: WaitingCall<RequestKey>) -> WaitingCall<RequestKey> {
     WaitingCall {
         team: NO_TEAM.into(),
         weight: 1,
         deadline: Duration::MAX,
         priority: -now.as_secs_f64(),
-        ..waiting
+        ..call
     }
 }
--- a/crates/core/src/instance/peers.rs
+++ b/crates/core/src/instance/peers.rs
@@ -22,7 +22,7 @@
     pub(super) fn on_gossip(&mut self, message: &Gossip) {
         self.counters.gossip_received += 1;
         if let Some(snapshot) = &message.snapshot {
-            let changes = self.fold.adopt(snapshot);
+            let changes = self.config_reader.adopt(snapshot);
             self.apply(changes);
         }
         for mark in &message.leaving {
@@ -48,9 +48,9 @@
 
     fn local_facts(&self) -> LocalFacts {
         LocalFacts {
-            mark: self.fold.mark(),
-            snapshot: self.fold.shared(),
-            ready: self.unready_reasons().is_empty(),
+            mark: self.config_reader.mark(),
+            snapshot: self.config_reader.shared(),
+            is_ready: self.unready_reasons().is_empty(),
             leaving: self.table.leaving_marks(),
             endpoints: self.table.states(self.now),
         }
@@ -61,7 +61,7 @@
 struct LocalFacts {
     mark: ConfigMark,
     snapshot: Option<Arc<Snapshot>>,
-    ready: bool,
+    is_ready: bool,
     leaving: Vec<LeavingMark>,
     endpoints: Vec<EndpointState>,
 }
@@ -71,7 +71,7 @@
         LocalState {
             mark: self.mark,
             snapshot: self.snapshot.clone(),
-            ready: self.ready,
+            ready: self.is_ready,
             leaving: &self.leaving,
             endpoints: &self.endpoints,
         }
--- a/crates/core/src/instance/platform.rs
+++ b/crates/core/src/instance/platform.rs
@@ -14,7 +14,7 @@
 impl Instance {
     pub(super) fn on_config_read(&mut self, batch: &Batch<ConfigRecord>) {
         self.last_log_read = Some(self.now);
-        let changes = self.fold.read(batch);
+        let changes = self.config_reader.read(batch);
         self.apply(changes);
         self.append_snapshot(batch.now_ms);
     }
@@ -25,7 +25,7 @@
             match change {
                 Change::InForce(document, version) => self.install_config(document, version),
                 Change::Drained(drain) => self.mark_leaving(&drain.endpoint, drain.incarnation),
-                Change::Evacuated(places) => self.table.evacuate(places),
+                Change::Evacuated(data_centres) => self.table.evacuate(data_centres),
             }
         }
     }
@@ -50,7 +50,8 @@
             return;
         }
         let rank = self.snapshot_rank();
-        let Some(snapshot) = self.fold.snapshot_due(now_ms, self.settings.retention, rank) else {
+        let Some(snapshot) = self.config_reader.snapshot_due(now_ms, self.settings.retention, rank)
+        else {
             return;
         };
         let append = self.next_append(AppendKind::Snapshot);
@@ -108,9 +109,10 @@
     /// Whether a newer configuration may be in force because neither the log nor a peer was reached
     /// recently.
     pub(super) fn is_isolated(&self) -> bool {
-        let heard = self.last_log_read.max(self.members.last_received());
-        let silent = heard.is_none_or(|at| self.now.saturating_sub(at) > self.settings.isolation);
-        silent && self.members.has_listed_peers()
+        let last_contact = self.last_log_read.max(self.members.last_received());
+        let is_silent =
+            last_contact.is_none_or(|at| self.now.saturating_sub(at) > self.settings.isolation);
+        is_silent && self.members.has_listed_peers()
     }
 
     /// Reasons why the instance is not ready; empty if it is ready.
@@ -119,8 +121,8 @@
         if self.stopping.is_some() {
             reasons.push("the instance is stopping".into());
         }
-        if let Some(broken) = &self.plan_error {
-            reasons.push(broken.clone());
+        if let Some(error) = &self.plan_error {
+            reasons.push(error.clone());
         }
         if self.plan.is_none() && self.plan_error.is_none() {
             reasons.push("no configuration is known; publish one, or check the log".into());
--- a/crates/core/src/instance/replies.rs
+++ b/crates/core/src/instance/replies.rs
@@ -104,12 +104,12 @@
     /// Moves the pieces that are next in order to the request and streams them to its caller.
     fn deliver_pieces(&mut self, key: RequestKey, call: CallKey) {
         let active = &mut self.requests[key];
-        let early = &mut self.calls[call].out_of_order;
-        let last = active.progress.stage + 1 == active.pipeline.stages.len();
-        let caller = active.caller.filter(|_| active.request.stream && last);
-        while let Some((index, text)) = early.pop_first() {
+        let out_of_order = &mut self.calls[call].out_of_order;
+        let is_last = active.progress.stage + 1 == active.pipeline.stages.len();
+        let caller = active.caller.filter(|_| active.request.stream && is_last);
+        while let Some((index, text)) = out_of_order.pop_first() {
             if index as usize != active.progress.pieces.len() {
-                early.insert(index, text);
+                out_of_order.insert(index, text);
                 return;
             }
             active.progress.pieces.push(text.clone());
@@ -134,8 +134,8 @@
     /// without samples of the stage.
     fn stall_timeout(&self, key: RequestKey) -> Option<Duration> {
         let active = &self.requests[key];
-        let usual = self.estimator(&active.pipeline.name, &active.stage().name)?.quantile(0.5)?;
-        Some(usual.mul_f64(STALL_FACTOR).max(MIN_STALL_TIMEOUT))
+        let median = self.estimator(&active.pipeline.name, &active.stage().name)?.quantile(0.5)?;
+        Some(median.mul_f64(STALL_FACTOR).max(MIN_STALL_TIMEOUT))
     }
 
     /// Continues a stalled stream on another engine if the pool has a free slot and the retry
@@ -144,9 +144,9 @@
         let Some(flight) = self.calls.get(call) else { return };
         let key = flight.request;
         let Some(wait) = self.stall_timeout(key) else { return };
-        let silent = flight.last_piece_at.unwrap_or(flight.sent_at) + wait;
-        if self.now < silent {
-            return self.timers.set(silent, Timer::Stall(call));
+        let stalled_at = flight.last_piece_at.unwrap_or(flight.sent_at) + wait;
+        if self.now < stalled_at {
+            return self.timers.set(stalled_at, Timer::Stall(call));
         }
         let progress = &self.requests[key].progress;
         let pool = self.requests[key].stage().pool.clone();
@@ -172,7 +172,7 @@
             return self.end_failed_call(call, CallResult::Failed);
         };
         self.select_call(key, call);
-        let flight = self.calls.remove(call).expect("the call was found above");
+        let flight = self.calls.remove(call).expect("check_echo has found the call");
         self.end_call(&flight, CallResult::Ok, tokens);
         self.finish_stage(key, &flight, output);
     }
@@ -180,8 +180,9 @@
     /// The text of an engine's stream; `None` if its end reports other pieces than were received.
     fn complete_text(&self, key: RequestKey, call: CallKey, tokens: Option<u32>) -> Option<Text> {
         let pieces = &self.requests[key].progress.pieces;
-        let whole = tokens? as usize == pieces.len() && self.calls[call].out_of_order.is_empty();
-        whole.then(|| pieces.concat().into())
+        let is_complete =
+            tokens? as usize == pieces.len() && self.calls[call].out_of_order.is_empty();
+        is_complete.then(|| pieces.concat().into())
     }
 
     fn finish_stage(&mut self, key: RequestKey, flight: &CallInFlight, output: Text) {
@@ -199,10 +200,10 @@
         let run = now.saturating_sub(flight.sent_at);
         let next = active.progress.stage + 1;
         active.progress = StageProgress::new(next, output.clone(), now);
-        let done = next == active.pipeline.stages.len();
-        let known = self.latencies.entry(pipeline).or_default().entry(name).or_default();
-        known.record(now, run);
-        if !done {
+        let is_done = next == active.pipeline.stages.len();
+        let estimator = self.latencies.entry(pipeline).or_default().entry(name).or_default();
+        estimator.record(now, run);
+        if !is_done {
             return self.begin_stage(key);
         }
         let stages = std::mem::take(&mut self.requests[key].reports);
@@ -241,7 +242,7 @@
     }
 
     fn remove_call(&mut self, call: CallKey, result: CallResult) -> CallInFlight {
-        let flight = self.calls.remove(call).expect("callers looked the call up");
+        let flight = self.calls.remove(call).expect("callers checked that the call is in flight");
         self.end_call(&flight, result, None);
         self.requests[flight.request].progress.calls.retain(|other| *other != call);
         flight
--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -69,8 +69,8 @@
                 self.on_deadline(key);
                 continue;
             }
-            let first = self.requests[key].progress.attempts == 0;
-            let reason = if first { CallReason::First } else { CallReason::Retry };
+            let is_first = self.requests[key].progress.attempts == 0;
+            let reason = if is_first { CallReason::First } else { CallReason::Retry };
             if !self.send_call(key, reason) {
                 self.refund_queue(key, pool);
                 self.schedule_requeue(key);
@@ -102,7 +102,8 @@
         let call = self.calls.insert(CallInFlight {
             request: key,
             endpoint: endpoint.clone(),
-            stage: u32::try_from(active.progress.stage).expect("pipelines are short"),
+            stage: u32::try_from(active.progress.stage)
+                .expect("a pipeline has fewer than 2^32 stages"),
             attempt: active.progress.attempts,
             sent_at: self.now,
             last_piece_at: None,
@@ -120,9 +121,9 @@
 
     fn choose_endpoint(&mut self, key: RequestKey, reason: CallReason) -> Option<EndpointName> {
         let tried = self.requests[key].progress.tried.clone();
-        let fresh = self.choose_excluding(key, &tried, reason);
-        if fresh.is_some() || reason == CallReason::Hedge || tried.is_empty() {
-            return fresh;
+        let untried = self.choose_excluding(key, &tried, reason);
+        if untried.is_some() || reason == CallReason::Hedge || tried.is_empty() {
+            return untried;
         }
         // All endpoints were tried, so a repeated one is better than none.
         self.choose_excluding(key, &[], reason)
@@ -137,8 +138,8 @@
         let decisions = self.settings.decisions;
         let active = &self.requests[key];
         let stage = active.stage();
-        let prefixed = decisions.affinity && self.is_engine(stage);
-        let prefix = prefixed.then(|| self.content.prefix(&active.progress.input));
+        let uses_prefix = decisions.affinity && self.is_engine(stage);
+        let prefix = uses_prefix.then(|| self.content.prefix(&active.progress.input));
         let mut rng = self.rng.clone();
         let peers = |name: &str| self.members.in_flight(self.now, name);
         let criteria = routing::Criteria { pool: &stage.pool, prefix, exclude, peers: &peers };
@@ -201,8 +202,8 @@
         let Some(active) = self.requests.get(key) else { return };
         let outcome = if active.possible_runs > 0 {
             let stage = active.stage().name.clone();
-            let again = active.request.idempotent.then(|| self.retry_after(key));
-            uncertain_outcome(UncertaintyKind::TimedOut, Some(stage), again)
+            let retry_after = active.request.idempotent.then(|| self.retry_after(key));
+            uncertain_outcome(UncertaintyKind::TimedOut, Some(stage), retry_after)
         } else {
             self.not_run_outcome(key)
         };
@@ -274,8 +275,11 @@
     fn conclude_failed(&mut self, key: RequestKey) {
         let active = &self.requests[key];
         let stage = active.stage().name.clone();
-        let again = active.request.idempotent.then(|| self.retry_after(key));
-        self.conclude(key, uncertain_outcome(UncertaintyKind::StageFailed, Some(stage), again));
+        let retry_after = active.request.idempotent.then(|| self.retry_after(key));
+        self.conclude(
+            key,
+            uncertain_outcome(UncertaintyKind::StageFailed, Some(stage), retry_after),
+        );
     }
 
     fn is_repeatable(&self, key: RequestKey) -> bool {
@@ -289,9 +293,9 @@
         if !self.settings.decisions.hedging || !self.is_repeatable(key) {
             return;
         }
-        let known = self.estimator(&active.pipeline.name, &active.stage().name);
+        let estimator = self.estimator(&active.pipeline.name, &active.stage().name);
         let Some(left) = self.stage_time(key) else { return };
-        let Some(after) = known.and_then(|known| timing::hedge_delay(known, left)) else { return };
+        let Some(after) = estimator.and_then(|e| timing::hedge_delay(e, left)) else { return };
         self.timers.set(self.now + after.max(MIN_HEDGE_DELAY), Timer::Hedge(call));
     }
 
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -48,13 +48,13 @@
     }
 
     /// Records one sample.
-    pub fn record(&mut self, now: Duration, took: Duration) {
+    pub fn record(&mut self, now: Duration, duration: Duration) {
         let age = half_lives(now.saturating_sub(self.reference_time));
         if age > RESCALE_AFTER {
             self.rescale(now, age);
         }
         let weight = half_lives(now.saturating_sub(self.reference_time)).exp2();
-        self.buckets[bucket_index(took)] += weight;
+        self.buckets[bucket_index(duration)] += weight;
         self.total += weight;
         self.count += 1;
     }
@@ -98,8 +98,8 @@
     span.as_secs_f64() / HALF_LIFE.as_secs_f64()
 }
 
-fn bucket_index(took: Duration) -> usize {
-    let ratio = took.as_secs_f64() / FIRST_BOUND.as_secs_f64();
+fn bucket_index(duration: Duration) -> usize {
+    let ratio = duration.as_secs_f64() / FIRST_BOUND.as_secs_f64();
     if ratio <= 1.0 {
         return 0;
     }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -83,24 +83,25 @@
         self.value as u32
     }
 
-    /// Records a completed call that took `unit`, per token for an engine. `in_flight` includes the
-    /// call.
-    pub fn record_completion(&mut self, now: Duration, unit: Duration, in_flight: u32) {
+    /// Records a completed call that took `latency`, per token for an engine. `in_flight` includes
+    /// the call.
+    pub fn record_completion(&mut self, now: Duration, latency: Duration, in_flight: u32) {
         self.was_full |= in_flight >= self.value();
-        self.samples.push(unit.as_secs_f64());
+        self.samples.push(latency.as_secs_f64());
         let size = (self.value() as usize).clamp(MIN_ROUND, MAX_ROUND);
         if self.samples.len() >= size {
             self.end_round(now);
         }
     }
 
-    /// Records a call that was cancelled after `unit`. A fast one is ignored; a slow one would have
-    /// taken longer still. Without these an endpoint that answers few calls in time would be judged
-    /// by those few.
-    pub fn record_cancellation(&mut self, now: Duration, unit: Duration, in_flight: u32) {
-        let is_slow = self.baseline.is_some_and(|usual| unit.as_secs_f64() > usual * TOLERANCE);
+    /// Records a call that was cancelled after `latency`. A fast one is ignored; a slow one would
+    /// have taken longer still. Without these an endpoint that answers few calls in time would be
+    /// judged by those few.
+    pub fn record_cancellation(&mut self, now: Duration, latency: Duration, in_flight: u32) {
+        let is_slow =
+            self.baseline.is_some_and(|baseline| latency.as_secs_f64() > baseline * TOLERANCE);
         if is_slow {
-            self.record_completion(now, unit, in_flight);
+            self.record_completion(now, latency, in_flight);
         }
     }
 
@@ -112,8 +113,8 @@
     }
 
     /// Records a load report that was made at `at`.
-    pub fn record_report(&mut self, now: Duration, at: Duration, queued: u32, places: u32) {
-        let is_long = f64::from(queued) > f64::from(places) * QUEUE_SHARE;
+    pub fn record_report(&mut self, now: Duration, at: Duration, queued: u32, slots: u32) {
+        let is_long = f64::from(queued) > f64::from(slots) * QUEUE_SHARE;
         if is_long && !self.predates_shrink(at) {
             self.shrink(now);
         }
@@ -122,18 +123,18 @@
     fn end_round(&mut self, now: Duration) {
         let median = median(&mut self.samples);
         self.samples.clear();
-        let usual = *self.baseline.get_or_insert(median);
-        if median > usual * TOLERANCE {
+        let baseline = *self.baseline.get_or_insert(median);
+        if median > baseline * TOLERANCE {
             self.shrink(now);
         } else if self.was_full {
             self.value = (self.value + 1.0).min(f64::from(self.settings.max));
         }
-        let weight = match (median > usual, self.was_full) {
+        let weight = match (median > baseline, self.was_full) {
             (true, true) => BASELINE_RISE_FULL,
             (true, false) => BASELINE_RISE,
             (false, _) => BASELINE_FALL,
         };
-        self.baseline = Some(usual + (median - usual) * weight);
+        self.baseline = Some(baseline + (median - baseline) * weight);
         self.was_full = false;
     }
 
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -117,9 +117,9 @@
     criteria: &Criteria<'_>,
 ) -> Vec<&'t Endpoint> {
     let free: Vec<&Endpoint> = candidates(table, now, criteria).collect();
-    let proven = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
-    let proven: Vec<&Endpoint> = proven.collect();
-    if proven.is_empty() { free } else { proven }
+    let unprobed = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
+    let unprobed: Vec<&Endpoint> = unprobed.collect();
+    if unprobed.is_empty() { free } else { unprobed }
 }
 
 fn candidates<'t>(
@@ -180,7 +180,7 @@
 /// Averages over a pool.
 struct PoolAverages {
     /// Seconds per call, or per token for an engine.
-    took: f64,
+    latency: f64,
     /// Seconds per whole call.
     call_latency: f64,
     /// Calls that an endpoint runs at once.
@@ -189,15 +189,18 @@
 
 impl PoolAverages {
     fn of(table: &Table, pool: &str) -> PoolAverages {
-        let took =
-            table.pool(pool).filter_map(Endpoint::latency).map(|(took, _)| took.as_secs_f64());
-        let places = table.pool(pool).filter_map(Endpoint::places).map(f64::from);
-        let whole = table.pool(pool).filter_map(Endpoint::call_latency);
-        let whole = mean(whole.map(|whole| whole.as_secs_f64())).unwrap_or(1.0);
+        let latency = table
+            .pool(pool)
+            .filter_map(Endpoint::latency)
+            .map(|(latency, _)| latency.as_secs_f64());
+        let slots = table.pool(pool).filter_map(Endpoint::places).map(f64::from);
+        let call_latency = table.pool(pool).filter_map(Endpoint::call_latency);
+        let call_latency =
+            mean(call_latency.map(|call_latency| call_latency.as_secs_f64())).unwrap_or(1.0);
         PoolAverages {
-            took: mean(took).unwrap_or(1.0),
-            call_latency: whole.max(MIN_CALL_SECONDS),
-            slots: mean(places).unwrap_or(1.0),
+            latency: mean(latency).unwrap_or(1.0),
+            call_latency: call_latency.max(MIN_CALL_SECONDS),
+            slots: mean(slots).unwrap_or(1.0),
         }
     }
 }
@@ -230,14 +233,14 @@
         .reported_queue(now)
         .map_or(0.0, |(queued, age)| f64::from(queued) * freshness(age, averages));
     let ahead = f64::from(endpoint.in_flight) + peers + queued + 1.0;
-    let places = endpoint.places().map_or(averages.slots, f64::from);
-    ahead / places * expected_latency(endpoint, now, averages)
+    let slots = endpoint.places().map_or(averages.slots, f64::from);
+    ahead / slots * expected_latency(endpoint, now, averages)
         / endpoint.success_rate().max(MIN_SUCCESS_RATE)
 }
 
 /// The endpoint's latency, which tends to the pool's average while no new call ends.
 fn expected_latency(endpoint: &Endpoint, now: Duration, averages: &PoolAverages) -> f64 {
-    let Some((took, at)) = endpoint.latency() else { return averages.took };
+    let Some((latency, at)) = endpoint.latency() else { return averages.latency };
     let idle = now.saturating_sub(at).as_secs_f64() / DEVIATION_HALF_LIFE.as_secs_f64();
-    averages.took + (took.as_secs_f64() - averages.took) * (-idle).exp2()
+    averages.latency + (latency.as_secs_f64() - averages.latency) * (-idle).exp2()
 }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -62,11 +62,11 @@
         |entry: &&EndpointEntry| *entry.data_centre == *params.data_centre && !is_evacuated(entry);
     let reserved = (params.size as f64 * LOCAL_SHARE) as usize;
     let (local, other): (Vec<_>, Vec<_>) = pool.into_iter().partition(is_local);
-    let near = reserved.min(local.len());
-    let mut rest = [&local[near..], &other].concat();
+    let local_count = reserved.min(local.len());
+    let mut rest = [&local[local_count..], &other].concat();
     rest.sort_by_key(sort_key);
-    rest.truncate(params.size - near);
-    [&local[..near], &rest].concat()
+    rest.truncate(params.size - local_count);
+    [&local[..local_count], &rest].concat()
 }
 
 /// Rank of an endpoint for an instance. A leaving endpoint keeps its rank, so that the instance
--- a/crates/core/src/timing.rs
+++ b/crates/core/src/timing.rs
@@ -34,12 +34,12 @@
     if left.is_zero() || least > left {
         return None;
     }
-    let usual = quantile(stage, MEDIAN);
+    let median = quantile(stage, MEDIAN);
     let time = left.saturating_sub(sum_quantiles(later, RESERVED_QUANTILE));
-    if time >= usual && !time.is_zero() {
+    if time >= median && !time.is_zero() {
         return Some(time);
     }
-    Some(proportional_share(left, usual, sum_quantiles(later, MEDIAN)))
+    Some(proportional_share(left, median, sum_quantiles(later, MEDIAN)))
 }
 
 /// Time that the given stages need, at a high quantile.
