--- a/crates/core/src/instance/ending.rs
+++ b/crates/core/src/instance/ending.rs
@@ -1,4 +1,4 @@
-//! Ending a request: its one outcome is sent, everything of it is let go.
+//! Ends requests: sends their one outcome and releases what they hold.
 
 use std::time::Duration;
 
@@ -6,57 +6,57 @@
     instance::{
         Instance, Stopping,
         action::Action,
-        admit::truthful,
-        finished::Ended,
-        held::{ClaimState, Held, RequestKey},
+        admit::qualify_not_run,
+        finished::FinishedRequest,
+        held::{ActiveRequest, ClaimState, RequestKey},
     },
     model::{Outcome, RequestId},
 };
 
 impl Instance {
-    /// Sends a held request's outcome and forgets the request.
+    /// Sends an active request's outcome and removes the request.
     pub(super) fn conclude(&mut self, key: RequestKey, outcome: Outcome) {
-        let Some(held) = self.held.remove(key) else { return };
-        self.release(key, &held);
-        self.settle_claim(&held, &outcome);
-        if let Some(caller) = held.caller {
+        let Some(active) = self.requests.remove(key) else { return };
+        self.release_resources(key, &active);
+        self.resolve_claim(&active, &outcome);
+        if let Some(caller) = active.caller {
             self.callers.remove(&caller);
-            let won = held.claim.is_some_and(|claim| claim.state == ClaimState::Won);
-            self.send(caller, truthful(&held.request, won, outcome));
+            let won = active.claim.is_some_and(|claim| claim.state == ClaimState::Won);
+            self.send_outcome(caller, qualify_not_run(&active.request, won, outcome));
         }
     }
 
-    /// Cancels its calls and takes it out of its queue.
-    fn release(&mut self, key: RequestKey, held: &Held) {
-        for call in &held.progress.calls {
+    /// Cancels a request's calls and removes it from its queue.
+    fn release_resources(&mut self, key: RequestKey, active: &ActiveRequest) {
+        for call in &active.progress.calls {
             self.cancel(*call);
         }
-        if held.progress.queued {
-            self.lanes.remove(self.now, &held.stage().pool, key);
+        if active.progress.is_queued {
+            self.queues.remove(self.now, &active.stage().pool, key);
         }
-        self.team_out(&held.request.id.team);
+        self.remove_team_request(&active.request.id.team);
     }
 
-    /// Tells the log what became of a claim: void where nothing ran, finished
-    /// otherwise. A claim that was lost is somebody else's to settle.
-    fn settle_claim(&mut self, held: &Held, outcome: &Outcome) {
-        let Some(claim) = held.claim else { return };
-        let id = &held.request.id;
-        self.single.remove(id);
+    /// Appends the result of a claim to the log: void if nothing ran, finished otherwise. Lost
+    /// claims are resolved by the winner.
+    fn resolve_claim(&mut self, active: &ActiveRequest, outcome: &Outcome) {
+        let Some(claim) = active.claim else { return };
+        let id = &active.request.id;
+        self.claimants.remove(id);
         match claim.state {
             ClaimState::Lost => {}
-            ClaimState::Waiting => self.void(id, claim.nonce),
-            ClaimState::Won if held.written == 0 => self.void(id, claim.nonce),
+            ClaimState::Waiting => self.void_claim(id, claim.nonce),
+            ClaimState::Won if active.possible_runs == 0 => self.void_claim(id, claim.nonce),
             ClaimState::Won => {
                 let answered = matches!(outcome, Outcome::Answered(_));
                 self.claims.finished(self.now, id, claim.nonce, answered);
-                let ended = Ended { digest: held.digest, outcome: outcome.clone() };
-                self.finished.insert(id.clone(), ended);
+                let finished = FinishedRequest { digest: active.digest, outcome: outcome.clone() };
+                self.finished.insert(id.clone(), finished);
             }
         }
     }
 
-    fn void(&mut self, id: &RequestId, nonce: u64) {
+    fn void_claim(&mut self, id: &RequestId, nonce: u64) {
         self.counters.claims_voided += 1;
         self.claims.give_up(self.now, id, nonce);
     }
@@ -72,34 +72,33 @@
     }
 
     /// Begins a planned stop.
-    pub(super) fn stop(&mut self) {
+    pub(super) fn on_stop(&mut self) {
         if self.stopping.is_some() {
             return;
         }
-        self.stopping = Some(Stopping { since: self.now, idle: None, exited: false });
+        self.stopping = Some(Stopping { since: self.now, idle_since: None, has_exited: false });
     }
 
-    /// Exits once nothing is held and the log has what it is owed.
+    /// Requests the exit once no request is active and all claim facts are in the log.
     pub(super) fn check_stop(&mut self) {
-        let Some(mut stop) = self.stopping.filter(|stop| !stop.exited) else { return };
-        let idle = self.held.is_empty() && self.now >= stop.since + self.settings.grace;
-        if !idle {
+        let Some(mut stop) = self.stopping.filter(|stop| !stop.has_exited) else { return };
+        let is_idle = self.requests.is_empty() && self.now >= stop.since + self.settings.grace;
+        if !is_idle {
             return;
         }
-        let since = *stop.idle.get_or_insert(self.now);
-        let settled = self.claims.is_flushed() || self.now >= since + self.settings.settle;
-        if settled {
-            stop.exited = true;
+        let since = *stop.idle_since.get_or_insert(self.now);
+        let is_settled = self.claims.is_flushed() || self.now >= since + self.settings.settle;
+        if is_settled {
+            stop.has_exited = true;
             self.actions.push(Action::Exit);
         }
         self.stopping = Some(stop);
     }
 
-    /// When a stop should be looked at again by time alone; while requests
-    /// are held, their ends bring it on.
+    /// When a stop proceeds by time alone. While requests are active, their ends make it proceed.
     pub(super) fn stop_wake(&self) -> Option<Duration> {
-        let stop = self.stopping.filter(|stop| !stop.exited)?;
-        let next = match stop.idle {
+        let stop = self.stopping.filter(|stop| !stop.has_exited)?;
+        let next = match stop.idle_since {
             Some(since) => since + self.settings.settle,
             None => stop.since + self.settings.grace,
         };
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -1,19 +1,18 @@
-//! Online quantiles of how long something takes.
+//! Estimates quantiles of durations online.
 //!
-//! An [`Estimator`] is a histogram with buckets of constant relative width.
-//! Samples lose weight exponentially with age, so that a quantile follows the
-//! last minutes. Memory is fixed, and a quantile is off by at most the width
-//! of a bucket.
+//! An [`Estimator`] is a histogram with buckets of constant relative width. Samples lose weight
+//! exponentially with age, so that a quantile reflects the last minutes. Memory is fixed, and the
+//! error of a quantile is at most the width of a bucket.
 //!
-//! The trap: quantiles of stages don't add up to the quantile of their sum;
-//! the sum of high quantiles is a safe upper estimate.
+//! Quantiles of stages don't add up to the quantile of their sum; the sum of high quantiles is a
+//! safe upper estimate.
 
 use std::time::Duration;
 
 /// Upper bound of the first bucket.
-const FLOOR: Duration = Duration::from_micros(100);
-/// Ratio between the bounds of neighbouring buckets.
-const GROWTH: f64 = 1.1;
+const FIRST_BOUND: Duration = Duration::from_micros(100);
+/// Ratio between the upper bounds of adjacent buckets.
+const BOUND_RATIO: f64 = 1.1;
 /// Number of buckets; the last one reaches beyond ten minutes.
 const BUCKETS: usize = 168;
 /// Age at which a sample has half its weight.
@@ -21,13 +20,13 @@
 /// Half-lives after which all weights are scaled down, to stay far from overflow.
 const RESCALE_AFTER: f64 = 64.0;
 
-/// Quantiles over recent durations.
+/// A histogram of recent durations.
 #[derive(Debug, Clone)]
 pub struct Estimator {
-    /// Weight in each bucket, relative to `origin`.
+    /// Weight in each bucket, relative to a sample taken at `reference_time`.
     buckets: Box<[f64; BUCKETS]>,
     total: f64,
-    origin: Duration,
+    reference_time: Duration,
     count: u64,
 }
 
@@ -43,24 +42,24 @@
         Estimator {
             buckets: Box::new([0.0; BUCKETS]),
             total: 0.0,
-            origin: Duration::ZERO,
+            reference_time: Duration::ZERO,
             count: 0,
         }
     }
 
-    /// Takes in one sample.
-    pub fn record(&mut self, now: Duration, took: Duration) {
-        let age = half_lives(now.saturating_sub(self.origin));
+    /// Records one sample.
+    pub fn record(&mut self, now: Duration, duration: Duration) {
+        let age = half_lives(now.saturating_sub(self.reference_time));
         if age > RESCALE_AFTER {
             self.rescale(now, age);
         }
-        let weight = half_lives(now.saturating_sub(self.origin)).exp2();
-        self.buckets[bucket(took)] += weight;
+        let weight = half_lives(now.saturating_sub(self.reference_time)).exp2();
+        self.buckets[bucket_index(duration)] += weight;
         self.total += weight;
         self.count += 1;
     }
 
-    /// The duration that a share `q` of recent samples stays within; `None` without samples.
+    /// The duration that a fraction `q` of recent samples doesn't exceed; `None` without samples.
     pub fn quantile(&self, q: f64) -> Option<Duration> {
         if self.count == 0 {
             return None;
@@ -71,7 +70,7 @@
         let filled = self.buckets.iter().enumerate().filter(|(_, weight)| **weight > 0.0);
         for (idx, weight) in filled {
             let part = ((wanted - below) / weight).clamp(0.0, 1.0);
-            found = within(idx, part);
+            found = interpolate(idx, part);
             below += weight;
             if below >= wanted {
                 break;
@@ -80,7 +79,7 @@
         Some(found)
     }
 
-    /// Samples taken in since the start.
+    /// Number of samples recorded so far.
     pub fn count(&self) -> u64 {
         self.count
     }
@@ -91,7 +90,7 @@
             *weight *= factor;
         }
         self.total = self.buckets.iter().sum();
-        self.origin = now;
+        self.reference_time = now;
     }
 }
 
@@ -99,21 +98,21 @@
     span.as_secs_f64() / HALF_LIFE.as_secs_f64()
 }
 
-fn bucket(took: Duration) -> usize {
-    let ratio = took.as_secs_f64() / FLOOR.as_secs_f64();
+fn bucket_index(duration: Duration) -> usize {
+    let ratio = duration.as_secs_f64() / FIRST_BOUND.as_secs_f64();
     if ratio <= 1.0 {
         return 0;
     }
-    let idx = (ratio.ln() / GROWTH.ln()).ceil() as usize;
+    let idx = (ratio.ln() / BOUND_RATIO.ln()).ceil() as usize;
     idx.min(BUCKETS - 1)
 }
 
-/// The duration that a part of a bucket's samples stays within, if they lie evenly in it.
-fn within(idx: usize, part: f64) -> Duration {
-    let lower = idx.checked_sub(1).map_or(Duration::ZERO, bound);
-    lower + (bound(idx) - lower).mul_f64(part)
+/// The duration that a fraction of a bucket's samples doesn't exceed, if they are spread evenly.
+fn interpolate(idx: usize, part: f64) -> Duration {
+    let lower = idx.checked_sub(1).map_or(Duration::ZERO, upper_bound);
+    lower + (upper_bound(idx) - lower).mul_f64(part)
 }
 
-fn bound(idx: usize) -> Duration {
-    FLOOR.mul_f64(GROWTH.powi(idx as i32))
+fn upper_bound(idx: usize) -> Duration {
+    FIRST_BOUND.mul_f64(BOUND_RATIO.powi(idx as i32))
 }
