--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -32,8 +32,8 @@
         for (call, exchange) in open {
             self.actions.push(Action::Cancel(call));
             match exchange {
-                CallPurpose::Exchange(_) => self.failed(now, call, Failure::Cut),
-                CallPurpose::Pieces => self.make_failed(now, call, Failure::Cut, false),
+                CallPurpose::Exchange(_) => self.on_call_failure(now, call, Failure::Cut),
+                CallPurpose::Pieces => self.on_pieces_failure(now, call, Failure::Cut, false),
             }
         }
     }
