--- a/crates/core/src/relay/allowance.rs
+++ b/crates/core/src/relay/allowance.rs
@@ -11,11 +11,11 @@
 use peatdeck_macros::data;
 
 /// Steps that a window is counted in.
-const STEPS: u32 = 20;
+const BUCKETS: u32 = 20;
 /// Share of the bound that is used. The rest covers calls that are repeated
 /// without our doing: a caller's request that arrives twice, a piece that a
 /// peer made again.
-const USED_SHARE: f64 = 0.8;
+const USED_FRACTION: f64 = 0.8;
 
 /// The bound on repetition.
 #[data]
@@ -30,55 +30,55 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Step {
+struct Bucket {
     index: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// The counts of one service within the last window.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    bound: RetryBudgetConfig,
-    steps: VecDeque<Step>,
+    config: RetryBudgetConfig,
+    buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
     /// An allowance that has seen nothing.
-    pub fn new(bound: RetryBudgetConfig) -> RetryBudget {
-        RetryBudget { bound, steps: VecDeque::new() }
+    pub fn new(config: RetryBudgetConfig) -> RetryBudget {
+        RetryBudget { config, buckets: VecDeque::new() }
     }
 
     /// Counts a request or a piece that is sent for the first time.
     pub fn deposit(&mut self, now: Duration, count: u32) {
-        self.step(now).requests += count;
+        self.bucket(now).requests += count;
     }
 
     /// Pays for repeated calls; false if the bound does not allow them.
     /// `instances` share the slack.
     pub fn try_withdraw(&mut self, now: Duration, count: u32, instances: usize) -> bool {
-        self.step(now);
-        let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
-        let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
-        let slack = self.bound.slack / instances.max(1) as f64;
-        let allowed = USED_SHARE * (self.bound.ratio * f64::from(requests) + slack);
-        if f64::from(repeats + count) > allowed {
+        self.bucket(now);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let slack = self.config.slack / instances.max(1) as f64;
+        let allowed = USED_FRACTION * (self.config.ratio * f64::from(requests) + slack);
+        if f64::from(retries + count) > allowed {
             return false;
         }
-        self.step(now).repeats += count;
+        self.bucket(now).retries += count;
         true
     }
 
     /// The current step; those outside the window are dropped.
-    fn step(&mut self, now: Duration) -> &mut Step {
-        let width = (self.bound.window / STEPS).max(Duration::from_millis(1));
+    fn bucket(&mut self, now: Duration) -> &mut Bucket {
+        let width = (self.config.window / BUCKETS).max(Duration::from_millis(1));
         let index = (now.as_millis() / width.as_millis()) as u64;
-        while self.steps.front().is_some_and(|step| step.index + u64::from(STEPS) < index) {
-            self.steps.pop_front();
+        while self.buckets.front().is_some_and(|bucket| bucket.index + u64::from(BUCKETS) < index) {
+            self.buckets.pop_front();
         }
-        if self.steps.back().is_none_or(|step| step.index < index) {
-            self.steps.push_back(Step { index, ..Step::default() });
+        if self.buckets.back().is_none_or(|bucket| bucket.index < index) {
+            self.buckets.push_back(Bucket { index, ..Bucket::default() });
         }
-        self.steps.back_mut().expect("a step was just added if there was none")
+        self.buckets.back_mut().expect("a bucket was just added if there was none")
     }
 }
--- a/crates/core/src/relay/backoff.rs
+++ b/crates/core/src/relay/backoff.rs
@@ -20,10 +20,10 @@
 
 impl Backoff {
     /// It failed.
-    pub fn record_failure(&mut self, now: Duration, pauses: Delays) {
-        let pause = pauses.initial * 2_u32.saturating_pow(self.failures.min(8));
+    pub fn record_failure(&mut self, now: Duration, delays: Delays) {
+        let delay = delays.initial * 2_u32.saturating_pow(self.failures.min(8));
         self.failures += 1;
-        self.until = self.until.max(now + pause.min(pauses.max));
+        self.until = self.until.max(now + delay.min(delays.max));
     }
 
     /// It did well: the next failure is the first one.
--- a/crates/core/src/relay/batch.rs
+++ b/crates/core/src/relay/batch.rs
@@ -21,9 +21,9 @@
 
 use crate::relay::{
     batch::{
-        drain::Drain,
-        places::Places,
-        queue::{Group, Lane, Queue, Space},
+        drain::DrainRate,
+        places::EndpointLocations,
+        queue::{CallCapacity, Group, Queue, SizeClass},
         worker::Worker,
     },
     config::Pieces,
@@ -74,7 +74,7 @@
 }
 
 impl Origin {
-    fn holder(self) -> Requester {
+    fn requester(self) -> Requester {
         match self {
             Origin::Local(key) => Requester::Local(key),
             Origin::Peer { ticket, .. } => Requester::Ticket(ticket),
@@ -106,41 +106,41 @@
 }
 
 #[derive(Debug)]
-struct Entry {
+struct TrackedPiece {
     piece: Piece,
     origin: Origin,
     call: Option<CallKey>,
     /// Whether a call that takes too long may still bring it.
     is_straggler: bool,
     /// Whether nobody needs it any more. It is not made again then.
-    is_dropped: bool,
+    is_cancelled: bool,
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningCall {
     endpoint: EndpointKey,
     keys: Vec<PieceKey>,
     started: Duration,
     expected: Duration,
     lease: Duration,
     /// When it counts as a straggler; `None` once it was taken for one.
-    late_at: Option<Duration>,
+    straggler_at: Option<Duration>,
     /// Whether its pieces are made from results.
     has_inputs: bool,
     /// When it has probably read them; `None` afterwards.
-    read_at: Option<Duration>,
+    read_by: Option<Duration>,
 }
 
 /// Pieces that wait or are being made.
 #[derive(Debug, Default)]
 pub struct Batcher {
-    pieces: SlotMap<PieceKey, Entry>,
-    waiting: HashMap<ServiceName, Queue>,
-    drains: HashMap<ServiceName, Drain>,
-    held_by: HashMap<Requester, Vec<PieceKey>>,
-    running: HashMap<CallKey, Running>,
+    pieces: SlotMap<PieceKey, TrackedPiece>,
+    queues: HashMap<ServiceName, Queue>,
+    drain_rates: HashMap<ServiceName, DrainRate>,
+    by_requester: HashMap<Requester, Vec<PieceKey>>,
+    running: HashMap<CallKey, RunningCall>,
     workers: HashMap<EndpointKey, Worker>,
-    reads: reads::Reads,
+    read_time: reads::ReadTime,
 }
 
 impl Batcher {
@@ -152,22 +152,22 @@
     /// Takes in a piece.
     pub fn add(&mut self, piece: Piece, origin: Origin) {
         let service = piece.service.clone();
-        let (is_straggler, is_dropped) = (false, false);
-        let entry = Entry { piece, origin, call: None, is_straggler, is_dropped };
+        let (is_straggler, is_cancelled) = (false, false);
+        let entry = TrackedPiece { piece, origin, call: None, is_straggler, is_cancelled };
         let key = self.pieces.insert(entry);
-        self.held_by.entry(origin.holder()).or_default().push(key);
-        self.waiting.entry(service).or_default().push(key, &self.pieces[key].piece);
+        self.by_requester.entry(origin.requester()).or_default().push(key);
+        self.queues.entry(service).or_default().push(key, &self.pieces[key].piece);
     }
 
     /// Drops the waiting pieces of a holder that does not need them any more.
     /// Those that are being made cannot be taken back, but are not made again.
-    pub fn cancel(&mut self, holder: Requester) {
-        let Some(keys) = self.held_by.get(&holder).cloned() else { return };
+    pub fn cancel(&mut self, requester: Requester) {
+        let Some(keys) = self.by_requester.get(&requester).cloned() else { return };
         for key in keys {
-            if self.stop_waiting(key) {
-                self.take_out(key);
+            if self.dequeue(key) {
+                self.remove_piece(key);
             } else if let Some(entry) = self.pieces.get_mut(key) {
-                entry.is_dropped = true;
+                entry.is_cancelled = true;
             }
         }
     }
@@ -187,45 +187,45 @@
     pub fn take_content(&mut self, content: Fingerprint) -> Vec<FinishedPiece> {
         let mut keys = Vec::new();
         for (key, entry) in self.pieces.iter_mut().filter(|(_, it)| it.piece.content == content) {
-            entry.is_dropped = true;
+            entry.is_cancelled = true;
             keys.extend(entry.call.is_none().then_some(key));
         }
         let entries = keys.into_iter().filter_map(|key| {
-            self.stop_waiting(key);
-            self.take_out(key)
+            self.dequeue(key);
+            self.remove_piece(key)
         });
         entries.map(|entry| entry.finished(Err(PieceFailure::Failed), None)).collect()
     }
 
     /// Services with waiting pieces.
     pub fn waiting_services(&self) -> Vec<ServiceName> {
-        let busy = self.waiting.iter().filter(|(_, waiting)| !waiting.is_empty());
+        let busy = self.queues.iter().filter(|(_, waiting)| !waiting.is_empty());
         busy.map(|(service, _)| service.clone()).collect()
     }
 
     /// How many pieces of a service wait.
     pub fn waiting_count(&self, service: &str) -> usize {
-        self.waiting.get(service).map_or(0, Queue::len)
+        self.queues.get(service).map_or(0, Queue::len)
     }
 
     /// When a call becomes a straggler or has read its inputs, or a blocked endpoint is
     /// free again while pieces wait.
     pub fn next_wake(&self, now: Duration) -> Option<Duration> {
-        let late = self.running.values().filter_map(|running| running.late_at);
-        let read = self.running.values().filter_map(|running| running.read_at);
+        let late = self.running.values().filter_map(|running| running.straggler_at);
+        let read = self.running.values().filter_map(|running| running.read_by);
         let late = late.chain(read).min();
-        if self.waiting.values().all(Queue::is_empty) {
+        if self.queues.values().all(Queue::is_empty) {
             return late;
         }
-        let blocked = self.workers.values().map(|it| it.busy.until().max(it.rests_until));
-        let unknown = self.workers.values().filter_map(|worker| worker.unknown);
-        let all = blocked.chain(unknown.map(|(_, until)| until));
+        let available_at = self.workers.values().map(|it| it.backoff.until().max(it.on_hold_until));
+        let unaccounted = self.workers.values().filter_map(|worker| worker.unaccounted);
+        let all = available_at.chain(unaccounted.map(|(_, until)| until));
         all.filter(|until| *until > now).chain(late).min()
     }
 
     /// The time that a call of so many pieces takes.
-    pub fn call_time(shape: &Pieces, pieces: usize) -> Duration {
-        shape.call_time + shape.piece_time * u32::try_from(pieces).unwrap_or(u32::MAX)
+    pub fn call_time(config: &Pieces, pieces: usize) -> Duration {
+        config.call_time + config.piece_time * u32::try_from(pieces).unwrap_or(u32::MAX)
     }
 
     /// The calls that are to be made now. Each has to be confirmed with
@@ -234,36 +234,36 @@
         &mut self,
         now: Duration,
         service: &str,
-        shape: &Pieces,
+        config: &Pieces,
         directory: &Directory,
     ) -> Vec<PlannedCall> {
-        self.note_waiting(now, service);
+        self.record_waiting(now, service);
         let usable = directory.usable(now, service);
-        let idle = self.idle_workers(now, &usable, shape, directory);
+        let idle = self.idle_endpoints(now, &usable, config, directory);
         if idle.is_empty() {
             return Vec::new();
         }
-        let done = now + Batcher::call_time(shape, shape.batch as usize);
-        if let Some(queue) = self.waiting.get_mut(service) {
-            queue.demote(done);
+        let done = now + Batcher::call_time(config, config.batch as usize);
+        if let Some(queue) = self.queues.get_mut(service) {
+            queue.demote_late(done);
         }
-        let places = Places::new(done, &usable, directory);
-        let mut orders = Vec::new();
+        let locations = EndpointLocations::new(done, &usable, directory);
+        let mut calls = Vec::new();
         for (position, endpoint) in idle.iter().enumerate() {
             if self.waiting_count(service) == 0 {
                 break;
             }
-            if self.is_too_slow(now, *endpoint, service, shape, &usable) {
+            if self.is_too_slow(now, *endpoint, service, config, &usable) {
                 continue;
             }
             let others = idle.len() - position;
-            let keys = self.take_for(now, *endpoint, service, shape, &places, others);
+            let keys = self.take_pieces_for(now, *endpoint, service, config, &locations, others);
             if !keys.is_empty() {
                 let pieces = keys.iter().map(|key| self.pieces[*key].piece.clone()).collect();
-                orders.push(PlannedCall { endpoint: *endpoint, pieces, keys });
+                calls.push(PlannedCall { endpoint: *endpoint, pieces, keys });
             }
         }
-        orders
+        calls
     }
 
     /// A planned call is on its way.
@@ -271,30 +271,38 @@
         &mut self,
         now: Duration,
         call: CallKey,
-        order: &PlannedCall,
-        shape: &Pieces,
+        planned: &PlannedCall,
+        config: &Pieces,
     ) {
-        for key in &order.keys {
+        for key in &planned.keys {
             self.pieces[*key].call = Some(call);
         }
-        let worker = self.workers.entry(order.endpoint).or_default();
+        let worker = self.workers.entry(planned.endpoint).or_default();
         worker.calls += 1;
-        worker.promised += order.pieces.iter().map(|piece| piece.bytes).sum::<u64>();
-        let expected = Batcher::call_time(shape, order.pieces.len());
-        let usual = expected.mul_f64(self.slowness(now, &order.endpoint).max(1.0));
-        let late_at = Some(now + usual.mul_f64(STRAGGLER_FACTOR) + STRAGGLER_SLACK);
-        let (endpoint, keys, lease) = (order.endpoint, order.keys.clone(), shape.lease);
-        let has_inputs = order.pieces.iter().any(|piece| !piece.inputs.is_empty());
-        let read_at = has_inputs.then(|| now + self.reads.time());
-        let running =
-            Running { endpoint, keys, started: now, expected, lease, late_at, has_inputs, read_at };
+        worker.reserved_bytes += planned.pieces.iter().map(|piece| piece.bytes).sum::<u64>();
+        let expected = Batcher::call_time(config, planned.pieces.len());
+        let usual = expected.mul_f64(self.slowdown(now, &planned.endpoint).max(1.0));
+        let straggler_at = Some(now + usual.mul_f64(STRAGGLER_FACTOR) + STRAGGLER_SLACK);
+        let (endpoint, keys, lease) = (planned.endpoint, planned.keys.clone(), config.lease);
+        let has_inputs = planned.pieces.iter().any(|piece| !piece.inputs.is_empty());
+        let read_by = has_inputs.then(|| now + self.read_time.estimate());
+        let running = RunningCall {
+            endpoint,
+            keys,
+            started: now,
+            expected,
+            lease,
+            straggler_at,
+            has_inputs,
+            read_by,
+        };
         self.running.insert(call, running);
     }
 
     /// An endpoint gets no further call until then.
     pub fn hold_endpoint(&mut self, endpoint: EndpointKey, until: Duration) {
         let worker = self.workers.entry(endpoint).or_default();
-        worker.rests_until = until;
+        worker.on_hold_until = until;
     }
 
     /// Takes out the calls that have become stragglers, with how many pieces
@@ -304,11 +312,11 @@
         let late = self
             .running
             .iter_mut()
-            .filter(|(_, running)| running.late_at.is_some_and(|at| at <= now));
+            .filter(|(_, running)| running.straggler_at.is_some_and(|at| at <= now));
         let owed = late.filter_map(|(call, running)| {
-            running.late_at = None;
+            running.straggler_at = None;
             let owed = running.keys.iter().filter_map(|key| pieces.get(*key));
-            let mut owed = owed.filter(|entry| !entry.is_dropped).peekable();
+            let mut owed = owed.filter(|entry| !entry.is_cancelled).peekable();
             let service = owed.peek()?.piece.service.clone();
             Some((*call, service, owed.count() as u32))
         });
@@ -320,14 +328,14 @@
     pub fn requeue(&mut self, call: CallKey) {
         let Some(running) = self.running.get(&call) else { return };
         for key in running.keys.clone() {
-            let Some(entry) = self.pieces.get_mut(key).filter(|it| !it.is_dropped) else {
+            let Some(entry) = self.pieces.get_mut(key).filter(|it| !it.is_cancelled) else {
                 continue;
             };
             entry.call = None;
             entry.is_straggler = true;
             entry.piece.is_repeat = true;
             let service = entry.piece.service.clone();
-            self.waiting.entry(service).or_default().push(key, &entry.piece);
+            self.queues.entry(service).or_default().push(key, &entry.piece);
         }
     }
 
@@ -342,39 +350,39 @@
         let Some(running) = self.running.remove(&call) else { return Default::default() };
         let is_gone = |key: &PieceKey| !self.pieces.contains_key(*key);
         let pairs = running.keys.iter().zip(&results);
-        let strays =
+        let unclaimed =
             pairs.filter(|(key, _)| is_gone(key)).filter_map(|(_, made)| made.clone().ok());
-        let strays = strays.collect();
+        let unclaimed = unclaimed.collect();
         self.release(&running);
         if running.has_inputs {
-            self.reads.note(running.read_at.is_none(), &results);
+            self.read_time.record_call(running.read_by.is_none(), &results);
         }
-        self.note_made(now, &running, &results);
+        self.record_produced(now, &running, &results);
         let worker = self.workers.entry(running.endpoint).or_default();
-        worker.took(now, now.saturating_sub(running.started), running.expected);
-        let had_any = results.iter().any(Result::is_ok);
+        worker.record_duration(now, now.saturating_sub(running.started), running.expected);
+        let had_some = results.iter().any(Result::is_ok);
         for (key, result) in running.keys.iter().zip(&results) {
             let bytes = self.pieces.get(*key).map_or(0, |entry| entry.piece.bytes);
             match result {
-                Ok(handle) => worker.hold(now, handle.clone(), bytes, now + running.lease),
-                Err(PieceFailure::NoRoom) => worker.had_no_room(now, bytes, had_any),
+                Ok(handle) => worker.add_result(now, handle.clone(), bytes, now + running.lease),
+                Err(PieceFailure::NoRoom) => worker.record_no_room(now, bytes, had_some),
                 Err(_) => {}
             }
         }
-        (self.finish(running, results), strays)
+        (self.finish(running, results), unclaimed)
     }
 
     /// Results at an endpoint have been given up.
     pub fn record_freed(&mut self, handles: &[Handle]) {
         for worker in self.workers.values_mut() {
-            worker.give_up(handles);
+            worker.remove_results(handles);
         }
     }
 
     /// Results have probably been read by all that need them.
     pub fn mark_evictable(&mut self, handles: &[Handle]) {
         for worker in self.workers.values_mut() {
-            worker.spare(handles);
+            worker.mark_evictable(handles);
         }
     }
 
@@ -384,19 +392,19 @@
         &self,
         now: Duration,
         service: &str,
-        shape: &Pieces,
+        config: &Pieces,
         directory: &Directory,
     ) -> Vec<Handle> {
-        let Some(queue) = self.waiting.get(service) else { return Vec::new() };
-        let is_large = queue.len_of(Lane::Large) > 0;
-        let Some(bytes) = queue.first_bytes(Lane::Small).or(is_large.then_some(0)) else {
+        let Some(queue) = self.queues.get(service) else { return Vec::new() };
+        let is_large = queue.len_in(SizeClass::Large) > 0;
+        let Some(bytes) = queue.first_bytes(SizeClass::Small).or(is_large.then_some(0)) else {
             return Vec::new();
         };
-        let needed = bytes.saturating_mul(u64::from(shape.batch));
-        let lacks_room = |worker: &&Worker| is_large || worker.room(now, shape) < needed;
+        let needed = bytes.saturating_mul(u64::from(config.batch));
+        let lacks_room = |worker: &&Worker| is_large || worker.free_bytes(now, config) < needed;
         let endpoints = directory.usable(now, service).into_iter();
         let workers = endpoints.filter_map(|key| self.workers.get(&key)).filter(lacks_room);
-        workers.flat_map(Worker::spares).cloned().collect()
+        workers.flat_map(Worker::evictable).cloned().collect()
     }
 
     /// A call failed; `is_unrun` says that the endpoint refused it. All its
@@ -410,12 +418,12 @@
         let Some(running) = self.running.remove(&call) else { return Vec::new() };
         self.release(&running);
         if is_unrun {
-            self.workers.entry(running.endpoint).or_default().refused(now);
+            self.workers.entry(running.endpoint).or_default().record_refusal(now);
         }
         // Pieces that wait again already, or are made elsewhere, stay there.
         let keys = running.keys.iter().copied();
         let keys = keys.filter(|key| self.pieces.get(*key).is_some_and(|it| it.call == Some(call)));
-        let running = Running { keys: keys.collect(), ..running };
+        let running = RunningCall { keys: keys.collect(), ..running };
         let results = running.keys.iter().map(|_| Err(PieceFailure::Failed)).collect();
         self.finish(running, results)
     }
@@ -425,68 +433,68 @@
         self.workers.retain(|key, _| directory.get(*key).is_some());
     }
 
-    fn release(&mut self, running: &Running) {
+    fn release(&mut self, running: &RunningCall) {
         let bytes = running.keys.iter().filter_map(|key| self.pieces.get(*key));
         let bytes: u64 = bytes.map(|entry| entry.piece.bytes).sum();
         let worker = self.workers.entry(running.endpoint).or_default();
         worker.calls = worker.calls.saturating_sub(1);
-        worker.promised = worker.promised.saturating_sub(bytes);
+        worker.reserved_bytes = worker.reserved_bytes.saturating_sub(bytes);
     }
 
-    fn finish(&mut self, running: Running, results: Vec<PieceResult>) -> Vec<FinishedPiece> {
+    fn finish(&mut self, running: RunningCall, results: Vec<PieceResult>) -> Vec<FinishedPiece> {
         let endpoint = Some(running.endpoint);
         let entries = running.keys.into_iter().zip(results);
         let entries = entries.filter_map(|(key, result)| {
             // A straggler's pieces may wait again.
-            self.stop_waiting(key);
-            Some((self.take_out(key)?, result))
+            self.dequeue(key);
+            Some((self.remove_piece(key)?, result))
         });
         entries.map(|(entry, result)| entry.finished(result, endpoint)).collect()
     }
 
     /// Takes a piece out of its queue; false if it does not wait.
-    fn stop_waiting(&mut self, key: PieceKey) -> bool {
+    fn dequeue(&mut self, key: PieceKey) -> bool {
         let Some(entry) = self.pieces.get(key) else { return false };
-        let queue = self.waiting.get_mut(&entry.piece.service);
+        let queue = self.queues.get_mut(&entry.piece.service);
         queue.is_some_and(|queue| queue.remove(key, &entry.piece))
     }
 
     /// Forgets a piece that does not wait.
-    fn take_out(&mut self, key: PieceKey) -> Option<Entry> {
+    fn remove_piece(&mut self, key: PieceKey) -> Option<TrackedPiece> {
         let entry = self.pieces.remove(key)?;
-        let holder = entry.origin.holder();
-        if let Some(keys) = self.held_by.get_mut(&holder) {
+        let requester = entry.origin.requester();
+        if let Some(keys) = self.by_requester.get_mut(&requester) {
             keys.retain(|other| *other != key);
             if keys.is_empty() {
-                self.held_by.remove(&holder);
+                self.by_requester.remove(&requester);
             }
         }
         Some(entry)
     }
 
     /// Endpoints that can take a call, the fastest first.
-    fn idle_workers(
+    fn idle_endpoints(
         &self,
         now: Duration,
         usable: &[EndpointKey],
-        shape: &Pieces,
+        config: &Pieces,
         directory: &Directory,
     ) -> Vec<EndpointKey> {
         let is_idle = |key: &&EndpointKey| {
             let is_paused = directory.get(**key).is_some_and(|endpoint| endpoint.is_paused(now));
             let is_busy = self.workers.get(key).is_some_and(|worker| {
-                let is_full = worker.calls >= shape.slots as usize;
-                is_full || worker.busy.is_paused(now) || now < worker.rests_until
+                let is_full = worker.calls >= config.slots as usize;
+                is_full || worker.backoff.is_paused(now) || now < worker.on_hold_until
             });
             !is_busy && !is_paused
         };
         let mut idle: Vec<_> = usable.iter().filter(is_idle).copied().collect();
-        idle.sort_by(|a, b| self.slowness(now, a).total_cmp(&self.slowness(now, b)));
+        idle.sort_by(|a, b| self.slowdown(now, a).total_cmp(&self.slowdown(now, b)));
         idle
     }
 
-    fn slowness(&self, now: Duration, endpoint: &EndpointKey) -> f64 {
-        self.workers.get(endpoint).map_or(1.0, |worker| worker.slowness(now))
+    fn slowdown(&self, now: Duration, endpoint: &EndpointKey) -> f64 {
+        self.workers.get(endpoint).map_or(1.0, |worker| worker.slowdown(now))
     }
 
     /// Whether the other endpoints make the waiting pieces sooner.
@@ -495,36 +503,41 @@
         now: Duration,
         endpoint: EndpointKey,
         service: &str,
-        shape: &Pieces,
+        config: &Pieces,
         usable: &[EndpointKey],
     ) -> bool {
-        let own = self.slowness(now, &endpoint);
+        let own = self.slowdown(now, &endpoint);
         if own < SLOW_FACTOR {
             return false;
         }
-        let sound = usable.iter().filter(|key| self.slowness(now, key) < SLOW_FACTOR).count();
-        let rounds = self.waiting_count(service) as f64 / (sound as f64 * f64::from(shape.batch));
-        sound > 0 && rounds + 1.0 < own
+        let fast = usable.iter().filter(|key| self.slowdown(now, key) < SLOW_FACTOR).count();
+        let rounds = self.waiting_count(service) as f64 / (fast as f64 * f64::from(config.batch));
+        fast > 0 && rounds + 1.0 < own
     }
 
     /// Takes the pieces of an endpoint's next call: the most urgent ones whose
     /// results have room there and do not belong elsewhere. `idle` endpoints
     /// share what waits, as long as that makes half a call or more for each.
-    fn take_for(
+    fn take_pieces_for(
         &mut self,
         now: Duration,
         endpoint: EndpointKey,
         service: &str,
-        shape: &Pieces,
-        places: &Places<'_>,
+        config: &Pieces,
+        locations: &EndpointLocations<'_>,
         idle: usize,
     ) -> Vec<PieceKey> {
-        let batch = shape.batch as usize;
-        let room = self.workers.entry(endpoint).or_default().room(now, shape);
-        let Some(queue) = self.waiting.get_mut(service) else { return Vec::new() };
+        let batch = config.batch as usize;
+        let free_bytes = self.workers.entry(endpoint).or_default().free_bytes(now, config);
+        let Some(queue) = self.queues.get_mut(service) else { return Vec::new() };
         let size = queue.len().div_ceil(idle).max(batch / 2).min(batch);
-        let belongs = |group: &Group| places.may_be_made_at(group, endpoint);
-        let keys = queue.choose(&Space { size, batch, room, belongs: &belongs });
+        let accepts = |group: &Group| locations.may_run_at(group, endpoint);
+        let keys = queue.select(&CallCapacity {
+            wanted_pieces: size,
+            max_pieces: batch,
+            free_bytes,
+            accepts: &accepts,
+        });
         for key in &keys {
             queue.remove(*key, &self.pieces[*key].piece);
         }
@@ -532,7 +545,7 @@
     }
 }
 
-impl Entry {
+impl TrackedPiece {
     fn finished(self, result: PieceResult, endpoint: Option<EndpointKey>) -> FinishedPiece {
         FinishedPiece { origin: self.origin, piece: self.piece, result, endpoint }
     }
--- a/crates/core/src/relay/batch/admission.rs
+++ b/crates/core/src/relay/batch/admission.rs
@@ -4,8 +4,8 @@
 
 use crate::relay::{
     batch::{
-        Batcher, FinishedPiece, Running,
-        queue::{LANES, Lane, Queue},
+        Batcher, FinishedPiece, RunningCall,
+        queue::{Queue, SIZE_CLASSES, SizeClass},
     },
     config::Pieces,
     directory::Directory,
@@ -13,7 +13,7 @@
 };
 
 /// Pause between two looks for late pieces that others leave no turn for.
-const REVIEW_PAUSE: Duration = Duration::from_millis(50);
+const STARVATION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Batcher {
     /// Whether a piece that comes now will be made before it is due: behind
@@ -24,25 +24,27 @@
         &self,
         now: Duration,
         piece: &Piece,
-        shape: &Pieces,
+        config: &Pieces,
         directory: &Directory,
     ) -> bool {
-        let done = now + Batcher::call_time(shape, 1);
+        let done = now + Batcher::call_time(config, 1);
         let service = &piece.service;
-        let (Some(queue), Some(drain)) = (self.waiting.get(service), self.drains.get(service))
+        let (Some(queue), Some(drain_rate)) =
+            (self.queues.get(service), self.drain_rates.get(service))
         else {
             return done <= piece.due;
         };
-        let lane = Lane::of(piece.bytes);
-        let expected = expected_rate(now, service, shape, directory);
-        let wait = drain.wait(now, lane, queue.ahead_of(lane, piece.aim), expected);
+        let class = SizeClass::of(piece.bytes);
+        let configured = configured_rate(now, service, config, directory);
+        let wait =
+            drain_rate.expected_wait(now, class, queue.count_ahead(class, piece.aim), configured);
         if done + wait <= piece.aim {
             return true;
         }
         if piece.is_begun {
             return done <= piece.due;
         }
-        let wait = drain.late_wait(now, lane, queue.len_of(lane), expected);
+        let wait = drain_rate.expected_late_wait(now, class, queue.len_in(class), configured);
         done + wait <= piece.due
     }
 
@@ -52,13 +54,13 @@
         &self,
         now: Duration,
         service: &str,
-        shape: &Pieces,
+        config: &Pieces,
         directory: &Directory,
     ) -> Option<Duration> {
-        let queue = self.waiting.get(service).filter(|queue| !queue.is_empty())?;
-        let expected = expected_rate(now, service, shape, directory);
-        let ahead = queue.ahead_of(Lane::Small, Duration::MAX);
-        Some(self.drains.get(service)?.wait(now, Lane::Small, ahead, expected))
+        let queue = self.queues.get(service).filter(|queue| !queue.is_empty())?;
+        let configured = configured_rate(now, service, config, directory);
+        let ahead = queue.count_ahead(SizeClass::Small, Duration::MAX);
+        Some(self.drain_rates.get(service)?.expected_wait(now, SizeClass::Small, ahead, configured))
     }
 
     /// Takes out waiting pieces that cannot be made any more before they are
@@ -67,60 +69,66 @@
         &mut self,
         now: Duration,
         service: &str,
-        shape: &Pieces,
+        config: &Pieces,
         directory: &Directory,
     ) -> Vec<FinishedPiece> {
-        let Some(queue) = self.waiting.get_mut(service) else { return Vec::new() };
-        let mut late = queue.due_before(now + Batcher::call_time(shape, 1));
-        let batch = shape.batch as usize;
-        if queue.len() > batch && now >= queue.next_review {
-            queue.next_review = now + REVIEW_PAUSE;
-            queue.demote(now + Batcher::call_time(shape, batch));
-            let expected = expected_rate(now, service, shape, directory);
-            let drain = self.drains.entry(service.into()).or_default();
-            let own = Batcher::call_time(shape, 1);
-            let wait = |lane, ahead| drain.late_wait(now, lane, ahead, expected) + own;
-            let hopeless = queue.hopeless(now, wait).into_iter();
-            late.extend(hopeless.filter(|key| !self.pieces[*key].is_straggler));
+        let Some(queue) = self.queues.get_mut(service) else { return Vec::new() };
+        let mut late = queue.due_before(now + Batcher::call_time(config, 1));
+        let batch = config.batch as usize;
+        if queue.len() > batch && now >= queue.next_starvation_check {
+            queue.next_starvation_check = now + STARVATION_CHECK_INTERVAL;
+            queue.demote_late(now + Batcher::call_time(config, batch));
+            let configured = configured_rate(now, service, config, directory);
+            let drain_rate = self.drain_rates.entry(service.into()).or_default();
+            let own = Batcher::call_time(config, 1);
+            let wait =
+                |class, ahead| drain_rate.expected_late_wait(now, class, ahead, configured) + own;
+            let starved = queue.starved(now, wait).into_iter();
+            late.extend(starved.filter(|key| !self.pieces[*key].is_straggler));
         }
         let entries = late.into_iter().filter_map(|key| {
-            self.stop_waiting(key);
-            self.take_out(key)
+            self.dequeue(key);
+            self.remove_piece(key)
         });
         entries.map(|entry| entry.finished(Err(PieceFailure::Late), None)).collect()
     }
 
     /// Takes out all waiting pieces of a service that nobody can make.
     pub fn take_waiting(&mut self, service: &str) -> Vec<FinishedPiece> {
-        let keys = self.waiting.get(service).map(Queue::keys).unwrap_or_default();
+        let keys = self.queues.get(service).map(Queue::keys).unwrap_or_default();
         let entries = keys.into_iter().filter_map(|key| {
-            self.stop_waiting(key);
-            self.take_out(key)
+            self.dequeue(key);
+            self.remove_piece(key)
         });
         entries.map(|entry| entry.finished(Err(PieceFailure::Late), None)).collect()
     }
 
-    pub(super) fn note_waiting(&mut self, now: Duration, service: &str) {
-        let Some(queue) = self.waiting.get(service) else { return };
-        let Some(drain) = self.drains.get_mut(service) else { return };
-        for lane in LANES {
-            drain.waits(now, lane, queue.len_of(lane) > 0);
+    pub(super) fn record_waiting(&mut self, now: Duration, service: &str) {
+        let Some(queue) = self.queues.get(service) else { return };
+        let Some(drain_rate) = self.drain_rates.get_mut(service) else { return };
+        for class in SIZE_CLASSES {
+            drain_rate.record_waiting(now, class, queue.len_in(class) > 0);
         }
     }
 
-    pub(super) fn note_made(&mut self, now: Duration, running: &Running, results: &[PieceResult]) {
+    pub(super) fn record_produced(
+        &mut self,
+        now: Duration,
+        running: &RunningCall,
+        results: &[PieceResult],
+    ) {
         let made = running.keys.iter().zip(results).filter(|(_, result)| result.is_ok());
         for piece in made.filter_map(|(key, _)| Some(&self.pieces.get(*key)?.piece)) {
-            let drain = self.drains.entry(piece.service.clone()).or_default();
-            drain.made(now, Lane::of(piece.bytes), 1);
+            let drain_rate = self.drain_rates.entry(piece.service.clone()).or_default();
+            drain_rate.record_produced(now, SizeClass::of(piece.bytes), 1);
         }
     }
 }
 
 /// Pieces a second that a service's endpoints make in full calls, as far as the
 /// configuration says.
-fn expected_rate(now: Duration, service: &str, shape: &Pieces, directory: &Directory) -> f64 {
+fn configured_rate(now: Duration, service: &str, config: &Pieces, directory: &Directory) -> f64 {
     let endpoints = directory.usable(now, service).len().max(1);
-    let batch = shape.batch as usize;
-    (endpoints * batch) as f64 / Batcher::call_time(shape, batch).as_secs_f64()
+    let batch = config.batch as usize;
+    (endpoints * batch) as f64 / Batcher::call_time(config, batch).as_secs_f64()
 }
--- a/crates/core/src/relay/batch/places.rs
+++ b/crates/core/src/relay/batch/places.rs
@@ -6,10 +6,10 @@
 
 /// A piece whose result belongs in another data centre waits for an endpoint
 /// there while it has this much time to spare: about a full call.
-const HOME_PATIENCE: Duration = Duration::from_millis(200);
+const LOCALITY_WAIT: Duration = Duration::from_millis(200);
 
 /// Where a service's endpoints are, for the calls that are planned together.
-pub struct Places<'a> {
+pub struct EndpointLocations<'a> {
     directory: &'a Directory,
     /// The data centres with an endpoint that takes new work.
     usable: Vec<&'a str>,
@@ -17,22 +17,29 @@
     urgent_before: Duration,
 }
 
-impl<'a> Places<'a> {
+impl<'a> EndpointLocations<'a> {
     /// Where the usable endpoints are, for calls that are done by `done`.
-    pub fn new(done: Duration, usable: &[EndpointKey], directory: &'a Directory) -> Places<'a> {
-        let places = usable.iter().filter_map(|key| directory.get(*key));
-        let mut places: Vec<_> = places.map(|endpoint| &*endpoint.entry.data_centre).collect();
-        places.sort_unstable();
-        places.dedup();
-        Places { directory, usable: places, urgent_before: done + HOME_PATIENCE }
+    pub fn new(
+        done: Duration,
+        usable: &[EndpointKey],
+        directory: &'a Directory,
+    ) -> EndpointLocations<'a> {
+        let data_centres = usable.iter().filter_map(|key| directory.get(*key));
+        let mut data_centres: Vec<_> =
+            data_centres.map(|endpoint| &*endpoint.entry.data_centre).collect();
+        data_centres.sort_unstable();
+        data_centres.dedup();
+        EndpointLocations { directory, usable: data_centres, urgent_before: done + LOCALITY_WAIT }
     }
 
     /// Whether a group may be made at an endpoint: its results are needed
     /// there, or it has no time to wait for one that is nearer.
-    pub fn may_be_made_at(&self, group: &Group, endpoint: EndpointKey) -> bool {
-        let Some(home) = &group.home else { return true };
-        let place = self.directory.get(endpoint).map(|known| &*known.entry.data_centre);
-        let has_home = self.usable.contains(&&**home);
-        place == Some(home) || group.aim < self.urgent_before || !has_home
+    pub fn may_run_at(&self, group: &Group, endpoint: EndpointKey) -> bool {
+        let Some(destination) = &group.destination else { return true };
+        let data_centre = self.directory.get(endpoint).map(|known| &*known.entry.data_centre);
+        let has_destination = self.usable.contains(&&**destination);
+        data_centre == Some(destination)
+            || group.target_time < self.urgent_before
+            || !has_destination
     }
 }
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -29,34 +29,34 @@
 /// Groups that do not fit a call before the rest of their lane is taken not to
 /// fit either. With four data centres one group in four belongs to an endpoint,
 /// so that a few of them are still looked at.
-const MISFITS: usize = 32;
+const MAX_SKIPPED_GROUPS: usize = 32;
 /// All lanes, in their order.
-pub const LANES: [Lane; 2] = [Lane::Small, Lane::Large];
+pub const SIZE_CLASSES: [SizeClass; 2] = [SizeClass::Small, SizeClass::Large];
 
 /// Pieces by the size of their results.
 #[id]
 #[derive(Copy)]
-pub enum Lane {
+pub enum SizeClass {
     /// Room for the result is no matter.
     Small,
     /// Room for the result is what is scarce.
     Large,
 }
 
-impl Lane {
+impl SizeClass {
     /// The lane of a result of so many bytes.
-    pub fn of(bytes: u64) -> Lane {
-        if bytes >= LARGE_RESULT_BYTES { Lane::Large } else { Lane::Small }
+    pub fn of(bytes: u64) -> SizeClass {
+        if bytes >= LARGE_RESULT_BYTES { SizeClass::Large } else { SizeClass::Small }
     }
 }
 
 /// The place of a group in the queue. Late groups rank behind all others.
 #[id]
-pub struct Rank {
+pub struct GroupKey {
     is_late: bool,
     /// Priority of the request if it is late, else 0.
     priority: u8,
-    aim: Duration,
+    target_time: Duration,
     request: Arc<str>,
     stage: u16,
 }
@@ -69,93 +69,93 @@
     /// Size of one result, in bytes.
     pub bytes: u64,
     /// Where the results will be used, if that matters.
-    pub home: Option<DataCentre>,
+    pub destination: Option<DataCentre>,
     /// By when they should be done.
-    pub aim: Duration,
-    due: Duration,
+    pub target_time: Duration,
+    deadline: Duration,
     is_begun: bool,
     /// Whether it is made without other groups.
-    is_apart: bool,
+    is_isolated: bool,
     priority: u8,
 }
 
 /// What a call can take.
-pub struct Space<'a> {
+pub struct CallCapacity<'a> {
     /// Pieces that it should take at the most.
-    pub size: usize,
+    pub wanted_pieces: usize,
     /// Pieces that the endpoint accepts.
-    pub batch: usize,
+    pub max_pieces: usize,
     /// Bytes of results that the endpoint has room for.
-    pub room: u64,
+    pub free_bytes: u64,
     /// Whether a group may be made at the endpoint.
-    pub belongs: &'a dyn Fn(&Group) -> bool,
+    pub accepts: &'a dyn Fn(&Group) -> bool,
 }
 
 /// The pieces of one service that wait.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lanes: [BTreeMap<Rank, Group>; LANES.len()],
-    by_due: BTreeSet<(Duration, PieceKey)>,
+    classes: [BTreeMap<GroupKey, Group>; SIZE_CLASSES.len()],
+    by_deadline: BTreeSet<(Duration, PieceKey)>,
     /// When late pieces are looked through next.
-    pub next_review: Duration,
-    ranks: SecondaryMap<PieceKey, (usize, Rank)>,
-    sizes: [usize; LANES.len()],
+    pub next_starvation_check: Duration,
+    group_keys: SecondaryMap<PieceKey, (usize, GroupKey)>,
+    sizes: [usize; SIZE_CLASSES.len()],
 }
 
 impl Queue {
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.ranks.is_empty()
+        self.group_keys.is_empty()
     }
 
     /// How many pieces wait.
     pub fn len(&self) -> usize {
-        self.ranks.len()
+        self.group_keys.len()
     }
 
     /// All pieces that wait.
     pub fn keys(&self) -> Vec<PieceKey> {
-        self.by_due.iter().map(|(_, key)| *key).collect()
+        self.by_deadline.iter().map(|(_, key)| *key).collect()
     }
 
     /// Whether that piece waits here.
     pub fn contains(&self, key: PieceKey) -> bool {
-        self.ranks.contains_key(key)
+        self.group_keys.contains_key(key)
     }
 
     /// Takes in a piece.
     pub fn push(&mut self, key: PieceKey, piece: &Piece) {
-        let rank = Rank {
+        let group_key = GroupKey {
             is_late: false,
             priority: 0,
-            aim: piece.aim,
+            target_time: piece.aim,
             request: piece.request.clone(),
             stage: piece.stage,
         };
-        let lane = Lane::of(piece.bytes) as usize;
-        let group = self.lanes[lane].entry(rank.clone()).or_insert_with(|| Group {
+        let class = SizeClass::of(piece.bytes) as usize;
+        let group = self.classes[class].entry(group_key.clone()).or_insert_with(|| Group {
             keys: Vec::new(),
             bytes: piece.bytes,
-            home: piece.home.clone(),
-            aim: piece.aim,
-            due: piece.due,
+            destination: piece.home.clone(),
+            target_time: piece.aim,
+            deadline: piece.due,
             is_begun: piece.is_begun,
-            is_apart: false,
+            is_isolated: false,
             priority: piece.priority,
         });
-        group.is_apart |= piece.is_apart;
+        group.is_isolated |= piece.is_apart;
         group.keys.push(key);
-        self.by_due.insert((piece.due, key));
-        let is_new = self.ranks.insert(key, (lane, rank)).is_none();
-        self.sizes[lane] += usize::from(is_new);
+        self.by_deadline.insert((piece.due, key));
+        let is_new = self.group_keys.insert(key, (class, group_key)).is_none();
+        self.sizes[class] += usize::from(is_new);
     }
 
     /// Takes out one piece; false if it does not wait here.
     pub fn remove(&mut self, key: PieceKey, piece: &Piece) -> bool {
-        let Some((lane, rank)) = self.ranks.remove(key) else { return false };
-        self.sizes[lane] -= 1;
-        self.by_due.remove(&(piece.due, key));
-        if let Entry::Occupied(mut group) = self.lanes[lane].entry(rank) {
+        let Some((class, group_key)) = self.group_keys.remove(key) else { return false };
+        self.sizes[class] -= 1;
+        self.by_deadline.remove(&(piece.due, key));
+        if let Entry::Occupied(mut group) = self.classes[class].entry(group_key) {
             group.get_mut().keys.retain(|other| *other != key);
             if group.get().keys.is_empty() {
                 group.remove();
@@ -166,38 +166,44 @@
 
     /// Pieces of a lane that can be in good time and should be done by `aim` or
     /// before.
-    pub fn ahead_of(&self, lane: Lane, aim: Duration) -> usize {
-        let groups = self.lanes[lane as usize].iter();
-        let ahead = groups.take_while(|(rank, group)| !rank.is_late && group.aim <= aim);
+    pub fn count_ahead(&self, class: SizeClass, target_time: Duration) -> usize {
+        let groups = self.classes[class as usize].iter();
+        let ahead = groups.take_while(|(group_key, group)| {
+            !group_key.is_late && group.target_time <= target_time
+        });
         ahead.map(|(_, group)| group.keys.len()).sum()
     }
 
     /// The size of a result of a lane's first group; `None` if none waits there.
-    pub fn first_bytes(&self, lane: Lane) -> Option<u64> {
-        Some(self.lanes[lane as usize].first_key_value()?.1.bytes)
+    pub fn first_bytes(&self, class: SizeClass) -> Option<u64> {
+        Some(self.classes[class as usize].first_key_value()?.1.bytes)
     }
 
     /// Pieces of a lane.
-    pub fn len_of(&self, lane: Lane) -> usize {
-        self.sizes[lane as usize]
+    pub fn len_in(&self, class: SizeClass) -> usize {
+        self.sizes[class as usize]
     }
 
     /// The pieces that are due before a time.
     pub fn due_before(&self, time: Duration) -> Vec<PieceKey> {
-        let due = self.by_due.iter().take_while(|(due, _)| *due < time);
+        let due = self.by_deadline.iter().take_while(|(deadline, _)| *deadline < time);
         due.map(|(_, key)| *key).collect()
     }
 
     /// Late pieces that will not be reached before they are due, as far as
     /// `wait` tells how long so many pieces that go before them take. Requests
     /// that have been begun keep waiting: work was done for them.
-    pub fn hopeless(&self, now: Duration, wait: impl Fn(Lane, usize) -> Duration) -> Vec<PieceKey> {
+    pub fn starved(
+        &self,
+        now: Duration,
+        wait: impl Fn(SizeClass, usize) -> Duration,
+    ) -> Vec<PieceKey> {
         let mut out = Vec::new();
-        for (lane, groups) in LANES.into_iter().zip(&self.lanes) {
+        for (class, groups) in SIZE_CLASSES.into_iter().zip(&self.classes) {
             let mut ahead = 0;
-            for (rank, group) in groups {
-                let is_doubtful = rank.is_late && !group.is_begun;
-                if is_doubtful && now + wait(lane, ahead) > group.due {
+            for (group_key, group) in groups {
+                let may_starve = group_key.is_late && !group.is_begun;
+                if may_starve && now + wait(class, ahead) > group.deadline {
                     out.extend(&group.keys);
                 } else {
                     ahead += group.keys.len();
@@ -209,16 +215,16 @@
 
     /// Puts the groups behind the others that cannot be done in good time any
     /// more: a call that begins now ends at `done`.
-    pub fn demote(&mut self, done: Duration) {
-        for (lane, groups) in self.lanes.iter_mut().enumerate() {
+    pub fn demote_late(&mut self, done: Duration) {
+        for (class, groups) in self.classes.iter_mut().enumerate() {
             while let Some(first) = groups.first_entry()
                 && !first.key().is_late
-                && first.key().aim < done
+                && first.key().target_time < done
             {
-                let (rank, group) = first.remove_entry();
-                let late = Rank { is_late: true, priority: group.priority, ..rank };
+                let (group_key, group) = first.remove_entry();
+                let late = GroupKey { is_late: true, priority: group.priority, ..group_key };
                 for key in &group.keys {
-                    self.ranks.insert(*key, (lane, late.clone()));
+                    self.group_keys.insert(*key, (class, late.clone()));
                 }
                 merge(groups, late, group);
             }
@@ -227,37 +233,37 @@
 
     /// The pieces of a call: the first groups that fit it. Of a group that is
     /// larger than any call, as many as a call takes.
-    pub fn choose(&self, space: &Space<'_>) -> Vec<PieceKey> {
-        let mut lanes = self.lanes.each_ref().map(|groups| groups.iter().peekable());
-        let mut misfits = [0; LANES.len()];
-        let (mut taken, mut room) = (Vec::new(), space.room);
-        while taken.len() < space.size {
-            let open = (0..LANES.len()).filter(|lane| misfits[*lane] < MISFITS);
-            let first = open.filter_map(|lane| Some((lanes[lane].peek()?.0, lane))).min();
-            let Some((_, lane)) = first else { break };
-            let Some((_, group)) = lanes[lane].next() else { break };
-            let part = &group.keys[..group.keys.len().min(space.batch)];
+    pub fn select(&self, capacity: &CallCapacity<'_>) -> Vec<PieceKey> {
+        let mut classes = self.classes.each_ref().map(|groups| groups.iter().peekable());
+        let mut skipped = [0; SIZE_CLASSES.len()];
+        let (mut taken, mut free_bytes) = (Vec::new(), capacity.free_bytes);
+        while taken.len() < capacity.wanted_pieces {
+            let open = (0..SIZE_CLASSES.len()).filter(|class| skipped[*class] < MAX_SKIPPED_GROUPS);
+            let first = open.filter_map(|class| Some((classes[class].peek()?.0, class))).min();
+            let Some((_, class)) = first else { break };
+            let Some((_, group)) = classes[class].next() else { break };
+            let part = &group.keys[..group.keys.len().min(capacity.max_pieces)];
             let bytes = group.bytes * part.len() as u64;
-            let has_place = match group.is_apart {
+            let has_capacity = match group.is_isolated {
                 true => taken.is_empty(),
-                false => taken.len() + part.len() <= space.batch,
+                false => taken.len() + part.len() <= capacity.max_pieces,
             };
-            if has_place && bytes <= room && (space.belongs)(group) {
-                room -= bytes;
+            if has_capacity && bytes <= free_bytes && (capacity.accepts)(group) {
+                free_bytes -= bytes;
                 taken.extend(part);
-                if group.is_apart {
+                if group.is_isolated {
                     break;
                 }
             } else {
-                misfits[lane] += 1;
+                skipped[class] += 1;
             }
         }
         taken
     }
 }
 
-fn merge(groups: &mut BTreeMap<Rank, Group>, rank: Rank, group: Group) {
-    match groups.entry(rank) {
+fn merge(groups: &mut BTreeMap<GroupKey, Group>, group_key: GroupKey, group: Group) {
+    match groups.entry(group_key) {
         Entry::Vacant(place) => {
             place.insert(group);
         }
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -18,7 +18,7 @@
 use crate::{
     model::DataCentre,
     relay::{
-        choice::prompts::{Holdings, Rate, Reading, SentParts},
+        choice::prompts::{PartLocations, PrefillPlan, PrefillRates, SentParts},
         config::{Engine, Transfer},
         directory::{Directory, Endpoint},
         model::{EndpointKey, Prompt},
@@ -28,25 +28,25 @@
 /// Milliseconds that each request which runs on an engine costs a new one:
 /// longer steps until its first token. Chosen so that ten requests weigh as
 /// much as reading 1,300 tokens.
-const RUNNING_MS: f64 = 4.0;
+const RUNNING_COST_MS: f64 = 4.0;
 /// Milliseconds that a megabyte of inputs from another data centre weighs.
-const INPUT_MS_PER_MB: f64 = 25.0;
+const INPUT_COST_MS_PER_MB: f64 = 25.0;
 /// Milliseconds that an engine of another placer weighs: about what the prompts
 /// take to read that the other one may have just given it.
-const FOREIGN_MS: f64 = 60.0;
+const OTHER_PLACER_COST_MS: f64 = 60.0;
 /// Factor on the expected time of an endpoint in another data centre.
-const DISTANCE: f64 = 1.25;
+const REMOTE_FACTOR: f64 = 1.25;
 /// Expected time of an endpoint that has not answered yet.
-const UNKNOWN_TIME: Duration = Duration::from_millis(20);
+const DEFAULT_RESPONSE_TIME: Duration = Duration::from_millis(20);
 /// An endpoint that is so much slower than the quickest one is passed over for long, and
 /// tried now and then.
-const TRIED_FACTOR: f64 = 1.5;
+const TRIAL_THRESHOLD: f64 = 1.5;
 /// So many instances may each try an endpoint for themselves; with more each waits longer,
 /// so that all of them together try it as often.
-const TRYING: usize = 8;
+const INSTANCES_PER_TRIAL: usize = 8;
 /// Factor on the quickest one's time for an endpoint that is tried: less than distance
 /// and chance make up for.
-const TRY: f64 = 0.7;
+const TRIAL_FACTOR: f64 = 0.7;
 /// An engine that is so much slower than the usual one is passed over.
 const SLOW_FACTOR: f64 = 2.5;
 
@@ -140,19 +140,19 @@
     directory: &Directory,
     now: Duration,
     service: &str,
-    wanted: Criteria<'_>,
+    criteria: Criteria<'_>,
     mut jitter: impl FnMut() -> f64,
 ) -> Vec<Candidate> {
-    let candidates = candidates(directory, now, service, wanted);
-    let quickest = candidates.iter().filter_map(|(_, endpoint)| endpoint.response_time).min();
-    let waits = wanted.instances.div_ceil(TRYING) as u32;
+    let candidates = candidates(directory, now, service, criteria);
+    let fastest = candidates.iter().filter_map(|(_, endpoint)| endpoint.response_time).min();
+    let interval_factor = criteria.instances.div_ceil(INSTANCES_PER_TRIAL) as u32;
     let time = |endpoint: &Endpoint| {
-        let time = expected_time(endpoint, now, quickest, waits).as_secs_f64();
+        let time = expected_time(endpoint, now, fastest, interval_factor).as_secs_f64();
         let distance =
-            if *endpoint.entry.data_centre == *wanted.data_centre { 1.0 } else { DISTANCE };
+            if *endpoint.entry.data_centre == *criteria.data_centre { 1.0 } else { REMOTE_FACTOR };
         time * distance * (1.0 + endpoint.fullness(now) + f64::from(endpoint.in_flight) * 0.1)
     };
-    let costs = candidates.into_iter().map(|(key, endpoint)| {
+    let candidates = candidates.into_iter().map(|(key, endpoint)| {
         let spread = 1.0 + 0.1 * jitter();
         Candidate {
             endpoint: key,
@@ -163,7 +163,7 @@
             cost: time(endpoint) * spread,
         }
     });
-    costs.collect()
+    candidates.collect()
 }
 
 /// How long an endpoint's answer is reckoned to take. One that was slow long ago is
@@ -172,13 +172,17 @@
 fn expected_time(
     endpoint: &Endpoint,
     now: Duration,
-    quickest: Option<Duration>,
-    waits: u32,
+    fastest: Option<Duration>,
+    interval_factor: u32,
 ) -> Duration {
-    let Some(own) = endpoint.response_time else { return UNKNOWN_TIME };
-    let quickest = quickest.unwrap_or(own);
-    let is_slow = own > quickest.mul_f64(TRIED_FACTOR);
-    if is_slow && endpoint.is_to_be_tried(now, waits) { quickest.mul_f64(TRY) } else { own }
+    let Some(own) = endpoint.response_time else { return DEFAULT_RESPONSE_TIME };
+    let fastest = fastest.unwrap_or(own);
+    let is_slow = own > fastest.mul_f64(TRIAL_THRESHOLD);
+    if is_slow && endpoint.is_to_be_tried(now, interval_factor) {
+        fastest.mul_f64(TRIAL_FACTOR)
+    } else {
+        own
+    }
 }
 
 /// The engines that may take a prompt.
@@ -188,58 +192,59 @@
     now: Duration,
     service: &str,
     prompt: &Prompt,
-    wanted: Criteria<'_>,
+    criteria: Criteria<'_>,
 ) -> Vec<Candidate> {
-    let candidates = candidates(directory, now, service, wanted);
-    let usual = usual_time(&candidates);
-    let is_alone = wanted.chooser == Chooser::Independent;
-    let owners = if is_alone { &candidates[..] } else { &[] };
+    let candidates = candidates(directory, now, service, criteria);
+    let median = median_response_time(&candidates);
+    let is_independent = criteria.chooser == Chooser::Independent;
+    let owners = if is_independent { &candidates[..] } else { &[] };
     let engines = directory.usable(now, service);
-    let foreign = wanted.chooser.owned_by_others(directory, &engines);
-    let holders = prompts::holders(directory, now, &engines);
-    let rate = Rate { transfer: wanted.transfer, token_millis: wanted.token_millis };
-    let holdings = Holdings::new(memory, prompt, owners, &holders, rate);
-    let costs = candidates.iter().map(|&(key, endpoint)| {
-        let Reading { tokens, fetched, source, source_wait } = holdings.reading(key);
+    let others = criteria.chooser.owned_by_others(directory, &engines);
+    let sources = prompts::fetch_sources(directory, now, &engines);
+    let rates = PrefillRates { transfer: criteria.transfer, token_millis: criteria.token_millis };
+    let locations = PartLocations::new(memory, prompt, owners, &sources, rates);
+    let candidates = candidates.iter().map(|&(key, endpoint)| {
+        let PrefillPlan { tokens, fetched, source, source_wait } = locations.plan(key);
         let wait = endpoint.engine.prefill_wait(now);
-        let copying = wanted.transfer.map_or(0.0, |transfer| transfer.millis(fetched));
+        let copy_millis = criteria.transfer.map_or(0.0, |transfer| transfer.millis(fetched));
         let copy_wait = match fetched {
             0 => 0.0,
             _ => millis(endpoint.engine.copy_wait(now).max(source_wait)),
         };
-        let reading = tokens as f64 * wanted.token_millis;
-        let ready = millis(wait).max(copy_wait + copying) + reading;
-        let running = f64::from(endpoint.calls(now)) * RUNNING_MS;
-        let crowding = crowding(endpoint, prompt, wanted) * millis(wanted.run_time);
-        let halting = halting(endpoint, millis(wait) + reading, wanted);
-        let far = far_megabytes(wanted.inputs, &endpoint.entry.data_centre) * INPUT_MS_PER_MB;
-        let cost = (ready + running + crowding + halting) * slowness(endpoint, usual) + far;
-        let cost = if foreign.contains(&key) { cost + FOREIGN_MS } else { cost };
-        let copying = Duration::from_secs_f64(copying / 1000.0);
-        Candidate { endpoint: key, tokens, source, wait, copy_time: copying, cost }
+        let prefill = tokens as f64 * criteria.token_millis;
+        let ready = millis(wait).max(copy_wait + copy_millis) + prefill;
+        let running = f64::from(endpoint.calls(now)) * RUNNING_COST_MS;
+        let overload = overload(endpoint, prompt, criteria) * millis(criteria.run_time);
+        let stall_cost = stall_cost(endpoint, millis(wait) + prefill, criteria);
+        let remote =
+            remote_megabytes(criteria.inputs, &endpoint.entry.data_centre) * INPUT_COST_MS_PER_MB;
+        let cost = (ready + running + overload + stall_cost) * slowdown(endpoint, median) + remote;
+        let cost = if others.contains(&key) { cost + OTHER_PLACER_COST_MS } else { cost };
+        let copy_time = Duration::from_secs_f64(copy_millis / 1000.0);
+        Candidate { endpoint: key, tokens, source, wait, copy_time, cost }
     });
-    costs.collect()
+    candidates.collect()
 }
 
 /// What a prompt does to the streams that run at an engine: while it reads, their
 /// tokens come some twenty times slower, and what it has to read longer than a
 /// pause may last makes each of them late by that.
-fn halting(endpoint: &Endpoint, reading: f64, wanted: Criteria<'_>) -> f64 {
-    let pause = wanted.engine.and_then(|shape| shape.pause);
-    let beyond = pause.map_or(0.0, |pause| (reading - millis(pause)).max(0.0));
-    f64::from(endpoint.engine.stream_count()) * beyond
+fn stall_cost(endpoint: &Endpoint, prefill: f64, criteria: Criteria<'_>) -> f64 {
+    let pause = criteria.engine.and_then(|engine| engine.pause);
+    let excess = pause.map_or(0.0, |pause| (prefill - millis(pause)).max(0.0));
+    f64::from(endpoint.engine.stream_count()) * excess
 }
 
 /// The share of its calls that an engine has to end before it has memory and a
 /// place for one more.
-fn crowding(endpoint: &Endpoint, prompt: &Prompt, wanted: Criteria<'_>) -> f64 {
-    let Some(shape) = wanted.engine else { return 0.0 };
+fn overload(endpoint: &Endpoint, prompt: &Prompt, criteria: Criteria<'_>) -> f64 {
+    let Some(limits) = criteria.engine else { return 0.0 };
     let engine = &endpoint.engine;
     let needed = engine.memory_in_use() + engine.additional_memory(prompt);
-    let places = engine.run_count() + 1;
-    let excess = |needed: f64, most: f64| ((needed - most) / most.max(1.0)).max(0.0);
-    let memory = excess(needed as f64, shape.memory as f64);
-    memory.max(excess(f64::from(places), f64::from(shape.slots)))
+    let slots = engine.run_count() + 1;
+    let excess = |needed: f64, limit: f64| ((needed - limit) / limit.max(1.0)).max(0.0);
+    let memory = excess(needed as f64, limits.memory as f64);
+    memory.max(excess(f64::from(slots), f64::from(limits.slots)))
 }
 
 fn millis(time: Duration) -> f64 {
@@ -252,10 +257,10 @@
 }
 
 /// The candidates with the lowest costs, at most so many.
-pub fn cheapest_few(candidates: &[Candidate], most: usize) -> Vec<Candidate> {
+pub fn cheapest_few(candidates: &[Candidate], limit: usize) -> Vec<Candidate> {
     let mut sorted = candidates.to_vec();
     sorted.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-    sorted.truncate(most);
+    sorted.truncate(limit);
     sorted
 }
 
@@ -265,32 +270,33 @@
     directory: &'a Directory,
     now: Duration,
     service: &str,
-    wanted: Criteria<'_>,
+    criteria: Criteria<'_>,
 ) -> Vec<(EndpointKey, &'a Endpoint)> {
     let usable = directory.usable(now, service).into_iter();
-    let open = usable.filter(|key| !wanted.withheld.contains(key));
-    let untried = open.filter(|key| !wanted.tried.contains(key));
+    let open = usable.filter(|key| !criteria.withheld.contains(key));
+    let untried = open.filter(|key| !criteria.tried.contains(key));
     let known = untried.filter_map(|key| Some((key, directory.get(key)?)));
-    let free = known.filter(|(_, endpoint)| endpoint.in_flight < wanted.max_in_flight);
-    let (paused, sound): (Vec<_>, Vec<_>) = free.partition(|(_, endpoint)| endpoint.is_paused(now));
-    if sound.is_empty() { paused } else { sound }
+    let free = known.filter(|(_, endpoint)| endpoint.in_flight < criteria.max_in_flight);
+    let (paused, available): (Vec<_>, Vec<_>) =
+        free.partition(|(_, endpoint)| endpoint.is_paused(now));
+    if available.is_empty() { paused } else { available }
 }
 
-fn far_megabytes(inputs: &[(DataCentre, u64)], data_centre: &str) -> f64 {
-    let far = inputs.iter().filter(|(place, _)| **place != *data_centre);
-    far.map(|(_, bytes)| *bytes as f64 / 1e6).sum()
+fn remote_megabytes(inputs: &[(DataCentre, u64)], data_centre: &str) -> f64 {
+    let remote = inputs.iter().filter(|(location, _)| **location != *data_centre);
+    remote.map(|(_, bytes)| *bytes as f64 / 1e6).sum()
 }
 
 /// The median time of the candidates that have answered.
-fn usual_time(candidates: &[(EndpointKey, &Endpoint)]) -> Option<Duration> {
+fn median_response_time(candidates: &[(EndpointKey, &Endpoint)]) -> Option<Duration> {
     let times = candidates.iter().filter_map(|(_, endpoint)| endpoint.response_time);
     let mut times: Vec<_> = times.collect();
     times.sort_unstable();
     times.get(times.len() / 2).copied()
 }
 
-fn slowness(endpoint: &Endpoint, usual: Option<Duration>) -> f64 {
-    let (Some(time), Some(usual)) = (endpoint.response_time, usual) else { return 1.0 };
-    let factor = time.as_secs_f64() / usual.as_secs_f64().max(1e-3);
+fn slowdown(endpoint: &Endpoint, median: Option<Duration>) -> f64 {
+    let (Some(time), Some(median)) = (endpoint.response_time, median) else { return 1.0 };
+    let factor = time.as_secs_f64() / median.as_secs_f64().max(1e-3);
     if factor > SLOW_FACTOR { factor } else { 1.0 }
 }
--- a/crates/core/src/relay/choice/prompts.rs
+++ b/crates/core/src/relay/choice/prompts.rs
@@ -20,18 +20,18 @@
 /// long at the most, after it was sent there.
 pub const RETENTION: Duration = Duration::from_secs(15);
 /// Parts that are remembered in one generation, for all engines together.
-const MAX_REMEMBERED: usize = 20_000;
+const MAX_ENTRIES: usize = 20_000;
 /// Fewer tokens than these are not worth a fetch: it takes a few milliseconds
 /// to set up, in which an engine reads about as many.
-const SMALLEST_FETCH: u64 = 64;
+const MIN_FETCH_TOKENS: u64 = 64;
 
 /// Remembers which engine was sent which parts, in two generations: the older
 /// one is forgotten as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct SentParts {
-    young: HashSet<(EndpointKey, u64)>,
-    old: HashSet<(EndpointKey, u64)>,
-    turned_at: Duration,
+    recent: HashSet<(EndpointKey, u64)>,
+    older: HashSet<(EndpointKey, u64)>,
+    rotated_at: Duration,
 }
 
 impl SentParts {
@@ -47,23 +47,23 @@
         endpoint: EndpointKey,
         parts: impl Iterator<Item = u64>,
     ) {
-        if now >= self.turned_at + RETENTION || self.young.len() >= MAX_REMEMBERED {
-            self.old = std::mem::take(&mut self.young);
-            self.turned_at = now;
+        if now >= self.rotated_at + RETENTION || self.recent.len() >= MAX_ENTRIES {
+            self.older = std::mem::take(&mut self.recent);
+            self.rotated_at = now;
         }
-        self.young.extend(parts.map(|part| (endpoint, part)));
+        self.recent.extend(parts.map(|part| (endpoint, part)));
     }
 
     fn holds(&self, endpoint: EndpointKey, part: u64) -> bool {
-        let pair = (endpoint, part);
-        self.young.contains(&pair) || self.old.contains(&pair)
+        let entry = (endpoint, part);
+        self.recent.contains(&entry) || self.older.contains(&entry)
     }
 }
 
 /// How an engine gets a prompt.
 #[data]
 #[derive(Copy)]
-pub struct Reading {
+pub struct PrefillPlan {
     /// Tokens that it has to read.
     pub tokens: u64,
     /// Tokens that it fetches from another engine first.
@@ -76,7 +76,7 @@
 
 /// How fast engines get prompts.
 #[derive(Debug, Clone, Copy)]
-pub struct Rate {
+pub struct PrefillRates {
     /// From each other, if they can.
     pub transfer: Option<Transfer>,
     /// Milliseconds to read a token.
@@ -85,7 +85,7 @@
 
 /// An engine that another one can fetch from.
 #[derive(Debug, Clone, Copy)]
-pub struct Holder {
+pub struct FetchSource {
     key: EndpointKey,
     /// How long its link is busy with copies.
     wait: Duration,
@@ -93,53 +93,53 @@
 
 /// An engine that holds a part of one prompt.
 #[derive(Debug, Clone, Copy)]
-struct Source {
-    holder: Holder,
+struct RankedSource {
+    source: FetchSource,
     tokens: u64,
     /// Milliseconds that fetching saves against reading.
-    gain: f64,
+    saved_millis: f64,
 }
 
 /// What the engines of a service hold of one prompt.
-pub struct Holdings<'a> {
+pub struct PartLocations<'a> {
     memory: &'a SentParts,
     prompt: &'a Prompt,
-    rate: Rate,
+    rates: PrefillRates,
     /// The engine that all instances agree on for the last shared part.
     owner: Option<EndpointKey>,
     /// The two engines that most is gained by fetching from, as far as this
     /// instance knows. Engines that hold the same take turns, since each one's
     /// link carries one copy after the other: 4,000 copies in 24 s that mostly
     /// began at the first holder of a part kept others waiting for seconds.
-    best: Vec<Source>,
+    best: Vec<RankedSource>,
 }
 
-impl<'a> Holdings<'a> {
+impl<'a> PartLocations<'a> {
     /// Looks through the engines that can be fetched from: `holders`, of which
     /// `owners` are those that a part may belong to.
     pub fn new(
         memory: &'a SentParts,
         prompt: &'a Prompt,
         owners: &[(EndpointKey, &Endpoint)],
-        holders: &[Holder],
-        rate: Rate,
-    ) -> Holdings<'a> {
+        sources: &[FetchSource],
+        rates: PrefillRates,
+    ) -> PartLocations<'a> {
         let owner = prompt.shared().last().and_then(|part| owner(owners, part));
-        let mut holdings = Holdings { memory, prompt, rate, owner, best: Vec::new() };
-        let sources = holders.iter().map(|holder| holdings.source(*holder));
+        let mut locations = PartLocations { memory, prompt, rates, owner, best: Vec::new() };
+        let sources = sources.iter().map(|source| locations.rank(*source));
         let mut sources: Vec<_> = sources.filter(|source| source.tokens > 0).collect();
-        sources.sort_by(|a, b| b.gain.total_cmp(&a.gain));
+        sources.sort_by(|a, b| b.saved_millis.total_cmp(&a.saved_millis));
         sources.truncate(2);
-        holdings.best = sources;
-        holdings
+        locations.best = sources;
+        locations
     }
 
-    fn source(&self, holder: Holder) -> Source {
-        let tokens = self.known(holder.key);
-        let copying = self.rate.transfer.map_or(0.0, |transfer| transfer.millis(tokens));
-        let reading = tokens as f64 * self.rate.token_millis;
-        let gain = reading - copying - holder.wait.as_secs_f64() * 1e3;
-        Source { holder, tokens, gain }
+    fn rank(&self, source: FetchSource) -> RankedSource {
+        let tokens = self.recorded(source.key);
+        let copying = self.rates.transfer.map_or(0.0, |transfer| transfer.millis(tokens));
+        let reading = tokens as f64 * self.rates.token_millis;
+        let saved_millis = reading - copying - source.wait.as_secs_f64() * 1e3;
+        RankedSource { source, tokens, saved_millis }
     }
 
     /// How an engine would get the prompt.
@@ -148,22 +148,22 @@
     /// with: a first request then goes to the owner, which so comes to hold what
     /// it should. A source is named in any case; what an engine has already is
     /// not fetched, and of one that lacks it nothing is.
-    pub fn reading(&self, engine: EndpointKey) -> Reading {
-        let (held, known) = (self.held(engine), self.known(engine));
-        let can_fetch = self.rate.transfer.is_some();
-        let best = self.best.iter().find(|source| source.holder.key != engine);
-        let best = best.filter(|source| source.tokens >= known + SMALLEST_FETCH);
+    pub fn plan(&self, engine: EndpointKey) -> PrefillPlan {
+        let (held, recorded) = (self.held(engine), self.recorded(engine));
+        let can_fetch = self.rates.transfer.is_some();
+        let best = self.best.iter().find(|ranked| ranked.source.key != engine);
+        let best = best.filter(|source| source.tokens >= recorded + MIN_FETCH_TOKENS);
         let Some(best) = best.filter(|_| can_fetch) else {
             let owner = self.owner.filter(|owner| *owner != engine && can_fetch);
             let shared = self.prompt.shared_tokens();
-            let source = owner.filter(|_| shared >= known + SMALLEST_FETCH);
+            let source = owner.filter(|_| shared >= recorded + MIN_FETCH_TOKENS);
             let tokens = self.all().saturating_sub(held);
-            return Reading { tokens, fetched: 0, source, source_wait: Duration::ZERO };
+            return PrefillPlan { tokens, fetched: 0, source, source_wait: Duration::ZERO };
         };
         let fetched = best.tokens.saturating_sub(held);
         let tokens = self.all().saturating_sub(held + fetched);
-        let Holder { key, wait } = best.holder;
-        Reading { tokens, fetched, source: Some(key), source_wait: wait }
+        let FetchSource { key, wait } = best.source;
+        PrefillPlan { tokens, fetched, source: Some(key), source_wait: wait }
     }
 
     /// Tokens of the whole prompt.
@@ -179,7 +179,7 @@
     }
 
     /// Tokens from the start of the prompt that this instance has sent there.
-    fn known(&self, engine: EndpointKey) -> u64 {
+    fn recorded(&self, engine: EndpointKey) -> u64 {
         self.prefix(|_, part| self.memory.holds(engine, part))
     }
 
@@ -193,12 +193,16 @@
 }
 
 /// Those of the engines that another one can fetch from now.
-pub fn holders(directory: &Directory, now: Duration, engines: &[EndpointKey]) -> Vec<Holder> {
-    let holder = |key: &EndpointKey| {
+pub fn fetch_sources(
+    directory: &Directory,
+    now: Duration,
+    engines: &[EndpointKey],
+) -> Vec<FetchSource> {
+    let source = |key: &EndpointKey| {
         let endpoint = directory.get(*key).filter(|endpoint| !endpoint.is_paused(now))?;
-        Some(Holder { key: *key, wait: endpoint.engine.copy_wait(now) })
+        Some(FetchSource { key: *key, wait: endpoint.engine.copy_wait(now) })
     };
-    engines.iter().filter_map(holder).collect()
+    engines.iter().filter_map(source).collect()
 }
 
 /// The engine that all instances agree on for a part.
--- a/crates/core/src/relay/engine.rs
+++ b/crates/core/src/relay/engine.rs
@@ -15,13 +15,13 @@
 
 /// News of a first token take this long: the way from the engine, the pause in
 /// which an instance gathers what it tells a placer, and a loaded instance.
-const NEWS_TIME: Duration = Duration::from_millis(250);
+const REPORT_DELAY: Duration = Duration::from_millis(250);
 /// A call whose first token is overdue for longer is not reckoned with any more:
 /// the instance that made it may be gone, and an engine that nobody calls cannot
 /// show that it has caught up.
-const LONGEST_LAG: Duration = Duration::from_secs(4);
+const MAX_LAG: Duration = Duration::from_secs(4);
 /// A call of which no end was heard is forgotten. Streams last seconds.
-const LONGEST_RUN: Duration = Duration::from_secs(30);
+const MAX_RUN_TIME: Duration = Duration::from_secs(30);
 
 /// What a call asks of an engine.
 #[data]
@@ -38,19 +38,19 @@
 /// A call that was placed there.
 #[derive(Debug, Clone)]
 struct Run {
-    placed: Duration,
+    placed_at: Duration,
     /// When its first token should come.
-    expected: Duration,
-    has_begun: bool,
+    first_token_due: Duration,
+    has_first_token: bool,
     /// Tokens that it alone keeps in memory.
-    own: u64,
+    own_tokens: u64,
     /// The parts that it shares with others.
     parts: Vec<u64>,
 }
 
 /// A part of prompts that running calls keep in memory.
 #[derive(Debug, Clone, Copy, Default)]
-struct Shared {
+struct SharedPart {
     runs: u32,
     tokens: u64,
 }
@@ -59,15 +59,15 @@
 #[derive(Debug, Clone, Default)]
 pub struct EngineModel {
     runs: HashMap<RunNumber, Run>,
-    shared: HashMap<u64, Shared>,
+    shared: HashMap<u64, SharedPart>,
     /// Memory that the runs keep, in tokens.
-    memory: u64,
+    memory_tokens: u64,
     /// When it has read all that was placed.
-    reading_until: Duration,
+    prefill_until: Duration,
     /// When its link has carried all copies to it and from it.
     copying_until: Duration,
     /// When the newest call was placed whose first token has come.
-    newest_begun: Duration,
+    newest_with_first_token: Duration,
 }
 
 impl EngineModel {
@@ -77,25 +77,25 @@
         now: Duration,
         number: RunNumber,
         prompt: &Prompt,
-        work: CallEstimate,
+        estimate: CallEstimate,
     ) {
-        let copied = self.add_copy(now, work.copy_time);
-        self.reading_until = self.reading_until.max(now) + work.prefill;
-        let read = self.reading_until.max(copied + work.prefill);
-        let own = prompt.own_tokens() + u64::from(prompt.output);
+        let copy_end = self.add_copy(now, estimate.copy_time);
+        self.prefill_until = self.prefill_until.max(now) + estimate.prefill;
+        let prefill_end = self.prefill_until.max(copy_end + estimate.prefill);
+        let own_tokens = prompt.own_tokens() + u64::from(prompt.output);
         let run = Run {
-            placed: now,
-            expected: read + work.first_token,
-            has_begun: false,
-            own,
+            placed_at: now,
+            first_token_due: prefill_end + estimate.first_token,
+            has_first_token: false,
+            own_tokens,
             parts: prompt.shared().iter().map(|part| part.id).collect(),
         };
-        self.memory += own;
+        self.memory_tokens += own_tokens;
         for part in prompt.shared() {
             let shared = self.shared.entry(part.id).or_default();
             shared.runs += 1;
             shared.tokens = u64::from(part.tokens);
-            self.memory += if shared.runs == 1 { shared.tokens } else { 0 };
+            self.memory_tokens += if shared.runs == 1 { shared.tokens } else { 0 };
         }
         self.runs.insert(number, run);
     }
@@ -112,29 +112,29 @@
     /// The first token of a call came. Returns how long after it was placed.
     pub fn record_first_token(&mut self, now: Duration, number: RunNumber) -> Option<Duration> {
         let run = self.runs.get_mut(&number)?;
-        run.has_begun = true;
-        self.newest_begun = self.newest_begun.max(run.placed);
-        Some(now.saturating_sub(run.placed))
+        run.has_first_token = true;
+        self.newest_with_first_token = self.newest_with_first_token.max(run.placed_at);
+        Some(now.saturating_sub(run.placed_at))
     }
 
     /// A call has ended, however. Returns how long it was there.
     pub fn remove_run(&mut self, now: Duration, number: RunNumber) -> Option<Duration> {
         let run = self.runs.remove(&number)?;
-        self.memory -= run.own;
+        self.memory_tokens -= run.own_tokens;
         for part in &run.parts {
             let Some(shared) = self.shared.get_mut(part) else { continue };
             shared.runs -= 1;
             if shared.runs == 0 {
-                self.memory -= shared.tokens;
+                self.memory_tokens -= shared.tokens;
                 self.shared.remove(part);
             }
         }
-        Some(now.saturating_sub(run.placed))
+        Some(now.saturating_sub(run.placed_at))
     }
 
     /// Forgets calls of which no end was heard.
     pub fn expire_runs(&mut self, now: Duration) {
-        let is_lost = |run: &Run| now > run.placed + LONGEST_RUN;
+        let is_lost = |run: &Run| now > run.placed_at + MAX_RUN_TIME;
         let lost: Vec<_> =
             self.runs.iter().filter(|(_, run)| is_lost(run)).map(|(number, _)| *number).collect();
         for number in lost {
@@ -144,9 +144,9 @@
 
     /// Whether a call that was placed since then still waits for its first token.
     pub fn has_pending_probe(&self, now: Duration, since: Duration) -> bool {
-        let is_telling = |run: &Run| now < run.placed + LONGEST_LAG;
-        let mut waiting = self.runs.values().filter(|run| !run.has_begun && is_telling(run));
-        waiting.any(|run| run.placed >= since)
+        let is_counted = |run: &Run| now < run.placed_at + MAX_LAG;
+        let mut waiting = self.runs.values().filter(|run| !run.has_first_token && is_counted(run));
+        waiting.any(|run| run.placed_at >= since)
     }
 
     /// Whether a call is there.
@@ -161,13 +161,13 @@
 
     /// How many calls there stream.
     pub fn stream_count(&self) -> u32 {
-        let streams = self.runs.values().filter(|run| run.has_begun).count();
+        let streams = self.runs.values().filter(|run| run.has_first_token).count();
         u32::try_from(streams).unwrap_or(u32::MAX)
     }
 
     /// Tokens that the calls there keep in memory.
     pub fn memory_in_use(&self) -> u64 {
-        self.memory
+        self.memory_tokens
     }
 
     /// Tokens that a further call would keep in memory besides.
@@ -180,7 +180,7 @@
 
     /// How long a further prompt waits until it is read.
     pub fn prefill_wait(&self, now: Duration) -> Duration {
-        self.reading_until.saturating_sub(now) + self.lag(now)
+        self.prefill_until.saturating_sub(now) + self.lag(now)
     }
 
     /// How long its link is busy with copies.
@@ -191,9 +191,9 @@
     /// How long first tokens are overdue. A call that others overtook tells of
     /// itself and not of the engine.
     fn lag(&self, now: Duration) -> Duration {
-        let waiting = self.runs.values().filter(|run| !run.has_begun);
-        let telling = waiting.filter(|run| run.placed >= self.newest_begun);
-        let lags = telling.map(|run| now.saturating_sub(run.expected + NEWS_TIME));
-        lags.filter(|lag| *lag < LONGEST_LAG).max().unwrap_or_default()
+        let waiting = self.runs.values().filter(|run| !run.has_first_token);
+        let counted = waiting.filter(|run| run.placed_at >= self.newest_with_first_token);
+        let lags = counted.map(|run| now.saturating_sub(run.first_token_due + REPORT_DELAY));
+        lags.filter(|lag| *lag < MAX_LAG).max().unwrap_or_default()
     }
 }
--- a/crates/core/src/relay/readers.rs
+++ b/crates/core/src/relay/readers.rs
@@ -12,10 +12,10 @@
 use crate::{model::InstanceName, relay::model::Peer};
 
 /// Readers at the least: one of them may be cut off from the store.
-const FEWEST: usize = 2;
+const MIN_READERS: usize = 2;
 /// Instances that one reader answers at the most. At a question every
 /// [`PACE`] that is about 30 answers a second.
-const ANSWERED: usize = 18;
+const INSTANCES_PER_READER: usize = 18;
 /// Pause between two looks at the tables, of readers and of those who ask
 /// them. An endpoint that leaves, or a new configuration, has to be known to
 /// everybody within two seconds.
@@ -34,7 +34,7 @@
 
 /// The instances that read the store, of those given; strong ones first.
 pub fn select_readers(instances: &[Peer]) -> Vec<InstanceName> {
-    let count = FEWEST.max(instances.len().div_ceil(ANSWERED));
+    let count = MIN_READERS.max(instances.len().div_ceil(INSTANCES_PER_READER));
     let mut ranked: Vec<_> = instances.iter().collect();
     let rank = |peer: &Peer| (Reverse(peer.strength), xxh3::xxh3_64(peer.name.as_bytes()));
     ranked.sort_by_key(|peer| rank(peer));
--- a/crates/core/src/relay/reading.rs
+++ b/crates/core/src/relay/reading.rs
@@ -11,12 +11,12 @@
 
 /// Time to read a thousand tokens before any call has shown it: that of a
 /// middling engine. A few calls later it does not matter.
-const FIRST_GUESS: Duration = Duration::from_millis(30);
+const DEFAULT_TIME_PER_1000: Duration = Duration::from_millis(30);
 /// What a first token takes besides reading before any call has shown it.
-const FIRST_REST: Duration = Duration::from_millis(100);
+const DEFAULT_OVERHEAD: Duration = Duration::from_millis(100);
 /// Calls that read fewer tokens tell little of the speed: setting them up takes
 /// as long.
-const TELLING: u64 = 1000;
+const MIN_TOKENS: u64 = 1000;
 /// The quantile of times for a thousand tokens that counts as an engine's own
 /// speed: most calls also wait for others.
 const SPEED_QUANTILE: f64 = 0.1;
@@ -24,29 +24,29 @@
 /// by the median is too late for every second request. On six days with bursts
 /// and faults 0.9 was better than a fixed 120 ms; from 0.75 it did not differ by
 /// more than the error.
-const REST_QUANTILE: f64 = 0.9;
+const OVERHEAD_QUANTILE: f64 = 0.9;
 
 /// How fast the engines of a service read prompts.
 #[derive(Debug, Clone, Default)]
 pub struct PrefillSpeed {
     /// Times for a thousand tokens.
-    reading: Estimator,
+    time_per_1000: Estimator,
     /// Times until the first token, less what reading takes.
-    rest: Estimator,
+    overhead: Estimator,
 }
 
 impl PrefillSpeed {
     /// A call that had so many tokens read took so long until its first token.
     pub fn record(&mut self, now: Duration, tokens: u64, took: Duration) {
-        if tokens >= TELLING {
-            self.reading.record(now, took.mul_f64(1000.0 / tokens as f64));
+        if tokens >= MIN_TOKENS {
+            self.time_per_1000.record(now, took.mul_f64(1000.0 / tokens as f64));
         }
-        self.rest.record(now, took.saturating_sub(self.prefill_time(tokens)));
+        self.overhead.record(now, took.saturating_sub(self.prefill_time(tokens)));
     }
 
     /// Milliseconds to read one token.
     pub fn token_millis(&self) -> f64 {
-        let time = self.reading.quantile(SPEED_QUANTILE).unwrap_or(FIRST_GUESS);
+        let time = self.time_per_1000.quantile(SPEED_QUANTILE).unwrap_or(DEFAULT_TIME_PER_1000);
         time.as_secs_f64()
     }
 
@@ -57,12 +57,13 @@
 
     /// The median of what comes on top of reading until the first token.
     pub fn median_overhead(&self) -> Duration {
-        self.rest.quantile(0.5).unwrap_or(FIRST_REST)
+        self.overhead.quantile(0.5).unwrap_or(DEFAULT_OVERHEAD)
     }
 
     /// The usual time until the first token of a call that has so many tokens
     /// read.
     pub fn time_to_first_token(&self, tokens: u64) -> Duration {
-        self.rest.quantile(REST_QUANTILE).unwrap_or(FIRST_REST) + self.prefill_time(tokens)
+        self.overhead.quantile(OVERHEAD_QUANTILE).unwrap_or(DEFAULT_OVERHEAD)
+            + self.prefill_time(tokens)
     }
 }
