--- a/crates/core/src/relay/batch/places.rs
+++ b/crates/core/src/relay/batch/places.rs
@@ -35,11 +35,9 @@
     /// Whether a group may be made at an endpoint: its results are needed
     /// there, or it has no time to wait for one that is nearer.
     pub fn may_run_at(&self, group: &Group, endpoint: EndpointKey) -> bool {
-        let Some(destination) = &group.destination else { return true };
+        let Some(preferred) = &group.preferred_data_centre else { return true };
         let data_centre = self.directory.get(endpoint).map(|known| &*known.entry.data_centre);
-        let has_destination = self.usable.contains(&&**destination);
-        data_centre == Some(destination)
-            || group.target_time < self.urgent_before
-            || !has_destination
+        let is_preferred_usable = self.usable.contains(&&**preferred);
+        data_centre == Some(preferred) || group.target < self.urgent_before || !is_preferred_usable
     }
 }
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -56,7 +56,7 @@
     is_late: bool,
     /// Priority of the request if it is late, else 0.
     priority: u8,
-    target_time: Duration,
+    target: Duration,
     request: Arc<str>,
     stage: u16,
 }
@@ -69,9 +69,9 @@
     /// Size of one result, in bytes.
     pub bytes: u64,
     /// Where the results will be used, if that matters.
-    pub destination: Option<DataCentre>,
+    pub preferred_data_centre: Option<DataCentre>,
     /// By when they should be done.
-    pub target_time: Duration,
+    pub target: Duration,
     deadline: Duration,
     is_begun: bool,
     /// Whether it is made without other groups.
@@ -128,7 +128,7 @@
         let group_key = GroupKey {
             is_late: false,
             priority: 0,
-            target_time: piece.aim,
+            target: piece.aim,
             request: piece.request.clone(),
             stage: piece.stage,
         };
@@ -136,8 +136,8 @@
         let group = self.classes[class].entry(group_key.clone()).or_insert_with(|| Group {
             keys: Vec::new(),
             bytes: piece.bytes,
-            destination: piece.home.clone(),
-            target_time: piece.aim,
+            preferred_data_centre: piece.home.clone(),
+            target: piece.aim,
             deadline: piece.due,
             is_begun: piece.is_begun,
             is_isolated: false,
@@ -166,11 +166,10 @@
 
     /// Pieces of a lane that can be in good time and should be done by `aim` or
     /// before.
-    pub fn count_ahead(&self, class: SizeClass, target_time: Duration) -> usize {
+    pub fn count_ahead(&self, class: SizeClass, target: Duration) -> usize {
         let groups = self.classes[class as usize].iter();
-        let ahead = groups.take_while(|(group_key, group)| {
-            !group_key.is_late && group.target_time <= target_time
-        });
+        let ahead =
+            groups.take_while(|(group_key, group)| !group_key.is_late && group.target <= target);
         ahead.map(|(_, group)| group.keys.len()).sum()
     }
 
@@ -219,7 +218,7 @@
         for (class, groups) in self.classes.iter_mut().enumerate() {
             while let Some(first) = groups.first_entry()
                 && !first.key().is_late
-                && first.key().target_time < done
+                && first.key().target < done
             {
                 let (group_key, group) = first.remove_entry();
                 let late = GroupKey { is_late: true, priority: group.priority, ..group_key };
--- a/crates/core/src/relay/exchange.rs
+++ b/crates/core/src/relay/exchange.rs
@@ -30,7 +30,7 @@
     pub(crate) target: Duration,
     pub(crate) graph: StageGraph,
     /// Where the call will probably go, for the place of large results.
-    pub(crate) destination: Option<DataCentre>,
+    pub(crate) preferred_data_centre: Option<DataCentre>,
     pub(crate) handovers: Vec<HandoverKey>,
     pub(crate) call: Option<CallKey>,
     /// Whether a placer was asked where the call goes, and has not answered.
--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -391,7 +391,7 @@
             started_at: now,
             deadline: now + wait,
             target: now + route.objective.min(wait),
-            destination: None,
+            preferred_data_centre: None,
             handovers: Vec::new(),
             call: None,
             is_placement_pending: false,
