--- a/crates/core/examples/pool/world/fresh.rs
+++ b/crates/core/examples/pool/world/fresh.rs
@@ -3,8 +3,8 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use peatdeck_core::{
-    admission::{drain::Drain, probe::Probe},
-    budget::{self, Budget},
+    admission::{drain::DrainRate, probe::ProbePacer},
+    budget::{self, RetryBudget},
     endpoints::{self, Table},
     latency::Estimator,
     limits,
@@ -25,14 +25,14 @@
     }
     let mut table = Table::new(settings);
     let entries: Vec<EndpointEntry> = names.iter().map(entry).collect();
-    table.listed(Duration::ZERO, &entries);
+    table.apply_listing(Duration::ZERO, &entries);
     Instance {
         table,
         queue: Queue::new(),
-        drain: Drain::new(),
-        probe: Probe::new(),
+        drain: DrainRate::new(),
+        probe: ProbePacer::new(),
         took: Estimator::new(),
-        budget: Budget::new(budget::Settings::default()),
+        budget: RetryBudget::new(budget::Settings::default()),
         peers: HashMap::new(),
     }
 }
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     instance::input::RefuseReason,
-    limits::Limit,
+    limits::AdaptiveLimit,
     membership::EndpointState,
     model::{DataCentre, EndpointEntry, EndpointName, Incarnation, Load, PoolName},
 };
@@ -69,7 +69,7 @@
     ramp: Option<Duration>,
     slow_start: Duration,
     health: Health,
-    limit: Limit,
+    limit: AdaptiveLimit,
     speed: Speed,
     report: Option<Report>,
 }
@@ -134,7 +134,7 @@
             ramp: Some(now),
             slow_start: settings.slow_start,
             health: Health::new(settings.health),
-            limit: Limit::new(settings.limit),
+            limit: AdaptiveLimit::new(settings.limit),
             speed: Speed { good: 1.0, ..Speed::default() },
             report: None,
         }
@@ -157,7 +157,7 @@
             return State::Evacuated;
         }
         match self.health.phase() {
-            Phase::Well => State::Usable,
+            Phase::Healthy => State::Usable,
             Phase::Ejected { .. } | Phase::Probing { .. } => State::Ejected,
         }
     }
@@ -194,7 +194,7 @@
     }
 
     /// Calls that it reported as waiting, worth less the older the report is.
-    pub fn aged_queue(&self, now: Duration) -> f64 {
+    pub fn decayed_queue(&self, now: Duration) -> f64 {
         let Some((queued, age)) = self.reported_queue(now) else { return 0.0 };
         f64::from(queued) * (-age.as_secs_f64() / REPORT_HALF_LIFE.as_secs_f64()).exp2()
     }
@@ -205,17 +205,17 @@
     }
 
     /// How long its calls took lately, for an engine per token, and when the last one ended.
-    pub fn took(&self) -> Option<(Duration, Duration)> {
+    pub fn latency(&self) -> Option<(Duration, Duration)> {
         self.speed.took.map(|took| (Duration::from_secs_f64(took), self.speed.at))
     }
 
     /// How long its whole calls took lately.
-    pub fn took_whole(&self) -> Option<Duration> {
+    pub fn call_latency(&self) -> Option<Duration> {
         self.speed.whole.map(Duration::from_secs_f64)
     }
 
     /// Share of its recent calls that went well.
-    pub fn good_share(&self) -> f64 {
+    pub fn success_rate(&self) -> f64 {
         self.speed.good
     }
 
@@ -272,7 +272,7 @@
             CallResult::Refused(reason) => self.refused(now, sent, reason),
             CallResult::Failed => self.failed(now, sent, pool.may_eject),
             CallResult::Cancelled => self.cancelled(now, end, in_flight, pool),
-            CallResult::Distrusted => self.distrusted(now),
+            CallResult::Mismatched => self.distrusted(now),
         }
     }
 
@@ -282,7 +282,7 @@
             return;
         }
         self.report = Some(Report { load, at });
-        self.limit.reported(now, at, load.queued, load.places.max(1));
+        self.limit.record_report(now, at, load.queued, load.places.max(1));
     }
 
     pub(super) fn is_worth_telling(&self) -> bool {
@@ -328,14 +328,14 @@
         }
         let unit = unit(end);
         self.speed.by_token |= end.tokens.is_some();
-        self.limit.ended(now, unit, in_flight);
+        self.limit.record_completion(now, unit, in_flight);
         self.speed.record(now, unit, end.took);
     }
 
     fn refused(&mut self, now: Duration, sent: Duration, reason: RefuseReason) {
-        self.health.undecided(now, sent);
+        self.health.probe_inconclusive(now, sent);
         if reason == RefuseReason::Busy {
-            self.limit.refused(now, sent);
+            self.limit.record_refusal(now, sent);
         }
     }
 
@@ -346,10 +346,10 @@
         if hung {
             self.failed(now, sent, pool.may_eject);
         } else {
-            self.health.undecided(now, sent);
+            self.health.probe_inconclusive(now, sent);
         }
         if !self.speed.by_token || end.tokens.is_some() {
-            self.limit.cancelled(now, unit(end), in_flight);
+            self.limit.record_cancellation(now, unit(end), in_flight);
         }
     }
 
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -48,7 +48,7 @@
 use slotmap::SlotMap;
 
 use crate::{
-    admission::probe::Probe,
+    admission::probe::ProbePacer,
     budget, claims, config_log,
     content::Content,
     endpoints,
@@ -59,7 +59,7 @@
         finished::Finished,
         held::{CallKey, Flight, Held, RequestKey},
         input::{Identity, Input},
-        lanes::Lanes,
+        lanes::PoolQueues,
         plan::Plan,
         settings::Settings,
         timers::{Timer, Timers},
@@ -76,7 +76,7 @@
     content: Content,
     now: Duration,
     rng: SmallRng,
-    fold: config_log::Fold,
+    fold: config_log::ConfigReader,
     plan: Option<Rc<Plan>>,
     broken: Option<Arc<str>>,
     claims: claims::Claims,
@@ -86,11 +86,11 @@
     calls: SlotMap<CallKey, Flight>,
     callers: HashMap<CallerId, RequestKey>,
     single: HashMap<RequestId, RequestKey>,
-    probes: HashMap<PipelineName, Probe>,
+    probes: HashMap<PipelineName, ProbePacer>,
     teams: HashMap<TeamName, TeamUse>,
-    lanes: Lanes,
+    lanes: PoolQueues,
     latencies: Latencies,
-    budget: budget::Budget,
+    budget: budget::RetryBudget,
     timers: Timers,
     finished: Finished,
     counters: Counters,
@@ -125,7 +125,7 @@
             rng: SmallRng::seed_from_u64(seed),
             content: Content::Keep,
             now: Duration::ZERO,
-            fold: config_log::Fold::new(),
+            fold: config_log::ConfigReader::new(),
             plan: None,
             broken: None,
             claims: claims::Claims::new(identity.clone(), settings.claims()),
@@ -137,9 +137,9 @@
             single: HashMap::new(),
             probes: HashMap::new(),
             teams: HashMap::new(),
-            lanes: Lanes::new(settings.decisions.fair_queue),
+            lanes: PoolQueues::new(settings.decisions.fair_queue),
             latencies: Latencies::new(),
-            budget: budget::Budget::new(budget::Settings::default()),
+            budget: budget::RetryBudget::new(budget::Settings::default()),
             timers: Timers::default(),
             finished: Finished::new(settings.finished),
             counters: Counters::default(),
@@ -190,12 +190,12 @@
     }
 
     /// Where the next read of the configuration stream starts.
-    pub fn config_from(&self) -> Offset {
+    pub fn next_config_offset(&self) -> Offset {
         self.fold.next_offset()
     }
 
     /// Where the next read of the claims stream starts.
-    pub fn claims_from(&self) -> Offset {
+    pub fn next_claims_offset(&self) -> Offset {
         self.claims.next_offset()
     }
 
@@ -232,7 +232,7 @@
             Input::Listed(listing) => self.listed(&listing),
             Input::ListFailed | Input::Tick => {}
             Input::Gossip(message) => self.gossip(&message),
-            Input::PeerFailed(peer) => self.members.failed(self.now, &peer),
+            Input::PeerFailed(peer) => self.members.send_failed(self.now, &peer),
             Input::OutcomeAsked { question, key } => self.outcome_asked(question, &key),
             Input::OutcomeTold { key, answer, .. } => self.outcome_told(&key, answer),
             Input::Stop => self.stop(),
--- a/crates/core/src/relay/batch/admission.rs
+++ b/crates/core/src/relay/batch/admission.rs
@@ -32,20 +32,20 @@
         let (Some(queue), Some(drain_rate)) =
             (self.queues.get(service), self.drain_rates.get(service))
         else {
-            return done <= piece.due;
+            return done <= piece.deadline;
         };
         let class = SizeClass::of(piece.bytes);
         let configured = configured_rate(now, service, config, directory);
         let wait =
-            drain_rate.expected_wait(now, class, queue.count_ahead(class, piece.aim), configured);
-        if done + wait <= piece.aim {
+            drain_rate.expected_wait(now, class, queue.count_ahead(class, piece.target), configured);
+        if done + wait <= piece.target {
             return true;
         }
         if piece.is_begun {
-            return done <= piece.due;
+            return done <= piece.deadline;
         }
         let wait = drain_rate.expected_late_wait(now, class, queue.len_in(class), configured);
-        done + wait <= piece.due
+        done + wait <= piece.deadline
     }
 
     /// How long a piece with a small result that comes now, and can be in good time,
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -128,7 +128,7 @@
         let group_key = GroupKey {
             is_late: false,
             priority: 0,
-            target: piece.aim,
+            target: piece.target,
             request: piece.request.clone(),
             stage: piece.stage,
         };
@@ -136,16 +136,16 @@
         let group = self.classes[class].entry(group_key.clone()).or_insert_with(|| Group {
             keys: Vec::new(),
             bytes: piece.bytes,
-            preferred_data_centre: piece.home.clone(),
-            target: piece.aim,
-            deadline: piece.due,
+            preferred_data_centre: piece.preferred_data_centre.clone(),
+            target: piece.target,
+            deadline: piece.deadline,
             is_begun: piece.is_begun,
             is_isolated: false,
             priority: piece.priority,
         });
-        group.is_isolated |= piece.is_apart;
+        group.is_isolated |= piece.is_isolated;
         group.keys.push(key);
-        self.by_deadline.insert((piece.due, key));
+        self.by_deadline.insert((piece.deadline, key));
         let is_new = self.group_keys.insert(key, (class, group_key)).is_none();
         self.sizes[class] += usize::from(is_new);
     }
@@ -154,7 +154,7 @@
     pub fn remove(&mut self, key: PieceKey, piece: &Piece) -> bool {
         let Some((class, group_key)) = self.group_keys.remove(key) else { return false };
         self.sizes[class] -= 1;
-        self.by_deadline.remove(&(piece.due, key));
+        self.by_deadline.remove(&(piece.deadline, key));
         if let Entry::Occupied(mut group) = self.classes[class].entry(group_key) {
             group.get_mut().keys.retain(|other| *other != key);
             if group.get().keys.is_empty() {
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -230,7 +230,7 @@
 /// tokens come some twenty times slower, and what it has to read longer than a
 /// pause may last makes each of them late by that.
 fn stall_cost(endpoint: &Endpoint, prefill: f64, criteria: Criteria<'_>) -> f64 {
-    let pause = criteria.engine.and_then(|engine| engine.pause);
+    let pause = criteria.engine.and_then(|engine| engine.max_gap);
     let excess = pause.map_or(0.0, |pause| (prefill - millis(pause)).max(0.0));
     f64::from(endpoint.engine.stream_count()) * excess
 }
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -109,8 +109,8 @@
             team: exchange.team.clone().unwrap_or_else(|| "".into()),
             pipeline: exchange.route.name.clone(),
             stage: service.clone(),
-            index: next.unwrap_or(stages.len()) as u32,
-            idempotent: exchange.route.kind.may_repeat(),
+            stage_index: next.unwrap_or(stages.len()) as u32,
+            idempotent: exchange.route.kind.is_repeatable(),
             left,
             wait,
             work,
@@ -119,9 +119,9 @@
             spent: made as f64,
             waiting: self.batches.waiting_count(service) as u32,
             free: self.free_places(now, service),
-            held: of_team.count() as u32,
-            share: 1.0 / teams.len().max(1) as f64,
-            feasible: wait + work <= left,
+            team_held: of_team.count() as u32,
+            team_share: 1.0 / teams.len().max(1) as f64,
+            would_admit: wait + work <= left,
             retry_after,
         }
     }
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -7,8 +7,8 @@
     model::InstanceName,
     relay::{
         model::{
-            ExchangeKey, Handle, HandoverKey, Piece, PieceResult, Placement, Progress, Question,
-            ServiceName,
+            ExchangeKey, Handle, HandoverKey, Piece, PieceResult, Placement, PlacementRequest,
+            Progress, ServiceName,
         },
         terms::Notice,
     },
@@ -51,7 +51,7 @@
                 Err(error) => {
                     driver.metrics.count("relay.handovers_failed", 1);
                     tracing::warn!(event = "handover_failed", handover = ?key, peer = &*peer, error = %error);
-                    driver.peers.members.borrow_mut().failed(driver.now(), &peer);
+                    driver.peers.members.borrow_mut().send_failed(driver.now(), &peer);
                     peers::update(&driver);
                     None
                 }
@@ -67,7 +67,7 @@
         driver: &Rc<Driver>,
         key: ExchangeKey,
         peer: InstanceName,
-        question: Question,
+        question: PlacementRequest,
     ) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
@@ -198,7 +198,7 @@
 async fn place(
     driver: &Rc<Driver>,
     peer: &str,
-    question: &Question,
+    question: &PlacementRequest,
 ) -> Result<Option<Placement>, Error> {
     let addr = driver.peers.members.borrow().addr(peer).ok_or(Error::TimedOut)?;
     let exchange = async |client: relay::Client| {
