--- a/crates/core/src/relay/batch/admission.rs
+++ b/crates/core/src/relay/batch/admission.rs
@@ -36,8 +36,12 @@
         };
         let class = SizeClass::of(piece.bytes);
         let configured = configured_rate(now, service, config, directory);
-        let wait =
-            drain_rate.expected_wait(now, class, queue.count_ahead(class, piece.target), configured);
+        let wait = drain_rate.expected_wait(
+            now,
+            class,
+            queue.count_ahead(class, piece.target),
+            configured,
+        );
         if done + wait <= piece.target {
             return true;
         }
