--- a/crates/core/src/relay/batch.rs
+++ b/crates/core/src/relay/batch.rs
@@ -527,14 +527,14 @@
         locations: &EndpointLocations<'_>,
         idle: usize,
     ) -> Vec<PieceKey> {
-        let batch = config.batch as usize;
+        let max_pieces = config.batch as usize;
         let free_bytes = self.workers.entry(endpoint).or_default().free_bytes(now, config);
         let Some(queue) = self.queues.get_mut(service) else { return Vec::new() };
-        let size = queue.len().div_ceil(idle).max(batch / 2).min(batch);
+        let wanted_pieces = queue.len().div_ceil(idle).max(max_pieces / 2).min(max_pieces);
         let accepts = |group: &Group| locations.may_run_at(group, endpoint);
         let keys = queue.select(&CallCapacity {
-            wanted_pieces: size,
-            max_pieces: batch,
+            wanted_pieces,
+            max_pieces,
             free_bytes,
             accepts: &accepts,
         });
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -355,12 +355,10 @@
     /// A call has got so far: what is known of its endpoint changes, and a peer
     /// that placed it is told.
     fn note_step(&mut self, now: Duration, call: CallKey, step: Step) {
-        let Some(CallState { endpoint, started_at: started, run, placer, .. }) =
-            self.calls.get(call)
-        else {
+        let Some(CallState { endpoint, started_at, run, placer, .. }) = self.calls.get(call) else {
             return;
         };
-        let (endpoint, took) = (*endpoint, now.saturating_sub(*started));
+        let (endpoint, took) = (*endpoint, now.saturating_sub(*started_at));
         let (run, placer) = (*run, placer.clone());
         match (run, self.directory.get_mut(endpoint)) {
             (Some(number), _) => self.on_progress(now, Progress { number, step }),
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -72,20 +72,14 @@
 
     /// Whether a call of an exchange may be made again elsewhere.
     fn may_move(&self, now: Duration, key: ExchangeKey) -> bool {
-        let Exchange {
-            route,
-            attempts,
-            deadline: due,
-            has_sent_head: has_begun,
-            service,
-            tried,
-            ..
-        } = &self.exchanges[key];
-        let may_repeat = route.kind.is_repeatable() && !has_begun && *attempts < route.max_attempts;
+        let Exchange { route, attempts, deadline, has_sent_head, service, tried, .. } =
+            &self.exchanges[key];
+        let may_repeat =
+            route.kind.is_repeatable() && !has_sent_head && *attempts < route.max_attempts;
         let is_sound =
             |key: &EndpointKey| self.directory.get(*key).is_some_and(|it| !it.is_paused(now));
         let others = self.directory.usable(now, service).into_iter();
         let has_other = others.filter(|key| !tried.contains(key)).any(|key| is_sound(&key));
-        may_repeat && has_other && *due > now + OVERDUE_SLACK
+        may_repeat && has_other && *deadline > now + OVERDUE_SLACK
     }
 }
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -190,17 +190,17 @@
         self.next_run += 1;
         let number = self.next_run;
         let speed = self.speeds.get(service).cloned().unwrap_or_default();
-        let copying = chosen.copy_time;
-        let (reading, first) = (speed.prefill_time(chosen.tokens), speed.median_overhead());
+        let copy_time = chosen.copy_time;
+        let (prefill, first_token) = (speed.prefill_time(chosen.tokens), speed.median_overhead());
         if let Some(source) = chosen.source.and_then(|key| self.directory.get_mut(key)) {
-            source.engine.add_copy(now, copying);
+            source.engine.add_copy(now, copy_time);
         }
         if let Some(endpoint) = self.directory.get_mut(chosen.endpoint) {
             endpoint.engine.add_run(
                 now,
                 number,
                 prompt,
-                CallEstimate { prefill: reading, copy_time: copying, first_token: first },
+                CallEstimate { prefill, copy_time, first_token },
             );
             self.runs.insert(number, chosen.endpoint);
         }
@@ -264,15 +264,15 @@
         service: &str,
         inputs: &'a [(DataCentre, u64)],
     ) -> choice::Criteria<'a> {
-        let shape = self.engine(service);
+        let engine = self.engine(service);
         choice::Criteria {
             data_centre: &self.settings.data_centre,
             tried: &[],
             withheld: &[],
             inputs,
             max_in_flight: self.connection_limit(service),
-            transfer: shape.and_then(|shape| shape.transfer),
-            engine: shape,
+            transfer: engine.and_then(|engine| engine.transfer),
+            engine,
             token_millis: self.token_millis(service),
             run_time: self.run_time,
             chooser: Chooser::Independent,
@@ -353,9 +353,8 @@
             return None;
         }
         let Placement { tokens, wait, source, number, .. } = placement;
-        let copying = Duration::ZERO;
-        let chosen =
-            Candidate { endpoint, tokens, source: None, wait, copy_time: copying, cost: 0.0 };
+        let copy_time = Duration::ZERO;
+        let chosen = Candidate { endpoint, tokens, source: None, wait, copy_time, cost: 0.0 };
         Some(Placed { chosen, source, placer: Some((peer.clone(), number)) })
     }
 
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -361,8 +361,8 @@
             // Its round has been given up already.
             Err(_) if is_old => {}
             Ok(handle) => {
-                let place = self.directory.place_of(&handle, one.endpoint);
-                let made = LocatedResult { handle, data_centre: place };
+                let data_centre = self.directory.place_of(&handle, one.endpoint);
+                let made = LocatedResult { handle, data_centre };
                 let (stage, number) = (usize::from(one.piece.stage), usize::from(one.piece.number));
                 exchange.graph.record_result(stage, number, made);
             }
