--- a/crates/core/src/relay/batch.rs
+++ b/crates/core/src/relay/batch.rs
@@ -1,11 +1,10 @@
-//! Pieces of all exchanges, put together into calls.
+//! Groups the pieces of all exchanges into calls.
 //!
-//! An endpoint's call takes a fixed time and a little for each piece, so
-//! capacity comes from full calls. A piece therefore waits here, not at an
-//! endpoint, and a call is put together only when an endpoint is about to be
-//! idle. Which pieces go first is decided by when they have to be done for
-//! their callers to be served in good time; pieces that cannot be in good time
-//! any more come behind all that still can.
+//! A call to an endpoint costs a fixed time and a little for each piece, so throughput comes from
+//! full calls. Pieces therefore queue at the batcher, not at an endpoint, and a call is put
+//! together only when an endpoint is about to become idle. The queue is ordered by the times by
+//! which pieces must finish for their requests to meet their target times; pieces that can't meet
+//! theirs any more come after all that still can.
 
 mod admission;
 pub mod drain;
@@ -34,42 +33,42 @@
     },
 };
 
-/// An endpoint that is so much slower than it should be only gets pieces that
-/// the others have no time for.
+/// An endpoint that is slower than expected by this factor only gets pieces that the others have no
+/// time for.
 const SLOW_FACTOR: f64 = 2.0;
-/// A call that takes so much longer than it should is a straggler: its pieces
-/// are made elsewhere too. A slow endpoint is waited for all the same: in a
-/// burst, work done twice costs more than it saves.
+/// A call that takes longer than expected by this factor is a straggler: its pieces are run at
+/// another endpoint as well. The factor is large because in a burst duplicated work costs more than
+/// it saves.
 const STRAGGLER_FACTOR: f64 = 4.0;
-/// The same, as time on top: connections and a loaded instance.
+/// Added to a straggler's threshold: time for connecting, and for an instance under load.
 const STRAGGLER_SLACK: Duration = Duration::from_millis(100);
 
 slotmap::new_key_type! {
-    /// A piece that waits or is being made here.
+    /// A piece that is queued or running at this batcher.
     pub struct PieceKey;
 }
 
-/// Whom a piece's result is for.
+/// The recipient of a piece's result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// An exchange of this instance.
     Local(ExchangeKey),
-    /// A peer's pieces, and the piece's position among them.
+    /// A peer that handed the piece over.
     Peer {
-        /// The event loop's number for the peer's pieces.
+        /// The number that the event loop gave to the peer's hand-over.
         ticket: u64,
-        /// The position.
+        /// The piece's position in the hand-over.
         index: usize,
     },
 }
 
-/// Who holds pieces: all of them go when it does.
+/// The owner of a set of pieces, which are cancelled together.
 #[id]
 #[derive(Copy)]
 pub enum Requester {
     /// An exchange of this instance.
     Local(ExchangeKey),
-    /// A peer's hand-over, by the event loop's number.
+    /// A peer's hand-over, by the number that the event loop gave it.
     Ticket(u64),
 }
 
@@ -82,26 +81,26 @@
     }
 }
 
-/// A call that is to be made.
+/// A call that the event loop has to make.
 #[derive(Debug)]
 pub struct PlannedCall {
-    /// The endpoint.
+    /// The endpoint to call.
     pub endpoint: EndpointKey,
-    /// Its pieces.
+    /// The pieces of the call.
     pub pieces: Vec<Piece>,
     keys: Vec<PieceKey>,
 }
 
-/// A piece that has its result.
+/// A piece that has succeeded, failed or been rejected.
 #[derive(Debug)]
 pub struct FinishedPiece {
-    /// Whom it is for.
+    /// The recipient of the result.
     pub origin: Origin,
-    /// The piece.
+    /// The piece as it was sent or queued.
     pub piece: Piece,
-    /// The result.
+    /// The handle of the result, or why there is none.
     pub result: PieceResult,
-    /// The endpoint that made it or failed to.
+    /// The endpoint that ran the piece; `None` if it was not sent to any.
     pub endpoint: Option<EndpointKey>,
 }
 
@@ -110,9 +109,9 @@
     piece: Piece,
     origin: Origin,
     call: Option<CallKey>,
-    /// Whether a call that takes too long may still bring it.
+    /// Whether the piece was queued again while a call that became a straggler may still return it.
     is_straggler: bool,
-    /// Whether nobody needs it any more. It is not made again then.
+    /// Whether its requester has cancelled it, so that it is not run again.
     is_cancelled: bool,
 }
 
@@ -123,15 +122,15 @@
     started: Duration,
     expected: Duration,
     lease: Duration,
-    /// When it counts as a straggler; `None` once it was taken for one.
+    /// When the call becomes a straggler; `None` once it has been treated as one.
     straggler_at: Option<Duration>,
-    /// Whether its pieces are made from results.
+    /// Whether any of the pieces takes results of earlier stages as inputs.
     has_inputs: bool,
-    /// When it has probably read them; `None` afterwards.
+    /// When the endpoint has probably read the inputs; `None` from then on.
     read_by: Option<Duration>,
 }
 
-/// Pieces that wait or are being made.
+/// The queued and running pieces of the services that this instance batches.
 #[derive(Debug, Default)]
 pub struct Batcher {
     pieces: SlotMap<PieceKey, TrackedPiece>,
@@ -144,12 +143,12 @@
 }
 
 impl Batcher {
-    /// A piece that is not taken in, since it cannot be made in time.
+    /// Returns a piece that was not admitted since it can't finish in time.
     pub fn reject_late(piece: Piece, origin: Origin) -> FinishedPiece {
         FinishedPiece { origin, piece, result: Err(PieceFailure::Late), endpoint: None }
     }
 
-    /// Takes in a piece.
+    /// Queues a piece.
     pub fn add(&mut self, piece: Piece, origin: Origin) {
         let service = piece.service.clone();
         let (is_straggler, is_cancelled) = (false, false);
@@ -159,8 +158,8 @@
         self.queues.entry(service).or_default().push(key, &self.pieces[key].piece);
     }
 
-    /// Drops the waiting pieces of a holder that does not need them any more.
-    /// Those that are being made cannot be taken back, but are not made again.
+    /// Removes the queued pieces of a requester that no longer needs them. Running pieces can't be
+    /// stopped, but are not run again.
     pub fn cancel(&mut self, requester: Requester) {
         let Some(keys) = self.by_requester.get(&requester).cloned() else { return };
         for key in keys {
@@ -172,7 +171,7 @@
         }
     }
 
-    /// The contents of the requests whose pieces a call has.
+    /// The contents of the requests whose pieces a call runs, each once.
     pub fn contents_of(&self, call: CallKey) -> Vec<Fingerprint> {
         let keys = self.running.get(&call).map_or(&[][..], |running| &running.keys);
         let pieces = keys.iter().filter_map(|key| self.pieces.get(*key));
@@ -182,8 +181,7 @@
         contents
     }
 
-    /// Takes out the pieces of a content that wait. Those that are being made are not
-    /// made again.
+    /// Removes the queued pieces of a content as failed. Its running pieces are not run again.
     pub fn take_content(&mut self, content: Fingerprint) -> Vec<FinishedPiece> {
         let mut keys = Vec::new();
         for (key, entry) in self.pieces.iter_mut().filter(|(_, it)| it.piece.content == content) {
@@ -197,19 +195,20 @@
         entries.map(|entry| entry.finished(Err(PieceFailure::Failed), None)).collect()
     }
 
-    /// Services with waiting pieces.
+    /// The services that have queued pieces.
     pub fn waiting_services(&self) -> Vec<ServiceName> {
         let busy = self.queues.iter().filter(|(_, waiting)| !waiting.is_empty());
         busy.map(|(service, _)| service.clone()).collect()
     }
 
-    /// How many pieces of a service wait.
+    /// The number of queued pieces of a service.
     pub fn waiting_count(&self, service: &str) -> usize {
         self.queues.get(service).map_or(0, Queue::len)
     }
 
-    /// When a call becomes a straggler or has read its inputs, or a blocked endpoint is
-    /// free again while pieces wait.
+    /// The next time at which `plan` or a check may have something to do: a call becomes a
+    /// straggler or has read its inputs, or, while pieces are queued, an endpoint accepts calls
+    /// again.
     pub fn next_wake(&self, now: Duration) -> Option<Duration> {
         let late = self.running.values().filter_map(|running| running.straggler_at);
         let read = self.running.values().filter_map(|running| running.read_by);
@@ -223,13 +222,12 @@
         all.filter(|until| *until > now).chain(late).min()
     }
 
-    /// The time that a call of so many pieces takes.
+    /// The expected time of a call with this many pieces.
     pub fn call_time(config: &Pieces, pieces: usize) -> Duration {
         config.call_time + config.piece_time * u32::try_from(pieces).unwrap_or(u32::MAX)
     }
 
-    /// The calls that are to be made now. Each has to be confirmed with
-    /// [`Batcher::record_start`].
+    /// Plans the calls to make now. Each must be confirmed with [`Batcher::record_start`].
     pub fn plan(
         &mut self,
         now: Duration,
@@ -266,7 +264,7 @@
         calls
     }
 
-    /// A planned call is on its way.
+    /// Records that a planned call has been sent.
     pub fn record_start(
         &mut self,
         now: Duration,
@@ -299,14 +297,14 @@
         self.running.insert(call, running);
     }
 
-    /// An endpoint gets no further call until then.
+    /// Sends the endpoint no further call until the given time.
     pub fn hold_endpoint(&mut self, endpoint: EndpointKey, until: Duration) {
         let worker = self.workers.entry(endpoint).or_default();
         worker.on_hold_until = until;
     }
 
-    /// Takes out the calls that have become stragglers, with how many pieces
-    /// each still owes.
+    /// Returns each call that has just become a straggler, with the number of its unfinished
+    /// pieces.
     pub fn take_stragglers(&mut self, now: Duration) -> Vec<(CallKey, ServiceName, u32)> {
         let pieces = &self.pieces;
         let late = self
@@ -323,8 +321,8 @@
         owed.collect()
     }
 
-    /// The pieces of a straggler wait again, to be made elsewhere too. Whoever
-    /// has a piece first counts.
+    /// Queues the pieces of a straggler again, to be run at another endpoint as well. The first
+    /// result of a piece counts.
     pub fn requeue(&mut self, call: CallKey) {
         let Some(running) = self.running.get(&call) else { return };
         for key in running.keys.clone() {
@@ -339,8 +337,8 @@
         }
     }
 
-    /// A call brought results, in the order of its pieces. Results that nobody
-    /// waits for any more come back apart.
+    /// Records the results of a call, in the order of its pieces. Results of pieces that are no
+    /// longer tracked are returned separately, to be freed.
     pub fn record_results(
         &mut self,
         now: Duration,
@@ -357,7 +355,7 @@
         if running.has_inputs {
             self.read_time.record_call(running.read_by.is_none(), &results);
         }
-        self.record_produced(now, &running, &results);
+        self.record_completed(now, &running, &results);
         let worker = self.workers.entry(running.endpoint).or_default();
         worker.record_duration(now, now.saturating_sub(running.started), running.expected);
         let had_some = results.iter().any(Result::is_ok);
@@ -372,22 +370,23 @@
         (self.finish(running, results), unclaimed)
     }
 
-    /// Results at an endpoint have been given up.
+    /// Records that results have been freed at their endpoint.
     pub fn record_freed(&mut self, handles: &[Handle]) {
         for worker in self.workers.values_mut() {
             worker.remove_results(handles);
         }
     }
 
-    /// Results have probably been read by all that need them.
+    /// Marks results as evictable: every piece that needs them has probably read them.
     pub fn mark_evictable(&mut self, handles: &[Handle]) {
         for worker in self.workers.values_mut() {
             worker.mark_evictable(handles);
         }
     }
 
-    /// Spare results that take up room while pieces wait for it: those with large
-    /// results, or as many others as make a full call. They are to be given up.
+    /// The evictable results to free because queued pieces need their memory: those of all
+    /// endpoints if large results are queued, else those of endpoints that lack the memory for a
+    /// full call.
     pub fn results_to_evict(
         &self,
         now: Duration,
@@ -407,8 +406,8 @@
         workers.flat_map(Worker::evictable).cloned().collect()
     }
 
-    /// A call failed; `is_unrun` says that the endpoint refused it. All its
-    /// pieces come back.
+    /// Records the failure of a call and returns all its pieces; `is_unrun` says that the endpoint
+    /// refused it.
     pub fn record_failure(
         &mut self,
         now: Duration,
@@ -420,7 +419,7 @@
         if is_unrun {
             self.workers.entry(running.endpoint).or_default().record_refusal(now);
         }
-        // Pieces that wait again already, or are made elsewhere, stay there.
+        // Pieces that are queued again or run in another call stay there.
         let keys = running.keys.iter().copied();
         let keys = keys.filter(|key| self.pieces.get(*key).is_some_and(|it| it.call == Some(call)));
         let running = RunningCall { keys: keys.collect(), ..running };
@@ -428,7 +427,7 @@
         self.finish(running, results)
     }
 
-    /// Forgets endpoints that the directory does not know any more.
+    /// Drops the state of endpoints that the directory no longer contains.
     pub fn forget_removed(&mut self, directory: &Directory) {
         self.workers.retain(|key, _| directory.get(*key).is_some());
     }
@@ -445,21 +444,21 @@
         let endpoint = Some(running.endpoint);
         let entries = running.keys.into_iter().zip(results);
         let entries = entries.filter_map(|(key, result)| {
-            // A straggler's pieces may wait again.
+            // A straggler's pieces may be queued again.
             self.dequeue(key);
             Some((self.remove_piece(key)?, result))
         });
         entries.map(|(entry, result)| entry.finished(result, endpoint)).collect()
     }
 
-    /// Takes a piece out of its queue; false if it does not wait.
+    /// Takes a piece out of its queue; false if it is not queued.
     fn dequeue(&mut self, key: PieceKey) -> bool {
         let Some(entry) = self.pieces.get(key) else { return false };
         let queue = self.queues.get_mut(&entry.piece.service);
         queue.is_some_and(|queue| queue.remove(key, &entry.piece))
     }
 
-    /// Forgets a piece that does not wait.
+    /// Stops tracking a piece that is not queued.
     fn remove_piece(&mut self, key: PieceKey) -> Option<TrackedPiece> {
         let entry = self.pieces.remove(key)?;
         let requester = entry.origin.requester();
@@ -472,7 +471,7 @@
         Some(entry)
     }
 
-    /// Endpoints that can take a call, the fastest first.
+    /// The endpoints that can take a call, fastest first.
     fn idle_endpoints(
         &self,
         now: Duration,
@@ -497,7 +496,7 @@
         self.workers.get(endpoint).map_or(1.0, |worker| worker.slowdown(now))
     }
 
-    /// Whether the other endpoints make the waiting pieces sooner.
+    /// Whether the other endpoints would finish the queued pieces sooner.
     fn is_too_slow(
         &self,
         now: Duration,
@@ -515,9 +514,9 @@
         fast > 0 && rounds + 1.0 < own
     }
 
-    /// Takes the pieces of an endpoint's next call: the most urgent ones whose
-    /// results have room there and do not belong elsewhere. `idle` endpoints
-    /// share what waits, as long as that makes half a call or more for each.
+    /// Takes the pieces of an endpoint's next call off the queue: the most urgent ones whose
+    /// results fit into its memory and that may run there. The `idle` endpoints share the queue as
+    /// long as each gets at least half a call.
     fn take_pieces_for(
         &mut self,
         now: Duration,
--- a/crates/core/src/relay/batch/admission.rs
+++ b/crates/core/src/relay/batch/admission.rs
@@ -1,4 +1,4 @@
-//! Which pieces are taken in, and which that wait are given up.
+//! Which pieces are admitted to a queue, and which queued pieces are dropped.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
     model::{Piece, PieceFailure, PieceResult},
 };
 
-/// Pause between two looks for late pieces that others leave no turn for.
+/// Interval between two searches for late pieces that are starved by more urgent ones.
 const STARVATION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Batcher {
-    /// Whether a piece that comes now will be made before it is due: behind
-    /// those that are more urgent if it can be in good time, else behind all
-    /// that wait, as fast as those that come meanwhile leave turns. One whose
-    /// request has been begun only has to have the time itself.
+    /// Whether a new piece will be run before its deadline. A piece that can meet its target time
+    /// is queued behind the more urgent ones; any other is queued behind all pieces, at the pace
+    /// that new ones leave it. A piece whose request has been worked on only needs the time of its
+    /// own call.
     pub fn is_feasible(
         &self,
         now: Duration,
@@ -52,8 +52,8 @@
         done + wait <= piece.deadline
     }
 
-    /// How long a piece with a small result that comes now, and can be in good time,
-    /// waits for its turn at a service; `None` if none waits there.
+    /// How long a new piece with a small result that can meet its target time would wait at a
+    /// service; `None` if no pieces are queued there.
     pub fn backlog(
         &self,
         now: Duration,
@@ -67,8 +67,8 @@
         Some(self.drain_rates.get(service)?.expected_wait(now, SizeClass::Small, ahead, configured))
     }
 
-    /// Takes out waiting pieces that cannot be made any more before they are
-    /// due, and late ones that others leave no turn for.
+    /// Removes the queued pieces that can't finish before their deadlines, and late pieces that are
+    /// starved by more urgent ones.
     pub fn take_late(
         &mut self,
         now: Duration,
@@ -97,7 +97,7 @@
         entries.map(|entry| entry.finished(Err(PieceFailure::Late), None)).collect()
     }
 
-    /// Takes out all waiting pieces of a service that nobody can make.
+    /// Removes all queued pieces of a service that no endpoint may run.
     pub fn take_waiting(&mut self, service: &str) -> Vec<FinishedPiece> {
         let keys = self.queues.get(service).map(Queue::keys).unwrap_or_default();
         let entries = keys.into_iter().filter_map(|key| {
@@ -115,7 +115,7 @@
         }
     }
 
-    pub(super) fn record_produced(
+    pub(super) fn record_completed(
         &mut self,
         now: Duration,
         running: &RunningCall,
@@ -124,13 +124,13 @@
         let made = running.keys.iter().zip(results).filter(|(_, result)| result.is_ok());
         for piece in made.filter_map(|(key, _)| Some(&self.pieces.get(*key)?.piece)) {
             let drain_rate = self.drain_rates.entry(piece.service.clone()).or_default();
-            drain_rate.record_produced(now, SizeClass::of(piece.bytes), 1);
+            drain_rate.record_completed(now, SizeClass::of(piece.bytes), 1);
         }
     }
 }
 
-/// Pieces a second that a service's endpoints make in full calls, as far as the
-/// configuration says.
+/// Pieces per second that the endpoints of a service complete in full calls according to the
+/// configuration.
 fn configured_rate(now: Duration, service: &str, config: &Pieces, directory: &Directory) -> f64 {
     let endpoints = directory.usable(now, service).len().max(1);
     let batch = config.batch as usize;
--- a/crates/core/src/relay/batch/drain.rs
+++ b/crates/core/src/relay/batch/drain.rs
@@ -1,57 +1,55 @@
-//! How fast the queue of one service moves, as it is observed.
+//! Measures how fast the queue of one service drains.
 //!
-//! The load that this answers is a burst: more comes than can be made, and what
-//! decides whether a request gets its turn is not how much waits now but how
-//! much faster the queue is worked off than it is filled up with requests that
-//! go first. Both rates are counted over a short window, for each lane apart:
-//! large results are made as fast as room for them becomes free, small ones as
-//! fast as calls follow each other.
+//! This matters in a burst, when pieces arrive faster than they can be run: whether a request gets
+//! its turn then depends less on the length of the queue than on how much faster it drains than
+//! more urgent requests fill it. Rates are measured over a short window for each size class, since
+//! large results are limited by free result memory and small ones by the rate of calls.
 
 use std::time::Duration;
 
 use crate::relay::batch::queue::{SIZE_CLASSES, SizeClass};
 
-/// The span that rates are counted over: some calls long, so that one call
-/// more or less does not matter, and short against a burst of some seconds.
+/// The window of the measurement: several calls long, so that one call more or less does not
+/// matter, and short compared to a burst of some seconds.
 const WINDOW: Duration = Duration::from_secs(2);
-/// Steps that the window is counted in.
+/// Number of buckets that the window is divided into.
 const BUCKETS: usize = 10;
 
-/// What happened within one step.
+/// Counts of one part of the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
     index: u64,
-    /// Pieces that were made, by lane.
-    produced: [u32; SIZE_CLASSES.len()],
-    /// Whether pieces of the lane waited when the step was last touched.
+    /// Completed pieces, by size class.
+    completed: [u32; SIZE_CLASSES.len()],
+    /// Whether pieces of the class were queued at the last update of this bucket.
     had_waiting: [bool; SIZE_CLASSES.len()],
 }
 
-/// How fast the queue of one service moves.
+/// Measured drain rate of one service's queue.
 #[derive(Debug, Clone, Default)]
 pub struct DrainRate {
     buckets: [Bucket; BUCKETS],
-    /// Since when there is always a piece of the lane that waits.
+    /// The time from which on pieces of the class have always been queued; `None` if there are
+    /// none.
     waiting_since: [Option<Duration>; SIZE_CLASSES.len()],
 }
 
 impl DrainRate {
-    /// Pieces were made.
-    pub fn record_produced(&mut self, now: Duration, class: SizeClass, count: u32) {
-        self.bucket(now).produced[class as usize] += count;
+    /// Counts completed pieces.
+    pub fn record_completed(&mut self, now: Duration, class: SizeClass, count: u32) {
+        self.bucket(now).completed[class as usize] += count;
     }
 
-    /// Notes whether pieces of a lane wait now.
+    /// Records whether pieces of a class are queued now.
     pub fn record_waiting(&mut self, now: Duration, class: SizeClass, is_waiting: bool) {
         self.bucket(now).had_waiting[class as usize] = is_waiting;
         let since = &mut self.waiting_since[class as usize];
         *since = is_waiting.then(|| since.unwrap_or(now));
     }
 
-    /// How long it takes until a piece gets its turn that stands behind `ahead`
-    /// others. `expected` is the rate at which pieces can be made as far as the
-    /// configuration says, in pieces a second; it counts as long as the queue
-    /// has not shown its own.
+    /// Expected time until a piece behind `ahead` others gets its turn. `configured_rate` is the
+    /// rate in pieces per second that the configuration promises; it is used until a rate has been
+    /// measured.
     pub fn expected_wait(
         &self,
         now: Duration,
@@ -63,9 +61,8 @@
         from_secs(ahead as f64 / rate.max(f64::MIN_POSITIVE))
     }
 
-    /// The same for a late piece, which all that come meanwhile and can be in
-    /// good time overtake: what keeps it from its turn is taken to go on for as
-    /// long as it has gone on already.
+    /// The same for a late piece, which every new piece that can meet its target time overtakes:
+    /// the congestion is assumed to last for as long again as it has lasted.
     pub fn expected_late_wait(
         &self,
         now: Duration,
@@ -77,7 +74,7 @@
         now.saturating_sub(since) + self.expected_wait(now, class, ahead, configured_rate)
     }
 
-    /// Pieces a second that are made while there is always one that waits.
+    /// Completed pieces per second while some were queued all the time.
     fn rate(&self, now: Duration, class: SizeClass, configured_rate: f64) -> f64 {
         let recent = || self.recent(now);
         let is_measured = recent().count() == BUCKETS
@@ -85,11 +82,11 @@
         if !is_measured {
             return configured_rate;
         }
-        let made: u32 = recent().map(|bucket| bucket.produced[class as usize]).sum();
-        f64::from(made) / WINDOW.as_secs_f64()
+        let completed: u32 = recent().map(|bucket| bucket.completed[class as usize]).sum();
+        f64::from(completed) / WINDOW.as_secs_f64()
     }
 
-    /// The steps of the window that ends now.
+    /// The buckets of the window that ends now.
     fn recent(&self, now: Duration) -> impl Iterator<Item = &Bucket> {
         let newest = index(now);
         let is_recent =
@@ -107,7 +104,7 @@
     }
 }
 
-/// The number of a moment's step, from 1.
+/// The number of the bucket that a time falls into, from 1.
 fn index(now: Duration) -> u64 {
     let width = WINDOW / BUCKETS as u32;
     (now.as_micros() / width.as_micros()) as u64 + 1
--- a/crates/core/src/relay/batch/places.rs
+++ b/crates/core/src/relay/batch/places.rs
@@ -1,24 +1,24 @@
-//! Where a service's endpoints are.
+//! In which data centres the endpoints of a service are.
 
 use std::time::Duration;
 
 use crate::relay::{batch::queue::Group, directory::Directory, model::EndpointKey};
 
-/// A piece whose result belongs in another data centre waits for an endpoint
-/// there while it has this much time to spare: about a full call.
+/// A piece whose result will be used in another data centre waits for an endpoint there while it
+/// has this much slack: about the time of a full call.
 const LOCALITY_WAIT: Duration = Duration::from_millis(200);
 
-/// Where a service's endpoints are, for the calls that are planned together.
+/// Locations of a service's endpoints, for the calls that are planned together.
 pub struct EndpointLocations<'a> {
     directory: &'a Directory,
-    /// The data centres with an endpoint that takes new work.
+    /// The data centres with an endpoint that accepts new work.
     usable: Vec<&'a str>,
-    /// A group without so much time does not wait for the right place.
+    /// Groups with an earlier target time run at any endpoint.
     urgent_before: Duration,
 }
 
 impl<'a> EndpointLocations<'a> {
-    /// Where the usable endpoints are, for calls that are done by `done`.
+    /// Locations of the usable endpoints, for calls that end by `done`.
     pub fn new(
         done: Duration,
         usable: &[EndpointKey],
@@ -32,8 +32,8 @@
         EndpointLocations { directory, usable: data_centres, urgent_before: done + LOCALITY_WAIT }
     }
 
-    /// Whether a group may be made at an endpoint: its results are needed
-    /// there, or it has no time to wait for one that is nearer.
+    /// Whether a group may run at an endpoint: its results will be used in that data centre, or no
+    /// endpoint there is usable, or the group has no time to wait for one.
     pub fn may_run_at(&self, group: &Group, endpoint: EndpointKey) -> bool {
         let Some(preferred) = &group.preferred_data_centre else { return true };
         let data_centre = self.directory.get(endpoint).map(|known| &*known.entry.data_centre);
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -1,14 +1,13 @@
-//! The pieces of one service that wait, in the order in which they are made.
+//! The queued pieces of one service, in the order in which they are run.
 //!
-//! Pieces of one stage of one request are a *group*: they are made together,
-//! since results that wait for the others only take up room. Groups that can
-//! still be done in good time come first, the most urgent in front; late ones
-//! follow by the priority of their requests.
+//! The pieces of one stage of one request are a *group* and are run together, since results that
+//! wait for the rest of their stage only take up memory. Groups that can still meet their target
+//! times come first, the most urgent one in front; late groups follow by the priority of their
+//! requests.
 //!
-//! The instance that batches a service looks at its queue with every event, so
-//! nothing here goes through the whole queue. Groups with large and with small
-//! results stand in lanes of their own: where large results have no room, the
-//! small ones behind them are found at once.
+//! The batcher of a service uses the queue on every event, so no frequent operation scans all of
+//! it. Groups with large and with small results are kept apart: if there is no memory for large
+//! results, the small ones behind them are found at once.
 
 use std::{
     collections::{BTreeMap, BTreeSet, btree_map::Entry},
@@ -24,70 +23,70 @@
     relay::{batch::PieceKey, model::Piece},
 };
 
-/// Results of at least this size are large: their room is what is scarce.
+/// Results of at least this size are large: memory for them is what limits the rate.
 pub const LARGE_RESULT_BYTES: u64 = 200_000;
-/// Groups that do not fit a call before the rest of their lane is taken not to
-/// fit either. With four data centres one group in four belongs to an endpoint,
-/// so that a few of them are still looked at.
+/// Groups of a size class that may be skipped as unfit for a call before the rest of the class is
+/// taken to be unfit too. With four data centres one group in four may run at an endpoint, so
+/// several have to be tried.
 const MAX_SKIPPED_GROUPS: usize = 32;
-/// All lanes, in their order.
+/// All size classes, in order.
 pub const SIZE_CLASSES: [SizeClass; 2] = [SizeClass::Small, SizeClass::Large];
 
-/// Pieces by the size of their results.
+/// Size class of a piece's result.
 #[id]
 #[derive(Copy)]
 pub enum SizeClass {
-    /// Room for the result is no matter.
+    /// Memory for the result is never the limit.
     Small,
-    /// Room for the result is what is scarce.
+    /// Memory for the result is what limits the rate.
     Large,
 }
 
 impl SizeClass {
-    /// The lane of a result of so many bytes.
+    /// The class of a result of this many bytes.
     pub fn of(bytes: u64) -> SizeClass {
         if bytes >= LARGE_RESULT_BYTES { SizeClass::Large } else { SizeClass::Small }
     }
 }
 
-/// The place of a group in the queue. Late groups rank behind all others.
+/// Position of a group in the queue. Late groups sort after all others.
 #[id]
 pub struct GroupKey {
     is_late: bool,
-    /// Priority of the request if it is late, else 0.
+    /// Priority of the request if the group is late, else 0.
     priority: u8,
     target: Duration,
     request: Arc<str>,
     stage: u16,
 }
 
-/// Pieces of one stage of one request.
+/// The queued pieces of one stage of one request.
 #[data]
 pub struct Group {
-    /// The pieces.
+    /// The pieces in order of arrival.
     pub keys: Vec<PieceKey>,
     /// Size of one result, in bytes.
     pub bytes: u64,
-    /// Where the results will be used, if that matters.
+    /// The data centre in which the results will be used, if that is known and matters.
     pub preferred_data_centre: Option<DataCentre>,
-    /// By when they should be done.
+    /// When the pieces should finish for the request to meet its target time.
     pub target: Duration,
     deadline: Duration,
     is_begun: bool,
-    /// Whether it is made without other groups.
+    /// Whether it must run in a call without other groups.
     is_isolated: bool,
     priority: u8,
 }
 
-/// What a call can take.
+/// Limits of the call that pieces are selected for.
 pub struct CallCapacity<'a> {
-    /// Pieces that it should take at the most.
+    /// The number of pieces at which no further group is added.
     pub wanted_pieces: usize,
-    /// Pieces that the endpoint accepts.
+    /// The largest number of pieces that the endpoint accepts in a call.
     pub max_pieces: usize,
-    /// Bytes of results that the endpoint has room for.
+    /// Free result memory of the endpoint, in bytes.
     pub free_bytes: u64,
-    /// Whether a group may be made at the endpoint.
+    /// Whether a group may run at the endpoint.
     pub accepts: &'a dyn Fn(&Group) -> bool,
 }
 
@@ -96,34 +95,34 @@
 pub struct Queue {
     classes: [BTreeMap<GroupKey, Group>; SIZE_CLASSES.len()],
     by_deadline: BTreeSet<(Duration, PieceKey)>,
-    /// When late pieces are looked through next.
+    /// When the batcher next searches for starved pieces.
     pub next_starvation_check: Duration,
     group_keys: SecondaryMap<PieceKey, (usize, GroupKey)>,
     sizes: [usize; SIZE_CLASSES.len()],
 }
 
 impl Queue {
-    /// Whether nothing waits.
+    /// Whether no piece is queued.
     pub fn is_empty(&self) -> bool {
         self.group_keys.is_empty()
     }
 
-    /// How many pieces wait.
+    /// The number of queued pieces.
     pub fn len(&self) -> usize {
         self.group_keys.len()
     }
 
-    /// All pieces that wait.
+    /// All queued pieces, by deadline.
     pub fn keys(&self) -> Vec<PieceKey> {
         self.by_deadline.iter().map(|(_, key)| *key).collect()
     }
 
-    /// Whether that piece waits here.
+    /// Whether the piece is queued here.
     pub fn contains(&self, key: PieceKey) -> bool {
         self.group_keys.contains_key(key)
     }
 
-    /// Takes in a piece.
+    /// Adds a piece to the group of its stage.
     pub fn push(&mut self, key: PieceKey, piece: &Piece) {
         let group_key = GroupKey {
             is_late: false,
@@ -150,7 +149,7 @@
         self.sizes[class] += usize::from(is_new);
     }
 
-    /// Takes out one piece; false if it does not wait here.
+    /// Removes a piece; false if it is not queued here.
     pub fn remove(&mut self, key: PieceKey, piece: &Piece) -> bool {
         let Some((class, group_key)) = self.group_keys.remove(key) else { return false };
         self.sizes[class] -= 1;
@@ -164,8 +163,8 @@
         true
     }
 
-    /// Pieces of a lane that can be in good time and should be done by `aim` or
-    /// before.
+    /// The number of pieces in a class that are not late and have this target time or an earlier
+    /// one.
     pub fn count_ahead(&self, class: SizeClass, target: Duration) -> usize {
         let groups = self.classes[class as usize].iter();
         let ahead =
@@ -173,25 +172,25 @@
         ahead.map(|(_, group)| group.keys.len()).sum()
     }
 
-    /// The size of a result of a lane's first group; `None` if none waits there.
+    /// Size of one result of a class's first group; `None` if the class is empty.
     pub fn first_bytes(&self, class: SizeClass) -> Option<u64> {
         Some(self.classes[class as usize].first_key_value()?.1.bytes)
     }
 
-    /// Pieces of a lane.
+    /// The number of queued pieces in a class.
     pub fn len_in(&self, class: SizeClass) -> usize {
         self.sizes[class as usize]
     }
 
-    /// The pieces that are due before a time.
+    /// The pieces with deadlines before a time.
     pub fn due_before(&self, time: Duration) -> Vec<PieceKey> {
         let due = self.by_deadline.iter().take_while(|(deadline, _)| *deadline < time);
         due.map(|(_, key)| *key).collect()
     }
 
-    /// Late pieces that will not be reached before they are due, as far as
-    /// `wait` tells how long so many pieces that go before them take. Requests
-    /// that have been begun keep waiting: work was done for them.
+    /// Late pieces that will not get their turn before their deadlines. `wait` returns how long
+    /// this many pieces ahead take. Pieces of requests that other work has been done for stay
+    /// queued.
     pub fn starved(
         &self,
         now: Duration,
@@ -212,8 +211,8 @@
         out
     }
 
-    /// Puts the groups behind the others that cannot be done in good time any
-    /// more: a call that begins now ends at `done`.
+    /// Marks the groups as late that can't meet their target times any more: a call that starts now
+    /// ends at `done`.
     pub fn demote_late(&mut self, done: Duration) {
         for (class, groups) in self.classes.iter_mut().enumerate() {
             while let Some(first) = groups.first_entry()
@@ -230,8 +229,8 @@
         }
     }
 
-    /// The pieces of a call: the first groups that fit it. Of a group that is
-    /// larger than any call, as many as a call takes.
+    /// Selects the pieces of a call: the first groups that fit. Of a group that is larger than a
+    /// call, as many pieces as a call takes.
     pub fn select(&self, capacity: &CallCapacity<'_>) -> Vec<PieceKey> {
         let mut classes = self.classes.each_ref().map(|groups| groups.iter().peekable());
         let mut skipped = [0; SIZE_CLASSES.len()];
--- a/crates/core/src/relay/batch/reads.rs
+++ b/crates/core/src/relay/batch/reads.rs
@@ -1,10 +1,9 @@
-//! When calls have read what their pieces are made from.
+//! Estimates when calls have read their inputs.
 //!
-//! Results take up room until they are given up, and where that is scarce it bounds
-//! how many pieces of a stage are made: 108 results of 60 KB have room at one endpoint,
-//! and each was held for a second, for the half of it by the call that was made from
-//! it and had long read it. So what a call has probably read is spare, and given up
-//! where pieces wait for room.
+//! A result takes up memory at its endpoint until it is freed, and where memory is scarce it bounds
+//! the rate of a stage: 108 results of 60 KB fit into one endpoint, and each was held for a second,
+//! half of that by a call that had long read it. Inputs that a call has probably read are therefore
+//! evictable, and are freed when queued pieces need their memory.
 
 use std::time::Duration;
 
@@ -13,19 +12,19 @@
     model::{CallKey, Handle, PieceFailure, PieceResult},
 };
 
-/// How long after its beginning a call has probably read its inputs, as long as none
-/// has shown otherwise: it reads them before anything else, and those of a full call
-/// take some 20 ms on a link of 10 Gbit/s, which others use too.
+/// Initial and shortest estimate of the time from the start of a call until it has read its inputs.
+/// An endpoint reads them before it does anything else; for a full call that takes some 20 ms on a
+/// shared link of 10 Gbit/s.
 const INITIAL_READ_TIME: Duration = Duration::from_millis(60);
-/// The longest such time: most calls have ended by then.
+/// Upper bound of the estimate: most calls end sooner.
 const MAX_READ_TIME: Duration = Duration::from_millis(500);
-/// By how much the time grows when a call misses what was given up.
+/// Factor on the estimate when a call misses an input that was freed early.
 const GROWTH_FACTOR: u32 = 2;
-/// By how much it shrinks with each call that does not: back within some fifty calls,
-/// two seconds of a busy service.
+/// Factor on the estimate with each call that misses none: it returns to its minimum after some
+/// fifty calls, which take two seconds at a busy service.
 const DECAY_FACTOR: f64 = 0.98;
 
-/// How long calls take to read.
+/// Estimate of how long calls take to read their inputs.
 #[derive(Debug)]
 pub struct ReadTime {
     estimate: Duration,
@@ -38,12 +37,13 @@
 }
 
 impl ReadTime {
-    /// How long after its beginning a call has probably read its inputs.
+    /// Time from the start of a call until it has probably read its inputs.
     pub fn estimate(&self) -> Duration {
         self.estimate
     }
 
-    /// A call brought results; `is_spare` if what it read was taken for spare before.
+    /// Adjusts the estimate to a call's results; `was_evictable` if its inputs had been marked as
+    /// evictable before it ended.
     pub fn record_call(&mut self, was_evictable: bool, results: &[PieceResult]) {
         let has_lost_input = results.contains(&Err(PieceFailure::InputGone));
         self.estimate = match was_evictable && has_lost_input {
@@ -54,7 +54,8 @@
 }
 
 impl Batcher {
-    /// Results that calls have probably read, and that nothing else needs.
+    /// Returns the inputs that calls have probably read since the last check and that no other
+    /// piece needs.
     pub fn take_read(&mut self, now: Duration) -> Vec<Handle> {
         let is_due = |at: Option<Duration>| at.is_some_and(|at| at <= now);
         let due = self.running.iter_mut().filter(|(_, running)| is_due(running.read_by));
@@ -78,8 +79,8 @@
         handles
     }
 
-    /// Whether another piece of the same stage of the same request has yet to read the
-    /// same inputs. They were handed over together, so they have one holder.
+    /// Whether another piece of the same stage of the same request has yet to read the same inputs.
+    /// Such pieces are handed over together, so they have the same requester.
     fn has_unread_sibling(&self, entry: &TrackedPiece) -> bool {
         let siblings = self.by_requester.get(&entry.origin.requester()).into_iter().flatten();
         let siblings = siblings.filter_map(|key| self.pieces.get(*key));
--- a/crates/core/src/relay/batch/worker.rs
+++ b/crates/core/src/relay/batch/worker.rs
@@ -1,4 +1,4 @@
-//! One endpoint that makes pieces, as the instance that batches them sees it.
+//! State of one endpoint that runs pieces, as the batcher of its service sees it.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -8,47 +8,48 @@
     model::Handle,
 };
 
-/// A call that should take no time by its configuration is not slow beyond measure.
+/// Lower bound of an expected call time, so that a configured time of zero does not make an
+/// endpoint look infinitely slow.
 const MIN_EXPECTED: Duration = Duration::from_millis(1);
-/// Weight of a new measurement of an endpoint's slowness.
+/// Weight of a new sample in the moving average of the slowdown.
 const NEW_SAMPLE_WEIGHT: f64 = 0.5;
-/// Time after which half of an endpoint's slowness is forgotten, so that it
-/// is tried again.
+/// Half-life of a measured slowdown, after which a slow endpoint gets calls again.
 const SLOWDOWN_HALF_LIFE: Duration = Duration::from_secs(3);
-/// An endpoint that had no room for results holds as much that is not known here, or
-/// has not yet heard what it may give up. That is reckoned with for so long.
+/// How long memory that an endpoint reported as full counts as taken. It is taken by results that
+/// this instance has no record of, or that the endpoint has yet to free.
 const UNACCOUNTED_TIME: Duration = Duration::from_millis(400);
 
-/// A result that takes up room.
+/// A result in an endpoint's memory.
 #[derive(Debug, Clone, Copy)]
 struct StoredResult {
     bytes: u64,
     until: Duration,
-    /// Whether it has probably been read by all that need it.
+    /// Whether every piece that needs it has probably read it.
     is_evictable: bool,
 }
 
-/// One endpoint.
+/// One endpoint that runs pieces.
 #[derive(Debug, Clone, Default)]
 pub struct Worker {
-    /// Own calls that it works on.
+    /// Calls of this instance that are in progress.
     pub calls: usize,
-    /// How long it is taken to be busy with somebody else's call.
+    /// Pauses calls after a refusal, which means that the endpoint is busy with another instance's
+    /// call.
     pub backoff: Backoff,
-    /// Until when it rests.
+    /// End of a hold that the endpoint asked for.
     pub on_hold_until: Duration,
-    /// Bytes of results that are being made.
+    /// Bytes of the results of running pieces.
     pub reserved_bytes: u64,
     slowdown: f64,
     measured_at: Duration,
     results: HashMap<Handle, StoredResult>,
-    /// Bytes that results of others take up, as results without room showed, and until
-    /// when they are reckoned with.
+    /// Bytes of results that this instance has no record of, as `NoRoom` failures showed, and until
+    /// when they count.
     pub unaccounted: Option<(u64, Duration)>,
 }
 
 impl Worker {
-    /// Room for further results, in bytes.
+    /// Free memory for further results, in bytes.
     pub fn free_bytes(&self, now: Duration, config: &Pieces) -> u64 {
         let held = self.results.values().filter(|held| now < held.until);
         let held: u64 = held.map(|held| held.bytes).sum();
@@ -59,13 +60,13 @@
         self.unaccounted.filter(|(_, until)| now < *until).map_or(0, |(bytes, _)| bytes)
     }
 
-    /// It holds a result until it is given up, or until then.
+    /// Records a result that the endpoint holds until it is freed or its lease ends.
     pub fn add_result(&mut self, now: Duration, handle: Handle, bytes: u64, until: Duration) {
         self.results.retain(|_, held| now < held.until);
         self.results.insert(handle, StoredResult { bytes, until, is_evictable: false });
     }
 
-    /// Results have probably been read; those of others are passed over.
+    /// Marks those of the results that the endpoint holds as evictable.
     pub fn mark_evictable(&mut self, handles: &[Handle]) {
         for handle in handles {
             if let Some(held) = self.results.get_mut(handle) {
@@ -74,33 +75,33 @@
         }
     }
 
-    /// Its results that are spare.
+    /// The results that may be freed when memory is scarce.
     pub fn evictable(&self) -> impl Iterator<Item = &Handle> {
         self.results.iter().filter(|(_, held)| held.is_evictable).map(|(handle, _)| handle)
     }
 
-    /// Results have been given up; those of others are passed over.
+    /// Removes those of the results that the endpoint holds.
     pub fn remove_results(&mut self, handles: &[Handle]) {
         for handle in handles {
             self.results.remove(handle);
         }
     }
 
-    /// It had no room for so many bytes of a call's results, or for any of them. Where
-    /// others had room only as much as lacked it is taken to be held: while nothing was
-    /// sent at all then, each such answer left an endpoint idle for 0.4 s, a tenth of
-    /// all endpoints of a service in a burst.
+    /// Records that a result of `bytes` did not fit, although results of the same call did if
+    /// `had_some`. In that case only its size counts as taken, else all memory does. Before, both
+    /// stopped further calls, and each such reply left an endpoint idle for 0.4 s: in a burst that
+    /// was a tenth of a service's endpoints.
     pub fn record_no_room(&mut self, now: Duration, bytes: u64, had_some: bool) {
         let bytes = if had_some { self.unaccounted(now).saturating_add(bytes) } else { u64::MAX };
         self.unaccounted = Some((bytes, now + UNACCOUNTED_TIME));
     }
 
-    /// It refused a call.
+    /// Records that the endpoint refused a call.
     pub fn record_refusal(&mut self, now: Duration) {
         self.backoff.record_failure(now, backoff::REFUSAL_DELAYS);
     }
 
-    /// A call took so long where so much was expected.
+    /// Records the actual and the expected duration of a call.
     pub fn record_duration(&mut self, now: Duration, took: Duration, expected: Duration) {
         self.backoff.record_success();
         let factor = took.as_secs_f64() / expected.max(MIN_EXPECTED).as_secs_f64();
@@ -109,7 +110,7 @@
         self.measured_at = now;
     }
 
-    /// How many times longer than expected its calls take.
+    /// How many times longer than expected calls take here; at least 1.
     pub fn slowdown(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.measured_at).as_secs_f64();
         let kept = 0.5_f64.powf(age / SLOWDOWN_HALF_LIFE.as_secs_f64());
