--- a/crates/core/src/relay/allowance.rs
+++ b/crates/core/src/relay/allowance.rs
@@ -1,31 +1,30 @@
-//! How much repetition one service may get, over all instances.
+//! Retry budget of one service, shared by all instances.
 //!
-//! In any window a service may get `ratio` times its requests, plus a slack,
-//! of calls beyond the first one of each request. The ratio is kept by each
-//! instance for its own requests, and the slack is shared out evenly, so the
-//! sum keeps the bound without a message. A part of both stays unused: the
-//! windows of two instances do not begin together.
+//! In any window a service may receive `ratio` times its requests, plus a slack, of repeated calls:
+//! every call of a request after its first. Each instance applies the ratio to its own requests and
+//! gets an equal part of the slack, so the total stays within the budget without messages between
+//! instances. Part of the budget stays unused, since the windows of instances do not start at the
+//! same time.
 
 use std::{collections::VecDeque, time::Duration};
 
 use peatdeck_macros::data;
 
-/// Steps that a window is counted in.
+/// Number of buckets that a window is divided into.
 const BUCKETS: u32 = 20;
-/// Share of the bound that is used. The rest covers calls that are repeated
-/// without our doing: a caller's request that arrives twice, a piece that a
-/// peer made again.
+/// Share of the budget that is used. The rest covers repeated calls that the relay does not make: a
+/// caller's request that arrives twice, a piece that a peer ran again.
 const USED_FRACTION: f64 = 0.8;
 
-/// The bound on repetition.
+/// Configured size of a retry budget.
 #[data]
 #[derive(Copy)]
 pub struct RetryBudgetConfig {
-    /// Repeated calls for each request.
+    /// Repeated calls per request.
     pub ratio: f64,
-    /// Repeated calls on top, for the whole system.
+    /// Repeated calls on top, for all instances together.
     pub slack: f64,
-    /// The span that is looked at.
+    /// The time over which requests and repeated calls are counted.
     pub window: Duration,
 }
 
@@ -36,7 +35,7 @@
     retries: u32,
 }
 
-/// The counts of one service within the last window.
+/// Requests and repeated calls of one service within the last window.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     config: RetryBudgetConfig,
@@ -44,18 +43,18 @@
 }
 
 impl RetryBudget {
-    /// An allowance that has seen nothing.
+    /// A budget without any requests yet.
     pub fn new(config: RetryBudgetConfig) -> RetryBudget {
         RetryBudget { config, buckets: VecDeque::new() }
     }
 
-    /// Counts a request or a piece that is sent for the first time.
+    /// Counts requests or pieces that are sent for the first time.
     pub fn deposit(&mut self, now: Duration, count: u32) {
         self.bucket(now).requests += count;
     }
 
-    /// Pays for repeated calls; false if the bound does not allow them.
-    /// `instances` share the slack.
+    /// Counts repeated calls if the budget allows all of them; else returns false. `instances` is
+    /// the number of instances that share the slack.
     pub fn try_withdraw(&mut self, now: Duration, count: u32, instances: usize) -> bool {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
@@ -69,7 +68,7 @@
         true
     }
 
-    /// The current step; those outside the window are dropped.
+    /// Returns the current bucket and drops those outside the window.
     fn bucket(&mut self, now: Duration) -> &mut Bucket {
         let width = (self.config.window / BUCKETS).max(Duration::from_millis(1));
         let index = (now.as_millis() / width.as_millis()) as u64;
--- a/crates/core/src/relay/batch/places.rs
+++ b/crates/core/src/relay/batch/places.rs
@@ -35,9 +35,11 @@
     /// Whether a group may run at an endpoint: its results will be used in that data centre, or no
     /// endpoint there is usable, or the group has no time to wait for one.
     pub fn may_run_at(&self, group: &Group, endpoint: EndpointKey) -> bool {
-        let Some(preferred) = &group.preferred_data_centre else { return true };
+        let Some(destination) = &group.destination else { return true };
         let data_centre = self.directory.get(endpoint).map(|known| &*known.entry.data_centre);
-        let is_preferred_usable = self.usable.contains(&&**preferred);
-        data_centre == Some(preferred) || group.target < self.urgent_before || !is_preferred_usable
+        let is_destination_usable = self.usable.contains(&&**destination);
+        data_centre == Some(destination)
+            || group.target < self.urgent_before
+            || !is_destination_usable
     }
 }
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -68,7 +68,7 @@
     /// Size of one result, in bytes.
     pub bytes: u64,
     /// The data centre in which the results will be used, if that is known and matters.
-    pub preferred_data_centre: Option<DataCentre>,
+    pub destination: Option<DataCentre>,
     /// When the pieces should finish for the request to meet its target time.
     pub target: Duration,
     deadline: Duration,
@@ -135,7 +135,7 @@
         let group = self.classes[class].entry(group_key.clone()).or_insert_with(|| Group {
             keys: Vec::new(),
             bytes: piece.bytes,
-            preferred_data_centre: piece.preferred_data_centre.clone(),
+            destination: piece.preferred_data_centre.clone(),
             target: piece.target,
             deadline: piece.deadline,
             is_begun: piece.is_begun,
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -1,12 +1,11 @@
-//! Where a call goes.
+//! Chooses the endpoint of a call.
 //!
-//! Plain services: the endpoint with the lowest expected time, its own load
-//! and the distance taken into account. Engines: the lowest cost, made of the
-//! tokens that the engine would have to read because it does not hold them,
-//! those it still has to read for others, the requests that share its steps,
-//! and the wait for memory or a place where these are taken. What an engine
-//! lacks and another one holds is fetched where engines can do that
-//! ([`prompts`]).
+//! A call to a plain service goes to the endpoint with the lowest expected response time, weighted
+//! by its load and distance. A prompt goes to the engine with the lowest cost. The cost counts the
+//! tokens that the engine has to prefill because it does not hold them, those that are still queued
+//! for prefill, the requests that share its decoding steps, and the wait for memory or a slot if
+//! these are exhausted. Where engines can transfer prompt parts, what an engine lacks is fetched
+//! from another one ([`prompts`]).
 
 pub mod prompts;
 
@@ -25,77 +24,76 @@
     },
 };
 
-/// Milliseconds that each request which runs on an engine costs a new one:
-/// longer steps until its first token. Chosen so that ten requests weigh as
-/// much as reading 1,300 tokens.
+/// Cost in milliseconds of each request that runs on an engine: it makes the steps until the first
+/// token longer. Chosen so that ten requests weigh as much as the prefill of 1,300 tokens.
 const RUNNING_COST_MS: f64 = 4.0;
-/// Milliseconds that a megabyte of inputs from another data centre weighs.
+/// Cost in milliseconds of a megabyte of inputs from another data centre.
 const INPUT_COST_MS_PER_MB: f64 = 25.0;
-/// Milliseconds that an engine of another placer weighs: about what the prompts
-/// take to read that the other one may have just given it.
+/// Cost in milliseconds of an engine that another placer owns: about the prefill time of the
+/// prompts that the other placer may just have sent there.
 const OTHER_PLACER_COST_MS: f64 = 60.0;
-/// Factor on the expected time of an endpoint in another data centre.
+/// Factor on the expected response time of an endpoint in another data centre.
 const REMOTE_FACTOR: f64 = 1.25;
-/// Expected time of an endpoint that has not answered yet.
+/// Expected response time of an endpoint that has not answered yet.
 const DEFAULT_RESPONSE_TIME: Duration = Duration::from_millis(20);
-/// An endpoint that is so much slower than the quickest one is passed over for long, and
-/// tried now and then.
+/// An endpoint that is slower than the fastest one by this factor is avoided, but gets a trial call
+/// from time to time.
 const TRIAL_THRESHOLD: f64 = 1.5;
-/// So many instances may each try an endpoint for themselves; with more each waits longer,
-/// so that all of them together try it as often.
+/// Up to this many instances make trial calls independently. With more, each waits longer between
+/// them, so that the total rate stays the same.
 const INSTANCES_PER_TRIAL: usize = 8;
-/// Factor on the quickest one's time for an endpoint that is tried: less than distance
-/// and chance make up for.
+/// The expected response time of an endpoint that is due for a trial call, as a factor on the
+/// fastest one's: low enough to outweigh distance and jitter.
 const TRIAL_FACTOR: f64 = 0.7;
-/// An engine that is so much slower than the usual one is passed over.
+/// An engine that is slower than the median by this factor has its cost multiplied accordingly.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// What a call asks of an endpoint's choice.
+/// What the choice of an endpoint depends on besides the endpoints' state.
 #[derive(Debug, Clone, Copy)]
 pub struct Criteria<'a> {
-    /// The caller's own data centre.
+    /// The data centre of this instance.
     pub data_centre: &'a str,
-    /// Endpoints that were tried before.
+    /// Endpoints that the request was sent to before.
     pub tried: &'a [EndpointKey],
-    /// Endpoints that get no call now, whatever else is left.
+    /// Endpoints that must not be called now, even if there are no others.
     pub withheld: &'a [EndpointKey],
     /// Bytes of inputs by data centre.
     pub inputs: &'a [(DataCentre, u64)],
-    /// Own calls that an endpoint may have at the most.
+    /// The most calls that this instance may have in flight to one endpoint.
     pub max_in_flight: u32,
-    /// How engines fetch from each other, if they can.
+    /// How engines fetch prompt parts from each other; `None` if they can't.
     pub transfer: Option<Transfer>,
-    /// What engines can do, if they generate.
+    /// Limits of the service's engines; `None` if it is a plain service.
     pub engine: Option<Engine>,
-    /// Milliseconds that an engine takes to read a token.
+    /// Milliseconds that an engine takes to prefill a token.
     pub token_millis: f64,
-    /// How long a call is at an engine.
+    /// Average duration of a call to an engine.
     pub run_time: Duration,
-    /// How the choice of engines is shared out.
+    /// How the choice is divided among instances.
     pub chooser: Chooser,
-    /// Instances that may be alive.
+    /// The number of instances that may be alive.
     pub instances: usize,
 }
 
-/// Who else chooses for the same engines.
+/// How the choice of engines is divided among instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Chooser {
-    /// Every instance, each for itself.
+    /// Every instance chooses for its own requests.
     Independent,
-    /// One placer for each share of the prompts; this is the choice of one of
-    /// them.
+    /// Each share of the prompts has a placer, which chooses for all instances. This is the choice
+    /// of one of them.
     Placer {
-        /// Its share.
+        /// The share of this placer.
         share: u64,
-        /// How many there are.
+        /// The number of shares.
         shares: u64,
     },
 }
 
 impl Chooser {
-    /// The engines that belong to another placer, which may just have given them
-    /// work that is not known here. All placers have as many engines but for one:
-    /// these are sorted by a hash of their names and cut into equal runs.
+    /// The engines that other placers own, and may just have sent prompts to. The engines are
+    /// sorted by a hash of their names and divided into consecutive runs, one for each placer,
+    /// which differ in length by at most one.
     pub fn owned_by_others(
         self,
         directory: &Directory,
@@ -122,20 +120,20 @@
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Prompt tokens that it will probably have to read; 0 for plain services.
+    /// Prompt tokens that it probably has to prefill; 0 for plain services.
     pub tokens: u64,
-    /// The engine that it should fetch from first.
+    /// The engine that it should fetch prompt parts from first.
     pub source: Option<EndpointKey>,
-    /// How long it reads what it was given before.
+    /// How long the prefill of earlier prompts takes.
     pub wait: Duration,
-    /// Time to copy what it fetches first.
+    /// Time to copy the fetched prompt parts.
     pub copy_time: Duration,
-    /// What the call costs there; the lowest is the best.
+    /// Estimated cost of the call; the lowest is the best.
     pub cost: f64,
 }
 
-/// The endpoints of a plain service that may take a call. `jitter` gives
-/// numbers from 0 to 1 that keep instances from all choosing the same one.
+/// The endpoints of a plain service that may take a call. `jitter` returns numbers from 0 to 1,
+/// which keep instances from all choosing the same endpoint.
 pub fn plain_candidates(
     directory: &Directory,
     now: Duration,
@@ -166,9 +164,9 @@
     candidates.collect()
 }
 
-/// How long an endpoint's answer is reckoned to take. One that was slow long ago is
-/// reckoned quick for one call, which shows whether it is; `waits` times as long ago as an
-/// instance alone would wait.
+/// The expected response time of an endpoint. One that was slow long ago counts as fast for one
+/// trial call, which shows whether it still is slow. `interval_factor` multiplies the time that a
+/// single instance would wait for that.
 fn expected_time(
     endpoint: &Endpoint,
     now: Duration,
@@ -226,17 +224,17 @@
     candidates.collect()
 }
 
-/// What a prompt does to the streams that run at an engine: while it reads, their
-/// tokens come some twenty times slower, and what it has to read longer than a
-/// pause may last makes each of them late by that.
+/// Cost of a prefill to the streams that run on an engine. Meanwhile their tokens come some twenty
+/// times slower, so each of them is late by the time by which the prefill exceeds the allowed gap
+/// between tokens.
 fn stall_cost(endpoint: &Endpoint, prefill: f64, criteria: Criteria<'_>) -> f64 {
     let pause = criteria.engine.and_then(|engine| engine.max_gap);
     let excess = pause.map_or(0.0, |pause| (prefill - millis(pause)).max(0.0));
     f64::from(endpoint.engine.stream_count()) * excess
 }
 
-/// The share of its calls that an engine has to end before it has memory and a
-/// place for one more.
+/// The share of its calls that an engine must finish before it has the memory and a slot for one
+/// more.
 fn overload(endpoint: &Endpoint, prompt: &Prompt, criteria: Criteria<'_>) -> f64 {
     let Some(limits) = criteria.engine else { return 0.0 };
     let engine = &endpoint.engine;
@@ -256,7 +254,7 @@
     candidates.iter().min_by(|a, b| a.cost.total_cmp(&b.cost)).copied()
 }
 
-/// The candidates with the lowest costs, at most so many.
+/// At most `limit` candidates, those with the lowest costs.
 pub fn cheapest_few(candidates: &[Candidate], limit: usize) -> Vec<Candidate> {
     let mut sorted = candidates.to_vec();
     sorted.sort_by(|a, b| a.cost.total_cmp(&b.cost));
@@ -264,8 +262,8 @@
     sorted
 }
 
-/// Candidates that may take a call now: those that are not paused, or else
-/// those that are.
+/// The endpoints that may take a call now: those that are not paused, or if there are none, the
+/// paused ones.
 fn candidates<'a>(
     directory: &'a Directory,
     now: Duration,
@@ -287,7 +285,7 @@
     remote.map(|(_, bytes)| *bytes as f64 / 1e6).sum()
 }
 
-/// The median time of the candidates that have answered.
+/// The median response time of the candidates that have answered; `None` if none has.
 fn median_response_time(candidates: &[(EndpointKey, &Endpoint)]) -> Option<Duration> {
     let times = candidates.iter().filter_map(|(_, endpoint)| endpoint.response_time);
     let mut times: Vec<_> = times.collect();
--- a/crates/core/src/relay/choice/prompts.rs
+++ b/crates/core/src/relay/choice/prompts.rs
@@ -1,9 +1,8 @@
-//! Which engines hold which parts of prompts, and where an engine can fetch
-//! what it lacks.
+//! Estimates which engines hold which parts of prompts, and where an engine can fetch the parts
+//! that it lacks.
 //!
-//! Nobody tells in time what an engine holds. All instances therefore agree, by
-//! rendezvous hash, on the engine where a shared part should be, and each
-//! remembers what it sent itself.
+//! No engine reports in time what it holds. Instances therefore agree by rendezvous hash on the
+//! engine that should hold a shared part, and each one records what it sent itself.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -16,17 +15,17 @@
     model::{EndpointKey, Part, Prompt},
 };
 
-/// A part is taken for held by an engine for so long at the least, and twice as
-/// long at the most, after it was sent there.
+/// How long an engine is taken to hold a part that it was sent, at least; at most it is twice as
+/// long.
 pub const RETENTION: Duration = Duration::from_secs(15);
-/// Parts that are remembered in one generation, for all engines together.
+/// Capacity of one generation, for all engines together.
 const MAX_ENTRIES: usize = 20_000;
-/// Fewer tokens than these are not worth a fetch: it takes a few milliseconds
-/// to set up, in which an engine reads about as many.
+/// The smallest number of tokens worth fetching. Setting a fetch up takes a few milliseconds, in
+/// which an engine prefills about as many.
 const MIN_FETCH_TOKENS: u64 = 64;
 
-/// Remembers which engine was sent which parts, in two generations: the older
-/// one is forgotten as a whole.
+/// Records which engine was sent which parts, in two generations, of which the older one is dropped
+/// as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct SentParts {
     recent: HashSet<(EndpointKey, u64)>,
@@ -35,12 +34,12 @@
 }
 
 impl SentParts {
-    /// An engine is sent a prompt.
+    /// Records that an engine is sent a prompt.
     pub fn record_prompt(&mut self, now: Duration, endpoint: EndpointKey, prompt: &Prompt) {
         self.record_parts(now, endpoint, prompt.parts.iter().map(|part| part.id));
     }
 
-    /// An engine holds parts.
+    /// Records that an engine holds parts.
     pub fn record_parts(
         &mut self,
         now: Duration,
@@ -60,30 +59,30 @@
     }
 }
 
-/// How an engine gets a prompt.
+/// How an engine would obtain a prompt.
 #[data]
 #[derive(Copy)]
 pub struct PrefillPlan {
-    /// Tokens that it has to read.
+    /// Tokens that it has to prefill.
     pub tokens: u64,
     /// Tokens that it fetches from another engine first.
     pub fetched: u64,
-    /// That engine.
+    /// The engine that it fetches from.
     pub source: Option<EndpointKey>,
-    /// How long that one's link is busy with other copies.
+    /// How long the link of `source` is busy with other copies.
     pub source_wait: Duration,
 }
 
-/// How fast engines get prompts.
+/// How fast engines obtain prompts.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefillRates {
-    /// From each other, if they can.
+    /// How they fetch from each other; `None` if they can't.
     pub transfer: Option<Transfer>,
-    /// Milliseconds to read a token.
+    /// Milliseconds to prefill a token.
     pub token_millis: f64,
 }
 
-/// An engine that another one can fetch from.
+/// An engine that others can fetch from.
 #[derive(Debug, Clone, Copy)]
 pub struct FetchSource {
     key: EndpointKey,
@@ -91,32 +90,32 @@
     wait: Duration,
 }
 
-/// An engine that holds a part of one prompt.
+/// An engine that holds the first parts of a prompt.
 #[derive(Debug, Clone, Copy)]
 struct RankedSource {
     source: FetchSource,
     tokens: u64,
-    /// Milliseconds that fetching saves against reading.
+    /// Milliseconds that fetching them saves compared to prefill.
     saved_millis: f64,
 }
 
-/// What the engines of a service hold of one prompt.
+/// Which engines of a service hold which parts of one prompt.
 pub struct PartLocations<'a> {
     memory: &'a SentParts,
     prompt: &'a Prompt,
     rates: PrefillRates,
     /// The engine that all instances agree on for the last shared part.
     owner: Option<EndpointKey>,
-    /// The two engines that most is gained by fetching from, as far as this
-    /// instance knows. Engines that hold the same take turns, since each one's
-    /// link carries one copy after the other: 4,000 copies in 24 s that mostly
-    /// began at the first holder of a part kept others waiting for seconds.
+    /// The two engines from which fetching saves most, as far as this instance has recorded.
+    /// Engines that hold the same parts take turns, since each one's link carries one copy after
+    /// the other: when 4,000 copies in 24 s mostly started at the first holder of a part, some
+    /// waited for seconds.
     best: Vec<RankedSource>,
 }
 
 impl<'a> PartLocations<'a> {
-    /// Looks through the engines that can be fetched from: `holders`, of which
-    /// `owners` are those that a part may belong to.
+    /// Ranks `sources`, the engines that can be fetched from. The parts' owner is chosen from
+    /// `owners`.
     pub fn new(
         memory: &'a SentParts,
         prompt: &'a Prompt,
@@ -142,12 +141,12 @@
         RankedSource { source, tokens, saved_millis }
     }
 
-    /// How an engine would get the prompt.
+    /// How an engine would obtain the prompt.
     ///
-    /// Only a source that this instance has sent the parts to itself is reckoned
-    /// with: a first request then goes to the owner, which so comes to hold what
-    /// it should. A source is named in any case; what an engine has already is
-    /// not fetched, and of one that lacks it nothing is.
+    /// The estimate only counts on sources that this instance has sent the parts to itself. A first
+    /// request therefore goes to the owner, which then holds what it should. A source is named in
+    /// any case: an engine does not fetch parts that it holds, and fetches nothing if the source
+    /// lacks them.
     pub fn plan(&self, engine: EndpointKey) -> PrefillPlan {
         let (held, recorded) = (self.held(engine), self.recorded(engine));
         let can_fetch = self.rates.transfer.is_some();
@@ -171,20 +170,20 @@
         u64::from(self.prompt.input)
     }
 
-    /// Tokens from the start of the prompt that an engine holds or should hold.
+    /// Tokens from the start of the prompt that an engine holds, or should hold as its owner.
     fn held(&self, engine: EndpointKey) -> u64 {
         let shared = self.prompt.shared().len();
         let expected = if self.owner == Some(engine) { shared } else { 0 };
         self.prefix(|idx, part| idx < expected || self.memory.holds(engine, part))
     }
 
-    /// Tokens from the start of the prompt that this instance has sent there.
+    /// Tokens from the start of the prompt that this instance has recorded as sent to the engine.
     fn recorded(&self, engine: EndpointKey) -> u64 {
         self.prefix(|_, part| self.memory.holds(engine, part))
     }
 
-    /// Tokens of the first parts that are there: a part counts only if all
-    /// parts before it are there too.
+    /// Tokens of the first parts that an engine holds: a part only counts if all parts before it
+    /// are held too.
     fn prefix(&self, is_there: impl Fn(usize, u64) -> bool) -> u64 {
         let parts = self.prompt.parts.iter().enumerate();
         let there = parts.take_while(|(idx, part)| is_there(*idx, part.id));
@@ -192,7 +191,7 @@
     }
 }
 
-/// Those of the engines that another one can fetch from now.
+/// Those of the engines that others can fetch from now.
 pub fn fetch_sources(
     directory: &Directory,
     now: Duration,
--- a/crates/core/src/relay/engine.rs
+++ b/crates/core/src/relay/engine.rs
@@ -1,10 +1,9 @@
-//! What is reckoned of one engine by whoever places prompts there.
+//! A placer's model of the load of one engine.
 //!
-//! Reports of an engine's load come with replies, so they are late by just the
-//! time that the engine is late. The model therefore begins with what was placed:
-//! how long that takes to read and to copy, and how much memory it will need.
-//! What comes of each call corrects it. A call whose first token is overdue shows
-//! that the engine is behind, for whatever reason: its memory is full, its link
+//! Engines report their load with replies, so the reports are late exactly when the engine is. The
+//! model therefore starts from the calls that were placed: how long their prefill and copies take,
+//! and how much memory they need. The outcome of each call corrects it. A call whose first token is
+//! overdue shows that the engine lags behind, for whatever reason: its memory is full, its link
 //! carries copies, or it is slow.
 
 use std::{collections::HashMap, time::Duration};
@@ -13,65 +12,64 @@
 
 use crate::relay::model::{Prompt, RunNumber};
 
-/// News of a first token take this long: the way from the engine, the pause in
-/// which an instance gathers what it tells a placer, and a loaded instance.
+/// Allowance for the delay of a report of a first token: the way from the engine, the interval at
+/// which an instance sends its reports to a placer, and an instance under load.
 const REPORT_DELAY: Duration = Duration::from_millis(250);
-/// A call whose first token is overdue for longer is not reckoned with any more:
-/// the instance that made it may be gone, and an engine that nobody calls cannot
-/// show that it has caught up.
+/// A call whose first token is overdue for longer no longer counts: the instance that made it may
+/// be gone, and an engine that gets no calls can't show that it has caught up.
 const MAX_LAG: Duration = Duration::from_secs(4);
-/// A call of which no end was heard is forgotten. Streams last seconds.
+/// A call whose end was not reported is dropped after this time. Streams last seconds.
 const MAX_RUN_TIME: Duration = Duration::from_secs(30);
 
-/// What a call asks of an engine.
+/// Estimated times of a call at an engine.
 #[data]
 #[derive(Copy)]
 pub struct CallEstimate {
-    /// Time to read what the engine does not hold.
+    /// Time to prefill the tokens that the engine does not hold.
     pub prefill: Duration,
-    /// Time to copy what it fetches first.
+    /// Time to copy the parts that it fetches first.
     pub copy_time: Duration,
-    /// Time from having read until the first token.
+    /// Time from the end of prefill until the first token.
     pub first_token: Duration,
 }
 
-/// A call that was placed there.
+/// A call that was placed at the engine.
 #[derive(Debug, Clone)]
 struct Run {
     placed_at: Duration,
     /// When its first token should come.
     first_token_due: Duration,
     has_first_token: bool,
-    /// Tokens that it alone keeps in memory.
+    /// Tokens in memory that only this call needs.
     own_tokens: u64,
-    /// The parts that it shares with others.
+    /// The parts that it shares with other calls.
     parts: Vec<u64>,
 }
 
-/// A part of prompts that running calls keep in memory.
+/// A part of prompts that running calls share in memory.
 #[derive(Debug, Clone, Copy, Default)]
 struct SharedPart {
     runs: u32,
     tokens: u64,
 }
 
-/// One engine.
+/// Model of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct EngineModel {
     runs: HashMap<RunNumber, Run>,
     shared: HashMap<u64, SharedPart>,
-    /// Memory that the runs keep, in tokens.
+    /// Memory that the calls need, in tokens.
     memory_tokens: u64,
-    /// When it has read all that was placed.
+    /// When the prefill of all placed calls should end.
     prefill_until: Duration,
-    /// When its link has carried all copies to it and from it.
+    /// When its link should have carried all copies to it and from it.
     copying_until: Duration,
-    /// When the newest call was placed whose first token has come.
+    /// When the latest of the calls that have had their first token was placed.
     newest_with_first_token: Duration,
 }
 
 impl EngineModel {
-    /// A call is placed there.
+    /// Adds a call that is placed at the engine.
     pub fn add_run(
         &mut self,
         now: Duration,
@@ -100,7 +98,7 @@
         self.runs.insert(number, run);
     }
 
-    /// Its link carries a copy; returns when that is done.
+    /// Adds a copy to the queue of the engine's link. Returns when the copy ends.
     pub fn add_copy(&mut self, now: Duration, time: Duration) -> Duration {
         if time.is_zero() {
             return now;
@@ -109,7 +107,7 @@
         self.copying_until
     }
 
-    /// The first token of a call came. Returns how long after it was placed.
+    /// Records the first token of a call. Returns the time since it was placed.
     pub fn record_first_token(&mut self, now: Duration, number: RunNumber) -> Option<Duration> {
         let run = self.runs.get_mut(&number)?;
         run.has_first_token = true;
@@ -117,7 +115,7 @@
         Some(now.saturating_sub(run.placed_at))
     }
 
-    /// A call has ended, however. Returns how long it was there.
+    /// Removes a call that has ended in any way. Returns the time since it was placed.
     pub fn remove_run(&mut self, now: Duration, number: RunNumber) -> Option<Duration> {
         let run = self.runs.remove(&number)?;
         self.memory_tokens -= run.own_tokens;
@@ -132,7 +130,7 @@
         Some(now.saturating_sub(run.placed_at))
     }
 
-    /// Forgets calls of which no end was heard.
+    /// Drops calls whose end was not reported.
     pub fn expire_runs(&mut self, now: Duration) {
         let is_lost = |run: &Run| now > run.placed_at + MAX_RUN_TIME;
         let lost: Vec<_> =
@@ -142,35 +140,36 @@
         }
     }
 
-    /// Whether a call that was placed since then still waits for its first token.
+    /// Whether a call placed at or after `since` still waits for its first token, which will show
+    /// whether the engine works.
     pub fn has_pending_probe(&self, now: Duration, since: Duration) -> bool {
         let is_counted = |run: &Run| now < run.placed_at + MAX_LAG;
         let mut waiting = self.runs.values().filter(|run| !run.has_first_token && is_counted(run));
         waiting.any(|run| run.placed_at >= since)
     }
 
-    /// Whether a call is there.
+    /// Whether the call is placed here and has not ended.
     pub fn has_run(&self, number: RunNumber) -> bool {
         self.runs.contains_key(&number)
     }
 
-    /// How many calls are there.
+    /// The number of calls.
     pub fn run_count(&self) -> u32 {
         u32::try_from(self.runs.len()).unwrap_or(u32::MAX)
     }
 
-    /// How many calls there stream.
+    /// The number of calls that have had their first token.
     pub fn stream_count(&self) -> u32 {
         let streams = self.runs.values().filter(|run| run.has_first_token).count();
         u32::try_from(streams).unwrap_or(u32::MAX)
     }
 
-    /// Tokens that the calls there keep in memory.
+    /// Memory that the calls need, in tokens.
     pub fn memory_in_use(&self) -> u64 {
         self.memory_tokens
     }
 
-    /// Tokens that a further call would keep in memory besides.
+    /// Memory that a further call would need on top, in tokens.
     pub fn additional_memory(&self, prompt: &Prompt) -> u64 {
         let is_new = |id: &u64| !self.shared.contains_key(id);
         let shared = prompt.shared().iter().filter(|part| is_new(&part.id));
@@ -178,18 +177,18 @@
         shared + prompt.own_tokens() + u64::from(prompt.output)
     }
 
-    /// How long a further prompt waits until it is read.
+    /// How long a further prompt would wait until its prefill starts.
     pub fn prefill_wait(&self, now: Duration) -> Duration {
         self.prefill_until.saturating_sub(now) + self.lag(now)
     }
 
-    /// How long its link is busy with copies.
+    /// How long the link is busy with copies.
     pub fn copy_wait(&self, now: Duration) -> Duration {
         self.copying_until.saturating_sub(now)
     }
 
-    /// How long first tokens are overdue. A call that others overtook tells of
-    /// itself and not of the engine.
+    /// By how much first tokens are overdue. A call that later calls have overtaken does not count:
+    /// its delay is not the engine's.
     fn lag(&self, now: Duration) -> Duration {
         let waiting = self.runs.values().filter(|run| !run.has_first_token);
         let counted = waiting.filter(|run| run.placed_at >= self.newest_with_first_token);
--- a/crates/core/src/relay/exchange.rs
+++ b/crates/core/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! The state of one exchange and of one call.
+//! State of an exchange and of a call.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,47 +12,47 @@
     },
 };
 
-/// One request of a caller, from its arrival to its answer.
+/// One request of a caller, from its arrival to the end of its answer.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) arrival: Arrival,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceName,
     pub(crate) team: Option<TeamName>,
-    /// What it asks for, and for whom.
+    /// Identifies what is requested, and for which team.
     pub(crate) content: Fingerprint,
     pub(crate) priority: u8,
-    /// When it arrived.
+    /// When the request arrived.
     pub(crate) started_at: Duration,
     /// When the caller or the route gives up.
     pub(crate) deadline: Duration,
-    /// Until when an answer is in good time.
+    /// An answer by then meets the route's objective.
     pub(crate) target: Duration,
     pub(crate) graph: StageGraph,
-    /// Where the call will probably go, for the place of large results.
-    pub(crate) preferred_data_centre: Option<DataCentre>,
+    /// The data centre that the call will probably go to; large results should be produced there.
+    pub(crate) destination: Option<DataCentre>,
     pub(crate) handovers: Vec<HandoverKey>,
     pub(crate) call: Option<CallKey>,
-    /// Whether a placer was asked where the call goes, and has not answered.
+    /// Whether a placer was asked for an engine and has not replied.
     pub(crate) is_placement_pending: bool,
     pub(crate) tried: Vec<EndpointKey>,
-    /// Endpoints that it was sent to.
+    /// Number of endpoints that the request was sent to.
     pub(crate) attempts: u32,
-    /// Whether any part of it may have run.
+    /// Whether any part of it, pieces included, may have run.
     pub(crate) has_run: bool,
-    /// Whether the request itself, not just its pieces, may have run.
+    /// Whether the request itself may have run, not just its pieces.
     pub(crate) was_called: bool,
     /// The number of the last event that was passed on.
     pub(crate) last_event: Option<u64>,
-    /// Whether the caller holds the head of an answer.
+    /// Whether the head of a stream was passed on to the caller.
     pub(crate) has_sent_head: bool,
-    /// When its stages were started that have not been made yet.
+    /// The unfinished stages and when they were started.
     pub(crate) stage_starts: Vec<(usize, Duration)>,
-    /// Whether its results may have been given up although it has not begun.
+    /// Whether its results may have been freed before its call has read them.
     pub(crate) has_evictable_results: bool,
-    /// Rounds of making its pieces.
+    /// How many times its stages have been restarted.
     pub(crate) rounds: u8,
-    /// Until when it waits for an endpoint to become usable.
+    /// Until when it waits for an endpoint to become usable; `None` if it does not wait.
     pub(crate) wait_until: Option<Duration>,
 }
 
@@ -62,15 +62,15 @@
     pub(crate) exchange: CallPurpose,
     pub(crate) endpoint: EndpointKey,
     pub(crate) started_at: Duration,
-    /// Prompt tokens that the engine probably had to read.
+    /// Prompt tokens that the engine probably had to prefill.
     pub(crate) tokens: u64,
-    /// This instance's number of it, if it generates.
+    /// This instance's number of the call if it placed it at an engine.
     pub(crate) run: Option<RunNumber>,
-    /// The peer that placed it, and its number there.
+    /// The peer that placed the call, and its number there.
     pub(crate) placer: Option<(InstanceName, RunNumber)>,
-    /// When its answer began.
+    /// When its reply began.
     pub(crate) answered_at: Option<Duration>,
-    /// When it is given up if no answer has begun.
+    /// When the call is given up unless its reply has begun.
     pub(crate) overdue_at: Option<Duration>,
 }
 
--- a/crates/core/src/relay/graph.rs
+++ b/crates/core/src/relay/graph.rs
@@ -1,18 +1,18 @@
-//! The stages of one exchange: what has been made, what can be made next.
+//! The stages of one exchange: which results there are, and which stages can start.
 
 use crate::{
     model::DataCentre,
     relay::{config::Route, model::Handle},
 };
 
-/// A result and where it lies.
+/// A result and the data centre that holds it.
 #[derive(Debug, Clone)]
 struct StoredResult {
     handle: Handle,
     data_centre: Option<DataCentre>,
 }
 
-/// One stage's pieces.
+/// State of one stage.
 #[derive(Debug, Clone)]
 struct StageState {
     results: Vec<Option<StoredResult>>,
@@ -30,24 +30,24 @@
     }
 }
 
-/// How far an exchange's stages have got.
+/// State of an exchange's stages.
 #[derive(Debug, Clone, Default)]
 pub struct StageGraph {
     stages: Vec<StageState>,
 }
 
-/// Where a result was made.
+/// A new result and where it is.
 #[derive(Debug, Clone)]
 pub struct LocatedResult {
-    /// The result.
+    /// The endpoint's name for the result.
     pub handle: Handle,
-    /// The endpoint's data centre, if it is known.
+    /// The data centre of the endpoint; `None` if it is not known.
     pub data_centre: Option<DataCentre>,
 }
 
 impl StageGraph {
-    /// Stages that have made nothing. `pieces` says how many each has; a stage
-    /// with none is left out.
+    /// Stages without results. `pieces` is the number of pieces of each; a stage without any is
+    /// skipped.
     pub fn new(route: &Route, pieces: &[u16]) -> StageGraph {
         let count = |idx: usize| usize::from(pieces.get(idx).copied().unwrap_or(0));
         let state = |idx| StageState {
@@ -58,15 +58,14 @@
         StageGraph { stages: (0..route.stages.len()).map(state).collect() }
     }
 
-    /// Whether all pieces of all stages have been made.
+    /// Whether all stages have all their results.
     pub fn is_complete(&self) -> bool {
         self.stages.iter().all(StageState::is_complete)
     }
 
-    /// Starts the stages whose inputs have all been made. Results of at least
-    /// `large` bytes that only the call itself takes in are made late, from the
-    /// last stage but one of the others on: they would only take up room while
-    /// the first ones are worked on.
+    /// Starts the stages whose inputs are complete and returns them. Results of at least
+    /// `large_bytes` that only the call itself reads are deferred until the last of the inner
+    /// stages has started: earlier they would only take up memory.
     pub fn start_ready(&mut self, route: &Route, large_bytes: u64) -> Vec<usize> {
         let is_ready = |graph: &StageGraph, idx: usize| {
             let after = &route.stages[idx].after;
@@ -83,14 +82,14 @@
         ready
     }
 
-    /// Whether all stages that others follow have been started, but for one.
+    /// Whether all stages that others depend on have started, apart from one.
     fn has_started_inner_stages(&self, route: &Route, except: usize) -> bool {
         let inner = (0..self.stages.len())
             .filter(|idx| *idx != except && self.successors(route, *idx).next().is_some());
         inner.into_iter().all(|idx| self.stages[idx].is_started)
     }
 
-    /// Whether a stage is made from what another one makes.
+    /// Whether any stage depends on another one.
     pub fn has_dependent_stages(&self, route: &Route) -> bool {
         (0..self.stages.len()).any(|idx| self.successors(route, idx).next().is_some())
     }
@@ -101,37 +100,35 @@
         waiting.map(|(idx, _)| idx)
     }
 
-    /// The first stage that has not been made yet.
+    /// The first stage that lacks results; `None` if all are complete.
     pub fn first_incomplete(&self) -> Option<usize> {
         self.stages.iter().position(|stage| !stage.is_complete())
     }
 
-    /// Pieces that have been made, and pieces in all.
+    /// The number of results, and of pieces.
     pub fn progress(&self) -> (usize, usize) {
         let made = self.stages.iter().flat_map(|stage| &stage.results).flatten().count();
         (made, self.stages.iter().map(|stage| stage.results.len()).sum())
     }
 
-    /// How many pieces a stage has.
+    /// The number of pieces of a stage.
     pub fn piece_count(&self, stage: usize) -> usize {
         self.stages[stage].results.len()
     }
 
-    /// The results that a stage's pieces are made from.
+    /// The results that are inputs of a stage's pieces.
     pub fn inputs(&self, route: &Route, stage: usize) -> Vec<Handle> {
         let after = route.stages[stage].after.iter();
         after.flat_map(|idx| self.stages[*idx].handles()).cloned().collect()
     }
 
-    /// Whether the results that a stage's pieces are made from are needed by no other
-    /// stage.
+    /// Whether no other stage reads the inputs of this one.
     pub fn is_last_reader(&self, route: &Route, stage: usize) -> bool {
         let mut after = route.stages[stage].after.iter();
         after.all(|idx| self.successors(route, *idx).all(|successor| successor == stage))
     }
 
-    /// The results that the call takes in: those of the stages that no other
-    /// stage follows.
+    /// The results that are inputs of the call: those of the stages that no other stage depends on.
     pub fn outputs(&self, route: &Route) -> Vec<Handle> {
         let last = self.final_stages(route);
         last.flat_map(|idx| self.stages[idx].handles()).cloned().collect()
@@ -142,7 +139,7 @@
         self.bytes_by_data_centre(route, self.final_stages(route))
     }
 
-    /// Bytes that a stage's pieces take in, all together, by data centre.
+    /// Bytes of the inputs of all pieces of a stage, by data centre.
     pub fn inputs_by_data_centre(&self, route: &Route, stage: usize) -> Vec<(DataCentre, u64)> {
         let pieces = self.piece_count(stage) as u64;
         let sums = self.bytes_by_data_centre(route, route.stages[stage].after.iter().copied());
@@ -169,7 +166,7 @@
         sums
     }
 
-    /// Takes in a result. One that is there already is kept.
+    /// Records the result of a piece. An earlier one is kept.
     pub fn record_result(&mut self, stage: usize, number: usize, made: LocatedResult) {
         let Some(state) = self.stages.get_mut(stage) else { return };
         let Some(slot) = state.results.get_mut(number) else { return };
@@ -178,8 +175,8 @@
         }
     }
 
-    /// Results that nothing needs any more, with their stages: those whose
-    /// followers have all been made. They are returned once.
+    /// Returns, once, the results that are no longer needed, with their stages: those of stages
+    /// whose dependents are all complete.
     pub fn take_unneeded(&mut self, route: &Route) -> Vec<(usize, Handle)> {
         let mut unneeded = Vec::new();
         for idx in 0..self.stages.len() {
@@ -194,7 +191,8 @@
         unneeded
     }
 
-    /// All results that were not returned by [`StageGraph::take_unneeded`].
+    /// Returns all results, with their stages, that were not returned by
+    /// [`StageGraph::take_unneeded`].
     pub fn take_unfreed(&mut self) -> Vec<(usize, Handle)> {
         let kept = self.stages.iter_mut().enumerate().filter(|(_, stage)| !stage.is_freed);
         let mut all = Vec::new();
@@ -205,7 +203,7 @@
         all
     }
 
-    /// Results of at least so many bytes that have not been given up.
+    /// Results of at least this size that have not been freed, with their stages.
     pub fn unfreed(&self, route: &Route, bytes: u64) -> Vec<(usize, Handle)> {
         let stages = self.stages.iter().enumerate();
         let held =
@@ -217,7 +215,7 @@
         (0..self.stages.len()).filter(|idx| self.successors(route, *idx).next().is_none())
     }
 
-    /// Stages that follow one and are not left out.
+    /// The stages that depend on this one and are not skipped.
     fn successors<'a>(&'a self, route: &'a Route, idx: usize) -> impl Iterator<Item = usize> + 'a {
         let follows = move |next: &usize| {
             route.stages[*next].after.contains(&idx) && !self.stages[*next].results.is_empty()
--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -391,7 +391,7 @@
             started_at: now,
             deadline: now + wait,
             target: now + route.objective.min(wait),
-            preferred_data_centre: None,
+            destination: None,
             handovers: Vec::new(),
             call: None,
             is_placement_pending: false,
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -125,6 +125,6 @@
         let near_inputs =
             most.filter(|(_, bytes)| *bytes >= LARGE_RESULT_BYTES).map(|(place, _)| place);
         let has_large = self.route.stages[stage].bytes >= LARGE_RESULT_BYTES;
-        near_inputs.or_else(|| self.preferred_data_centre.clone().filter(|_| has_large))
+        near_inputs.or_else(|| self.destination.clone().filter(|_| has_large))
     }
 }
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -425,12 +425,12 @@
     pub(super) fn find_home(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT_BYTES);
-        if exchange.preferred_data_centre.is_some() || !has_large {
+        if exchange.destination.is_some() || !has_large {
             return;
         }
         let Some(chosen) = self.choose(now, key, &[]) else { return };
         let home = self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
-        self.exchanges[key].preferred_data_centre = home;
+        self.exchanges[key].destination = home;
     }
 
     /// The results of an exchange's stages are gone: they are made again.
--- a/crates/core/src/relay/readers.rs
+++ b/crates/core/src/relay/readers.rs
@@ -1,9 +1,9 @@
-//! Which instances read the platform's tables.
+//! Selects the instances that read the platform's tables.
 //!
-//! Every call to the platform's store is paid for, so only a few instances
-//! read it; the others ask one of those. All instances work the readers out
-//! from the peers that they take for alive, so they agree without a message,
-//! and where they do not for a moment, there is a reader more or less.
+//! Calls to the platform's store are charged, so only a few instances, the readers, make them; the
+//! others ask a reader. Each instance computes the readers from the peers that it takes to be
+//! alive. They thus agree without messages, and while their views differ there is a reader more or
+//! less.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -11,28 +11,28 @@
 
 use crate::{model::InstanceName, relay::model::Peer};
 
-/// Readers at the least: one of them may be cut off from the store.
+/// The smallest number of readers: one of them may be cut off from the store.
 const MIN_READERS: usize = 2;
-/// Instances that one reader answers at the most. At a question every
-/// [`PACE`] that is about 30 answers a second.
+/// The most instances that one reader serves. With a request every [`READ_INTERVAL`] from each of
+/// them, that is about 30 replies per second.
 const INSTANCES_PER_READER: usize = 18;
-/// Pause between two looks at the tables, of readers and of those who ask
-/// them. An endpoint that leaves, or a new configuration, has to be known to
-/// everybody within two seconds.
+/// Interval between two reads of the tables, by readers as well as by the instances that ask them.
+/// All instances must learn within two seconds that an endpoint leaves or that the configuration
+/// has changed.
 pub const READ_INTERVAL: Duration = Duration::from_millis(450);
-/// Copies that were compared with the store longer ago are stale: two paces,
-/// and the time of their calls. An instance whose copies are stale calls the
-/// store itself, so this bounds what a reader that is cut off can delay.
+/// Copies that were last compared with the store longer ago than this are stale: two intervals and
+/// the time of their calls. An instance with stale copies calls the store itself, so this bounds
+/// the delay that a reader without access to the store can cause.
 pub const STALE_AFTER: Duration = Duration::from_millis(1300);
-/// Pause between two looks at the table of instances, which is not urgent.
+/// Interval between two reads of the table of instances, which is not urgent.
 pub const INSTANCES_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a question waits at the store for a table that hardly ever changes, and
-/// whose changes instances tell each other: it bounds what an instance misses that
-/// was told nothing, at some nine calls a reader in a minute and a half.
+/// How long a read waits at the store for a change of a table that hardly ever changes. Instances
+/// also tell each other of such changes; this bounds how late an instance is that was not told, at
+/// a cost of some nine calls per reader in a minute and a half.
 pub const LONG_POLL_WAIT: Duration = Duration::from_secs(10);
 
-/// The instances that read the store, of those given; strong ones first.
+/// The instances among those given that read the store, those with the most CPU first.
 pub fn select_readers(instances: &[Peer]) -> Vec<InstanceName> {
     let count = MIN_READERS.max(instances.len().div_ceil(INSTANCES_PER_READER));
     let mut ranked: Vec<_> = instances.iter().collect();
--- a/crates/core/src/relay/reading.rs
+++ b/crates/core/src/relay/reading.rs
@@ -1,42 +1,40 @@
-//! How fast the engines of a service read prompts, as it is observed.
+//! Measures how fast the engines of a service prefill prompts.
 //!
-//! Deployments have engines of different speeds, and an engine is slower while
-//! it serves many. What a choice or a plan needs is learned from the time that
-//! calls took until their first token, with bounded memory, and forgotten with
-//! the estimators' half-life.
+//! Deployments have engines of different speeds, and an engine is slower while it serves many
+//! calls. The speed is therefore estimated from the times that calls took until their first token,
+//! in bounded memory and with the half-life of the estimators.
 
 use std::time::Duration;
 
 use crate::latency::Estimator;
 
-/// Time to read a thousand tokens before any call has shown it: that of a
-/// middling engine. A few calls later it does not matter.
+/// Time to prefill a thousand tokens, before any call has been measured: that of an engine of
+/// medium speed. It does not matter any more after a few calls.
 const DEFAULT_TIME_PER_1000: Duration = Duration::from_millis(30);
-/// What a first token takes besides reading before any call has shown it.
+/// Time until the first token on top of prefill, before any call has been measured.
 const DEFAULT_OVERHEAD: Duration = Duration::from_millis(100);
-/// Calls that read fewer tokens tell little of the speed: setting them up takes
-/// as long.
+/// Calls with fewer tokens are not used to measure the speed, since setting them up takes as long
+/// as their prefill.
 const MIN_TOKENS: u64 = 1000;
-/// The quantile of times for a thousand tokens that counts as an engine's own
-/// speed: most calls also wait for others.
+/// The quantile of times for a thousand tokens that counts as an engine's own speed: most calls
+/// also wait for others.
 const SPEED_QUANTILE: f64 = 0.1;
-/// The quantile of what comes on top that a plan reckons with. A stage planned
-/// by the median is too late for every second request. On six days with bursts
-/// and faults 0.9 was better than a fixed 120 ms; from 0.75 it did not differ by
-/// more than the error.
+/// The quantile of the overhead that a plan allows for. A stage that is planned by the median is
+/// too late for every second request. On six days with bursts and faults 0.9 was better than a
+/// fixed 120 ms; values from 0.75 on differed by less than the error.
 const OVERHEAD_QUANTILE: f64 = 0.9;
 
-/// How fast the engines of a service read prompts.
+/// Prefill speed of the engines of a service.
 #[derive(Debug, Clone, Default)]
 pub struct PrefillSpeed {
-    /// Times for a thousand tokens.
+    /// Prefill times of a thousand tokens.
     time_per_1000: Estimator,
-    /// Times until the first token, less what reading takes.
+    /// Times until the first token, minus the estimated prefill.
     overhead: Estimator,
 }
 
 impl PrefillSpeed {
-    /// A call that had so many tokens read took so long until its first token.
+    /// Records how long a call that had `tokens` prefilled took until its first token.
     pub fn record(&mut self, now: Duration, tokens: u64, took: Duration) {
         if tokens >= MIN_TOKENS {
             self.time_per_1000.record(now, took.mul_f64(1000.0 / tokens as f64));
@@ -44,24 +42,23 @@
         self.overhead.record(now, took.saturating_sub(self.prefill_time(tokens)));
     }
 
-    /// Milliseconds to read one token.
+    /// Milliseconds to prefill one token.
     pub fn token_millis(&self) -> f64 {
         let time = self.time_per_1000.quantile(SPEED_QUANTILE).unwrap_or(DEFAULT_TIME_PER_1000);
         time.as_secs_f64()
     }
 
-    /// The time to read so many tokens.
+    /// Time to prefill this many tokens.
     pub fn prefill_time(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 * self.token_millis() / 1000.0)
     }
 
-    /// The median of what comes on top of reading until the first token.
+    /// The median overhead: time until the first token on top of prefill.
     pub fn median_overhead(&self) -> Duration {
         self.overhead.quantile(0.5).unwrap_or(DEFAULT_OVERHEAD)
     }
 
-    /// The usual time until the first token of a call that has so many tokens
-    /// read.
+    /// Time until the first token to plan with, for a call that has this many tokens prefilled.
     pub fn time_to_first_token(&self, tokens: u64) -> Duration {
         self.overhead.quantile(OVERHEAD_QUANTILE).unwrap_or(DEFAULT_OVERHEAD)
             + self.prefill_time(tokens)
