--- a/crates/core/src/relay/catch_up.rs
+++ b/crates/core/src/relay/catch_up.rs
@@ -14,7 +14,7 @@
 
 use crate::relay::{
     position::{Position, Timeline},
-    table::{Ask, Begun, Portion, Record, Slice, Table},
+    table::{PartialRecord, Portion, PortionRequest, Record, Slice, Table},
 };
 
 /// What a copy has learned but cannot use yet.
@@ -46,13 +46,13 @@
 
 /// What a portion brought.
 #[derive(Debug, Default)]
-pub struct Learned {
+pub struct PortionEffect {
     /// The records that changed something.
     pub changed: Vec<Record>,
     /// Whether there is more to ask for at once.
     pub has_more: bool,
     /// Whether the copy has now all that the teller has.
-    pub is_level: bool,
+    pub is_caught_up: bool,
 }
 
 /// What became of a large record.
@@ -65,26 +65,33 @@
 
 impl CatchUp {
     /// What to ask for next.
-    pub fn ask(&self, table: &Table) -> Ask {
+    pub fn next_request(&self, table: &Table) -> PortionRequest {
         let is_timely = |listing: &&Listing| listing.timeline >= table.position().timeline;
         let listing = self.listing.as_ref().filter(is_timely);
         let from = listing.map_or(table.end(), |listing| listing.next);
         let timeline = listing.map_or(table.position().timeline, |listing| listing.timeline);
         let is_wanted = |growing: &&Growing| growing.timeline == timeline && growing.offset >= from;
         let begun = self.growing.as_ref().filter(is_wanted).map(Growing::begun);
-        Ask { timeline, from, listing: listing.map(|listing| listing.base), begun }
+        PortionRequest {
+            timeline,
+            from,
+            listing: listing.map(|listing| listing.base),
+            partial: begun,
+        }
     }
 
     /// Takes in what another copy told. Nothing is taken in that leaves a gap.
-    pub fn take(&mut self, table: &mut Table, mut portion: Portion) -> Learned {
+    pub fn apply(&mut self, table: &mut Table, mut portion: Portion) -> PortionEffect {
         let known = table.position().timeline;
         let begun = self.listing.as_ref().map_or(known, |listing| listing.timeline);
         if portion.timeline < known.max(begun) {
-            return Learned::default();
+            return PortionEffect::default();
         }
         let timeline = portion.timeline;
         match portion.slice.take().map(|slice| self.grow(timeline, slice)) {
-            Some(Grown::Astray) => return Learned { has_more: true, ..Learned::default() },
+            Some(Grown::Astray) => {
+                return PortionEffect { has_more: true, ..PortionEffect::default() };
+            }
             Some(Grown::Whole(record)) => portion.records.push(record),
             Some(Grown::Part) | None => {}
         }
@@ -112,17 +119,17 @@
         Grown::Whole(Record { key, offset, value: Some(value.freeze()) })
     }
 
-    fn follow(&mut self, table: &mut Table, portion: Portion) -> Learned {
+    fn follow(&mut self, table: &mut Table, portion: Portion) -> PortionEffect {
         self.listing = None;
         let is_other = portion.timeline != table.position().timeline;
-        if !table.is_known() || is_other || portion.from > table.end() {
-            return Learned::default();
+        if !table.is_loaded() || is_other || portion.from > table.end() {
+            return PortionEffect::default();
         }
-        let changed = table.follow(portion.records, portion.end);
-        Learned { changed, has_more: portion.has_more, is_level: !portion.has_more }
+        let changed = table.apply_changes(portion.records, portion.end);
+        PortionEffect { changed, has_more: portion.has_more, is_caught_up: !portion.has_more }
     }
 
-    fn list(&mut self, table: &mut Table, portion: Portion) -> Learned {
+    fn list(&mut self, table: &mut Table, portion: Portion) -> PortionEffect {
         let Portion { timeline, base, from, end, has_more, records, .. } = portion;
         let goes_on = |listing: &Listing| {
             (listing.timeline, listing.base, listing.next) == (timeline, base, from)
@@ -131,27 +138,30 @@
             Some(listing) => listing,
             None if from == 0 => Listing { timeline, base, next: 0, records: HashMap::new() },
             // What came before it is not here any more: the listing begins anew.
-            None => return Learned { has_more: true, ..Learned::default() },
+            None => return PortionEffect { has_more: true, ..PortionEffect::default() },
         };
         listing.records.extend(records.into_iter().map(|record| (record.key.clone(), record)));
         listing.next = end;
         if has_more {
             self.listing = Some(listing);
-            return Learned { has_more, ..Learned::default() };
+            return PortionEffect { has_more, ..PortionEffect::default() };
         }
         let end = Position { timeline, offset: end };
-        if table.is_known() && end <= table.position() {
+        if table.is_loaded() && end <= table.position() {
             // Overtaken: keys may be in it whose removal the copy has never
             // seen, since it was read whole after that.
-            return Learned { is_level: end == table.position(), ..Learned::default() };
+            return PortionEffect {
+                is_caught_up: end == table.position(),
+                ..PortionEffect::default()
+            };
         }
-        let changed = table.take_listing(listing.records.into_values().collect(), end);
-        Learned { changed, has_more, is_level: true }
+        let changed = table.apply_listing(listing.records.into_values().collect(), end);
+        PortionEffect { changed, has_more, is_caught_up: true }
     }
 }
 
 impl Growing {
-    fn begun(&self) -> Begun {
-        Begun { offset: self.offset, len: self.value.len() as u64 }
+    fn begun(&self) -> PartialRecord {
+        PartialRecord { offset: self.offset, len: self.value.len() as u64 }
     }
 }
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -145,7 +145,7 @@
     let time = |endpoint: &Endpoint| {
         let time = expected_time(endpoint, now, quickest, waits).as_secs_f64();
         let distance = if *endpoint.entry.data_centre == *wanted.home { 1.0 } else { DISTANCE };
-        time * distance * (1.0 + endpoint.fullness(now) + f64::from(endpoint.in_flight) * 0.1)
+        time * distance * (1.0 + endpoint.utilisation(now) + f64::from(endpoint.in_flight) * 0.1)
     };
     let costs = candidates.into_iter().map(|(key, endpoint)| {
         let spread = 1.0 + 0.1 * jitter();
@@ -173,7 +173,7 @@
     let Some(own) = endpoint.response_time else { return UNKNOWN_TIME };
     let quickest = quickest.unwrap_or(own);
     let is_slow = own > quickest.mul_f64(TRIED_FACTOR);
-    if is_slow && endpoint.is_to_be_tried(now, waits) { quickest.mul_f64(TRY) } else { own }
+    if is_slow && endpoint.is_trial_due(now, waits) { quickest.mul_f64(TRY) } else { own }
 }
 
 /// The engines that may take a prompt.
--- a/crates/core/src/relay/directory.rs
+++ b/crates/core/src/relay/directory.rs
@@ -73,19 +73,19 @@
 /// What a change came to.
 #[data]
 #[derive(Copy, Default)]
-pub struct Changed {
+pub struct ChangeEffect {
     /// Whether it said anything new.
     pub is_new: bool,
     /// The life that is over, since the endpoint has started again.
-    pub ended: Option<Ended>,
+    pub ended: Option<EndedEndpoint>,
     /// Whether the endpoint was not known to be cold before, and is.
-    pub has_cooled: bool,
+    pub is_newly_cold: bool,
 }
 
 /// A life of an endpoint that is over.
 #[data]
 #[derive(Copy)]
-pub struct Ended {
+pub struct EndedEndpoint {
     /// The life.
     pub endpoint: EndpointKey,
     /// Whether it had given notice, or its entry was gone before.
@@ -104,7 +104,7 @@
 
 impl Directory {
     /// Takes in a change.
-    pub fn change(&mut self, now: Duration, change: Change) -> Changed {
+    pub fn change(&mut self, now: Duration, change: Change) -> ChangeEffect {
         match change {
             Change::Put(entry) => self.put(now, entry),
             Change::Removed(name) => self.lose(&name, State::Missing(now)),
@@ -206,14 +206,14 @@
     }
 
     /// That life of an endpoint, if no newer one is known.
-    pub fn by_life(&self, life: &EndpointId) -> Option<EndpointKey> {
+    pub fn by_id(&self, life: &EndpointId) -> Option<EndpointKey> {
         let key = self.by_name(&life.name)?;
         (self.endpoints[key].entry.incarnation == life.incarnation).then_some(key)
     }
 
     /// The data centre that a result lies in: that of the endpoint that made
     /// it, or that of the address its handle begins with.
-    pub fn place_of(&self, handle: &str, maker: Option<EndpointKey>) -> Option<DataCentre> {
+    pub fn data_centre_of(&self, handle: &str, maker: Option<EndpointKey>) -> Option<DataCentre> {
         let (addr, _) = handle.split_once('/')?;
         let maker = maker.and_then(|key| self.endpoints.get(key));
         let at_addr = |endpoint: &&Endpoint| *endpoint.entry.addr == *addr;
@@ -234,7 +234,7 @@
 
     /// An endpoint said itself that it leaves, or that another one has its
     /// address now.
-    pub fn leaves(&mut self, now: Duration, key: EndpointKey) {
+    pub fn mark_leaving(&mut self, now: Duration, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.entry.is_leaving = true;
             if !matches!(endpoint.state, State::Leaving(_)) {
@@ -246,7 +246,7 @@
     /// Nothing listens at an endpoint's address any more: it gets nothing until its
     /// entry is written anew. Its entry lapses some two seconds later only, and each
     /// of 18 engines that ended was called two or three times more meanwhile.
-    pub fn is_gone(&mut self, now: Duration, key: EndpointKey) {
+    pub fn mark_gone(&mut self, now: Duration, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key).filter(|known| known.is_ready()) {
             endpoint.state = State::Hidden(now);
         }
@@ -277,12 +277,12 @@
         });
     }
 
-    fn put(&mut self, now: Duration, entry: Entry) -> Changed {
+    fn put(&mut self, now: Duration, entry: Entry) -> ChangeEffect {
         let Some(&key) = self.by_name.get(&entry.name) else {
             return self.insert(now, entry);
         };
         match entry.incarnation.cmp(&self.endpoints[key].entry.incarnation) {
-            Ordering::Less => Changed::default(),
+            Ordering::Less => ChangeEffect::default(),
             // A life stays in its service: somebody else wrote this.
             Ordering::Equal if entry.service != self.endpoints[key].entry.service => {
                 self.lose(&entry.name, State::Hidden(now))
@@ -290,28 +290,28 @@
             Ordering::Equal => self.update(now, key, entry),
             Ordering::Greater => {
                 let is_planned = !self.endpoints[key].is_ready();
-                self.leaves(now, key);
+                self.mark_leaving(now, key);
                 let changed = self.insert(now, entry);
-                Changed { ended: Some(Ended { endpoint: key, is_planned }), ..changed }
+                ChangeEffect { ended: Some(EndedEndpoint { endpoint: key, is_planned }), ..changed }
             }
         }
     }
 
     /// Takes in a further record of the same life.
-    fn update(&mut self, now: Duration, key: EndpointKey, entry: Entry) -> Changed {
+    fn update(&mut self, now: Duration, key: EndpointKey, entry: Entry) -> ChangeEffect {
         let endpoint = &mut self.endpoints[key];
         if matches!(endpoint.state, State::Leaving(_)) {
-            return Changed::default();
+            return ChangeEffect::default();
         }
         let was_ready = endpoint.is_ready();
         endpoint.state = if entry.is_leaving { State::Leaving(now) } else { State::Ready };
-        let has_cooled = entry.cold_left.is_some_and(|left| endpoint.cools(now, left));
+        let has_cooled = entry.cold_left.is_some_and(|left| endpoint.set_cold(now, left));
         endpoint.entry = entry;
         let is_new = was_ready != endpoint.is_ready();
-        Changed { is_new, ended: None, has_cooled }
+        ChangeEffect { is_new, ended: None, is_newly_cold: has_cooled }
     }
 
-    fn insert(&mut self, now: Duration, entry: Entry) -> Changed {
+    fn insert(&mut self, now: Duration, entry: Entry) -> ChangeEffect {
         let (name, service) = (entry.name.clone(), entry.service.clone());
         let mut endpoint = Endpoint::new(now, entry);
         if endpoint.entry.is_leaving {
@@ -321,17 +321,17 @@
         let key = self.endpoints.insert(endpoint);
         self.by_name.insert(name, key);
         self.by_service.entry(service).or_default().push(key);
-        Changed { is_new: true, ended: None, has_cooled }
+        ChangeEffect { is_new: true, ended: None, is_newly_cold: has_cooled }
     }
 
     /// An endpoint that was ready has no entry of its own any more.
-    fn lose(&mut self, name: &str, state: State) -> Changed {
-        let Some(&key) = self.by_name.get(name) else { return Changed::default() };
+    fn lose(&mut self, name: &str, state: State) -> ChangeEffect {
+        let Some(&key) = self.by_name.get(name) else { return ChangeEffect::default() };
         let endpoint = &mut self.endpoints[key];
         let was_ready = endpoint.is_ready();
         if was_ready {
             endpoint.state = state;
         }
-        Changed { is_new: was_ready, ..Changed::default() }
+        ChangeEffect { is_new: was_ready, ..ChangeEffect::default() }
     }
 }
--- a/crates/core/src/relay/directory/endpoint.rs
+++ b/crates/core/src/relay/directory/endpoint.rs
@@ -69,13 +69,13 @@
     refusals: Backoff,
     cold_until: Duration,
     /// Until when it wants nothing from this instance.
-    pub(in crate::relay) rests_until: Duration,
+    pub(in crate::relay) hold_until: Duration,
     /// When it was heard that it said itself that it leaves.
-    pub(in crate::relay) left_at: Option<Duration>,
+    pub(in crate::relay) leaving_at: Option<Duration>,
     /// What it said of its limit, if it ever named one.
-    pub(in crate::relay) word: Option<LimitReport>,
+    pub(in crate::relay) limit_report: Option<LimitReport>,
     /// When it was due to be called last, as one that bears few calls.
-    pub(in crate::relay) slot: Option<Duration>,
+    pub(in crate::relay) last_slot: Option<Duration>,
 }
 
 impl Endpoint {
@@ -83,10 +83,10 @@
     pub(super) fn new(now: Duration, entry: Entry) -> Endpoint {
         Endpoint {
             cold_until: now + entry.cold_left.unwrap_or_default(),
-            rests_until: Duration::ZERO,
-            left_at: None,
-            word: None,
-            slot: None,
+            hold_until: Duration::ZERO,
+            leaving_at: None,
+            limit_report: None,
+            last_slot: None,
             entry,
             in_flight: 0,
             engine: Engine::default(),
@@ -102,7 +102,7 @@
     }
 
     /// The name and incarnation that this is a life of.
-    pub fn life(&self) -> EndpointId {
+    pub fn id(&self) -> EndpointId {
         EndpointId { name: self.entry.name.clone(), incarnation: self.entry.incarnation }
     }
 
@@ -118,66 +118,66 @@
 
     /// It wants nothing from this instance for so long. Each refusal asks for itself, so
     /// the one that ends last counts.
-    pub fn asks_rest(&mut self, now: Duration, rest: Duration) {
-        self.rests_until = self.rests_until.max(now + rest);
+    pub fn extend_hold(&mut self, now: Duration, rest: Duration) {
+        self.hold_until = self.hold_until.max(now + rest);
     }
 
     /// Whether it wants nothing from this instance.
-    pub fn wants_rest(&self, now: Duration) -> bool {
-        now < self.rests_until
+    pub fn is_on_hold(&self, now: Duration) -> bool {
+        now < self.hold_until
     }
 
     /// For how much longer that is.
-    pub fn rest_left(&self, now: Duration) -> Duration {
-        self.rests_until.saturating_sub(now)
+    pub fn hold_left(&self, now: Duration) -> Duration {
+        self.hold_until.saturating_sub(now)
     }
 
     /// Whether it said itself, to this instance or a peer, that it leaves.
-    pub fn said_leaving(&self) -> bool {
-        self.left_at.is_some()
+    pub fn has_announced_leaving(&self) -> bool {
+        self.leaving_at.is_some()
     }
 
     /// Whether it was called too lately for a further call, where it bears one each
     /// so often.
-    pub fn awaits_slot(&self, now: Duration, interval: Duration) -> bool {
-        self.slot.is_some_and(|slot| now < slot + interval)
+    pub fn is_throttled(&self, now: Duration, interval: Duration) -> bool {
+        self.last_slot.is_some_and(|slot| now < slot + interval)
     }
 
     /// What peers are told of it.
     pub fn notice(&self, now: Duration) -> Notice {
         Notice {
-            life: self.life(),
-            is_leaving: self.said_leaving(),
+            endpoint: self.id(),
+            is_leaving: self.has_announced_leaving(),
             limit: self.limit(),
-            age: self.word.map_or(Duration::ZERO, |word| now.saturating_sub(word.at)),
+            age: self.limit_report.map_or(Duration::ZERO, |word| now.saturating_sub(word.at)),
         }
     }
 
     /// The calls that it takes of all instances together, if it names a limit.
     pub fn limit(&self) -> Option<Rate> {
-        self.word?.limit
+        self.limit_report?.limit
     }
 
     /// It said whether it names a limit. An older word changes nothing. Returns whether
     /// that is news.
-    pub fn says(&mut self, word: LimitReport) -> bool {
-        let known = self.word;
+    pub fn update_limit(&mut self, word: LimitReport) -> bool {
+        let known = self.limit_report;
         let is_old = known.is_some_and(|known| word.at < known.at);
         if is_old || (known.is_none() && word.limit.is_none()) {
             return false;
         }
         let before = self.limit();
-        self.word = Some(word);
+        self.limit_report = Some(word);
         if before.is_none() {
             // What it was sent before counts as its first call.
-            self.slot = Some(word.at);
+            self.last_slot = Some(word.at);
         }
         before != word.limit
     }
 
     /// It is cold for so long from now on, as it says itself. Returns whether that
     /// was not known.
-    pub fn cools(&mut self, now: Duration, left: Duration) -> bool {
+    pub fn set_cold(&mut self, now: Duration, left: Duration) -> bool {
         let was_cold = self.is_cold(now);
         self.cold_until = now + left;
         !was_cold && self.is_cold(now)
@@ -186,8 +186,8 @@
     /// It is called, where it bears a call each so often. Of a slot that was missed up
     /// to `slack` is made up for.
     pub fn take_slot(&mut self, now: Duration, interval: Duration, slack: Duration) {
-        let due = self.slot.map_or(now, |slot| (slot + interval).min(now));
-        self.slot = Some(due.max(now.saturating_sub(slack)));
+        let due = self.last_slot.map_or(now, |slot| (slot + interval).min(now));
+        self.last_slot = Some(due.max(now.saturating_sub(slack)));
     }
 
     /// Whether it may be used where nothing else is left.
@@ -220,33 +220,33 @@
     }
 
     /// How full it is: calls for each place.
-    pub fn fullness(&self, now: Duration) -> f64 {
+    pub fn utilisation(&self, now: Duration) -> f64 {
         f64::from(self.calls(now)) / f64::from(self.entry.slots.max(1))
     }
 
     /// A call is sent to it.
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.in_flight += 1;
         self.sent_since += 1;
     }
 
     /// A peer's call is placed there.
-    pub fn placed(&mut self) {
+    pub fn record_placed(&mut self) {
         self.sent_since += 1;
     }
 
     /// A report of its load came.
-    pub fn reported(&mut self, now: Duration, load: Load) {
+    pub fn record_load(&mut self, now: Duration, load: Load) {
         self.load = Some((now, load));
         self.sent_since = 0;
     }
 
     /// The first byte of an answer came.
-    pub fn answered(&mut self, now: Duration, took: Duration, load: Option<Load>) {
+    pub fn record_answer(&mut self, now: Duration, took: Duration, load: Option<Load>) {
         self.failures.succeeded();
         self.refusals.succeeded();
         if let Some(load) = load {
-            self.reported(now, load);
+            self.record_load(now, load);
         }
         let was_tried = now >= self.timed_at + self.patience;
         let known = self.response_time.filter(|_| !was_tried);
@@ -264,17 +264,17 @@
 
     /// Whether its last answer is so long ago that it may have become quick again: so many
     /// times its patience. One call finds out.
-    pub fn is_to_be_tried(&self, now: Duration, waits: u32) -> bool {
+    pub fn is_trial_due(&self, now: Duration, waits: u32) -> bool {
         self.in_flight == 0 && now >= self.timed_at + self.patience * waits
     }
 
     /// A call has got so far, so long after it was sent.
-    pub fn note(&mut self, now: Duration, took: Duration, step: Step) {
+    pub fn record_step(&mut self, now: Duration, took: Duration, step: Step) {
         match step {
-            Step::Answered(load) => self.answered(now, took, load),
+            Step::Answered(load) => self.record_answer(now, took, load),
             Step::Refused(load) => self.refused(now, load),
             Step::Ended => {}
-            Step::Failed(failure) => drop(self.failed(now, failure)),
+            Step::Failed(failure) => drop(self.record_failure(now, failure)),
         }
     }
 
@@ -283,17 +283,17 @@
     fn refused(&mut self, now: Duration, load: Option<Load>) {
         self.refusals.failed(now, backoff::REFUSED);
         if let Some(load) = load {
-            self.reported(now, load);
+            self.record_load(now, load);
         }
     }
 
     /// A call has ended, however.
-    pub fn ended(&mut self) {
+    pub fn record_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// A call failed. Returns whether that begins or prolongs a pause.
-    pub fn failed(&mut self, now: Duration, failure: Failure) -> bool {
+    pub fn record_failure(&mut self, now: Duration, failure: Failure) -> bool {
         if self.failures.is_paused(now) && failure != Failure::Unsent {
             return false;
         }
--- a/crates/core/src/relay/events.rs
+++ b/crates/core/src/relay/events.rs
@@ -40,7 +40,7 @@
     }
 
     /// Bytes that are held back because they do not make a whole event.
-    pub fn rest(&self) -> &[u8] {
+    pub fn incomplete(&self) -> &[u8] {
         self.buffer.chunk()
     }
 
--- a/crates/core/src/relay/fingerprint.rs
+++ b/crates/core/src/relay/fingerprint.rs
@@ -27,7 +27,7 @@
     }
 
     /// That of the same request from this team; nobody's where no key is needed.
-    pub fn from_team(self, team: Option<&str>) -> Fingerprint {
+    pub fn for_team(self, team: Option<&str>) -> Fingerprint {
         digest(&[&self.0.to_be_bytes(), team.unwrap_or_default().as_bytes()])
     }
 
--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -43,7 +43,7 @@
         batch::Batches,
         choice,
         config::Config,
-        directory::{Change, Changed, Directory, Ended},
+        directory::{Change, ChangeEffect, Directory, EndedEndpoint},
         exchange::{CallState, Exchange},
         fingerprint::Fingerprint,
         graph::Graph,
@@ -294,10 +294,10 @@
     }
 
     /// Takes in a change of the directory.
-    pub fn change(&mut self, now: Duration, change: Change) -> Changed {
+    pub fn change(&mut self, now: Duration, change: Change) -> ChangeEffect {
         let change = self.unless_strange(change);
         let changed = self.directory.change(now, change);
-        if let Some(Ended { endpoint, is_planned }) = changed.ended {
+        if let Some(EndedEndpoint { endpoint, is_planned }) = changed.ended {
             self.end_life(now, endpoint, is_planned);
         }
         if changed.is_new {
@@ -386,7 +386,7 @@
             route: route.clone(),
             service,
             team: team.map(|team| team.name.clone()),
-            content: arrival.content.from_team(team.map(|team| &*team.name)),
+            content: arrival.content.for_team(team.map(|team| &*team.name)),
             priority: team.and_then(|team| team.priority).unwrap_or(route.priority),
             started: now,
             due: now + wait,
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -63,7 +63,7 @@
     /// A stream ended whole.
     pub fn ended(&mut self, now: Duration, call: CallKey) {
         let Some(key) = self.exchange_of(call) else { return };
-        self.quarantine.note_answer(now, self.exchanges[key].content);
+        self.quarantine.record_answer(now, self.exchanges[key].content);
         self.end_call(now, call, Step::Ended);
         if !self.exchanges[key].has_begun {
             self.actions.push(Action::BeginStream { exchange: key, call });
@@ -83,11 +83,11 @@
             self.end_call(now, call, Step::Ended);
         } else {
             self.note_answer(now, call, head.load);
-            self.quarantine.note_answer(now, self.exchanges[key].content);
+            self.quarantine.record_answer(now, self.exchanges[key].content);
             self.end_call(now, call, Step::Ended);
         }
         if head.status == 421 {
-            self.directory.leaves(now, endpoint);
+            self.directory.mark_leaving(now, endpoint);
         }
         let is_success = (200..300).contains(&head.status);
         let is_failure = head.status >= 500 || head.is_not_run;
@@ -207,7 +207,7 @@
         exchange.tried.push(endpoint);
         exchange.patience = None;
         let target = self.directory.get_mut(endpoint).expect("a chosen endpoint is known");
-        target.sent();
+        target.record_sent();
         let call = Call {
             key: call,
             exchange: key,
@@ -332,7 +332,7 @@
 
     fn note_load(&mut self, now: Duration, endpoint: EndpointKey, load: Option<Load>) {
         if let (Some(endpoint), Some(load)) = (self.directory.get_mut(endpoint), load) {
-            endpoint.reported(now, load);
+            endpoint.record_load(now, load);
         }
     }
 
@@ -362,7 +362,7 @@
         let (run, placer) = (*run, placer.clone());
         match (run, self.directory.get_mut(endpoint)) {
             (Some(number), _) => self.progressed(now, Progress { number, step }),
-            (None, Some(endpoint)) => endpoint.note(now, took, step),
+            (None, Some(endpoint)) => endpoint.record_step(now, took, step),
             (None, None) => {}
         }
         if let Some((peer, number)) = placer {
@@ -382,7 +382,7 @@
             self.overdue.remove(&(at, call));
         }
         if let Some(endpoint) = self.directory.get_mut(state.endpoint) {
-            endpoint.ended();
+            endpoint.record_end();
         }
         if let ExchangeOf::Exchange(key) = state.exchange
             && let Some(exchange) = self.exchanges.get_mut(key)
--- a/crates/core/src/relay/machine/evacuation.rs
+++ b/crates/core/src/relay/machine/evacuation.rs
@@ -14,13 +14,13 @@
 use crate::relay::{
     machine::Relay,
     model::{ExchangeKey, Refusal},
-    operator::Act,
+    operator::OperatorCommand,
 };
 
 impl Relay {
     /// Takes in what operators ordered, the oldest first. Returns for each whether it
     /// changed anything. Nothing is sent before all of it is in force.
-    pub fn obey(&mut self, now: Duration, acts: Vec<Act>) -> Vec<bool> {
+    pub fn obey(&mut self, now: Duration, acts: Vec<OperatorCommand>) -> Vec<bool> {
         let taken = acts.into_iter().map(|act| self.take_act(act)).collect();
         self.refuse_evacuated(now);
         self.search(now);
@@ -28,11 +28,11 @@
         taken
     }
 
-    fn take_act(&mut self, act: Act) -> bool {
+    fn take_act(&mut self, act: OperatorCommand) -> bool {
         match act {
-            Act::Configure(config) => self.configure(config.into()),
-            Act::Evacuate(data_centre) => self.directory.evacuate(data_centre),
-            Act::Restore(data_centre) => self.directory.restore(&data_centre),
+            OperatorCommand::Configure(config) => self.configure(config.into()),
+            OperatorCommand::Evacuate(data_centre) => self.directory.evacuate(data_centre),
+            OperatorCommand::Restore(data_centre) => self.directory.restore(&data_centre),
         }
     }
 
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -64,9 +64,9 @@
     pub(super) fn forget_limits(&mut self, now: Duration) {
         let instances = self.instances() as u32;
         for endpoint in self.directory.all_mut() {
-            let is_old = endpoint.word.is_some_and(|word| now >= word.at + FORGOTTEN_AFTER);
+            let is_old = endpoint.limit_report.is_some_and(|word| now >= word.at + FORGOTTEN_AFTER);
             if is_old && self.rng.random_ratio(1, instances) {
-                endpoint.word = None;
+                endpoint.limit_report = None;
             }
         }
     }
@@ -83,7 +83,7 @@
         let known = usable.iter().filter_map(|key| Some((*key, self.directory.get(*key)?)));
         let bound = known.filter_map(|(key, endpoint)| {
             let pace = self.pace(now, endpoint);
-            (pace.is_some() || endpoint.wants_rest(now)).then_some((key, endpoint, pace))
+            (pace.is_some() || endpoint.is_on_hold(now)).then_some((key, endpoint, pace))
         });
         let bound: Vec<_> = bound.collect();
         if bound.is_empty() {
@@ -96,9 +96,9 @@
                     Chooser::Placer { .. } => !foreign.contains(key),
                     Chooser::Alone => self.is_caller_of(service, endpoint, pace),
                 };
-                !is_own || endpoint.awaits_slot(now, pace.interval)
+                !is_own || endpoint.is_throttled(now, pace.interval)
             });
-            is_paced || endpoint.wants_rest(now)
+            is_paced || endpoint.is_on_hold(now)
         };
         bound.into_iter().filter(is_withheld).map(|(key, ..)| key).collect()
     }
@@ -111,7 +111,7 @@
         let usable = self.directory.usable(now, service).into_iter();
         let open = usable.filter(|endpoint| !tried.contains(endpoint));
         let known = open.filter_map(|endpoint| self.directory.get(endpoint));
-        let first = known.map(|endpoint| endpoint.rests_until).min()?;
+        let first = known.map(|endpoint| endpoint.hold_until).min()?;
         (first > now).then_some(first)
     }
 
@@ -130,8 +130,8 @@
         let Some(endpoint) = self.directory.get(key) else { return };
         if self.shape(&endpoint.entry.service).is_some() {
             let pace = self.pace(now, endpoint);
-            let slot = pace.and_then(|pace| Some(endpoint.slot? + pace.interval));
-            let until = endpoint.rests_until.max(slot.unwrap_or(now));
+            let slot = pace.and_then(|pace| Some(endpoint.last_slot? + pace.interval));
+            let until = endpoint.hold_until.max(slot.unwrap_or(now));
             self.batches.rest(key, until);
         }
     }
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -83,7 +83,7 @@
             excluded: self.avoided_engines(now, key),
         };
         self.exchanges[key].is_placing = true;
-        self.actions.push(Action::RequestPlacement { exchange: key, peer, question });
+        self.actions.push(Action::RequestPlacement { exchange: key, peer, request: question });
         true
     }
 
@@ -127,7 +127,7 @@
         for endpoint in self.directory.usable(now, service) {
             let Some(engine) = self.directory.get(endpoint) else { continue };
             // The question is a call too.
-            let is_spared = engine.wants_rest(now) || engine.limit().is_some();
+            let is_spared = engine.is_on_hold(now) || engine.limit().is_some();
             if !is_spared && self.listed.insert(endpoint) {
                 let addr = engine.entry.addr.clone();
                 self.actions.push(Action::ListParts { endpoint, addr });
@@ -149,7 +149,7 @@
         if self.transfer(&question.service).is_some() {
             self.list_parts(now, &question.service);
         }
-        let avoided = question.excluded.iter().filter_map(|life| self.directory.by_life(life));
+        let avoided = question.excluded.iter().filter_map(|life| self.directory.by_id(life));
         let avoided: Vec<_> = avoided.collect();
         let chooser = self.as_placer(&question.service, &question.prompt);
         let withheld = self.withheld(now, &question.service, chooser);
@@ -168,9 +168,9 @@
         let source = self.addr_of(chosen.source);
         self.pace_call(now, chosen.endpoint);
         let engine = self.directory.get_mut(chosen.endpoint)?;
-        engine.placed();
+        engine.record_placed();
         let Candidate { tokens, wait, .. } = chosen;
-        Some(Placement { engine: engine.life(), source, tokens, wait, number })
+        Some(Placement { engine: engine.id(), source, tokens, wait, number })
     }
 
     /// A prompt goes to an engine, for this instance or a peer. Returns the
@@ -205,12 +205,12 @@
         let Some(endpoint) = self.directory.get_mut(key) else { return };
         if let Step::Answered(_) = step {
             let took = endpoint.engine.begun(now, number).unwrap_or_default();
-            endpoint.note(now, took, step);
+            endpoint.record_step(now, took, step);
             return;
         }
         self.runs.remove(&number);
         let took = endpoint.engine.ended(now, number).unwrap_or_default();
-        endpoint.note(now, took, step);
+        endpoint.record_step(now, took, step);
         if let Step::Ended = step {
             let kept = self.run_time.mul_f64(1.0 - NEWEST_SHARE);
             self.run_time = kept + took.mul_f64(NEWEST_SHARE);
@@ -317,9 +317,9 @@
         let avoided = known.filter_map(|key| {
             let engine = self.directory.get(key)?;
             let is_full = engine.in_flight >= limit;
-            let is_unwilling = engine.is_paused(now) || engine.wants_rest(now);
+            let is_unwilling = engine.is_paused(now) || engine.is_on_hold(now);
             let is_avoided = exchange.tried.contains(&key) || is_unwilling || is_full;
-            is_avoided.then(|| engine.life())
+            is_avoided.then(|| engine.id())
         });
         avoided.collect()
     }
@@ -332,10 +332,10 @@
         peer: &InstanceName,
         placement: Placement,
     ) -> Option<Placed> {
-        let endpoint = self.directory.by_life(&placement.engine)?;
+        let endpoint = self.directory.by_id(&placement.engine)?;
         let service = &self.exchanges[key].service;
         let is_usable = self.directory.usable(now, service).contains(&endpoint);
-        let wants_rest = self.directory.get(endpoint).is_some_and(|it| it.wants_rest(now));
+        let wants_rest = self.directory.get(endpoint).is_some_and(|it| it.is_on_hold(now));
         if !is_usable || wants_rest {
             return None;
         }
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -13,7 +13,7 @@
         fingerprint::Fingerprint,
         machine::Relay,
         model::{Action, CallKey, EndpointKey, ExchangeKey, ProbeResult, Refusal},
-        quarantine::{self, Crash, Hold, Suspicion},
+        quarantine::{self, Crash, QuarantineEntry, Suspect},
     },
 };
 
@@ -60,14 +60,14 @@
     }
 
     /// Everything that is held back.
-    pub fn held_back(&self) -> impl Iterator<Item = (Fingerprint, &Hold)> {
+    pub fn held_back(&self) -> impl Iterator<Item = (Fingerprint, &QuarantineEntry)> {
         self.quarantine.all()
     }
 
     /// The runs that a call is for: one, or those of all whose pieces it has.
     pub(super) fn runs_of(&self, now: Duration, call: CallKey) -> Vec<Run> {
         let Some(state) = self.calls.get(call) else { return Vec::new() };
-        let is_late = state.answered.is_some_and(|at| now >= at + quarantine::BEGINNING);
+        let is_late = state.answered.is_some_and(|at| now >= at + quarantine::EARLY_PERIOD);
         let run = |content| Run { content, is_late };
         match state.exchange {
             ExchangeOf::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
@@ -100,7 +100,7 @@
         let Some(cuts) = self.cuts.get_mut(&endpoint) else { return };
         cuts.is_probed = false;
         if probed == ProbeResult::Gone {
-            self.directory.is_gone(now, endpoint);
+            self.directory.mark_gone(now, endpoint);
             self.take_crashes(now, endpoint);
         }
     }
@@ -114,14 +114,14 @@
 
     /// Runs that were cut just before their endpoint's life ended are crashes.
     fn take_crashes(&mut self, now: Duration, endpoint: EndpointKey) {
-        let Some(life) = self.directory.get(endpoint).map(|known| known.life()) else { return };
+        let Some(life) = self.directory.get(endpoint).map(|known| known.id()) else { return };
         let cuts = self.cuts.entry(endpoint).or_default();
         cuts.gone = Some(now);
         let runs = std::mem::take(&mut cuts.runs);
         let recent = runs.into_iter().filter(|cut| now < cut.at + REMEMBERED);
         let crash = |Cut { content, at, is_late }| Crash {
             content,
-            life: life.clone(),
+            endpoint: life.clone(),
             age: now.saturating_sub(at),
             is_late,
         };
@@ -130,7 +130,7 @@
             return;
         }
         self.tell_keepers(&crashes);
-        self.actions.push(Action::EndpointCrashed { life, crashes: crashes.clone() });
+        self.actions.push(Action::EndpointCrashed { endpoint: life, crashes: crashes.clone() });
         for crash in &crashes {
             self.suspect(now, crash);
         }
@@ -139,12 +139,12 @@
     /// Takes in a crash, seen here or by a peer. Where the content is held back already,
     /// somebody has not heard of it: all are told again.
     pub fn suspect(&mut self, now: Duration, crash: &Crash) {
-        if let Some(Hold { crashes, .. }) = self.quarantine.held(crash.content) {
+        if let Some(QuarantineEntry { crashes, .. }) = self.quarantine.get(crash.content) {
             let (content, crashes) = (crash.content, *crashes);
             self.actions.push(Action::AnnounceQuarantine { content, crashes });
             return;
         }
-        let Some(Suspicion { content, since }) = self.quarantine.crashed(now, crash) else {
+        let Some(Suspect { content, since }) = self.quarantine.add_crash(now, crash) else {
             return;
         };
         match self.was_answered(content, since) {
@@ -165,7 +165,7 @@
         if was_answered {
             self.actions.push(Action::SuspicionCleared(content));
         }
-        if let Some(crashes) = self.quarantine.consulted(content, was_answered) {
+        if let Some(crashes) = self.quarantine.finish_query(content, was_answered) {
             self.hold_back(now, content, crashes);
             self.actions.push(Action::AnnounceQuarantine { content, crashes });
         }
@@ -196,7 +196,7 @@
 
     /// Has the records removed of contents that nobody sends any more.
     pub(super) fn release_old(&mut self, now: Duration) {
-        let over = self.quarantine.take_old(now);
+        let over = self.quarantine.expire(now);
         self.actions.extend(over.into_iter().map(Action::DeleteQuarantine));
         let directory = &self.directory;
         self.cuts.retain(|endpoint, cuts| {
@@ -221,14 +221,14 @@
 
     /// How long an exchange's content is held back; `None` if it may be sent.
     pub(super) fn held_for(&self, now: Duration, key: ExchangeKey) -> Option<Duration> {
-        let hold = self.quarantine.held(self.exchanges[key].content)?;
+        let hold = self.quarantine.get(self.exchanges[key].content)?;
         Some(hold.until.saturating_sub(now))
     }
 
     /// Refuses an exchange whose content is held back.
     pub(super) fn refuse_held(&mut self, now: Duration, key: ExchangeKey) {
         let content = self.exchanges[key].content;
-        if let Some(crashes) = self.quarantine.note_refused(now, content) {
+        if let Some(crashes) = self.quarantine.record_refusal(now, content) {
             self.actions.push(Action::WriteQuarantine { content, crashes });
         }
         self.give_up(now, key, Refusal::Quarantined);
@@ -237,7 +237,7 @@
     /// Holds a content back from now on.
     pub fn hold_back(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
         let jitter = self.rng.random();
-        if self.quarantine.hold(now, content, crashes, jitter) {
+        if self.quarantine.add(now, content, crashes, jitter) {
             self.actions.push(Action::Quarantined { content, crashes });
             self.stop_runs(now, content);
         }
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -277,7 +277,7 @@
             self.batches.started(now, call, &order, &shape);
             self.pace_call(now, endpoint);
             let target = self.directory.get_mut(endpoint).expect("a planned endpoint is known");
-            target.sent();
+            target.record_sent();
             let (endpoint, addr) = (target.entry.name.clone(), target.entry.addr.clone());
             self.actions.push(Action::MakePieces { call, endpoint, addr, pieces: order.pieces });
         }
@@ -346,7 +346,7 @@
             // Its round has been given up already.
             Err(_) if is_old => {}
             Ok(handle) => {
-                let place = self.directory.place_of(&handle, one.endpoint);
+                let place = self.directory.data_centre_of(&handle, one.endpoint);
                 let made = Made { handle, place };
                 let (stage, number) = (usize::from(one.piece.stage), usize::from(one.piece.number));
                 exchange.graph.made(stage, number, made);
@@ -438,7 +438,7 @@
 
     /// Whether a piece's request is held back.
     fn is_held(&self, piece: &Piece) -> bool {
-        self.quarantine.held(piece.content).is_some()
+        self.quarantine.get(piece.content).is_some()
     }
 
     /// Pays for sending a piece again that was or may have been made.
--- a/crates/core/src/relay/machine/terms.rs
+++ b/crates/core/src/relay/machine/terms.rs
@@ -31,12 +31,12 @@
         let (key, placer) = (state.endpoint, state.placer.clone());
         let Some(endpoint) = self.directory.get_mut(key) else { return };
         if let Some(left) = head.terms.cold_left {
-            endpoint.cools(now, left);
+            endpoint.set_cold(now, left);
         }
         if let Some(rest) = head.terms.hold {
-            endpoint.asks_rest(now, rest);
+            endpoint.extend_hold(now, rest);
         }
-        let is_news = endpoint.says(LimitReport { limit: head.terms.limit, at: now });
+        let is_news = endpoint.update_limit(LimitReport { limit: head.terms.limit, at: now });
         let is_notable = is_news || endpoint.limit().is_some() || head.terms.is_leaving;
         if let (Some((peer, _)), true) = (placer, is_notable) {
             let notice = Notice { is_leaving: head.terms.is_leaving, ..endpoint.notice(now) };
@@ -57,8 +57,8 @@
     pub fn notices(&mut self, now: Duration) -> Vec<Notice> {
         let is_fresh = |at: Duration| now < at + NEWS_FOR;
         let is_news = |endpoint: &&Endpoint| {
-            let has_left = endpoint.left_at.is_some_and(is_fresh);
-            let is_told = endpoint.word.is_some_and(|word| is_fresh(word.at));
+            let has_left = endpoint.leaving_at.is_some_and(is_fresh);
+            let is_told = endpoint.limit_report.is_some_and(|word| is_fresh(word.at));
             endpoint.limit().is_some() || has_left || is_told
         };
         let news = self.directory.all().filter(is_news);
@@ -74,9 +74,9 @@
     /// A peer told of endpoints.
     pub fn noticed(&mut self, now: Duration, peer: &InstanceName, notices: &[Notice]) {
         for notice in notices {
-            let Some(key) = self.directory.by_life(&notice.life) else { continue };
+            let Some(key) = self.directory.by_id(&notice.endpoint) else { continue };
             let Some(endpoint) = self.directory.get_mut(key) else { continue };
-            if endpoint.says(notice.limit_report(now)) {
+            if endpoint.update_limit(notice.limit_report(now)) {
                 self.note_limit(now, key, Some(peer.clone()));
             }
             if notice.is_leaving {
@@ -95,12 +95,13 @@
     /// An endpoint said that it leaves, whatever the directory says: that may be dark, or
     /// late, and endpoints end soon after they have said so.
     fn leave_told(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
-        let Some(endpoint) = self.directory.get_mut(key).filter(|it| it.left_at.is_none()) else {
+        let Some(endpoint) = self.directory.get_mut(key).filter(|it| it.leaving_at.is_none())
+        else {
             return;
         };
-        endpoint.left_at = Some(now);
+        endpoint.leaving_at = Some(now);
         let name = endpoint.entry.name.clone();
-        self.directory.leaves(now, key);
+        self.directory.mark_leaving(now, key);
         self.actions.push(Action::EndpointLeaving { endpoint: name, source });
     }
 }
--- a/crates/core/src/relay/model.rs
+++ b/crates/core/src/relay/model.rs
@@ -497,7 +497,7 @@
         /// The peer.
         peer: InstanceName,
         /// The question.
-        question: PlacementRequest,
+        request: PlacementRequest,
     },
     /// Tell a placer how the calls go on that it placed.
     ReportProgress {
@@ -518,7 +518,7 @@
     /// An endpoint has ended with these runs.
     EndpointCrashed {
         /// Its life.
-        life: EndpointId,
+        endpoint: EndpointId,
         /// The runs.
         crashes: Vec<Crash>,
     },
--- a/crates/core/src/relay/operator.rs
+++ b/crates/core/src/relay/operator.rs
@@ -6,7 +6,7 @@
 
 /// One order, as a record of the operators' table holds it.
 #[data]
-pub enum Act {
+pub enum OperatorCommand {
     /// This configuration is in force, unless a newer one is.
     Configure(Config),
     /// The endpoints of this data centre get nothing more until that is taken back.
--- a/crates/core/src/relay/quarantine.rs
+++ b/crates/core/src/relay/quarantine.rs
@@ -45,7 +45,7 @@
 const LATE: u32 = 1;
 /// A run that was answered so long before its endpoint ended had gone on for a
 /// while. The runs that ended engines did so 42 to 95 ms after their first byte.
-pub const BEGINNING: Duration = Duration::from_secs(1);
+pub const EARLY_PERIOD: Duration = Duration::from_secs(1);
 /// How long crashes count, and how long content is held back after it was last sent.
 /// Callers that send it every few minutes are still recognized.
 pub const WINDOW: Duration = Duration::from_secs(600);
@@ -67,17 +67,17 @@
     /// What was run.
     pub content: Fingerprint,
     /// The life of the endpoint that ended.
-    pub life: EndpointId,
+    pub endpoint: EndpointId,
     /// How long ago.
     pub age: Duration,
-    /// Whether the run had gone on for longer than [`BEGINNING`].
+    /// Whether the run had gone on for longer than [`EARLY_PERIOD`].
     pub is_late: bool,
 }
 
 /// A content that is to be held back, unless somebody had it answered.
 #[data]
 #[derive(Copy)]
-pub struct Suspicion {
+pub struct Suspect {
     /// The content.
     pub content: Fingerprint,
     /// When the first of its crashes happened.
@@ -87,7 +87,7 @@
 /// Content that is held back.
 #[data]
 #[derive(Copy)]
-pub struct Hold {
+pub struct QuarantineEntry {
     /// Since when this instance holds it back.
     pub since: Duration,
     /// Until when, if nobody sends it any more.
@@ -115,7 +115,7 @@
     suspects: HashMap<Fingerprint, Vec<Seen>>,
     /// Contents of which peers are being asked whether they had them answered.
     asked: HashSet<Fingerprint>,
-    held: HashMap<Fingerprint, Hold>,
+    held: HashMap<Fingerprint, QuarantineEntry>,
     answers: HashMap<Fingerprint, Duration>,
     /// The same by time, oldest first. One that was answered again is there twice.
     answered: VecDeque<(Duration, Fingerprint)>,
@@ -123,8 +123,8 @@
 
 impl Quarantine {
     /// Takes in a crash. Returns the content's suspicion once its crashes are enough.
-    pub fn crashed(&mut self, now: Duration, crash: &Crash) -> Option<Suspicion> {
-        let Crash { content, life, age, is_late } = crash;
+    pub fn add_crash(&mut self, now: Duration, crash: &Crash) -> Option<Suspect> {
+        let Crash { content, endpoint, age, is_late } = crash;
         let is_known = *content != Fingerprint::UNKNOWN;
         if !is_known || self.held.contains_key(content) || *age > WINDOW {
             return None;
@@ -132,21 +132,23 @@
         let weight = if *is_late { LATE } else { EARLY };
         let seen = self.suspects.entry(*content).or_default();
         seen.retain(|seen| now < seen.at + WINDOW);
-        match seen.iter_mut().find(|seen| seen.life == *life) {
+        match seen.iter_mut().find(|seen| seen.life == *endpoint) {
             Some(known) => known.weight = known.weight.max(weight),
-            None => seen.push(Seen { life: life.clone(), at: now.saturating_sub(*age), weight }),
+            None => {
+                seen.push(Seen { life: endpoint.clone(), at: now.saturating_sub(*age), weight })
+            }
         }
         let total: u32 = seen.iter().map(|seen| seen.weight).sum();
         let since = seen.iter().map(|seen| seen.at).min().unwrap_or(now);
         self.bound_suspects();
         let has_room = self.held.len() < MOST_HELD;
         let is_asked = total >= ENOUGH && has_room && self.asked.insert(*content);
-        is_asked.then_some(Suspicion { content: *content, since })
+        is_asked.then_some(Suspect { content: *content, since })
     }
 
     /// Peers have been asked for a content. Returns how many lives ended under it if
     /// it is to be held back.
-    pub fn consulted(&mut self, content: Fingerprint, was_answered: bool) -> Option<u32> {
+    pub fn finish_query(&mut self, content: Fingerprint, was_answered: bool) -> Option<u32> {
         if !self.asked.remove(&content) {
             return None;
         }
@@ -163,7 +165,7 @@
     }
 
     /// An endpoint has run a content to an answer of its own.
-    pub fn note_answer(&mut self, now: Duration, content: Fingerprint) {
+    pub fn record_answer(&mut self, now: Duration, content: Fingerprint) {
         self.suspects.remove(&content);
         self.answers.insert(content, now);
         self.answered.push_back((now, content));
@@ -182,10 +184,10 @@
 
     /// Holds a content back. `jitter`, below 1, spreads the end of holds over the
     /// instances. Returns whether it was not held back before.
-    pub fn hold(&mut self, now: Duration, content: Fingerprint, crashes: u32, jitter: f64) -> bool {
+    pub fn add(&mut self, now: Duration, content: Fingerprint, crashes: u32, jitter: f64) -> bool {
         let until = now + WINDOW + RELEASE_SPREAD.mul_f64(jitter);
         let known = self.held.get(&content).copied();
-        let hold = known.unwrap_or(Hold {
+        let hold = known.unwrap_or(QuarantineEntry {
             since: now,
             until,
             crashes,
@@ -194,7 +196,7 @@
             is_recorded: false,
         });
         let crashes = crashes.max(hold.crashes);
-        self.held.insert(content, Hold { until, crashes, renewed: now, ..hold });
+        self.held.insert(content, QuarantineEntry { until, crashes, renewed: now, ..hold });
         known.is_none()
     }
 
@@ -206,25 +208,25 @@
     }
 
     /// Releases a content, and forgets its crashes. Returns what it was held by.
-    pub fn release(&mut self, content: Fingerprint) -> Option<Hold> {
+    pub fn release(&mut self, content: Fingerprint) -> Option<QuarantineEntry> {
         self.suspects.remove(&content);
         self.held.remove(&content)
     }
 
     /// What holds a content back, if anything does.
-    pub fn held(&self, content: Fingerprint) -> Option<&Hold> {
+    pub fn get(&self, content: Fingerprint) -> Option<&QuarantineEntry> {
         self.held.get(&content)
     }
 
     /// Everything that is held back.
-    pub fn all(&self) -> impl Iterator<Item = (Fingerprint, &Hold)> {
+    pub fn all(&self) -> impl Iterator<Item = (Fingerprint, &QuarantineEntry)> {
         self.held.iter().map(|(content, hold)| (*content, hold))
     }
 
     /// A request was refused since its content is held back. Returns how many
     /// endpoints ended under it if its record is to be written anew: it has got old,
     /// and whoever sends it still does.
-    pub fn note_refused(&mut self, now: Duration, content: Fingerprint) -> Option<u32> {
+    pub fn record_refusal(&mut self, now: Duration, content: Fingerprint) -> Option<u32> {
         let hold = self.held.get_mut(&content)?;
         hold.refused += 1;
         hold.until = hold.until.max(now + WINDOW);
@@ -237,7 +239,7 @@
 
     /// The contents whose time is over. Those that the platform's table has are held
     /// on until their records are removed; the others are released.
-    pub fn take_old(&mut self, now: Duration) -> Vec<Fingerprint> {
+    pub fn expire(&mut self, now: Duration) -> Vec<Fingerprint> {
         self.suspects.retain(|_, seen| seen.iter().any(|seen| now < seen.at + WINDOW));
         let over = self.held.iter().filter(|(_, hold)| hold.until <= now);
         let over: Vec<_> = over.map(|(content, hold)| (*content, hold.is_recorded)).collect();
--- a/crates/core/src/relay/table.rs
+++ b/crates/core/src/relay/table.rs
@@ -9,7 +9,7 @@
 //! The platform may come back from an older copy of its own. A later [`Timeline`] of
 //! the log begins then, and a copy of ours holds records of one timeline only: it is
 //! read whole. What it held before and the new timeline lacks may just not be written
-//! again yet, so it stays in force until it is, or [`Table::give_up`] is called.
+//! again yet, so it stays in force until it is, or [`Table::drop_carried_over`] is called.
 
 use std::{
     cmp::Ordering,
@@ -50,7 +50,7 @@
 
 /// What a copy asks of another one.
 #[data]
-pub struct Ask {
+pub struct PortionRequest {
     /// The timeline of the asker's copy, or of the listing.
     pub timeline: Timeline,
     /// The end of the asker's copy; within a listing, how far that has got.
@@ -58,13 +58,13 @@
     /// The base of the listing that goes on; `None` outside of one.
     pub listing: Option<u64>,
     /// The record of which a part has come already.
-    pub begun: Option<Begun>,
+    pub partial: Option<PartialRecord>,
 }
 
 /// How much of a record has come.
 #[data]
 #[derive(Copy)]
-pub struct Begun {
+pub struct PartialRecord {
     /// The record's place in the log.
     pub offset: u64,
     /// Bytes of its value that have come.
@@ -138,7 +138,7 @@
 
 impl Table {
     /// Whether the table was ever read whole.
-    pub fn is_known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.is_known
     }
 
@@ -153,17 +153,17 @@
     }
 
     /// Whether the log has this value of a key.
-    pub fn has(&self, key: &str, value: Option<&Bytes>) -> bool {
+    pub fn has_value(&self, key: &str, value: Option<&Bytes>) -> bool {
         self.records.get(key).and_then(|record| record.value.as_ref()) == value
     }
 
     /// What was in force in an earlier timeline and is not written again yet.
-    pub fn awaited(&self) -> impl Iterator<Item = &Record> {
+    pub fn carried_over(&self) -> impl Iterator<Item = &Record> {
         self.awaited.values()
     }
 
     /// What nobody has written again is not in force any more. Returns what changes.
-    pub fn give_up(&mut self) -> Vec<Record> {
+    pub fn drop_carried_over(&mut self) -> Vec<Record> {
         let (records, offset) = (&self.records, self.base);
         let awaited = mem::take(&mut self.awaited).into_keys();
         let lost = |key: Arc<str>| Record { key, offset, value: None };
@@ -172,7 +172,7 @@
 
     /// Takes in the newest record of every key, read while the log ended there or
     /// behind it. One of an earlier timeline changes nothing. Returns what changed.
-    pub fn take_listing(&mut self, records: Vec<Record>, end: Position) -> Vec<Record> {
+    pub fn apply_listing(&mut self, records: Vec<Record>, end: Position) -> Vec<Record> {
         match end.timeline.cmp(&self.timeline) {
             Ordering::Less => Vec::new(),
             Ordering::Equal => self.replace(records, end.offset),
@@ -182,7 +182,7 @@
 
     /// Takes in records that follow each other up to `end`. Returns those that
     /// changed something.
-    pub fn follow(&mut self, records: Vec<Record>, end: u64) -> Vec<Record> {
+    pub fn apply_changes(&mut self, records: Vec<Record>, end: u64) -> Vec<Record> {
         let changed = records.into_iter().filter(|record| self.put(record)).collect();
         self.end = self.end.max(end);
         changed
@@ -193,7 +193,7 @@
     /// is as new as the reading. Returns what changed.
     pub fn replace(&mut self, records: Vec<Record>, end: u64) -> Vec<Record> {
         let missing = self.missing(&records, end);
-        let mut changed = self.follow(records, end);
+        let mut changed = self.apply_changes(records, end);
         changed.extend(missing.into_iter().filter(|record| self.put(record)));
         // Before this end it may have missed removals, or found them without
         // their place in the log; so may what it learned up to its base.
@@ -212,7 +212,7 @@
     /// missing. A record of which a part was told is told to its end, also if
     /// it was replaced meanwhile: were each change of it to begin it anew, an
     /// asker behind a narrow link would never have a whole one.
-    pub fn tell(&self, ask: &Ask, limit: usize) -> Portion {
+    pub fn read_portion(&self, ask: &PortionRequest, limit: usize) -> Portion {
         if !self.is_known {
             return Portion::default();
         }
@@ -232,7 +232,7 @@
         lacking.sort_unstable_by_key(|record| record.offset);
         let next = lacking.first().map_or(u64::MAX, |record| record.offset);
         let begun =
-            ask.begun.filter(|begun| is_of_timeline && (from..=next).contains(&begun.offset));
+            ask.partial.filter(|begun| is_of_timeline && (from..=next).contains(&begun.offset));
         match begun.and_then(|begun| self.begun(begun)) {
             Some((record, at)) => self.tell_slice(portion, record, at, limit),
             None => self.tell_records(portion, &lacking, limit),
@@ -246,7 +246,7 @@
 
     /// The record of which another copy has a part, and where to go on. One
     /// that was replaced will do if what replaced it is told as well.
-    fn begun(&self, begun: Begun) -> Option<(&Record, usize)> {
+    fn begun(&self, begun: PartialRecord) -> Option<(&Record, usize)> {
         let at = usize::try_from(begun.len).ok()?;
         let len = |record: &Record| record.value.as_ref().map_or(0, Bytes::len);
         let mut held = self.records.values().chain(&self.replaced);
--- a/crates/core/src/relay/terms.rs
+++ b/crates/core/src/relay/terms.rs
@@ -64,7 +64,7 @@
 #[data]
 pub struct Notice {
     /// The life of the endpoint that said so.
-    pub life: EndpointId,
+    pub endpoint: EndpointId,
     /// Whether it leaves.
     pub is_leaving: bool,
     /// Its limit, if it names one.
--- a/crates/core/tests/testsuite/relay/calls.rs
+++ b/crates/core/tests/testsuite/relay/calls.rs
@@ -263,8 +263,8 @@
     let closed = world.take(|action| match action {
         Action::Cancel(key) => Some(format!("{}", *key == call.key)),
         Action::Disconnect(addr) => Some(addr.to_string()),
-        Action::EndpointCrashed { life, crashes } => {
-            Some(format!("{} {}", life.name, crashes.len()))
+        Action::EndpointCrashed { endpoint, crashes } => {
+            Some(format!("{} {}", endpoint.name, crashes.len()))
         }
         _ => None,
     });
--- a/crates/core/tests/testsuite/relay/catch_up.rs
+++ b/crates/core/tests/testsuite/relay/catch_up.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use peatdeck_core::relay::{
-    catch_up::{CatchUp, Learned},
+    catch_up::{CatchUp, PortionEffect},
     position::{Position, Timeline},
     table::{Record, Table},
 };
@@ -34,14 +34,14 @@
 /// The same with a large second version.
 fn second() -> Table {
     let mut table = first();
-    table.follow(vec![record("config", 1, vec![2; LARGE])], 2);
+    table.apply_changes(vec![record("config", 1, vec![2; LARGE])], 2);
     table
 }
 
-fn step(catch_up: &mut CatchUp, table: &mut Table, teller: &Table) -> (Learned, usize) {
-    let portion = teller.tell(&catch_up.ask(table), PORTION);
+fn step(catch_up: &mut CatchUp, table: &mut Table, teller: &Table) -> (PortionEffect, usize) {
+    let portion = teller.read_portion(&catch_up.next_request(table), PORTION);
     let bytes = portion.bytes();
-    (catch_up.take(table, portion), bytes)
+    (catch_up.apply(table, portion), bytes)
 }
 
 #[test]
@@ -64,7 +64,7 @@
     for teller in tellers.iter().cycle() {
         let (learned, came) = step(&mut catch_up, &mut table, teller);
         bytes += came;
-        if learned.is_level {
+        if learned.is_caught_up {
             break;
         }
     }
@@ -81,7 +81,7 @@
         arrived.extend(learned.changed.iter().map(|record| record.offset));
         if round % 20 == 0 {
             let end = teller.end();
-            teller.follow(vec![record("config", end, vec![3; LARGE])], end + 1);
+            teller.apply_changes(vec![record("config", end, vec![3; LARGE])], end + 1);
         }
     }
     // Fifty rounds each; meanwhile two or three newer ones have come.
@@ -99,8 +99,8 @@
     let (mut asker, mut catch_up) = (Table::default(), CatchUp::default());
     step(&mut catch_up, &mut asker, &one);
     let (learned, _) = step(&mut catch_up, &mut asker, &later);
-    assert!(learned.has_more && !asker.is_known());
-    while !asker.is_known() {
+    assert!(learned.has_more && !asker.is_loaded());
+    while !asker.is_loaded() {
         step(&mut catch_up, &mut asker, &later);
     }
     assert_eq!(asker.end(), 12);
@@ -110,7 +110,7 @@
     let mut answers = 0;
     for teller in [&one, &two].into_iter().cycle() {
         answers += 1;
-        if step(&mut catch_up, &mut asker, teller).0.is_level {
+        if step(&mut catch_up, &mut asker, teller).0.is_caught_up {
             break;
         }
     }
@@ -129,15 +129,15 @@
     let (learned, _) = step(&mut catch_up, &mut asker, &teller);
     assert!(learned.changed.is_empty());
     assert_eq!((asker.end(), held(&asker).len()), (9, 1));
-    teller.follow(vec![record("new", 9, vec![9])], 10);
+    teller.apply_changes(vec![record("new", 9, vec![9])], 10);
     step(&mut catch_up, &mut asker, &teller);
     assert_eq!((asker.end(), held(&asker).len()), (10, 2));
 }
 
 /// What a copy holds, as it tells it to one that knows nothing.
 fn held(table: &Table) -> BTreeMap<Arc<str>, Bytes> {
-    let ask = CatchUp::default().ask(&Table::default());
-    let records = table.tell(&ask, usize::MAX).records.into_iter();
+    let ask = CatchUp::default().next_request(&Table::default());
+    let records = table.read_portion(&ask, usize::MAX).records.into_iter();
     records.filter_map(|record| Some((record.key, record.value?))).collect()
 }
 
@@ -200,7 +200,7 @@
             let teller = self.copies[0].0.clone();
             let (table, catch_up) = &mut self.copies[idx];
             // Twice, since a listing that another copy began may have to begin anew.
-            let steps = (0..2000).map(|_| step(catch_up, table, &teller).0.is_level);
+            let steps = (0..2000).map(|_| step(catch_up, table, &teller).0.is_caught_up);
             assert!(steps.filter(|is_level| *is_level).take(2).count() == 2);
         }
         let newest: BTreeMap<_, _> =
@@ -251,7 +251,7 @@
         let newest = self.newest();
         // A copy of a later timeline is read whole, and the log from where it parted.
         for _ in 0..3 {
-            if !self.copies[idx].0.is_known() || self.copies[idx].0.position() != newest {
+            if !self.copies[idx].0.is_loaded() || self.copies[idx].0.position() != newest {
                 self.read_once(idx);
             }
         }
@@ -265,15 +265,15 @@
         let (table, end) = (&mut self.copies[idx].0, self.log.len() as u64);
         let timeline = Timeline(self.timeline);
         let is_same = table.position().timeline == timeline;
-        if table.is_known() && is_same && table.end() >= self.kept {
+        if table.is_loaded() && is_same && table.end() >= self.kept {
             let records = self.log[table.end() as usize..].to_vec();
-            table.follow(records, end);
+            table.apply_changes(records, end);
             return;
         }
         let newest: BTreeMap<_, _> =
             self.log.iter().map(|record| (record.key.clone(), record.clone())).collect();
         let values = newest.into_values().filter(|record| record.value.is_some());
-        table.take_listing(values.collect(), Position { timeline, offset: end });
+        table.apply_listing(values.collect(), Position { timeline, offset: end });
     }
 
     fn learn(&mut self) {
--- a/crates/core/tests/testsuite/relay/cold.rs
+++ b/crates/core/tests/testsuite/relay/cold.rs
@@ -90,9 +90,9 @@
     assert_eq!(calls_of_a_second(&mut world).len(), 50, "it says nothing");
     let entry = cold("a", "llm", Some(3000));
     let changed = world.relay.change(world.now, Change::Put(entry.clone()));
-    assert!(changed.has_cooled);
+    assert!(changed.is_newly_cold);
     assert!(calls_of_a_second(&mut world).len() <= 6);
-    assert!(!world.relay.change(world.now, Change::Put(entry)).has_cooled);
+    assert!(!world.relay.change(world.now, Change::Put(entry)).is_newly_cold);
 }
 
 #[test]
--- a/crates/core/tests/testsuite/relay/directory.rs
+++ b/crates/core/tests/testsuite/relay/directory.rs
@@ -5,7 +5,7 @@
 use peatdeck_core::{
     model::{Incarnation, Load},
     relay::{
-        directory::{Change, Directory, Ended, Entry},
+        directory::{Change, Directory, EndedEndpoint, Entry},
         engine::Work,
         model::Failure,
     },
@@ -74,12 +74,12 @@
     let mut directory = directory(&["a"]);
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(key).unwrap();
-    endpoint.failed(ms(0), Failure::Unsent);
+    endpoint.record_failure(ms(0), Failure::Unsent);
     assert!(endpoint.is_paused(ms(399)));
     assert!(!endpoint.is_paused(ms(400)));
-    endpoint.failed(ms(400), Failure::Unsent);
+    endpoint.record_failure(ms(400), Failure::Unsent);
     assert!(endpoint.is_paused(ms(1199)));
-    endpoint.answered(ms(1199), ms(5), None);
+    endpoint.record_answer(ms(1199), ms(5), None);
     assert!(!endpoint.is_paused(ms(1199)));
 }
 
@@ -88,11 +88,11 @@
     let mut directory = directory(&["a"]);
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(key).unwrap();
-    endpoint.failed(ms(0), Failure::Unsent);
+    endpoint.record_failure(ms(0), Failure::Unsent);
     assert!(!endpoint.is_paused(ms(500)));
-    endpoint.sent();
+    endpoint.record_sent();
     assert!(endpoint.is_paused(ms(500)));
-    endpoint.ended();
+    endpoint.record_end();
     assert!(!endpoint.is_paused(ms(500)));
 }
 
@@ -101,13 +101,17 @@
     let mut directory = directory(&["a", "b"]);
     let old = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(old).unwrap();
-    endpoint.sent();
+    endpoint.record_sent();
     let work = Work { reading: ms(900), copying: ms(0), first: ms(50) };
     endpoint.engine.place(ms(0), 1, &prompt(1, 2), work);
-    endpoint.answered(ms(0), ms(700), Some(Load { running: 3, queued: 9, places: 4, age_ms: 0 }));
-    endpoint.failed(ms(0), Failure::Cut);
+    endpoint.record_answer(
+        ms(0),
+        ms(700),
+        Some(Load { running: 3, queued: 9, places: 4, age_ms: 0 }),
+    );
+    endpoint.record_failure(ms(0), Failure::Cut);
     let changed = directory.change(ms(10), Change::Put(life("a", 2)));
-    let ended = Ended { endpoint: old, is_planned: false };
+    let ended = EndedEndpoint { endpoint: old, is_planned: false };
     assert_eq!((changed.is_new, changed.ended), (true, Some(ended)));
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get(key).unwrap();
@@ -115,8 +119,8 @@
     assert_eq!((endpoint.calls(ms(10)), endpoint.response_time), (0, None));
     assert_eq!((endpoint.engine.wait(ms(10)), endpoint.engine.memory()), (ms(0), 0));
     // What still comes of the earlier life touches that one only.
-    directory.get_mut(old).unwrap().ended();
-    directory.leaves(ms(20), old);
+    directory.get_mut(old).unwrap().record_end();
+    directory.mark_leaving(ms(20), old);
     assert_eq!(usable(&directory, 20), ["b", "a"]);
 }
 
@@ -184,6 +188,6 @@
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(key).unwrap();
     let load = Load { running: u32::MAX, queued: u32::MAX, places: 4, age_ms: 0 };
-    endpoint.answered(ms(0), ms(10), Some(load));
+    endpoint.record_answer(ms(0), ms(10), Some(load));
     assert_eq!(endpoint.calls(ms(1)), u32::MAX);
 }
--- a/crates/core/tests/testsuite/relay/evacuation.rs
+++ b/crates/core/tests/testsuite/relay/evacuation.rs
@@ -11,7 +11,7 @@
             Action, Arrival, EndpointId, Failure, Peer, PieceFailure, Placement, PlacementRequest,
             Refusal,
         },
-        operator::Act,
+        operator::OperatorCommand,
     },
 };
 
@@ -23,12 +23,12 @@
     Entry { data_centre: Arc::from(place), ..entry(name, service) }
 }
 
-fn evacuate(place: &str) -> Act {
-    Act::Evacuate(Arc::from(place))
+fn evacuate(place: &str) -> OperatorCommand {
+    OperatorCommand::Evacuate(Arc::from(place))
 }
 
-fn restore(place: &str) -> Act {
-    Act::Restore(Arc::from(place))
+fn restore(place: &str) -> OperatorCommand {
+    OperatorCommand::Restore(Arc::from(place))
 }
 
 /// One plain route before an endpoint in the east and one in the west.
--- a/crates/core/tests/testsuite/relay/events.rs
+++ b/crates/core/tests/testsuite/relay/events.rs
@@ -11,7 +11,7 @@
             events.push((event.id, String::from_utf8(event.bytes.to_vec()).unwrap()));
         }
     }
-    (events, String::from_utf8(splitter.rest().to_vec()).unwrap())
+    (events, String::from_utf8(splitter.incomplete().to_vec()).unwrap())
 }
 
 #[test]
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -16,7 +16,7 @@
             Action, Arrival, Call, CallKey, ExchangeKey, Failure, Handle, Part, Piece,
             PieceFailure, PieceResult, Prompt, Refusal, ReplyHead,
         },
-        operator::Act,
+        operator::OperatorCommand,
         terms::Terms,
     },
 };
@@ -222,7 +222,7 @@
     }
 
     /// Operators order something.
-    pub fn obey(&mut self, act: Act) -> bool {
+    pub fn obey(&mut self, act: OperatorCommand) -> bool {
         let taken = self.relay.obey(self.now, vec![act]);
         self.collect();
         taken[0]
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -19,7 +19,7 @@
         model::{
             Action, Arrival, CallKey, ExchangeKey, Failure, PieceFailure, ProbeResult, ReplyHead,
         },
-        operator::Act,
+        operator::OperatorCommand,
         terms::{Rate, Terms},
     },
 };
@@ -416,7 +416,7 @@
                     Arrival { content, ..arrival(&idx.to_string(), &format!("plain{kind}")) };
                 let key = world.relay.arrive(world.now, asking).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
-                oracle.contents.insert(key, content.from_team(None));
+                oracle.contents.insert(key, content.for_team(None));
                 world.collect();
             }
             Step::Crash(pick) | Step::Reset(pick) => {
@@ -441,8 +441,8 @@
             Step::Evacuate(pick, is_empty) => {
                 let name = PLACES[usize::from(pick) % PLACES.len()];
                 let act = match is_empty {
-                    true => Act::Evacuate(name.into()),
-                    false => Act::Restore(name.into()),
+                    true => OperatorCommand::Evacuate(name.into()),
+                    false => OperatorCommand::Restore(name.into()),
                 };
                 let is_new = match is_empty {
                     true => oracle.evacuated.insert(name),
@@ -463,7 +463,7 @@
             }
             Step::Say(pick, saying) => say(&mut world, &mut oracle, pick, saying),
             Step::Hold(content, is_held) => {
-                let content = common(content).from_team(None);
+                let content = common(content).for_team(None);
                 match is_held {
                     true => world.relay.recorded(world.now, content, 3),
                     false => world.relay.unrecorded(content),
--- a/crates/core/tests/testsuite/relay/leaving.rs
+++ b/crates/core/tests/testsuite/relay/leaving.rs
@@ -193,7 +193,7 @@
     world.relay.set_peers(world.now, vec![peer], 2);
     let key = ask(&mut world, "2");
     let asked: Vec<PlacementRequest> = world.take(|action| match action {
-        Action::RequestPlacement { question, .. } => Some(question.clone()),
+        Action::RequestPlacement { request: question, .. } => Some(question.clone()),
         _ => None,
     });
     assert_eq!(asked.len(), 1);
--- a/crates/core/tests/testsuite/relay/limits.rs
+++ b/crates/core/tests/testsuite/relay/limits.rs
@@ -101,7 +101,7 @@
     world.calls();
     let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let limit = Rate::per_second(0.0);
-    let notice = Notice { life, limit, is_leaving: false, age: ms(0) };
+    let notice = Notice { endpoint: life, limit, is_leaving: false, age: ms(0) };
     world.relay.noticed(world.now, &"peer".into(), &[notice]);
     assert_eq!(calls_in(&mut world, 1000, &head(200)), 50);
 }
@@ -136,7 +136,8 @@
     let mut world = alone();
     world.advance(ms(10_000));
     let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
-    let notice = |limit, age| Notice { life: life.clone(), limit, is_leaving: false, age: ms(age) };
+    let notice =
+        |limit, age| Notice { endpoint: life.clone(), limit, is_leaving: false, age: ms(age) };
     let told = [notice(Rate::per_second(0.0), 1000), notice(None, 3000)];
     world.relay.noticed(world.now, &"peer".into(), &told);
     assert_eq!(calls_in(&mut world, 1000, &head(200)), 0);
@@ -304,7 +305,7 @@
     }
     let life = EndpointId { name: "a".into(), incarnation: Incarnation(1) };
     let limit = Rate::per_second(1.0);
-    let notice = Notice { life, limit, is_leaving: false, age: ms(0) };
+    let notice = Notice { endpoint: life, limit, is_leaving: false, age: ms(0) };
     world.relay.noticed(world.now, &"peer".into(), &[notice]);
     world.arrive(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
     let asked = world.take(|action| match action {
--- a/crates/core/tests/testsuite/relay/load/fleet.rs
+++ b/crates/core/tests/testsuite/relay/load/fleet.rs
@@ -392,9 +392,9 @@
                 });
             }
             Action::FreeResults { addr, handles } => self.after_hop(Event::Free { addr, handles }),
-            Action::RequestPlacement { exchange, peer, question } => {
+            Action::RequestPlacement { exchange, peer, request } => {
                 let (to, key) = (number(&peer), exchange);
-                self.after_hop(Event::Ask { to, from: idx, key, question });
+                self.after_hop(Event::Ask { to, from: idx, key, question: request });
             }
             Action::Disconnect(_) => {}
             Action::ListParts { endpoint, .. } => {
--- a/crates/core/tests/testsuite/relay/placing.rs
+++ b/crates/core/tests/testsuite/relay/placing.rs
@@ -40,7 +40,9 @@
 
 fn questions(world: &mut World) -> Vec<(ExchangeKey, PlacementRequest)> {
     world.take(|action| match action {
-        Action::RequestPlacement { exchange, question, .. } => Some((*exchange, question.clone())),
+        Action::RequestPlacement { exchange, request: question, .. } => {
+            Some((*exchange, question.clone()))
+        }
         _ => None,
     })
 }
--- a/crates/core/tests/testsuite/relay/quarantine.rs
+++ b/crates/core/tests/testsuite/relay/quarantine.rs
@@ -18,7 +18,7 @@
         directory::Entry,
         fingerprint::Fingerprint,
         model::{Action, Arrival, Call, EndpointKey, Failure, Peer, ProbeResult},
-        quarantine::{BEGINNING, WINDOW},
+        quarantine::{EARLY_PERIOD, WINDOW},
     },
 };
 
@@ -46,7 +46,7 @@
 
 /// The same as instances keep it: no team sent it.
 fn held() -> Fingerprint {
-    content().from_team(None)
+    content().for_team(None)
 }
 
 fn probes(world: &mut World) -> Vec<EndpointKey> {
@@ -144,8 +144,8 @@
 #[test]
 fn a_content_is_its_teams_own() {
     let same = content();
-    assert_ne!(same.from_team(Some("one")), same.from_team(Some("other")));
-    assert_ne!(same.from_team(Some("one")), same.from_team(None));
+    assert_ne!(same.for_team(Some("one")), same.for_team(Some("other")));
+    assert_ne!(same.for_team(Some("one")), same.for_team(None));
     let of = |method, host, target, body: &[u8]| Fingerprint::of(method, host, target, body);
     let one = of("POST", "a.example", "/x", b"y");
     assert_eq!(one, of("POST", "a.example", "/x", b"y"));
@@ -298,7 +298,7 @@
         let call = world.call();
         world.relay.opened(world.now, call.key, &head(200));
         world.event(call.key, 1);
-        world.advance(BEGINNING);
+        world.advance(EARLY_PERIOD);
         cut(&mut world, &call, ProbeResult::Gone);
     }
     assert_eq!(consulted(&mut world), [held()]);
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -44,7 +44,7 @@
     for (idx, name) in ["x", "y", "z"].into_iter().enumerate() {
         assert!(consulted(&mut world).is_empty(), "after {idx}");
         let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
-        let crash = Crash { content: held(), life, age: ms(5), is_late: false };
+        let crash = Crash { content: held(), endpoint: life, age: ms(5), is_late: false };
         world.relay.suspect(world.now, &crash);
         world.relay.suspect(world.now, &crash);
         world.collect();
@@ -68,7 +68,7 @@
     let mut world = held_world(RequestKind::Once);
     assert_eq!(told(&mut world), 1);
     let life = EndpointId { name: Arc::from("x"), incarnation: Incarnation(1) };
-    let crash = Crash { content: held(), life, age: ms(5), is_late: false };
+    let crash = Crash { content: held(), endpoint: life, age: ms(5), is_late: false };
     world.relay.suspect(world.now, &crash);
     world.collect();
     assert_eq!(told(&mut world), 1);
@@ -95,7 +95,7 @@
     for name in ["x", "y", "z"] {
         let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
         let content = Fingerprint::UNKNOWN;
-        let crash = Crash { content, life, age: ms(5), is_late: false };
+        let crash = Crash { content, endpoint: life, age: ms(5), is_late: false };
         world.relay.suspect(world.now, &crash);
     }
     world.collect();
@@ -204,7 +204,7 @@
     world.advance(ms(60_000));
     let crash = |content: u128, name: &str, age| Crash {
         content: Fingerprint(content),
-        life: EndpointId { name: Arc::from(name), incarnation: Incarnation(1) },
+        endpoint: EndpointId { name: Arc::from(name), incarnation: Incarnation(1) },
         age: ms(age),
         is_late: false,
     };
@@ -226,7 +226,8 @@
     for content in 1..=3000 {
         for name in ["x", "y", "z"] {
             let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
-            let crash = Crash { content: Fingerprint(content), life, age: ms(0), is_late: false };
+            let crash =
+                Crash { content: Fingerprint(content), endpoint: life, age: ms(0), is_late: false };
             world.relay.suspect(world.now, &crash);
         }
         world.collect();
--- a/crates/core/tests/testsuite/relay/table.rs
+++ b/crates/core/tests/testsuite/relay/table.rs
@@ -46,7 +46,8 @@
 fn learn_in(table: &mut Table, teller: &Table, size: usize) -> Vec<Record> {
     let (mut catch_up, mut changed) = (CatchUp::default(), Vec::new());
     for _ in 0..100 {
-        let learned = catch_up.take(table, teller.tell(&catch_up.ask(table), size));
+        let learned =
+            catch_up.apply(table, teller.read_portion(&catch_up.next_request(table), size));
         changed.extend(learned.changed);
         if !learned.has_more {
             return changed;
@@ -58,8 +59,8 @@
 #[test]
 fn an_older_record_changes_nothing() {
     let mut table = known();
-    assert!(table.follow(vec![record("b", 2, Some("2"))], 4).is_empty());
-    assert_eq!(keys(&table.follow(vec![record("b", 5, Some("5"))], 6)), ["b=5"]);
+    assert!(table.apply_changes(vec![record("b", 2, Some("2"))], 4).is_empty());
+    assert_eq!(keys(&table.apply_changes(vec![record("b", 5, Some("5"))], 6)), ["b=5"]);
     assert_eq!(table.end(), 6);
 }
 
@@ -72,7 +73,7 @@
 #[test]
 fn pages_are_no_snapshot() {
     let mut table = known();
-    table.follow(vec![record("new", 10, Some("10"))], 11);
+    table.apply_changes(vec![record("new", 10, Some("10"))], 11);
     // The pages began while the log ended at 9, so they cannot hold this one.
     let changed = table.replace(vec![record("a", 1, Some("1")), record("b", 3, Some("3"))], 9);
     assert_eq!(keys(&changed), Vec::<String>::new());
@@ -91,27 +92,27 @@
     assert_eq!(table.end(), 12);
     table.replace(vec![record("b", 3, Some("3")), record("c", 8, Some("8"))], 9);
     assert_eq!(table.end(), 9);
-    assert_eq!(keys(&table.follow(vec![record("c", 10, None)], 12)), ["c gone"]);
+    assert_eq!(keys(&table.apply_changes(vec![record("c", 10, None)], 12)), ["c gone"]);
 }
 
 #[test]
 fn a_peer_fills_a_table_that_was_never_read() {
     let mut table = Table::default();
     assert_eq!(keys(&learn(&mut table, &known())), ["a=1", "b=3"]);
-    assert!(table.is_known());
+    assert!(table.is_loaded());
     assert_eq!(table.end(), 4);
 }
 
 #[test]
 fn what_leaves_a_gap_is_not_taken_in() {
     let mut ahead = known();
-    ahead.follow(vec![record("c", 7, Some("7"))], 8);
+    ahead.apply_changes(vec![record("c", 7, Some("7"))], 8);
     let mut other = known();
-    other.follow(vec![record("c", 7, Some("7")), record("d", 9, Some("9"))], 10);
-    let portion = other.tell(&CatchUp::default().ask(&ahead), 1000);
+    other.apply_changes(vec![record("c", 7, Some("7")), record("d", 9, Some("9"))], 10);
+    let portion = other.read_portion(&CatchUp::default().next_request(&ahead), 1000);
     let mut table = known();
-    let learned = CatchUp::default().take(&mut table, portion);
-    assert!(learned.changed.is_empty() && !learned.is_level);
+    let learned = CatchUp::default().apply(&mut table, portion);
+    assert!(learned.changed.is_empty() && !learned.is_caught_up);
     assert_eq!(table.end(), 4);
     assert_eq!(keys(&learn(&mut table, &other)), ["c=7", "d=9"]);
 }
@@ -119,7 +120,7 @@
 #[test]
 fn removals_reach_peers() {
     let mut other = known();
-    other.follow(vec![record("a", 5, None)], 6);
+    other.apply_changes(vec![record("a", 5, None)], 6);
     assert_eq!(keys(&learn(&mut known(), &other)), ["a gone"]);
 }
 
--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -100,7 +100,7 @@
             }
         }
     }
-    if !splitter.rest().is_empty() {
+    if !splitter.incomplete().is_empty() {
         return Err((Failure::Cut, "the stream ended within an event".to_owned()));
     }
     driver.pool.keep(lease);
--- a/crates/relay/src/decisions.rs
+++ b/crates/relay/src/decisions.rs
@@ -72,7 +72,7 @@
             tracing::debug!(event = "list_parts", addr = &**addr);
         }
         Action::Probe { addr, .. } => tracing::debug!(event = "probe", addr = &**addr),
-        Action::EndpointCrashed { life, crashes } => log_crash(life, crashes),
+        Action::EndpointCrashed { endpoint, crashes } => log_crash(endpoint, crashes),
         Action::ReportCrashes { peer, crashes } => {
             tracing::debug!(event = "accuse", peer = &**peer, count = crashes.len());
         }
--- a/crates/relay/src/driver.rs
+++ b/crates/relay/src/driver.rs
@@ -453,9 +453,9 @@
             Action::FreeViaPeer { peer, handles, is_evictable } => {
                 self.peers.free_through(self, peer, handles, is_evictable);
             }
-            Action::RequestPlacement { exchange, peer, question } => {
+            Action::RequestPlacement { exchange, peer, request } => {
                 self.metrics.count("relay.placements_asked", 1);
-                self.peers.ask_place(self, exchange, peer, question);
+                self.peers.ask_place(self, exchange, peer, request);
             }
             Action::AnnounceQueue { peer, service } => self.peers.tell_queue(self, peer, service),
             Action::ReportProgress { peer, progress, notices } => {
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -145,8 +145,8 @@
             endpoint: endpoint.entry.name.clone(),
             service: endpoint.entry.service.clone(),
             limit: endpoint.limit().map(Rate::calls),
-            rest_ms: endpoint.rest_left(now).as_millis() as u64,
-            is_leaving: endpoint.said_leaving(),
+            rest_ms: endpoint.hold_left(now).as_millis() as u64,
+            is_leaving: endpoint.has_announced_leaving(),
         };
         let says_any = terms.limit.is_some() || terms.rest_ms > 0 || terms.is_leaving;
         says_any.then_some(terms)
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -179,7 +179,7 @@
         let before = (tables.is_known(name), tables.position(name));
         let learned = tables.learn(name, portion);
         tables::note_timeline(driver, name, source, before);
-        if let Some(at) = asked_at.checked_sub(age).filter(|_| learned.is_level) {
+        if let Some(at) = asked_at.checked_sub(age).filter(|_| learned.is_caught_up) {
             tables.compare(name, at);
         }
         has_more |= learned.has_more;
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -13,7 +13,7 @@
 };
 
 use bytes::Bytes;
-use peatdeck_core::relay::{fingerprint::Fingerprint, quarantine::Hold, table::Record};
+use peatdeck_core::relay::{fingerprint::Fingerprint, quarantine::QuarantineEntry, table::Record};
 use peatdeck_macros::message;
 use peatdeck_wire::operators::Held;
 
@@ -43,7 +43,7 @@
 pub fn list(driver: &Driver) -> Vec<Held> {
     let now = driver.now();
     let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    let listed = |(content, hold): (Fingerprint, &Hold)| Held {
+    let listed = |(content, hold): (Fingerprint, &QuarantineEntry)| Held {
         content: Arc::from(content.to_string()),
         crashes: hold.crashes,
         held_ms: millis(now.saturating_sub(hold.since)),
--- a/crates/relay/src/surroundings.rs
+++ b/crates/relay/src/surroundings.rs
@@ -9,7 +9,9 @@
 
 use bytes::Bytes;
 use futures::future::LocalBoxFuture;
-use peatdeck_core::relay::{directory::Change, operator::Act, position::Timeline, table::Record};
+use peatdeck_core::relay::{
+    directory::Change, operator::OperatorCommand, position::Timeline, table::Record,
+};
 use peatdeck_macros::{data, id};
 
 use crate::dialect::Dialect;
@@ -146,7 +148,7 @@
     /// The store.
     pub store: Store,
     /// Reads a record of the operators' table; `Ok(None)` if it is another matter.
-    pub read_act: fn(&Record) -> Result<Option<Act>, String>,
+    pub read_act: fn(&Record) -> Result<Option<OperatorCommand>, String>,
     /// Reads a record of the directory.
     pub read_endpoint: fn(&Record) -> Result<Change, String>,
     /// How many log lines were dropped since the start.
--- a/crates/relay/src/tables.rs
+++ b/crates/relay/src/tables.rs
@@ -8,11 +8,11 @@
 
 use bytes::Bytes;
 use peatdeck_core::relay::{
-    catch_up::{CatchUp, Learned},
+    catch_up::{CatchUp, PortionEffect},
     directory::Change,
-    operator::Act,
+    operator::OperatorCommand,
     position::{Position, Timeline},
-    table::{Ask, Portion, Record, Table},
+    table::{Portion, PortionRequest, Record, Table},
 };
 
 use crate::{
@@ -63,7 +63,7 @@
 
     /// Whether a copy was ever read whole.
     pub fn is_known(&self, name: TableName) -> bool {
-        self.copy(name).table.borrow().is_known()
+        self.copy(name).table.borrow().is_loaded()
     }
 
     /// How far a copy is.
@@ -78,7 +78,7 @@
 
     /// Whether the platform has this value of a key.
     pub fn has(&self, name: TableName, key: &str, value: Option<&Bytes>) -> bool {
-        self.copy(name).table.borrow().has(key, value)
+        self.copy(name).table.borrow().has_value(key, value)
     }
 
     /// When a copy was last compared with the store.
@@ -93,12 +93,12 @@
 
     /// What was in force in an earlier timeline and is not written again yet.
     pub fn awaited(&self, name: TableName) -> Vec<Record> {
-        self.copy(name).table.borrow().awaited().cloned().collect()
+        self.copy(name).table.borrow().carried_over().cloned().collect()
     }
 
     /// What nobody has written again is not in force any more. Returns what changes.
     pub fn give_up(&self, name: TableName) -> Vec<Record> {
-        self.copy(name).table.borrow_mut().give_up()
+        self.copy(name).table.borrow_mut().drop_carried_over()
     }
 
     /// How long ago the copies of the urgent tables were both compared with the
@@ -124,31 +124,31 @@
     /// Takes in records of the store that follow each other up to `end`.
     /// Returns what changed.
     pub fn follow(&self, name: TableName, records: Vec<Record>, end: u64) -> Vec<Record> {
-        self.copy(name).table.borrow_mut().follow(records, end)
+        self.copy(name).table.borrow_mut().apply_changes(records, end)
     }
 
     /// Takes in the newest records of all keys, read while the store's log
     /// ended there or behind it. Returns what changed.
     pub fn list(&self, name: TableName, records: Vec<Record>, end: Position) -> Vec<Record> {
-        self.copy(name).table.borrow_mut().take_listing(records, end)
+        self.copy(name).table.borrow_mut().apply_listing(records, end)
     }
 
     /// What a peer is told that asks this, in the order of [`TABLES`].
-    pub fn tell(&self, asks: &[Ask]) -> Vec<Portion> {
+    pub fn tell(&self, asks: &[PortionRequest]) -> Vec<Portion> {
         let pairs = self.copies.iter().zip(asks);
-        pairs.map(|(copy, ask)| copy.table.borrow().tell(ask, PORTION)).collect()
+        pairs.map(|(copy, ask)| copy.table.borrow().read_portion(ask, PORTION)).collect()
     }
 
     /// What to ask a peer, in the order of [`TABLES`].
-    pub fn asks(&self) -> Vec<Ask> {
-        let ask = |copy: &Copy| copy.catch_up.borrow().ask(&copy.table.borrow());
+    pub fn asks(&self) -> Vec<PortionRequest> {
+        let ask = |copy: &Copy| copy.catch_up.borrow().next_request(&copy.table.borrow());
         self.copies.iter().map(ask).collect()
     }
 
     /// Takes in what a peer told of a table.
-    pub fn learn(&self, name: TableName, portion: Portion) -> Learned {
+    pub fn learn(&self, name: TableName, portion: Portion) -> PortionEffect {
         let copy = self.copy(name);
-        copy.catch_up.borrow_mut().take(&mut copy.table.borrow_mut(), portion)
+        copy.catch_up.borrow_mut().apply(&mut copy.table.borrow_mut(), portion)
     }
 }
 
@@ -164,7 +164,7 @@
     driver.metrics.count("relay.store_copies", 1);
     let Timeline(from) = before.timeline;
     let Timeline(timeline) = now.timeline;
-    let awaited = copy.table.borrow().awaited().count();
+    let awaited = copy.table.borrow().carried_over().count();
     let (table, end_before, end) = (name.name(), before.offset, now.offset);
     tracing::warn!(event = "table_copied", table, source, from, timeline, end_before, end, awaited);
 }
@@ -211,7 +211,7 @@
     let orders = acts.iter().map(|(_, act)| act.clone()).collect();
     let taken = driver.feed(|machine, now| machine.obey(now, orders));
     for ((record, act), taken) in acts.iter().zip(taken) {
-        if taken && matches!(act, Act::Configure(_)) {
+        if taken && matches!(act, OperatorCommand::Configure(_)) {
             driver.peers.set_config((*record).clone());
         }
         log_act(driver, act, record.offset, source, taken);
@@ -220,29 +220,29 @@
     driver.metrics.gauge("relay.evacuated", evacuated as u64);
 }
 
-fn read_act(driver: &Driver, record: &Record) -> Result<Option<Act>, String> {
+fn read_act(driver: &Driver, record: &Record) -> Result<Option<OperatorCommand>, String> {
     let act = (driver.surroundings.read_act)(record)?;
-    if let Some(Act::Configure(config)) = &act {
+    if let Some(OperatorCommand::Configure(config)) = &act {
         config.check().map_err(|flaw| flaw.to_string())?;
     }
     Ok(act)
 }
 
-fn log_act(driver: &Driver, act: &Act, offset: u64, source: &str, taken: bool) {
+fn log_act(driver: &Driver, act: &OperatorCommand, offset: u64, source: &str, taken: bool) {
     let ready =
         |data_centre: &str| driver.look(|machine| machine.directory().ready_count_in(data_centre));
     match act {
-        Act::Configure(config) => {
+        OperatorCommand::Configure(config) => {
             let (version, routes) = (config.version, config.routes.len());
             driver.metrics.gauge("relay.config_version", version);
             tracing::info!(event = "config", version, offset, source, routes, taken);
         }
-        Act::Evacuate(name) => {
+        OperatorCommand::Evacuate(name) => {
             let endpoints = ready(name);
             let data_centre = brief(name);
             tracing::warn!(event = "evacuated", data_centre, offset, source, endpoints, taken);
         }
-        Act::Restore(name) => {
+        OperatorCommand::Restore(name) => {
             let endpoints = ready(name);
             let data_centre = brief(name);
             tracing::warn!(event = "restored", data_centre, offset, source, endpoints, taken);
@@ -296,16 +296,16 @@
     let is_join = matches!(&change, Change::Put(entry) if !entry.is_leaving);
     let change_text = format!("{change:?}");
     let changed = driver.feed(|machine, now| machine.change(now, change));
-    driver.metrics.count("relay.endpoints_cooled", u64::from(changed.has_cooled));
+    driver.metrics.count("relay.endpoints_cooled", u64::from(changed.is_newly_cold));
     match bulk {
         Some(bulk) if is_join => {
             bulk.joined += u64::from(changed.is_new);
-            bulk.cooled += u64::from(changed.has_cooled);
+            bulk.cooled += u64::from(changed.is_newly_cold);
         }
         _ if changed.is_new => {
             tracing::info!(event = "endpoint", name, offset, source, change = change_text);
         }
-        _ if changed.has_cooled => {
+        _ if changed.is_newly_cold => {
             tracing::info!(event = "endpoint_cold", name, offset, source, change = change_text);
         }
         _ => {}
--- a/crates/relay/tests/relay/standins.rs
+++ b/crates/relay/tests/relay/standins.rs
@@ -21,7 +21,7 @@
         allowance::Bound,
         config::{Config, Limits, Pieces, RequestKind, Route, Service, Stage, Target, Team},
         directory::{Change, Entry},
-        operator::Act,
+        operator::OperatorCommand,
         table::Record,
     },
 };
@@ -46,16 +46,20 @@
 
 /// What operators ordered, as the store holds it: under `evacuate/` a data centre;
 /// else a configuration, a version with blanks before it that make it large.
-fn read_act(record: &Record) -> Result<Option<Act>, String> {
+fn read_act(record: &Record) -> Result<Option<OperatorCommand>, String> {
     if let Some(name) = record.key.strip_prefix("evacuate/") {
         let name = Arc::from(name);
-        let act = if record.value.is_some() { Act::Evacuate(name) } else { Act::Restore(name) };
+        let act = if record.value.is_some() {
+            OperatorCommand::Evacuate(name)
+        } else {
+            OperatorCommand::Restore(name)
+        };
         return Ok(Some(act));
     }
     let Some(value) = &record.value else { return Ok(None) };
     let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
     let version = text.trim_start().parse().map_err(|_| format!("`{text}` is no version"))?;
-    Ok(Some(Act::Configure(config(version))))
+    Ok(Some(OperatorCommand::Configure(config(version))))
 }
 
 fn read_endpoint(record: &Record) -> Result<Change, String> {
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -16,7 +16,7 @@
         },
         position::{Position, Timeline},
         quarantine::Crash,
-        table::{Ask, Begun, Portion, Record, Slice},
+        table::{PartialRecord, Portion, PortionRequest, Record, Slice},
         terms::{Notice, Rate},
     },
 };
@@ -24,12 +24,12 @@
 use crate::{peer::Error, relay_capnp};
 
 /// Writes what is asked of a peer for a table.
-pub fn write_ask(ask: &Ask, mut to: relay_capnp::ask::Builder<'_>) {
+pub fn write_ask(ask: &PortionRequest, mut to: relay_capnp::ask::Builder<'_>) {
     to.set_timeline(ask.timeline.0);
     to.set_from(ask.from);
     to.set_is_listing(ask.listing.is_some());
     to.set_base(ask.listing.unwrap_or_default());
-    if let Some(begun) = ask.begun {
+    if let Some(begun) = ask.partial {
         to.set_is_begun(true);
         to.set_begun_offset(begun.offset);
         to.set_begun_len(begun.len);
@@ -37,13 +37,13 @@
 }
 
 /// Reads what a peer asks for.
-pub fn read_ask(from: relay_capnp::ask::Reader<'_>) -> Ask {
-    let begun = Begun { offset: from.get_begun_offset(), len: from.get_begun_len() };
-    Ask {
+pub fn read_ask(from: relay_capnp::ask::Reader<'_>) -> PortionRequest {
+    let begun = PartialRecord { offset: from.get_begun_offset(), len: from.get_begun_len() };
+    PortionRequest {
         timeline: Timeline(from.get_timeline()),
         from: from.get_from(),
         listing: from.get_is_listing().then_some(from.get_base()),
-        begun: from.get_is_begun().then_some(begun),
+        partial: from.get_is_begun().then_some(begun),
     }
 }
 
@@ -291,8 +291,8 @@
     for (idx, crash) in (0..).zip(crashes) {
         let mut to = list.reborrow().get(idx);
         to.set_content(&write_content(crash.content));
-        to.set_endpoint(&*crash.life.name);
-        to.set_incarnation(crash.life.incarnation.0);
+        to.set_endpoint(&*crash.endpoint.name);
+        to.set_incarnation(crash.endpoint.incarnation.0);
         to.set_age_ms(write_age(crash.age));
         to.set_is_late(crash.is_late);
     }
@@ -306,7 +306,7 @@
     let name = text(from.get_endpoint()?)?;
     Ok(Crash {
         content: read_content(from.get_content()?),
-        life: EndpointId { name, incarnation: Incarnation(from.get_incarnation()) },
+        endpoint: EndpointId { name, incarnation: Incarnation(from.get_incarnation()) },
         age: Duration::from_millis(u64::from(from.get_age_ms())),
         is_late: from.get_is_late(),
     })
@@ -327,8 +327,8 @@
 ) {
     for (idx, notice) in (0..).zip(notices) {
         let mut to = list.reborrow().get(idx);
-        to.set_endpoint(&*notice.life.name);
-        to.set_incarnation(notice.life.incarnation.0);
+        to.set_endpoint(&*notice.endpoint.name);
+        to.set_incarnation(notice.endpoint.incarnation.0);
         to.set_age_ms(write_age(notice.age));
         to.set_is_leaving(notice.is_leaving);
         to.set_is_limited(notice.limit.is_some());
@@ -346,7 +346,7 @@
     let read = |from: relay_capnp::notice::Reader<'_>| {
         let name = text(from.get_endpoint()?)?;
         Ok(Notice {
-            life: EndpointId { name, incarnation: Incarnation(from.get_incarnation()) },
+            endpoint: EndpointId { name, incarnation: Incarnation(from.get_incarnation()) },
             is_leaving: from.get_is_leaving(),
             limit: from.get_is_limited().then(|| Rate(from.get_limit())),
             age: Duration::from_millis(u64::from(from.get_age_ms())),
