--- a/crates/core/src/instance/stages.rs
+++ b/crates/core/src/instance/stages.rs
@@ -12,7 +12,7 @@
         held::{CallKey, ClaimState, Flight, RequestKey},
         timers::Timer,
     },
-    model::{DoubtKind, Echo, EndpointName, Outcome, PoolName, Refusal, RefusalKind},
+    model::{Echo, EndpointName, Outcome, PoolName, Refusal, RefusalKind, UncertaintyKind},
     policy::Function,
     queue, routing, timing,
 };
@@ -49,7 +49,7 @@
         let (weight, deadline) = (held.weight, held.due);
         let pool = held.stage().pool.clone();
         let cost = self.cost(&pool);
-        let waiting = queue::Waiting { key, team, weight, deadline, cost, priority };
+        let waiting = queue::WaitingCall { key, team, weight, deadline, cost, priority };
         self.lanes.push(self.now, &pool, waiting);
     }
 
@@ -61,7 +61,7 @@
     }
 
     fn pump(&mut self, pool: &PoolName) {
-        while self.table.pool_free(self.now, pool) > 0 {
+        while self.table.pool_free_slots(self.now, pool) > 0 {
             let Some(key) = self.lanes.pop(self.now, pool) else { return };
             self.held[key].progress.queued = false;
             if self.is_hopeless(key) {
@@ -77,7 +77,7 @@
                 return;
             }
             let team = &self.held[key].request.id.team;
-            self.lanes.sent(self.now, pool, team, self.cost(pool));
+            self.lanes.record_dispatch(self.now, pool, team, self.cost(pool));
         }
     }
 
@@ -86,7 +86,7 @@
         let held = &self.held[key];
         // Past its deadline it came out at no cost.
         let cost = if held.due <= self.now { 0.0 } else { self.cost(pool) };
-        self.lanes.left(self.now, pool, &held.request.id.team, cost);
+        self.lanes.refund(self.now, pool, &held.request.id.team, cost);
     }
 
     /// Sends one call. False if no endpoint may take it now.
@@ -110,7 +110,7 @@
             early: Default::default(),
         });
         held.progress.calls.push(call);
-        self.table.started(self.now, &endpoint);
+        self.table.call_started(self.now, &endpoint);
         self.count_call(why);
         let call = self.call(call, addr);
         self.set_hedge(key, call.id.into());
@@ -141,7 +141,7 @@
         let prefix = prefixed.then(|| self.content.prefix(&held.progress.input));
         let mut rng = self.rng.clone();
         let peers = |name: &str| self.members.in_flight(self.now, name);
-        let demand = routing::Demand { pool: &stage.pool, prefix, exclude, peers: &peers };
+        let demand = routing::Criteria { pool: &stage.pool, prefix, exclude, peers: &peers };
         let chosen = if !decisions.load_aware {
             routing::choose_scored(&self.table, self.now, &demand, &mut rng, &|_| Some(0.0))
         } else if let Some(program) =
@@ -154,7 +154,7 @@
         } else if why == Why::First {
             routing::choose(&self.table, self.now, &demand, &mut rng)
         } else {
-            routing::choose_proven(&self.table, self.now, &demand, &mut rng)
+            routing::choose_avoiding_probes(&self.table, self.now, &demand, &mut rng)
         };
         self.rng = rng;
         chosen
@@ -200,7 +200,7 @@
         let outcome = if held.written > 0 {
             let stage = held.stage().name.clone();
             let again = held.request.idempotent.then(|| self.retry_after(key));
-            doubt(DoubtKind::TimedOut, Some(stage), again)
+            doubt(UncertaintyKind::TimedOut, Some(stage), again)
         } else {
             self.unrun(key)
         };
@@ -264,7 +264,7 @@
 
     /// Takes a repetition out of the shared budget.
     pub(super) fn spend(&mut self) -> bool {
-        let allowed = self.budget.spend();
+        let allowed = self.budget.try_withdraw();
         self.counters.budget_denied += u64::from(!allowed);
         allowed
     }
@@ -273,7 +273,7 @@
         let held = &self.held[key];
         let stage = held.stage().name.clone();
         let again = held.request.idempotent.then(|| self.retry_after(key));
-        self.conclude(key, doubt(DoubtKind::StageFailed, Some(stage), again));
+        self.conclude(key, doubt(UncertaintyKind::StageFailed, Some(stage), again));
     }
 
     fn is_repeatable(&self, key: RequestKey) -> bool {
@@ -303,7 +303,7 @@
         }
         let stage = &self.held[key].pipeline.stages[progress.stage];
         let pool = stage.pool.clone();
-        if self.table.pool_free(self.now, &pool) == 0 || !self.lanes.is_empty(&pool) {
+        if self.table.pool_free_slots(self.now, &pool) == 0 || !self.lanes.is_empty(&pool) {
             return;
         }
         if self.spend() {
@@ -322,7 +322,7 @@
     /// Tells the endpoint's record how a call ended.
     pub(super) fn end_call(&mut self, flight: &Flight, result: CallResult, tokens: Option<u32>) {
         let took = self.now.saturating_sub(flight.sent);
-        self.table.ended(self.now, &flight.endpoint, CallEnd { took, result, tokens });
+        self.table.call_ended(self.now, &flight.endpoint, CallEnd { took, result, tokens });
     }
 
     pub(super) fn is_engine(&self, stage: &Stage) -> bool {
@@ -333,7 +333,7 @@
     fn count_call(&mut self, why: Why) {
         self.counters.calls += 1;
         match why {
-            Why::First => self.budget.earn(),
+            Why::First => self.budget.deposit(),
             Why::Retry => self.counters.retries += 1,
             Why::Hedge => self.counters.hedges += 1,
         }
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -210,7 +210,7 @@
         }
         for content in consults {
             let was_answered = content.0 % 2 == 0;
-            world.relay.consulted(world.now, content, was_answered);
+            world.relay.on_consultation(world.now, content, was_answered);
             world.collect();
             self.check(world);
         }
@@ -303,7 +303,7 @@
                 let pieces = if is_staged { vec![u16::from(pick % 3), 1, 2] } else { Vec::new() };
                 let id = idx.to_string();
                 let asking = Arrival { pieces, ..arrival(&id, &format!("{name}{kind}")) };
-                let key = world.relay.arrive(world.now, asking).unwrap();
+                let key = world.relay.on_request(world.now, asking).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
                 world.collect();
             }
@@ -319,7 +319,7 @@
                 if head.status != 421 {
                     oracle.limited.remove(&oracle.called[&call]);
                 }
-                if world.relay.opened(world.now, call, &head) {
+                if world.relay.on_reply_head(world.now, call, &head) {
                     oracle.ran.insert(exchange);
                     continue;
                 }
@@ -347,7 +347,7 @@
                 }
                 oracle.ran.insert(exchange);
                 oracle.forget(call);
-                world.relay.ended(world.now, call);
+                world.relay.on_stream_end(world.now, call);
                 world.collect();
             }
             Step::Fail(pick, how) => {
@@ -371,8 +371,8 @@
                 match how % 8 {
                     0 => world.made(order.call, order.all(PieceFailure::NoRoom)),
                     1 => world.made(order.call, order.all(PieceFailure::InputGone)),
-                    2 => world.relay.make_failed(world.now, order.call, Failure::Cut, false),
-                    3 => world.relay.make_failed(world.now, order.call, Failure::Cut, true),
+                    2 => world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false),
+                    3 => world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, true),
                     _ => {
                         world.make(&order);
                     }
@@ -414,7 +414,7 @@
                 let content = common(content);
                 let asking =
                     Arrival { content, ..arrival(&idx.to_string(), &format!("plain{kind}")) };
-                let key = world.relay.arrive(world.now, asking).unwrap();
+                let key = world.relay.on_request(world.now, asking).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
                 oracle.contents.insert(key, content.for_team(None));
                 world.collect();
@@ -434,7 +434,7 @@
                     _ => None,
                 });
                 for endpoint in probes {
-                    world.relay.probed(world.now, endpoint, probed);
+                    world.relay.on_probe(world.now, endpoint, probed);
                     world.collect();
                 }
             }
@@ -465,8 +465,8 @@
             Step::Hold(content, is_held) => {
                 let content = common(content).for_team(None);
                 match is_held {
-                    true => world.relay.recorded(world.now, content, 3),
-                    false => world.relay.unrecorded(content),
+                    true => world.relay.on_quarantine_record(world.now, content, 3),
+                    false => world.relay.on_quarantine_removal(content),
                 }
                 world.collect();
             }
@@ -519,7 +519,7 @@
     if !head.is_not_run {
         oracle.ran.insert(exchange);
     }
-    if !world.relay.opened(world.now, call, &head) {
+    if !world.relay.on_reply_head(world.now, call, &head) {
         oracle.forget(call);
         world.replied(call, &head);
     }
--- a/crates/relay/src/peers/gossip.rs
+++ b/crates/relay/src/peers/gossip.rs
@@ -7,7 +7,7 @@
 };
 
 use peatdeck_core::{
-    membership::{ConfigMark, Envelope, Gossip, Local},
+    membership::{ConfigMark, Envelope, Gossip, LocalState},
     relay::Relay,
 };
 use peatdeck_wire::{peer as peer_wire, relay as wire, relay_capnp::relay};
@@ -61,7 +61,7 @@
 async fn send(driver: Rc<Driver>, envelope: Envelope) {
     let Envelope { to, addr, message } = envelope;
     let asked_at = driver.now();
-    let notices = driver.feed(Relay::notices);
+    let notices = driver.feed(Relay::peer_notices);
     let exchange = async |client: relay::Client| {
         let mut request = client.gossip_request();
         peer_wire::write_gossip(&message, request.get().init_message())?;
@@ -84,12 +84,12 @@
     open.set(open.get() - 1);
     match result {
         Ok((reply, positions, age, heard)) => {
-            driver.feed(|machine, now| machine.noticed(now, &to, &heard));
+            driver.feed(|machine, now| machine.on_peer_notices(now, &to, &heard));
             learn::compare(&driver, &addr, &positions, asked_at.checked_sub(age));
             if let Some(reply) = reply {
                 versions::compare(&driver, &addr, &positions, reply.mark.version);
                 let local = local(&driver);
-                driver.peers.members.borrow_mut().heard(driver.now(), &reply, &local);
+                driver.peers.members.borrow_mut().receive(driver.now(), &reply, &local);
             }
         }
         Err(error) => {
@@ -97,15 +97,15 @@
             let took_ms = driver.now().saturating_sub(asked_at).as_millis() as u64;
             let (peer, open) = (&*to, open.get());
             tracing::info!(event = "gossip_failed", peer, took_ms, open, error = %error);
-            driver.peers.members.borrow_mut().failed(driver.now(), &to);
+            driver.peers.members.borrow_mut().send_failed(driver.now(), &to);
         }
     }
 }
 
 /// What this instance tells of itself.
-pub fn local(driver: &Driver) -> Local<'static> {
+pub fn local(driver: &Driver) -> LocalState<'static> {
     let version = driver.look(|machine| machine.config().map_or(0, |config| config.version));
-    Local {
+    LocalState {
         mark: ConfigMark { version, offset: None },
         snapshot: None,
         ready: driver.shared.is_ready.load(Ordering::Relaxed),
