--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -121,7 +121,7 @@
         deadline: Duration::from_secs(600),
         target: Duration::from_secs(300) + Duration::from_millis(request % 1000),
         priority: 0,
-        preferred_data_centre: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
+        destination: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
         round: 0,
         tries: 0,
         is_repeat: false,
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -136,7 +136,7 @@
         let group = self.lanes[lane].entry(rank.clone()).or_insert_with(|| Group {
             keys: Vec::new(),
             bytes: piece.bytes,
-            home: piece.preferred_data_centre.clone(),
+            home: piece.destination.clone(),
             aim: piece.target,
             due: piece.deadline,
             is_begun: piece.is_begun,
--- a/crates/core/src/relay/machine/evacuation.rs
+++ b/crates/core/src/relay/machine/evacuation.rs
@@ -20,7 +20,11 @@
 impl Relay {
     /// Takes in what operators ordered, the oldest first. Returns for each whether it
     /// changed anything. Nothing is sent before all of it is in force.
-    pub fn apply_operator_changes(&mut self, now: Duration, acts: Vec<OperatorCommand>) -> Vec<bool> {
+    pub fn apply_operator_changes(
+        &mut self,
+        now: Duration,
+        acts: Vec<OperatorCommand>,
+    ) -> Vec<bool> {
         let taken = acts.into_iter().map(|act| self.take_act(act)).collect();
         self.refuse_evacuated(now);
         self.search(now);
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -145,7 +145,11 @@
     }
 
     /// Chooses for a peer. `None` if no engine can take the prompt.
-    pub fn place_prompt(&mut self, now: Duration, question: &PlacementRequest) -> Option<Placement> {
+    pub fn place_prompt(
+        &mut self,
+        now: Duration,
+        question: &PlacementRequest,
+    ) -> Option<Placement> {
         if self.transfer(&question.service).is_some() {
             self.list_parts(now, &question.service);
         }
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -105,7 +105,7 @@
             deadline: self.due.saturating_sub(rest.least),
             target: self.aim.saturating_sub(rest.usual),
             priority: self.priority,
-            preferred_data_centre: home.clone(),
+            destination: home.clone(),
             round: self.rounds,
             tries: 0,
             is_repeat: self.rounds > 0,
--- a/crates/core/src/relay/model.rs
+++ b/crates/core/src/relay/model.rs
@@ -201,7 +201,7 @@
     /// Urgency of its request, 0 first.
     pub priority: u8,
     /// Where its result will be used, if that is known and matters.
-    pub preferred_data_centre: Option<DataCentre>,
+    pub destination: Option<DataCentre>,
     /// How often its request's pieces were made before, from the start.
     pub round: u8,
     /// How often it was sent without coming back whole.
--- a/crates/core/tests/testsuite/relay/reads.rs
+++ b/crates/core/tests/testsuite/relay/reads.rs
@@ -212,7 +212,7 @@
         deadline: ms(60_000),
         target: ms(30_000),
         priority: 1,
-        preferred_data_centre: None,
+        destination: None,
         round: 0,
         tries: 0,
         is_repeat: false,
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -113,7 +113,7 @@
         to.set_due_micros(left(now, piece.deadline));
         to.set_aim_micros(left(now, piece.target));
         to.set_priority(piece.priority);
-        to.set_home(piece.preferred_data_centre.as_deref().unwrap_or_default());
+        to.set_home(piece.destination.as_deref().unwrap_or_default());
         to.set_is_repeat(piece.is_repeat);
         to.set_is_begun(piece.is_begun);
         to.set_content(&write_content(piece.content));
@@ -422,7 +422,7 @@
         deadline: now + Duration::from_micros(from.get_due_micros()),
         target: now + Duration::from_micros(from.get_aim_micros()),
         priority: from.get_priority(),
-        preferred_data_centre: optional(from.get_home()?)?,
+        destination: optional(from.get_home()?)?,
         round: from.get_round(),
         tries: from.get_tries(),
         is_repeat: from.get_is_repeat(),
