--- a/crates/core/src/relay/catch_up.rs
+++ b/crates/core/src/relay/catch_up.rs
@@ -1,12 +1,12 @@
-//! How a copy of a table learns from other copies what it lacks.
+//! Updates a copy of a table from other instances' copies.
 //!
-//! The asker asks for one bounded portion at a time, from one copy after the
-//! other, and loses nothing that has come: records are taken in as they come,
-//! and what has come of a large record is kept, whoever sent it, since a record
-//! never changes. So a copy of any size gets through a link of any width, and
-//! an instance never has more on the way to it than one portion. Answers that
-//! hold everything at once, each under a time limit of its own, would compete
-//! for a narrow link until none of them is whole in time.
+//! The requesting copy fetches one bounded portion at a time, from one source copy after
+//! another, and keeps everything it has received: records are applied as they arrive, and
+//! the received part of a large record is kept regardless of its source, since a record
+//! never changes. Therefore a copy of any size can be transferred over a link of any
+//! bandwidth, and at most one portion is on the way to an instance. If each answer
+//! contained everything, under a timeout of its own, concurrent answers would compete for
+//! a slow link until none of them completed in time.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -17,109 +17,112 @@
     table::{PartialRecord, Portion, PortionRequest, Record, Slice, Table},
 };
 
-/// What a copy has learned but cannot use yet.
+/// What a copy has received but cannot apply yet.
 #[derive(Debug, Default)]
 pub struct CatchUp {
     listing: Option<Listing>,
-    growing: Option<Growing>,
+    partial: Option<PartialValue>,
 }
 
-/// The newest records of all keys, as far as they have come.
+/// The part of a listing received so far; it is applied once it is complete.
 #[derive(Debug)]
 struct Listing {
     timeline: Timeline,
-    /// The base of the copies that tell it. Copies with the same base agree on
-    /// what was removed before, so one can go on where another one ended.
+    /// The base of its source copies. Copies with the same base agree on what was removed
+    /// before it, so one can continue a listing that another one began.
     base: u64,
     next: u64,
     records: HashMap<Arc<str>, Record>,
 }
 
-/// A record of which a part has come.
+/// The part of a large record received so far.
 #[derive(Debug)]
-struct Growing {
+struct PartialValue {
     timeline: Timeline,
     key: Arc<str>,
     offset: u64,
     value: BytesMut,
 }
 
-/// What a portion brought.
+/// The effect of a portion.
 #[derive(Debug, Default)]
 pub struct PortionEffect {
     /// The records that changed something.
     pub changed: Vec<Record>,
-    /// Whether there is more to ask for at once.
+    /// Whether the next portion should be requested at once.
     pub has_more: bool,
-    /// Whether the copy has now all that the teller has.
+    /// Whether the copy now has everything that the source copy has.
     pub is_caught_up: bool,
 }
 
-/// What became of a large record.
-enum Grown {
-    Whole(Record),
-    Part,
-    /// It begins elsewhere than where the part before it ended.
-    Astray,
+/// The result of adding a slice to a large record.
+enum SliceOutcome {
+    Complete(Record),
+    Partial,
+    /// The slice does not begin where the part received before it ends.
+    Gap,
 }
 
 impl CatchUp {
-    /// What to ask for next.
+    /// The request for the next portion.
     pub fn next_request(&self, table: &Table) -> PortionRequest {
-        let is_timely = |listing: &&Listing| listing.timeline >= table.position().timeline;
-        let listing = self.listing.as_ref().filter(is_timely);
+        let is_current = |listing: &&Listing| listing.timeline >= table.position().timeline;
+        let listing = self.listing.as_ref().filter(is_current);
         let from = listing.map_or(table.end(), |listing| listing.next);
         let timeline = listing.map_or(table.position().timeline, |listing| listing.timeline);
-        let is_wanted = |growing: &&Growing| growing.timeline == timeline && growing.offset >= from;
-        let begun = self.growing.as_ref().filter(is_wanted).map(Growing::begun);
-        PortionRequest {
-            timeline,
-            from,
-            listing: listing.map(|listing| listing.base),
-            partial: begun,
-        }
+        let is_wanted =
+            |partial: &&PartialValue| partial.timeline == timeline && partial.offset >= from;
+        let partial = self.partial.as_ref().filter(is_wanted).map(PartialValue::progress);
+        PortionRequest { timeline, from, listing: listing.map(|listing| listing.base), partial }
     }
 
-    /// Takes in what another copy told. Nothing is taken in that leaves a gap.
+    /// Applies a portion of another copy, unless that would leave a gap.
     pub fn apply(&mut self, table: &mut Table, mut portion: Portion) -> PortionEffect {
         let known = table.position().timeline;
-        let begun = self.listing.as_ref().map_or(known, |listing| listing.timeline);
-        if portion.timeline < known.max(begun) {
+        let newest = self.listing.as_ref().map_or(known, |listing| listing.timeline);
+        if portion.timeline < known.max(newest) {
             return PortionEffect::default();
         }
         let timeline = portion.timeline;
-        match portion.slice.take().map(|slice| self.grow(timeline, slice)) {
-            Some(Grown::Astray) => {
+        match portion.slice.take().map(|slice| self.append_slice(timeline, slice)) {
+            Some(SliceOutcome::Gap) => {
                 return PortionEffect { has_more: true, ..PortionEffect::default() };
             }
-            Some(Grown::Whole(record)) => portion.records.push(record),
-            Some(Grown::Part) | None => {}
+            Some(SliceOutcome::Complete(record)) => portion.records.push(record),
+            Some(SliceOutcome::Partial) | None => {}
+        }
+        if portion.is_listing {
+            self.extend_listing(table, portion)
+        } else {
+            self.apply_changes(table, portion)
         }
-        if portion.is_listing { self.list(table, portion) } else { self.follow(table, portion) }
     }
 
-    fn grow(&mut self, timeline: Timeline, slice: Slice) -> Grown {
+    fn append_slice(&mut self, timeline: Timeline, slice: Slice) -> SliceOutcome {
         let is_same =
-            |growing: &Growing| growing.timeline == timeline && growing.offset == slice.offset;
-        let mut growing = match self.growing.take().filter(is_same) {
-            Some(growing) => growing,
-            None => {
-                Growing { timeline, key: slice.key, offset: slice.offset, value: BytesMut::new() }
-            }
+            |partial: &PartialValue| partial.timeline == timeline && partial.offset == slice.offset;
+        let mut partial = match self.partial.take().filter(is_same) {
+            Some(partial) => partial,
+            None => PartialValue {
+                timeline,
+                key: slice.key,
+                offset: slice.offset,
+                value: BytesMut::new(),
+            },
         };
-        if slice.at != growing.value.len() as u64 {
-            return Grown::Astray;
+        if slice.at != partial.value.len() as u64 {
+            return SliceOutcome::Gap;
         }
-        growing.value.extend_from_slice(&slice.bytes);
-        if (growing.value.len() as u64) < slice.size {
-            self.growing = Some(growing);
-            return Grown::Part;
+        partial.value.extend_from_slice(&slice.bytes);
+        if (partial.value.len() as u64) < slice.size {
+            self.partial = Some(partial);
+            return SliceOutcome::Partial;
         }
-        let Growing { key, offset, value, .. } = growing;
-        Grown::Whole(Record { key, offset, value: Some(value.freeze()) })
+        let PartialValue { key, offset, value, .. } = partial;
+        SliceOutcome::Complete(Record { key, offset, value: Some(value.freeze()) })
     }
 
-    fn follow(&mut self, table: &mut Table, portion: Portion) -> PortionEffect {
+    fn apply_changes(&mut self, table: &mut Table, portion: Portion) -> PortionEffect {
         self.listing = None;
         let is_other = portion.timeline != table.position().timeline;
         if !table.is_loaded() || is_other || portion.from > table.end() {
@@ -129,15 +132,15 @@
         PortionEffect { changed, has_more: portion.has_more, is_caught_up: !portion.has_more }
     }
 
-    fn list(&mut self, table: &mut Table, portion: Portion) -> PortionEffect {
+    fn extend_listing(&mut self, table: &mut Table, portion: Portion) -> PortionEffect {
         let Portion { timeline, base, from, end, has_more, records, .. } = portion;
-        let goes_on = |listing: &Listing| {
+        let continues = |listing: &Listing| {
             (listing.timeline, listing.base, listing.next) == (timeline, base, from)
         };
-        let mut listing = match self.listing.take().filter(goes_on) {
+        let mut listing = match self.listing.take().filter(continues) {
             Some(listing) => listing,
             None if from == 0 => Listing { timeline, base, next: 0, records: HashMap::new() },
-            // What came before it is not here any more: the listing begins anew.
+            // The part before it is not stored any more, so the listing is fetched anew.
             None => return PortionEffect { has_more: true, ..PortionEffect::default() },
         };
         listing.records.extend(records.into_iter().map(|record| (record.key.clone(), record)));
@@ -148,8 +151,8 @@
         }
         let end = Position { timeline, offset: end };
         if table.is_loaded() && end <= table.position() {
-            // Overtaken: keys may be in it whose removal the copy has never
-            // seen, since it was read whole after that.
+            // The copy was read in full meanwhile and may lack removals from before that, so
+            // applying the listing could bring back removed keys.
             return PortionEffect {
                 is_caught_up: end == table.position(),
                 ..PortionEffect::default()
@@ -160,8 +163,8 @@
     }
 }
 
-impl Growing {
-    fn begun(&self) -> PartialRecord {
+impl PartialValue {
+    fn progress(&self) -> PartialRecord {
         PartialRecord { offset: self.offset, len: self.value.len() as u64 }
     }
 }
--- a/crates/core/src/relay/quarantine.rs
+++ b/crates/core/src/relay/quarantine.rs
@@ -1,28 +1,30 @@
-//! Requests that crash whatever runs them, and are held back.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! Some content ends each endpoint that begins to run it (a *poison request*). Its
-//! callers send it again, here and at other instances, each time under a new id, so
-//! what one exchange learns must outlive it. What is learned is kept by the content
+//! Some content crashes each endpoint that begins to run it (a *poison request*). Its
+//! callers retry it, at this and other instances, each time under a new id. What is
+//! learned in one exchange must therefore outlive it, and is stored per content
 //! ([`Fingerprint`]):
 //!
-//! 1. A run that was cut because its endpoint's life ended is a [`Crash`]. Each is
-//!    told to the two *keepers* of its content, instances that all agree on, so that
-//!    crashes seen at different instances meet.
-//! 2. A keeper that knows of enough crashes asks all instances whether they had the
-//!    content answered meanwhile. One answer acquits it.
-//! 3. Otherwise it is held back: all instances are told, and the platform's table
-//!    keeps it: whoever starts, or was cut off, reads it there before it sends
-//!    anything.
-//! 4. Content that nobody sends any more is released after a while, or by an
-//!    operator.
+//! 1. A run that was interrupted because its endpoint crashed is a [`Crash`]. Each is
+//!    reported to the two *collectors* of its content, instances chosen by a hash that
+//!    all instances compute alike, so that crashes seen at different instances are
+//!    counted together.
+//! 2. A collector that has received enough crashes asks all instances whether an endpoint
+//!    has answered the content meanwhile. A single answer clears it.
+//! 3. Otherwise the content is quarantined: it is announced to all instances and recorded
+//!    in the platform's table. An instance that starts, or was disconnected, reads the
+//!    table before it sends anything.
+//! 4. Content that no caller has sent for a while is released; operators can release it
+//!    earlier.
 //!
-//! Traps:
+//! Pitfalls:
 //!
-//! - A cut is no crash. Networks cut, endpoints stop as planned. Only a life that is
-//!   known to have ended without notice counts, and each life only once.
-//! - All runs at an endpoint end with it, and all but one are bystanders. A single
-//!   crash says little of any of them. Content that is common is in many crashes by
-//!   chance, but it is also answered meanwhile.
+//! - An interrupted run is not yet a crash: connections fail, and endpoints stop as
+//!   planned. Only an incarnation that is known to have ended without notice counts, and
+//!   each incarnation only once.
+//! - All runs at an endpoint end with it, and at most one of them caused the crash, so a
+//!   single crash is weak evidence against any of them. Frequent content is part of many
+//!   crashes by chance, but it is also answered meanwhile.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -33,48 +35,50 @@
 
 use crate::relay::{fingerprint::Fingerprint, model::EndpointId};
 
-/// What the crashes of a content must weigh for it to be held back. Three lives that
-/// ended at the beginning of its run: one crash happens to any bystander, and with
-/// 18 engines that end every four seconds 37 of 146 requests that were cut were so
-/// twice, on four teams, where one team's request was to blame as far as is known.
-const ENOUGH: u32 = 3 * EARLY;
-/// Weight of a crash near the beginning of a run.
-const EARLY: u32 = 2;
-/// Weight of a crash of a run that had gone on for a while. What ends an endpoint as
-/// it begins has done so by then; what does so later is found with twice the crashes.
-const LATE: u32 = 1;
-/// A run that was answered so long before its endpoint ended had gone on for a
-/// while. The runs that ended engines did so 42 to 95 ms after their first byte.
+/// The total weight of crashes that quarantines a content: three endpoints that crashed
+/// early in its run. Any other request at the endpoint takes part in one crash, and with
+/// 18 engines that crash every four seconds, 37 of 146 interrupted requests were
+/// interrupted twice, in four teams, although as far as is known one team's request was
+/// the cause.
+const CRASH_THRESHOLD: u32 = 3 * EARLY_WEIGHT;
+/// The weight of a crash early in a run.
+const EARLY_WEIGHT: u32 = 2;
+/// The weight of a crash late in a run. Content that crashes endpoints as it begins has
+/// done so earlier; content that does so later takes twice as many crashes to detect.
+const LATE_WEIGHT: u32 = 1;
+/// A crash is late in a run if the endpoint's answer began longer ago than this. The runs
+/// that crashed engines did so 42 to 95 ms after their first byte.
 pub const EARLY_PERIOD: Duration = Duration::from_secs(1);
-/// How long crashes count, and how long content is held back after it was last sent.
-/// Callers that send it every few minutes are still recognized.
+/// How long crashes count, and how long content stays quarantined after it was last sent:
+/// long enough for callers that retry every few minutes.
 pub const WINDOW: Duration = Duration::from_secs(600);
-/// Instances release content one after the other, the first for all.
+/// The range of the random delay of a release, so that one instance releases a content
+/// first, and thereby for all.
 const RELEASE_SPREAD: Duration = Duration::from_secs(60);
-/// Contents in crashes that are remembered. An endpoint that ends has some 30 runs,
-/// so this is what a hundred of them leave, in some 0.5 MB.
-const MOST_SUSPECTS: usize = 4096;
-/// Contents that are held back at the most: each costs a record of some 100 bytes at
-/// each instance, and more of them would be a fault of another kind.
-const MOST_HELD: usize = 1024;
-/// Answers that are remembered: those of two minutes at the 62 requests a second that
-/// an instance is designed for, in some 0.6 MB.
-const MOST_ANSWERS: usize = 8192;
+/// The most contents whose crashes are stored. An endpoint that crashes has some 30 runs,
+/// so this covers more than a hundred crashes, in some 0.5 MB.
+const MAX_SUSPECTS: usize = 4096;
+/// The most quarantined contents. Each costs a record of some 100 bytes at each instance,
+/// and more of them would indicate a fault of another kind.
+const MAX_QUARANTINED: usize = 1024;
+/// The most answers that are stored: those of two minutes at the 62 requests per second
+/// that an instance is designed for, in some 0.6 MB.
+const MAX_ANSWERS: usize = 8192;
 
-/// A run that ended with its endpoint.
+/// A run that was interrupted because its endpoint crashed.
 #[data]
 pub struct Crash {
-    /// What was run.
+    /// The content that was run.
     pub content: Fingerprint,
-    /// The life of the endpoint that ended.
+    /// The incarnation of the endpoint that crashed.
     pub endpoint: EndpointId,
-    /// How long ago.
+    /// How long ago the run was interrupted.
     pub age: Duration,
-    /// Whether the run had gone on for longer than [`EARLY_PERIOD`].
+    /// Whether the answer had begun more than [`EARLY_PERIOD`] before.
     pub is_late: bool,
 }
 
-/// A content that is to be held back, unless somebody had it answered.
+/// A content that is to be quarantined unless an endpoint has answered it.
 #[data]
 #[derive(Copy)]
 pub struct Suspect {
@@ -84,72 +88,75 @@
     pub since: Duration,
 }
 
-/// Content that is held back.
+/// The state of a quarantined content.
 #[data]
 #[derive(Copy)]
 pub struct QuarantineEntry {
-    /// Since when this instance holds it back.
+    /// When this instance quarantined it.
     pub since: Duration,
-    /// Until when, if nobody sends it any more.
+    /// When it is released unless it is sent again.
     pub until: Duration,
-    /// Endpoints that ended under it, as far as is known.
+    /// The number of endpoints known to have crashed while they ran it.
     pub crashes: u32,
-    /// Requests that were refused for it here.
+    /// Requests for it that this instance refused.
     pub refused: u64,
-    /// When its record was last written or heard of.
+    /// When its record was last written here or an announcement of it received.
     renewed: Duration,
-    /// Whether the platform's table has it.
+    /// Whether the platform's table contains it.
     pub is_recorded: bool,
 }
 
 #[derive(Debug)]
-struct Seen {
-    life: EndpointId,
+struct SeenCrash {
+    endpoint: EndpointId,
     at: Duration,
     weight: u32,
 }
 
-/// What is known of contents that crash what runs them.
+/// Suspected and quarantined contents, and the evidence for and against them.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    suspects: HashMap<Fingerprint, Vec<Seen>>,
-    /// Contents of which peers are being asked whether they had them answered.
-    asked: HashSet<Fingerprint>,
-    held: HashMap<Fingerprint, QuarantineEntry>,
+    suspects: HashMap<Fingerprint, Vec<SeenCrash>>,
+    /// Contents about which all instances are being queried.
+    queried: HashSet<Fingerprint>,
+    entries: HashMap<Fingerprint, QuarantineEntry>,
     answers: HashMap<Fingerprint, Duration>,
-    /// The same by time, oldest first. One that was answered again is there twice.
-    answered: VecDeque<(Duration, Fingerprint)>,
+    /// The same by time, oldest first. A content that was answered again occurs twice.
+    answer_log: VecDeque<(Duration, Fingerprint)>,
 }
 
 impl Quarantine {
-    /// Takes in a crash. Returns the content's suspicion once its crashes are enough.
+    /// Records a crash. Returns the content as a suspect once the weight of its crashes
+    /// reaches the threshold.
     pub fn add_crash(&mut self, now: Duration, crash: &Crash) -> Option<Suspect> {
         let Crash { content, endpoint, age, is_late } = crash;
         let is_known = *content != Fingerprint::UNKNOWN;
-        if !is_known || self.held.contains_key(content) || *age > WINDOW {
+        if !is_known || self.entries.contains_key(content) || *age > WINDOW {
             return None;
         }
-        let weight = if *is_late { LATE } else { EARLY };
+        let weight = if *is_late { LATE_WEIGHT } else { EARLY_WEIGHT };
         let seen = self.suspects.entry(*content).or_default();
         seen.retain(|seen| now < seen.at + WINDOW);
-        match seen.iter_mut().find(|seen| seen.life == *endpoint) {
+        match seen.iter_mut().find(|seen| seen.endpoint == *endpoint) {
             Some(known) => known.weight = known.weight.max(weight),
-            None => {
-                seen.push(Seen { life: endpoint.clone(), at: now.saturating_sub(*age), weight })
-            }
+            None => seen.push(SeenCrash {
+                endpoint: endpoint.clone(),
+                at: now.saturating_sub(*age),
+                weight,
+            }),
         }
         let total: u32 = seen.iter().map(|seen| seen.weight).sum();
         let since = seen.iter().map(|seen| seen.at).min().unwrap_or(now);
         self.bound_suspects();
-        let has_room = self.held.len() < MOST_HELD;
-        let is_asked = total >= ENOUGH && has_room && self.asked.insert(*content);
-        is_asked.then_some(Suspect { content: *content, since })
+        let has_room = self.entries.len() < MAX_QUARANTINED;
+        let is_query_due = total >= CRASH_THRESHOLD && has_room && self.queried.insert(*content);
+        is_query_due.then_some(Suspect { content: *content, since })
     }
 
-    /// Peers have been asked for a content. Returns how many lives ended under it if
-    /// it is to be held back.
+    /// Ends the query for answers to a content. Returns the number of endpoints that it
+    /// crashed if it is to be quarantined.
     pub fn finish_query(&mut self, content: Fingerprint, was_answered: bool) -> Option<u32> {
-        if !self.asked.remove(&content) {
+        if !self.queried.remove(&content) {
             return None;
         }
         if was_answered {
@@ -159,35 +166,35 @@
         Some(self.crashes_of(content))
     }
 
-    /// How many lives are known to have ended under a content.
+    /// The number of incarnations known to have crashed while they ran a content.
     fn crashes_of(&self, content: Fingerprint) -> u32 {
         self.suspects.get(&content).map_or(0, |seen| seen.len() as u32)
     }
 
-    /// An endpoint has run a content to an answer of its own.
+    /// Records that an endpoint has answered a content.
     pub fn record_answer(&mut self, now: Duration, content: Fingerprint) {
         self.suspects.remove(&content);
         self.answers.insert(content, now);
-        self.answered.push_back((now, content));
-        if self.answered.len() > MOST_ANSWERS
-            && let Some((at, oldest)) = self.answered.pop_front()
+        self.answer_log.push_back((now, content));
+        if self.answer_log.len() > MAX_ANSWERS
+            && let Some((at, oldest)) = self.answer_log.pop_front()
             && self.answers.get(&oldest) == Some(&at)
         {
             self.answers.remove(&oldest);
         }
     }
 
-    /// Whether a content was answered since a time.
+    /// Whether an endpoint has answered a content since a time.
     pub fn was_answered(&self, content: Fingerprint, since: Duration) -> bool {
         self.answers.get(&content).is_some_and(|at| *at >= since)
     }
 
-    /// Holds a content back. `jitter`, below 1, spreads the end of holds over the
-    /// instances. Returns whether it was not held back before.
+    /// Quarantines a content, or renews its quarantine. `jitter`, below 1, spreads the
+    /// instances' releases over time. Returns whether it was not quarantined before.
     pub fn add(&mut self, now: Duration, content: Fingerprint, crashes: u32, jitter: f64) -> bool {
         let until = now + WINDOW + RELEASE_SPREAD.mul_f64(jitter);
-        let known = self.held.get(&content).copied();
-        let hold = known.unwrap_or(QuarantineEntry {
+        let known = self.entries.get(&content).copied();
+        let entry = known.unwrap_or(QuarantineEntry {
             since: now,
             until,
             crashes,
@@ -195,62 +202,64 @@
             renewed: now,
             is_recorded: false,
         });
-        let crashes = crashes.max(hold.crashes);
-        self.held.insert(content, QuarantineEntry { until, crashes, renewed: now, ..hold });
+        let crashes = crashes.max(entry.crashes);
+        self.entries.insert(content, QuarantineEntry { until, crashes, renewed: now, ..entry });
         known.is_none()
     }
 
-    /// The platform's table has a record of a content that is held back.
+    /// Records that the platform's table contains a quarantined content.
     pub fn note_recorded(&mut self, content: Fingerprint) {
-        if let Some(hold) = self.held.get_mut(&content) {
-            hold.is_recorded = true;
+        if let Some(entry) = self.entries.get_mut(&content) {
+            entry.is_recorded = true;
         }
     }
 
-    /// Releases a content, and forgets its crashes. Returns what it was held by.
+    /// Releases a content and discards its crashes. Returns its state if it was quarantined.
     pub fn release(&mut self, content: Fingerprint) -> Option<QuarantineEntry> {
         self.suspects.remove(&content);
-        self.held.remove(&content)
+        self.entries.remove(&content)
     }
 
-    /// What holds a content back, if anything does.
+    /// The state of a quarantined content; `None` if it is not quarantined.
     pub fn get(&self, content: Fingerprint) -> Option<&QuarantineEntry> {
-        self.held.get(&content)
+        self.entries.get(&content)
     }
 
-    /// Everything that is held back.
+    /// All quarantined contents.
     pub fn all(&self) -> impl Iterator<Item = (Fingerprint, &QuarantineEntry)> {
-        self.held.iter().map(|(content, hold)| (*content, hold))
+        self.entries.iter().map(|(content, entry)| (*content, entry))
     }
 
-    /// A request was refused since its content is held back. Returns how many
-    /// endpoints ended under it if its record is to be written anew: it has got old,
-    /// and whoever sends it still does.
+    /// Records that a request was refused because its content is quarantined. Returns the
+    /// number of endpoints that it crashed if its record is to be renewed, because callers
+    /// still send it and the record is old.
     pub fn record_refusal(&mut self, now: Duration, content: Fingerprint) -> Option<u32> {
-        let hold = self.held.get_mut(&content)?;
-        hold.refused += 1;
-        hold.until = hold.until.max(now + WINDOW);
-        if now < hold.renewed + WINDOW / 2 {
+        let entry = self.entries.get_mut(&content)?;
+        entry.refused += 1;
+        entry.until = entry.until.max(now + WINDOW);
+        if now < entry.renewed + WINDOW / 2 {
             return None;
         }
-        hold.renewed = now;
-        Some(hold.crashes)
+        entry.renewed = now;
+        Some(entry.crashes)
     }
 
-    /// The contents whose time is over. Those that the platform's table has are held
-    /// on until their records are removed; the others are released.
+    /// Expires contents that have not been sent for long enough. Releases those that the
+    /// platform's table does not contain, and returns the others, which stay quarantined
+    /// until their records are removed.
     pub fn expire(&mut self, now: Duration) -> Vec<Fingerprint> {
         self.suspects.retain(|_, seen| seen.iter().any(|seen| now < seen.at + WINDOW));
-        let over = self.held.iter().filter(|(_, hold)| hold.until <= now);
-        let over: Vec<_> = over.map(|(content, hold)| (*content, hold.is_recorded)).collect();
+        let expired = self.entries.iter().filter(|(_, entry)| entry.until <= now);
+        let expired: Vec<_> =
+            expired.map(|(content, entry)| (*content, entry.is_recorded)).collect();
         let mut recorded = Vec::new();
-        for (content, is_recorded) in over {
+        for (content, is_recorded) in expired {
             if !is_recorded {
-                self.held.remove(&content);
+                self.entries.remove(&content);
                 continue;
             }
-            if let Some(hold) = self.held.get_mut(&content) {
-                hold.until = now + RELEASE_SPREAD;
+            if let Some(entry) = self.entries.get_mut(&content) {
+                entry.until = now + RELEASE_SPREAD;
             }
             recorded.push(content);
         }
@@ -258,10 +267,10 @@
     }
 
     fn bound_suspects(&mut self) {
-        if self.suspects.len() <= MOST_SUSPECTS {
+        if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
-        let newest = |seen: &Vec<Seen>| seen.iter().map(|seen| seen.at).max();
+        let newest = |seen: &Vec<SeenCrash>| seen.iter().map(|seen| seen.at).max();
         let oldest = self.suspects.iter().min_by_key(|(_, seen)| newest(seen));
         if let Some(content) = oldest.map(|(content, _)| *content) {
             self.suspects.remove(&content);
