--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -70,7 +70,7 @@
         data_centre: Arc::from("dc-0"),
         bound,
         instances: 74,
-        strength: 120,
+        millicores: 120,
     };
     let mut relay = Relay::new(settings, 1);
     let slots = if room < 1 << 40 { 2 } else { 1 };
--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -58,7 +58,7 @@
 };
 
 /// Pause between two clean-ups of what is not needed any more.
-const CLEAN_UP: Duration = Duration::from_secs(5);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 /// Idle time of a caller that does not say how long it waits.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(600);
 
@@ -74,7 +74,7 @@
     /// Instances that share the bound while no more are known.
     pub instances: usize,
     /// Its processor's share, in thousandths of a core.
-    pub strength: u32,
+    pub millicores: u32,
 }
 
 /// The relay.
@@ -83,7 +83,7 @@
     rng: SmallRng,
     config: Option<Arc<Config>>,
     directory: Directory,
-    memory: choice::prompts::Memory,
+    prompt_memory: choice::prompts::Memory,
     exchanges: SlotMap<ExchangeKey, Exchange>,
     calls: SlotMap<CallKey, CallState>,
     handovers: SlotMap<HandoverKey, Handover>,
@@ -91,55 +91,55 @@
     tickets: HashMap<u64, Ticket>,
     allowances: HashMap<ServiceName, Allowance>,
     /// How fast engines read.
-    speeds: HashMap<ServiceName, Speed>,
+    reading_speeds: HashMap<ServiceName, Speed>,
     stage_times: intake::StageTimes,
     peers: Vec<Peer>,
     /// Peers that did not answer a hand-over, and until when they get none.
-    avoided: HashMap<InstanceName, Duration>,
-    announced: usize,
+    unresponsive_peers: HashMap<InstanceName, Duration>,
+    announced_count: usize,
     /// Until when requests that peers may have a part in wait for word of them.
-    peers_by: Duration,
+    peers_deadline: Duration,
     /// Until when all requests wait for word of what is in force.
-    news_by: Duration,
+    tables_deadline: Duration,
     /// Placers that did not answer, and until when they are not asked.
-    mute_placers: HashMap<InstanceName, Duration>,
+    unresponsive_placers: HashMap<InstanceName, Duration>,
     /// Engines that were asked what they hold, and when this instance last
     /// placed a prompt.
-    listed: HashSet<EndpointKey>,
-    placed_at: Duration,
+    queried_engines: HashSet<EndpointKey>,
+    last_placement: Duration,
     /// The engines of the calls that this instance placed, by their numbers.
     runs: HashMap<RunNumber, EndpointKey>,
     next_run: RunNumber,
     /// How long calls are at engines, as a moving average.
-    run_time: Duration,
+    average_run: Duration,
     /// What placers are to be told, and when.
-    reports: HashMap<InstanceName, Vec<Progress>>,
+    progress_reports: HashMap<InstanceName, Vec<Progress>>,
     /// Limits that go with these.
-    notices: HashMap<InstanceName, Vec<Notice>>,
+    pending_notices: HashMap<InstanceName, Vec<Notice>>,
     report_at: Duration,
     is_batching: bool,
     quarantine: Quarantine,
     /// Whether it is known what is held back. Nothing is sent before.
-    knows_quarantine: bool,
+    is_quarantine_read: bool,
     /// Runs that were cut lately, by the endpoint's life.
-    cuts: HashMap<EndpointKey, quarantine::Cuts>,
+    cut_runs: HashMap<EndpointKey, quarantine::CutRuns>,
     policy: Option<Program>,
     /// Room has become free that waiting pieces may need.
-    has_room: bool,
-    due: BTreeSet<(Duration, ExchangeKey)>,
+    has_freed_memory: bool,
+    deadlines: BTreeSet<(Duration, ExchangeKey)>,
     /// When first tokens of engines are overdue.
-    overdue: BTreeSet<(Duration, CallKey)>,
+    token_deadlines: BTreeSet<(Duration, CallKey)>,
     /// When the engines that are called with results have probably read them.
-    spare_at: BTreeSet<(Duration, ExchangeKey)>,
+    evictable_at: BTreeSet<(Duration, ExchangeKey)>,
     /// When who batches a service told last that pieces wait there.
-    queues: HashMap<ServiceName, Duration>,
+    backlogs: HashMap<ServiceName, Duration>,
     /// When this instance tells of its own queues next.
-    next_word: Duration,
+    next_backlog: Duration,
     /// How long after its call an engine has probably read them.
-    read_time: Duration,
+    read_delay: Duration,
     searching: BTreeSet<ExchangeKey>,
     next_search: Duration,
-    next_clean: Duration,
+    next_cleanup: Duration,
     actions: Vec<Action>,
 }
 
@@ -184,44 +184,44 @@
             rng: SmallRng::seed_from_u64(seed),
             config: None,
             directory: Directory::default(),
-            memory: choice::prompts::Memory::default(),
+            prompt_memory: choice::prompts::Memory::default(),
             exchanges: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             handovers: SlotMap::with_key(),
             batches: Batches::default(),
             tickets: HashMap::new(),
             allowances: HashMap::new(),
-            speeds: HashMap::new(),
+            reading_speeds: HashMap::new(),
             stage_times: intake::StageTimes::default(),
             peers: Vec::new(),
-            avoided: HashMap::new(),
-            announced: 0,
-            peers_by: Duration::ZERO,
-            news_by: Duration::ZERO,
-            mute_placers: HashMap::new(),
-            listed: HashSet::new(),
-            placed_at: Duration::ZERO,
+            unresponsive_peers: HashMap::new(),
+            announced_count: 0,
+            peers_deadline: Duration::ZERO,
+            tables_deadline: Duration::ZERO,
+            unresponsive_placers: HashMap::new(),
+            queried_engines: HashSet::new(),
+            last_placement: Duration::ZERO,
             runs: HashMap::new(),
             next_run,
-            run_time: placing::FIRST_RUN_TIME,
-            reports: HashMap::new(),
-            notices: HashMap::new(),
+            average_run: placing::INITIAL_RUN_TIME,
+            progress_reports: HashMap::new(),
+            pending_notices: HashMap::new(),
             report_at: Duration::ZERO,
             is_batching: true,
             quarantine: Quarantine::default(),
-            knows_quarantine: false,
-            cuts: HashMap::new(),
+            is_quarantine_read: false,
+            cut_runs: HashMap::new(),
             policy: None,
-            has_room: false,
-            due: BTreeSet::new(),
-            overdue: BTreeSet::new(),
-            spare_at: BTreeSet::new(),
-            queues: HashMap::new(),
-            next_word: Duration::ZERO,
-            read_time: results::FIRST_READ_TIME,
+            has_freed_memory: false,
+            deadlines: BTreeSet::new(),
+            token_deadlines: BTreeSet::new(),
+            evictable_at: BTreeSet::new(),
+            backlogs: HashMap::new(),
+            next_backlog: Duration::ZERO,
+            read_delay: results::INITIAL_READ_DELAY,
             searching: BTreeSet::new(),
             next_search: Duration::ZERO,
-            next_clean: Duration::ZERO,
+            next_cleanup: Duration::ZERO,
             actions: Vec::new(),
         }
     }
@@ -267,21 +267,21 @@
 
     /// When [`Relay::tick`] should be called next.
     pub fn next_wake(&self, now: Duration) -> Duration {
-        if self.has_room && !self.batches.services().is_empty() {
+        if self.has_freed_memory && !self.batches.services().is_empty() {
             return now;
         }
-        let due = self.due.first().map(|(at, _)| *at);
+        let due = self.deadlines.first().map(|(at, _)| *at);
         let search = (!self.searching.is_empty()).then_some(self.next_search);
-        let spare = self.spare_at.first().map(|(at, _)| *at);
+        let spare = self.evictable_at.first().map(|(at, _)| *at);
         let batch = self.batches.next_wake(now);
-        let overdue = self.overdue.first().map(|(at, _)| *at);
+        let overdue = self.token_deadlines.first().map(|(at, _)| *at);
         let report = self.next_report();
-        let word = (!self.batches.services().is_empty()).then_some(self.next_word.max(now));
+        let word = (!self.batches.services().is_empty()).then_some(self.next_backlog.max(now));
         [due, overdue, search, spare, batch, report, word]
             .into_iter()
             .flatten()
             .min()
-            .unwrap_or(self.next_clean)
+            .unwrap_or(self.next_cleanup)
     }
 
     /// Takes in a configuration. An older one is passed over; false then.
@@ -295,21 +295,21 @@
 
     /// Takes in a change of the directory.
     pub fn apply_change(&mut self, now: Duration, change: Change) -> Changed {
-        let change = self.unless_strange(change);
+        let change = self.reject_unknown_service(change);
         let changed = self.directory.change(now, change);
         if let Some(Ended { endpoint, is_planned }) = changed.ended {
-            self.end_life(now, endpoint, is_planned);
+            self.end_incarnation(now, endpoint, is_planned);
         }
         if changed.is_new {
             self.search(now);
-            self.make_all(now);
+            self.dispatch_all(now);
         }
         changed
     }
 
     /// An entry that moves a known endpoint to a service that the configuration does
     /// not name is nobody's: anybody may write to the directory.
-    fn unless_strange(&self, change: Change) -> Change {
+    fn reject_unknown_service(&self, change: Change) -> Change {
         let Change::Put(entry) = &change else { return change };
         let Some(config) = &self.config else { return change };
         let known = self.directory.service_of(&entry.name);
@@ -329,14 +329,14 @@
     /// Takes in which peers are taken for alive, and how many instances there
     /// are at the most: those that ever announced themselves.
     pub fn set_peers(&mut self, now: Duration, peers: Vec<Peer>, announced: usize) {
-        self.avoided.retain(|_, until| now < *until);
-        self.mute_placers.retain(|_, until| now < *until);
+        self.unresponsive_peers.retain(|_, until| now < *until);
+        self.unresponsive_placers.retain(|_, until| now < *until);
         let is_known = |peer: &Peer| self.peers.iter().any(|known| known.name == peer.name);
         let has_joined = !peers.iter().all(is_known);
         self.peers = peers;
-        self.announced = announced;
+        self.announced_count = announced;
         if has_joined {
-            self.tell_joined();
+            self.notify_new_peers();
         }
     }
 
@@ -346,33 +346,33 @@
     /// the fifth of a second before they knew each other, and 8,000 of these found
     /// their endpoint full.
     pub fn hold_for_peers(&mut self, until: Duration) {
-        self.peers_by = until;
+        self.peers_deadline = until;
     }
 
     /// This instance stood still and does not know what is in force: until it does,
     /// or until that time, all requests wait. An instance that was suspended for half
     /// a minute sent by the routes of before until its first look at the tables.
     pub fn hold_for_tables(&mut self, until: Duration) {
-        self.news_by = until;
+        self.tables_deadline = until;
     }
 
     /// What is in force is known again.
     pub fn mark_tables_read(&mut self, now: Duration) {
-        if now < std::mem::take(&mut self.news_by) {
+        if now < std::mem::take(&mut self.tables_deadline) {
             self.search(now);
         }
     }
 
     /// The peers are known now.
     pub fn mark_peers_known(&mut self, now: Duration) {
-        if now < std::mem::take(&mut self.peers_by) {
+        if now < std::mem::take(&mut self.peers_deadline) {
             self.search(now);
         }
     }
 
     /// A caller's request has been read whole.
     pub fn on_request(&mut self, now: Duration, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
-        let config = self.config.clone().filter(|_| self.knows_quarantine);
+        let config = self.config.clone().filter(|_| self.is_quarantine_read);
         let config = config.ok_or(Refusal::NotReady)?;
         let route = config.route(&arrival.host, &arrival.path).ok_or(Refusal::NoRoute)?;
         let team = config.team(arrival.key.as_deref());
@@ -407,11 +407,11 @@
             patience: None,
             arrival,
         };
-        self.earn(now, &exchange.service, 1);
+        self.deposit(now, &exchange.service, 1);
         let due = exchange.due;
         let key = self.exchanges.insert(exchange);
-        self.due.insert((due, key));
-        if !self.takes_in(now, key) {
+        self.deadlines.insert((due, key));
+        if !self.admits(now, key) {
             self.give_up(now, key, Refusal::Infeasible);
         } else if self.policy_admits(now, key) {
             self.exchanges[key].priority = self.policy_priority(now, key);
@@ -424,31 +424,31 @@
 
     /// Does what has become due.
     pub fn tick(&mut self, now: Duration) {
-        self.tick_quietly(now);
+        self.time_out_due(now);
         if now >= self.next_search && !self.searching.is_empty() {
             self.search(now);
         }
-        self.move_overdue(now);
+        self.retry_overdue(now);
         self.send_reports(now);
-        self.spare_results(now);
-        self.tell_queues(now);
-        self.spare_inputs(now);
-        self.make_stragglers_again(now);
-        self.make_all(now);
-        if now >= self.next_clean {
-            self.next_clean = now + CLEAN_UP;
+        self.report_evictable(now);
+        self.report_backlogs(now);
+        self.report_read_inputs(now);
+        self.duplicate_stragglers(now);
+        self.dispatch_all(now);
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_INTERVAL;
             self.directory.forget(now);
-            self.release_old(now);
+            self.release_expired(now);
             self.forget_runs();
-            self.forget_limits(now);
+            self.expire_limits(now);
             self.batches.forget(&self.directory);
         }
     }
 
     /// Goes on with an exchange: its next stages, or its call.
     fn advance(&mut self, now: Duration, key: ExchangeKey) {
-        if self.held_for(now, key).is_some() {
-            self.refuse_held(now, key);
+        if self.quarantined_for(now, key).is_some() {
+            self.refuse_quarantined(now, key);
             return;
         }
         if self.needs_evacuated(now, key) {
@@ -457,8 +457,8 @@
         }
         let exchange = &self.exchanges[key];
         let is_shared = !exchange.graph.is_complete() || exchange.arrival.prompt.is_some();
-        if now < self.news_by || (is_shared && now < self.peers_by) {
-            self.look_again(now, key);
+        if now < self.tables_deadline || (is_shared && now < self.peers_deadline) {
+            self.search_later(now, key);
             return;
         }
         if !exchange.graph.is_complete() {
@@ -471,14 +471,14 @@
     /// Instances that may be alive. Those that are only out of sight count: they
     /// repeat out of the same bound.
     fn instances(&self) -> usize {
-        (self.peers.len() + 1).max(self.announced).max(self.settings.instances)
+        (self.peers.len() + 1).max(self.announced_count).max(self.settings.instances)
     }
 
-    fn earn(&mut self, now: Duration, service: &ServiceName, count: u32) {
+    fn deposit(&mut self, now: Duration, service: &ServiceName, count: u32) {
         self.allowance(service).earn(now, count);
     }
 
-    fn spend(&mut self, now: Duration, service: &ServiceName, count: u32) -> bool {
+    fn try_withdraw(&mut self, now: Duration, service: &ServiceName, count: u32) -> bool {
         let instances = self.instances();
         self.allowance(service).spend(now, count, instances)
     }
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -16,7 +16,7 @@
 };
 
 /// Pause before an exchange looks again for a usable endpoint.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(40);
 /// Share of its objective that an exchange waits for a usable endpoint: one that
 /// restarts or whose connection broke is often back by then, and a caller that
 /// is refused then still has most of its time.
@@ -35,7 +35,7 @@
         let is_success = (200..300).contains(&head.status);
         if is_stream && is_success {
             self.exchanges[exchange].was_called = true;
-            self.note_answer(now, call, head.load);
+            self.record_answer(now, call, head.load);
         }
         is_stream && is_success
     }
@@ -56,7 +56,7 @@
             self.actions.push(Action::Begin { exchange: key, call });
             self.free_results(key);
         }
-        self.tick_quietly(now);
+        self.time_out_due(now);
         true
     }
 
@@ -79,10 +79,10 @@
         if head.is_turned_away() {
             self.end_call(now, call, Step::Refused(head.load));
         } else if head.is_unrun {
-            self.note_load(now, endpoint, head.load);
+            self.record_load(now, endpoint, head.load);
             self.end_call(now, call, Step::Ended);
         } else {
-            self.note_answer(now, call, head.load);
+            self.record_answer(now, call, head.load);
             self.quarantine.note_answer(now, self.exchanges[key].content);
             self.end_call(now, call, Step::Ended);
         }
@@ -102,7 +102,7 @@
         let has_run = self.exchanges[key].was_called;
         let may_run = self.exchanges[key].route.kind.may_repeat() || !has_run;
         if inputs_gone && may_run {
-            self.inputs_gone(now, key);
+            self.remake_inputs(now, key);
             return;
         }
         let exchange = &mut self.exchanges[key];
@@ -111,15 +111,15 @@
         }
         exchange.was_called |= !head.is_unrun;
         let own_answer = (!head.is_unrun && head.is_sealed).then_some(call);
-        self.repeat(now, key, own_answer);
+        self.retry(now, key, own_answer);
     }
 
     /// A call failed without a whole reply.
     pub fn on_call_failure(&mut self, now: Duration, call: CallKey, failure: Failure) {
         let Some(key) = self.exchange_of(call) else { return };
         if failure == Failure::Cut {
-            let runs = self.runs_of(now, call);
-            self.note_cut(now, self.calls[call].endpoint, runs);
+            let runs = self.runs_of_call(now, call);
+            self.on_cut(now, self.calls[call].endpoint, runs);
         }
         self.end_call(now, call, Step::Failed(failure));
         let exchange = &mut self.exchanges[key];
@@ -127,15 +127,15 @@
             Failure::Unsent => exchange.attempts -= 1,
             Failure::Cut | Failure::Foreign => exchange.was_called = true,
         }
-        self.repeat(now, key, None);
+        self.retry(now, key, None);
     }
 
     /// An engine did not run a call since results that it takes in are gone.
-    fn inputs_gone(&mut self, now: Duration, key: ExchangeKey) {
-        self.note_early_spare(key);
+    fn remake_inputs(&mut self, now: Duration, key: ExchangeKey) {
+        self.extend_read_delay(key);
         self.exchanges[key].attempts -= 1;
         let service = self.exchanges[key].service.clone();
-        if self.spend(now, &service, 1) {
+        if self.try_withdraw(now, &service, 1) {
             self.restart_stages(now, key);
         } else {
             self.give_up(now, key, Refusal::Failed);
@@ -160,12 +160,12 @@
             return;
         }
         if !self.ask_placer(now, key) {
-            self.call_alone(now, key);
+            self.call_without_placer(now, key);
         }
     }
 
     /// The same without asking anybody where to.
-    pub(super) fn call_alone(&mut self, now: Duration, key: ExchangeKey) {
+    pub(super) fn call_without_placer(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let places = exchange.graph.output_places(&exchange.route);
         let Some(chosen) = self.choose(now, key, &places) else {
@@ -173,7 +173,7 @@
             return;
         };
         let placed = Placed { chosen, source: self.addr_of(chosen.source), placer: None };
-        self.call_at(now, key, placed);
+        self.send_call(now, key, placed);
     }
 
     pub(super) fn addr_of(&self, endpoint: Option<EndpointKey>) -> Option<Arc<str>> {
@@ -181,11 +181,11 @@
     }
 
     /// Calls an endpoint.
-    pub(super) fn call_at(&mut self, now: Duration, key: ExchangeKey, placed: Placed) {
+    pub(super) fn send_call(&mut self, now: Duration, key: ExchangeKey, placed: Placed) {
         let Placed { chosen, source, placer } = placed;
         let choice::Candidate { endpoint, tokens, .. } = chosen;
         self.searching.remove(&key);
-        let run = self.note_sent(now, key, &chosen);
+        let run = self.record_prompt(now, key, &chosen);
         let basis = self.basis(now, key, endpoint, tokens);
         let call = self.calls.insert(CallState {
             exchange: ExchangeOf::Exchange(key),
@@ -198,7 +198,7 @@
             overdue: None,
         });
         if run.is_some() {
-            self.watch(now, call, &chosen);
+            self.watch_first_token(now, call, &chosen);
         }
         self.pace_call(now, endpoint);
         let exchange = &mut self.exchanges[key];
@@ -222,12 +222,12 @@
             attempt: exchange.attempts,
             basis,
         };
-        self.spare_later(now + chosen.wait, key);
+        self.schedule_eviction(now + chosen.wait, key);
         self.actions.push(Action::Send(call));
     }
 
     /// Remembers what an engine is sent.
-    fn note_sent(
+    fn record_prompt(
         &mut self,
         now: Duration,
         key: ExchangeKey,
@@ -235,7 +235,7 @@
     ) -> Option<RunNumber> {
         let Exchange { service, arrival, .. } = &self.exchanges[key];
         let prompt = arrival.prompt.clone()?;
-        Some(self.note_placed(now, &service.clone(), chosen, &prompt))
+        Some(self.record_placement(now, &service.clone(), chosen, &prompt))
     }
 
     pub(super) fn basis(
@@ -256,7 +256,7 @@
     }
 
     pub(super) fn wait_for_endpoint(&mut self, now: Duration, key: ExchangeKey) {
-        let free = self.first_free(now, key);
+        let free = self.first_available(now, key);
         let exchange = &mut self.exchanges[key];
         let patience = exchange.route.objective.mul_f64(PATIENCE_SHARE);
         let until = *exchange.patience.get_or_insert(now + patience);
@@ -267,20 +267,20 @@
             self.give_up(now, key, refusal);
             return;
         }
-        self.look_again(now, key);
+        self.search_later(now, key);
     }
 
     /// Goes on with an exchange in a moment.
-    pub(super) fn look_again(&mut self, now: Duration, key: ExchangeKey) {
+    pub(super) fn search_later(&mut self, now: Duration, key: ExchangeKey) {
         if self.searching.is_empty() {
-            self.next_search = now + LOOK_AGAIN;
+            self.next_search = now + SEARCH_INTERVAL;
         }
         self.searching.insert(key);
     }
 
     /// Tries again for the exchanges that found no endpoint, or no peer.
     pub(super) fn search(&mut self, now: Duration) {
-        self.next_search = now + LOOK_AGAIN;
+        self.next_search = now + SEARCH_INTERVAL;
         for key in std::mem::take(&mut self.searching) {
             if self.exchanges.contains_key(key) {
                 self.advance(now, key);
@@ -290,7 +290,7 @@
 
     /// Sends an exchange to another endpoint, or ends it. `answer` is the
     /// endpoint's own failure, which is passed on if it stays at that.
-    pub(super) fn repeat(&mut self, now: Duration, key: ExchangeKey, answer: Option<CallKey>) {
+    pub(super) fn retry(&mut self, now: Duration, key: ExchangeKey, answer: Option<CallKey>) {
         let exchange = &self.exchanges[key];
         let kind = exchange.route.kind;
         let may_run = kind.may_repeat() || !exchange.was_called;
@@ -300,7 +300,7 @@
         let is_first = exchange.attempts == 0;
         let service = exchange.service.clone();
         let may_try = may_run && can_go_on && has_attempts && has_time;
-        if may_try && (is_first || self.spend(now, &service, 1)) {
+        if may_try && (is_first || self.try_withdraw(now, &service, 1)) {
             if self.exchanges[key].has_begun {
                 self.restart_stages(now, key);
             }
@@ -330,13 +330,13 @@
         }
     }
 
-    fn note_load(&mut self, now: Duration, endpoint: EndpointKey, load: Option<Load>) {
+    fn record_load(&mut self, now: Duration, endpoint: EndpointKey, load: Option<Load>) {
         if let (Some(endpoint), Some(load)) = (self.directory.get_mut(endpoint), load) {
             endpoint.reported(now, load);
         }
     }
 
-    pub(super) fn note_answer(&mut self, now: Duration, call: CallKey, load: Option<Load>) {
+    pub(super) fn record_answer(&mut self, now: Duration, call: CallKey, load: Option<Load>) {
         let Some(state) = self.calls.get_mut(call) else { return };
         if state.answered.replace(now).is_some() {
             return;
@@ -347,14 +347,14 @@
             && let Some(Exchange { service, arrival, .. }) = self.exchanges.get(key)
             && arrival.prompt.is_some()
         {
-            self.speeds.entry(service.clone()).or_default().note(now, tokens, took);
+            self.reading_speeds.entry(service.clone()).or_default().note(now, tokens, took);
         }
-        self.note_step(now, call, Step::Answered(load));
+        self.record_step(now, call, Step::Answered(load));
     }
 
     /// A call has got so far: what is known of its endpoint changes, and a peer
     /// that placed it is told.
-    fn note_step(&mut self, now: Duration, call: CallKey, step: Step) {
+    fn record_step(&mut self, now: Duration, call: CallKey, step: Step) {
         let Some(CallState { endpoint, started, run, placer, .. }) = self.calls.get(call) else {
             return;
         };
@@ -376,10 +376,10 @@
     }
 
     pub(super) fn end_call(&mut self, now: Duration, call: CallKey, step: Step) {
-        self.note_step(now, call, step);
+        self.record_step(now, call, step);
         let Some(state) = self.calls.remove(call) else { return };
         if let Some(at) = state.overdue {
-            self.overdue.remove(&(at, call));
+            self.token_deadlines.remove(&(at, call));
         }
         if let Some(endpoint) = self.directory.get_mut(state.endpoint) {
             endpoint.ended();
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -9,15 +9,15 @@
 };
 
 /// Share of the remaining time that a caller may be told to stay away.
-const AWAY_SHARE: f64 = 0.3;
+const RETRY_AFTER_SHARE: f64 = 0.3;
 /// Shortest time that a caller is told to stay away.
-const SHORTEST_AWAY: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Time until an endpoint that failed is usable again, as callers are told.
-const USUAL_AWAY: Duration = Duration::from_millis(400);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Time until a queue that is too long has got shorter, as callers are told. It
 /// is not worked out from the queue; three tenths of what is left is nearly
 /// always less.
-const LONG_AWAY: Duration = Duration::from_secs(3);
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(3);
 
 impl Relay {
     /// Ends all exchanges: the instance is about to end. Callers that hold no
@@ -33,10 +33,10 @@
     pub(super) fn stop_work(&mut self, now: Duration, key: ExchangeKey) {
         if let Some(call) = self.exchanges[key].call {
             self.cancel(now, call);
-            self.note_run(key);
+            self.mark_may_have_run(key);
         }
         if !self.exchanges[key].graph.is_complete() {
-            self.note_run(key);
+            self.mark_may_have_run(key);
         }
     }
 
@@ -48,11 +48,11 @@
         self.close(key);
     }
 
-    pub(super) fn tick_quietly(&mut self, now: Duration) {
-        while let Some(&(at, key)) = self.due.first()
+    pub(super) fn time_out_due(&mut self, now: Duration) {
+        while let Some(&(at, key)) = self.deadlines.first()
             && at <= now
         {
-            self.due.remove(&(at, key));
+            self.deadlines.remove(&(at, key));
             self.time_out(now, key);
         }
     }
@@ -70,7 +70,7 @@
     }
 
     /// Some of an exchange's work may have been done.
-    pub(super) fn note_run(&mut self, key: ExchangeKey) {
+    pub(super) fn mark_may_have_run(&mut self, key: ExchangeKey) {
         if let Some(exchange) = self.exchanges.get_mut(key) {
             exchange.has_run = true;
         }
@@ -86,32 +86,32 @@
         }
         let has_run = exchange.has_run || exchange.was_called || refusal == Refusal::TimedOut;
         let may_come_back = !has_run || exchange.route.kind.may_repeat();
-        let away = self.away(now, key, refusal);
+        let away = self.retry_after(now, key, refusal);
         let refusal = refusal.after(has_run);
-        let retry_after = (may_come_back && away >= SHORTEST_AWAY).then_some(away);
+        let retry_after = (may_come_back && away >= MIN_RETRY_AFTER).then_some(away);
         self.actions.push(Action::Refuse { exchange: key, refusal, retry_after });
         self.close(key);
     }
 
     /// How long its caller should stay away. What is held back stays so for longer
     /// than any caller waits: a sooner time would not be true.
-    fn away(&self, now: Duration, key: ExchangeKey, refusal: Refusal) -> Duration {
+    fn retry_after(&self, now: Duration, key: ExchangeKey, refusal: Refusal) -> Duration {
         if refusal == Refusal::Quarantined {
-            return self.held_for(now, key).unwrap_or_default();
+            return self.quarantined_for(now, key).unwrap_or_default();
         }
         let usual = match refusal {
             // An evacuation ends when the operators say so; no sooner than this.
-            Refusal::Infeasible | Refusal::Evacuated => LONG_AWAY,
-            _ => USUAL_AWAY,
+            Refusal::Infeasible | Refusal::Evacuated => OVERLOAD_RETRY_AFTER,
+            _ => DEFAULT_RETRY_AFTER,
         };
         let remaining = self.exchanges[key].due.saturating_sub(now);
-        self.policy_away(now, key, usual).min(remaining.mul_f64(AWAY_SHARE))
+        self.policy_retry_after(now, key, usual).min(remaining.mul_f64(RETRY_AFTER_SHARE))
     }
 
     /// Forgets an exchange and gives up all that it holds.
     pub(super) fn close(&mut self, key: ExchangeKey) {
         let Some(mut exchange) = self.exchanges.remove(key) else { return };
-        self.due.remove(&(exchange.due, key));
+        self.deadlines.remove(&(exchange.due, key));
         self.searching.remove(&key);
         self.batches.drop_waiting(Holder::Own(key));
         for handover in exchange.handovers.drain(..) {
--- a/crates/core/src/relay/machine/evacuation.rs
+++ b/crates/core/src/relay/machine/evacuation.rs
@@ -21,14 +21,14 @@
     /// Takes in what operators ordered, the oldest first. Returns for each whether it
     /// changed anything. Nothing is sent before all of it is in force.
     pub fn apply_operator_changes(&mut self, now: Duration, acts: Vec<Act>) -> Vec<bool> {
-        let taken = acts.into_iter().map(|act| self.take_act(act)).collect();
+        let taken = acts.into_iter().map(|act| self.apply_operator_change(act)).collect();
         self.refuse_evacuated(now);
         self.search(now);
-        self.make_all(now);
+        self.dispatch_all(now);
         taken
     }
 
-    fn take_act(&mut self, act: Act) -> bool {
+    fn apply_operator_change(&mut self, act: Act) -> bool {
         match act {
             Act::Configure(config) => self.configure(config.into()),
             Act::Evacuate(data_centre) => self.directory.evacuate(data_centre),
--- a/crates/core/src/relay/machine/intake.rs
+++ b/crates/core/src/relay/machine/intake.rs
@@ -20,7 +20,7 @@
 };
 
 /// Weight of a new time in the moving average: the last five or so count.
-const NEWEST_SHARE: f64 = 0.2;
+const NEWEST_WEIGHT: f64 = 0.2;
 /// A service that has shown no time for so long is taken for idle.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(2);
 /// How steeply the share that is taken in falls, once for each rank of urgency
@@ -42,7 +42,7 @@
     pub(super) fn note(&mut self, now: Duration, service: &ServiceName, took: Duration) {
         let known = self.recent(now, service);
         let average = known
-            .map_or(took, |known| known.mul_f64(1.0 - NEWEST_SHARE) + took.mul_f64(NEWEST_SHARE));
+            .map_or(took, |known| known.mul_f64(1.0 - NEWEST_WEIGHT) + took.mul_f64(NEWEST_WEIGHT));
         self.times.insert(service.clone(), (now, average));
     }
 
@@ -57,7 +57,7 @@
     /// Whether a request that has just come is taken in. The less urgent it is
     /// the sooner it is not. One whose stages do not follow each other is left
     /// to their queues, which see all that it waits for.
-    pub(super) fn takes_in(&mut self, now: Duration, key: ExchangeKey) -> bool {
+    pub(super) fn admits(&mut self, now: Duration, key: ExchangeKey) -> bool {
         let exchange = &self.exchanges[key];
         if !exchange.graph.has_chain(&exchange.route) {
             return true;
@@ -81,8 +81,9 @@
             .filter(|idx| exchange.graph.pieces(*idx) > 0);
         let times = firsts.map(|idx| {
             let own = self.recent_time(now, &exchange.route.stages[idx].service);
-            own + self
-                .rest_after_with(exchange, idx, &adapt, &|service| self.recent_time(now, service))
+            own + self.remaining_after_with(exchange, idx, &adapt, &|service| {
+                self.recent_time(now, service)
+            })
         });
         times.max().unwrap_or_default()
     }
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -21,11 +21,16 @@
     /// An endpoint has started again: whatever an earlier life of it was sent
     /// comes to nothing. What it holds of connections and calls would otherwise
     /// be waited for, where the endpoint died behind a cut and nothing says so.
-    pub(super) fn end_life(&mut self, now: Duration, endpoint: EndpointKey, is_planned: bool) {
+    pub(super) fn end_incarnation(
+        &mut self,
+        now: Duration,
+        endpoint: EndpointKey,
+        is_planned: bool,
+    ) {
         let Some(ended) = self.directory.get(endpoint) else { return };
         self.actions.push(Action::Disconnect(ended.entry.addr.clone()));
         if !is_planned {
-            self.note_end(now, endpoint, Vec::new());
+            self.record_endpoint_end(now, endpoint, Vec::new());
         }
         let open = self.calls.iter().filter(|(_, state)| state.endpoint == endpoint);
         let open: Vec<_> = open.map(|(call, state)| (call, state.exchange)).collect();
@@ -39,29 +44,29 @@
     }
 
     /// Remembers when an engine's first token is overdue.
-    pub(super) fn watch(&mut self, now: Duration, call: CallKey, chosen: &Candidate) {
+    pub(super) fn watch_first_token(&mut self, now: Duration, call: CallKey, chosen: &Candidate) {
         let service = &self.directory.get(chosen.endpoint).expect("it is called").entry.service;
-        let speed = self.speeds.get(service).cloned().unwrap_or_default();
+        let speed = self.reading_speeds.get(service).cloned().unwrap_or_default();
         let usual = chosen.wait + chosen.copying + speed.first_token(chosen.tokens);
         let at = now + usual.mul_f64(OVERDUE_FACTOR) + OVERDUE_SLACK;
         self.calls[call].overdue = Some(at);
-        self.overdue.insert((at, call));
+        self.token_deadlines.insert((at, call));
     }
 
     /// Has calls whose first tokens are overdue made elsewhere, where that does no
     /// harm, is in time and within the bound on repetition: their engines hang, or
     /// have more to do than was reckoned with.
-    pub(super) fn move_overdue(&mut self, now: Duration) {
-        while let Some(&(at, call)) = self.overdue.first()
+    pub(super) fn retry_overdue(&mut self, now: Duration) {
+        while let Some(&(at, call)) = self.token_deadlines.first()
             && at <= now
         {
-            self.overdue.remove(&(at, call));
+            self.token_deadlines.remove(&(at, call));
             let Some(key) = self.exchange_of(call) else { continue };
-            if self.calls[call].answered.is_some() || !self.may_move(now, key) {
+            if self.calls[call].answered.is_some() || !self.may_retry_elsewhere(now, key) {
                 continue;
             }
             let service = self.exchanges[key].service.clone();
-            if self.spend(now, &service, 1) {
+            if self.try_withdraw(now, &service, 1) {
                 self.actions.push(Action::Cancel(call));
                 self.end_call(now, call, Step::Failed(Failure::Cut));
                 self.exchanges[key].was_called = true;
@@ -71,7 +76,7 @@
     }
 
     /// Whether a call of an exchange may be made again elsewhere.
-    fn may_move(&self, now: Duration, key: ExchangeKey) -> bool {
+    fn may_retry_elsewhere(&self, now: Duration, key: ExchangeKey) -> bool {
         let Exchange { route, attempts, due, has_begun, service, tried, .. } = &self.exchanges[key];
         let may_repeat = route.kind.may_repeat() && !has_begun && *attempts < route.max_attempts;
         let is_sound =
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -61,7 +61,7 @@
     /// Forgets limits of which nothing was heard for long: whoever calls such an
     /// endpoint may have no requests for it. One instance after the other does so, and
     /// hears at its first call whether the limit holds on.
-    pub(super) fn forget_limits(&mut self, now: Duration) {
+    pub(super) fn expire_limits(&mut self, now: Duration) {
         let instances = self.instances() as u32;
         for endpoint in self.directory.all_mut() {
             let is_old = endpoint.word.is_some_and(|word| now >= word.at + FORGOTTEN_AFTER);
@@ -106,7 +106,7 @@
     /// When an endpoint may be called with an exchange again, where all that it may
     /// still go to want nothing from this instance; `None` if one of them does, or there
     /// is none.
-    pub(super) fn first_free(&self, now: Duration, key: ExchangeKey) -> Option<Duration> {
+    pub(super) fn first_available(&self, now: Duration, key: ExchangeKey) -> Option<Duration> {
         let Exchange { service, tried, .. } = &self.exchanges[key];
         let usable = self.directory.usable(now, service).into_iter();
         let open = usable.filter(|endpoint| !tried.contains(endpoint));
@@ -128,7 +128,7 @@
     /// Tells until when an endpoint that makes pieces gets none.
     pub(super) fn pace_pieces(&mut self, now: Duration, key: EndpointKey) {
         let Some(endpoint) = self.directory.get(key) else { return };
-        if self.shape(&endpoint.entry.service).is_some() {
+        if self.piece_config(&endpoint.entry.service).is_some() {
             let pace = self.pace(now, endpoint);
             let slot = pace.and_then(|pace| Some(endpoint.slot? + pace.interval));
             let until = endpoint.rests_until.max(slot.unwrap_or(now));
@@ -179,7 +179,7 @@
     /// Whether one instance decides for all what an endpoint of a service is sent.
     fn has_one_caller(&self, service: &str) -> bool {
         let is_placed = self.has_engines(service) && !self.has_route_policy();
-        is_placed || self.shape(service).is_some()
+        is_placed || self.piece_config(service).is_some()
     }
 
     /// Whether this instance is one of an endpoint's callers. One that stops is none:
@@ -189,7 +189,7 @@
         if self.has_one_caller(service) || is_going {
             return false;
         }
-        let place = self.place_of(xxh3::xxh3_64(endpoint.entry.name.as_bytes()));
+        let place = self.rank_of(xxh3::xxh3_64(endpoint.entry.name.as_bytes()));
         place < pace.callers as usize
     }
 }
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -42,13 +42,13 @@
 
 /// Engines of one placer. At twelve prompts a second an engine, the size to
 /// design for, a placer is asked 480 times a second.
-const ENGINES: usize = 40;
+const ENGINES_PER_PLACER: usize = 40;
 /// Pause in which an instance gathers what it tells a placer of its calls.
-const REPORT_PAUSE: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a call is at an engine before any call has shown it.
-pub(super) const FIRST_RUN_TIME: Duration = Duration::from_millis(1500);
+pub(super) const INITIAL_RUN_TIME: Duration = Duration::from_millis(1500);
 /// Weight of a new time in the moving average of that.
-const NEWEST_SHARE: f64 = 0.05;
+const NEWEST_WEIGHT: f64 = 0.05;
 /// A placer that did not answer is not asked for so long. Until then its
 /// liveness counter shows whether it is there.
 const AVOID_TIME: Duration = Duration::from_secs(2);
@@ -73,7 +73,7 @@
             return false;
         }
         let Some(peer) = self.placer(&exchange.service, prompt) else { return false };
-        if self.mute_placers.get(&peer).is_some_and(|until| now < *until) {
+        if self.unresponsive_placers.get(&peer).is_some_and(|until| now < *until) {
             return false;
         }
         let question = Question {
@@ -89,7 +89,7 @@
 
     /// A placer did not answer.
     pub fn on_placer_failure(&mut self, now: Duration, peer: &InstanceName) {
-        self.mute_placers.insert(peer.clone(), now + AVOID_TIME);
+        self.unresponsive_placers.insert(peer.clone(), now + AVOID_TIME);
     }
 
     /// A placer answered, or did not: `None` then, or if it found no engine.
@@ -104,14 +104,14 @@
         let is_wanted = exchange.is_some_and(|it| std::mem::take(&mut it.is_placing));
         let number = placement.as_ref().map(|placement| placement.number);
         let chosen = placement.filter(|_| is_wanted);
-        let chosen = chosen.and_then(|placement| self.candidate(now, key, peer, placement));
+        let chosen = chosen.and_then(|placement| self.check_placement(now, key, peer, placement));
         if let (None, Some(number)) = (&chosen, number) {
             // The placer reckons with a call that is not made.
             self.report(now, peer.clone(), Progress { number, step: Step::Ended });
         }
         match chosen {
-            Some(placed) => self.call_at(now, key, placed),
-            None if is_wanted => self.call_alone(now, key),
+            Some(placed) => self.send_call(now, key, placed),
+            None if is_wanted => self.call_without_placer(now, key),
             None => {}
         }
     }
@@ -119,16 +119,16 @@
     /// Asks the engines of a service what they hold, of which this instance does
     /// not know it: it has not placed prompts lately, or they are new. What was
     /// read before a placer started would otherwise be read again.
-    fn list_parts(&mut self, now: Duration, service: &str) {
-        if now > self.placed_at + prompts::HELD_FOR {
-            self.listed.clear();
+    fn query_parts(&mut self, now: Duration, service: &str) {
+        if now > self.last_placement + prompts::HELD_FOR {
+            self.queried_engines.clear();
         }
-        self.placed_at = now;
+        self.last_placement = now;
         for endpoint in self.directory.usable(now, service) {
             let Some(engine) = self.directory.get(endpoint) else { continue };
             // The question is a call too.
             let is_spared = engine.wants_rest(now) || engine.limit().is_some();
-            if !is_spared && self.listed.insert(endpoint) {
+            if !is_spared && self.queried_engines.insert(endpoint) {
                 let addr = engine.entry.addr.clone();
                 self.actions.push(Action::ListParts { endpoint, addr });
             }
@@ -140,18 +140,18 @@
     pub fn on_parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &Listed) {
         let Some(engine) = self.directory.get(endpoint) else { return };
         if listed.incarnation.is_none_or(|told| told == engine.entry.incarnation) {
-            self.memory.holds_parts(now, endpoint, listed.parts.iter().copied());
+            self.prompt_memory.holds_parts(now, endpoint, listed.parts.iter().copied());
         }
     }
 
     /// Chooses for a peer. `None` if no engine can take the prompt.
     pub fn place_prompt(&mut self, now: Duration, question: &Question) -> Option<Placement> {
         if self.transfer(&question.service).is_some() {
-            self.list_parts(now, &question.service);
+            self.query_parts(now, &question.service);
         }
         let avoided = question.avoided.iter().filter_map(|life| self.directory.by_life(life));
         let avoided: Vec<_> = avoided.collect();
-        let chooser = self.as_placer(&question.service, &question.prompt);
+        let chooser = self.placer_chooser(&question.service, &question.prompt);
         let withheld = self.withheld(now, &question.service, chooser);
         let wanted = choice::Wanted {
             tried: &avoided,
@@ -161,10 +161,10 @@
             ..self.wanted(&question.service, &question.inputs)
         };
         let (service, prompt) = (&question.service, &question.prompt);
-        let (directory, memory) = (&self.directory, &self.memory);
+        let (directory, memory) = (&self.directory, &self.prompt_memory);
         let candidates = choice::engine(directory, memory, now, service, prompt, wanted);
         let chosen = choice::cheapest(&candidates)?;
-        let number = self.note_placed(now, service, &chosen, prompt);
+        let number = self.record_placement(now, service, &chosen, prompt);
         let source = self.addr_of(chosen.source);
         self.pace_call(now, chosen.endpoint);
         let engine = self.directory.get_mut(chosen.endpoint)?;
@@ -175,17 +175,17 @@
 
     /// A prompt goes to an engine, for this instance or a peer. Returns the
     /// number of its run.
-    pub(super) fn note_placed(
+    pub(super) fn record_placement(
         &mut self,
         now: Duration,
         service: &str,
         chosen: &Candidate,
         prompt: &Prompt,
     ) -> RunNumber {
-        self.memory.sent(now, chosen.endpoint, prompt);
+        self.prompt_memory.sent(now, chosen.endpoint, prompt);
         self.next_run += 1;
         let number = self.next_run;
-        let speed = self.speeds.get(service).cloned().unwrap_or_default();
+        let speed = self.reading_speeds.get(service).cloned().unwrap_or_default();
         let copying = chosen.copying;
         let (reading, first) = (speed.reading(chosen.tokens), speed.usual_rest());
         if let Some(source) = chosen.source.and_then(|key| self.directory.get_mut(key)) {
@@ -212,21 +212,21 @@
         let took = endpoint.engine.ended(now, number).unwrap_or_default();
         endpoint.note(now, took, step);
         if let Step::Ended = step {
-            let kept = self.run_time.mul_f64(1.0 - NEWEST_SHARE);
-            self.run_time = kept + took.mul_f64(NEWEST_SHARE);
+            let kept = self.average_run.mul_f64(1.0 - NEWEST_WEIGHT);
+            self.average_run = kept + took.mul_f64(NEWEST_WEIGHT);
         }
     }
 
     pub(super) fn report(&mut self, now: Duration, peer: InstanceName, progress: Progress) {
-        if self.reports.is_empty() {
-            self.report_at = now + REPORT_PAUSE;
+        if self.progress_reports.is_empty() {
+            self.report_at = now + REPORT_INTERVAL;
         }
-        self.reports.entry(peer).or_default().push(progress);
+        self.progress_reports.entry(peer).or_default().push(progress);
     }
 
     /// When placers are to be told of calls, if there is anything to tell.
     pub(super) fn next_report(&self) -> Option<Duration> {
-        (!self.reports.is_empty()).then_some(self.report_at)
+        (!self.progress_reports.is_empty()).then_some(self.report_at)
     }
 
     /// Tells placers what was gathered for them.
@@ -234,8 +234,8 @@
         if now < self.report_at {
             return;
         }
-        for (peer, progress) in std::mem::take(&mut self.reports) {
-            let notices = self.notices.remove(&peer).unwrap_or_default();
+        for (peer, progress) in std::mem::take(&mut self.progress_reports) {
+            let notices = self.pending_notices.remove(&peer).unwrap_or_default();
             self.actions.push(Action::Report { peer, progress, notices });
         }
     }
@@ -251,7 +251,7 @@
 
     /// What a choice of engines goes by, but for who asks.
     fn wanted<'a>(&'a self, service: &str, inputs: &'a [(DataCentre, u64)]) -> choice::Wanted<'a> {
-        let shape = self.engine(service);
+        let shape = self.engine_config(service);
         choice::Wanted {
             home: &self.settings.data_centre,
             tried: &[],
@@ -261,7 +261,7 @@
             transfer: shape.and_then(|shape| shape.transfer),
             shape,
             token_millis: self.token_millis(service),
-            run_time: self.run_time,
+            run_time: self.average_run,
             chooser: Chooser::Alone,
             instances: self.instances(),
         }
@@ -269,20 +269,20 @@
 
     /// Milliseconds that the engines of a service take to read a token.
     fn token_millis(&self, service: &str) -> f64 {
-        let speed = self.speeds.get(service);
+        let speed = self.reading_speeds.get(service);
         speed.map_or_else(|| Speed::default().token_millis(), Speed::token_millis)
     }
 
-    fn engine(&self, service: &str) -> Option<config::Engine> {
+    fn engine_config(&self, service: &str) -> Option<config::Engine> {
         self.config.as_ref()?.services.get(service)?.engine
     }
 
     pub(super) fn has_engines(&self, service: &str) -> bool {
-        self.engine(service).is_some()
+        self.engine_config(service).is_some()
     }
 
     pub(super) fn transfer(&self, service: &str) -> Option<Transfer> {
-        self.engine(service)?.transfer
+        self.engine_config(service)?.transfer
     }
 
     /// Whether this instance decides where a prompt goes.
@@ -292,20 +292,20 @@
 
     /// The peer that places a prompt; `None` if this instance does.
     fn placer(&self, service: &str, prompt: &Prompt) -> Option<InstanceName> {
-        let share = share_of(prompt, self.shares(service));
+        let share = share_of(prompt, self.placer_count(service));
         self.first_ranked(xxh3::xxh3_64_with_seed(service.as_bytes(), share + 1))
     }
 
-    fn as_placer(&self, service: &str, prompt: &Prompt) -> Chooser {
-        let shares = self.shares(service);
+    fn placer_chooser(&self, service: &str, prompt: &Prompt) -> Chooser {
+        let shares = self.placer_count(service);
         Chooser::Placer { share: share_of(prompt, shares), shares }
     }
 
     /// How many placers a service has.
-    fn shares(&self, service: &str) -> u64 {
+    fn placer_count(&self, service: &str) -> u64 {
         let engines = self.directory.ready_count_of(service);
         let instances = self.peers.len() + 1;
-        engines.div_ceil(ENGINES).clamp(1, instances) as u64
+        engines.div_ceil(ENGINES_PER_PLACER).clamp(1, instances) as u64
     }
 
     /// Engines that this exchange does not go to: tried ones, and those that
@@ -325,7 +325,7 @@
     }
 
     /// The engine that a placer chose, if this instance may use it.
-    fn candidate(
+    fn check_placement(
         &self,
         now: Duration,
         key: ExchangeKey,
@@ -355,11 +355,11 @@
         let (service, prompt) = (service.clone(), arrival.prompt.clone());
         let is_placer = prompt.as_ref().is_some_and(|prompt| self.is_placer(&service, prompt));
         if is_placer && self.transfer(&service).is_some() {
-            self.list_parts(now, &service);
+            self.query_parts(now, &service);
         }
         let mut rng = SmallRng::seed_from_u64(self.rng.random());
         let chooser = match &prompt {
-            Some(prompt) if is_placer => self.as_placer(&service, prompt),
+            Some(prompt) if is_placer => self.placer_chooser(&service, prompt),
             _ => Chooser::Alone,
         };
         let withheld = self.withheld(now, &service, chooser);
@@ -369,7 +369,7 @@
             chooser,
             ..self.wanted(&service, inputs)
         };
-        let (directory, memory) = (&self.directory, &self.memory);
+        let (directory, memory) = (&self.directory, &self.prompt_memory);
         let candidates = match &prompt {
             Some(prompt) => choice::engine(directory, memory, now, &service, prompt, wanted),
             None => choice::plain(directory, now, &service, wanted, || rng.random()),
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -15,7 +15,7 @@
 };
 
 /// Share of the usual time behind a stage that is needed at the least.
-const LEAST_SHARE: f64 = 0.5;
+const MIN_TIME_SHARE: f64 = 0.5;
 /// Share of the objective that a plan leaves for the generation at the most.
 /// Where engines need longer, all would be late from the start, and the order
 /// of the stages would go by nothing any more.
@@ -23,26 +23,26 @@
 
 impl Relay {
     /// The time that is needed behind a stage.
-    pub(super) fn rest(&self, exchange: &Exchange, stage: usize) -> Rest {
-        Rest {
-            usual: self.rest_after(exchange, stage, &|time| time),
-            least: self.rest_after(exchange, stage, &|time| time.mul_f64(LEAST_SHARE)),
+    pub(super) fn remaining_time(&self, exchange: &Exchange, stage: usize) -> RemainingTime {
+        RemainingTime {
+            usual: self.remaining_after(exchange, stage, &|time| time),
+            minimum: self.remaining_after(exchange, stage, &|time| time.mul_f64(MIN_TIME_SHARE)),
         }
     }
 
     /// Time that is needed behind a stage until the first byte of an answer.
     /// `adapt` turns a stage's usual time into the one that counts.
-    pub(super) fn rest_after(
+    pub(super) fn remaining_after(
         &self,
         exchange: &Exchange,
         stage: usize,
         adapt: &dyn Fn(Duration) -> Duration,
     ) -> Duration {
-        self.rest_after_with(exchange, stage, adapt, &|service| self.stage_time(service))
+        self.remaining_after_with(exchange, stage, adapt, &|service| self.stage_time(service))
     }
 
     /// The same, where stages take what `stage_time` says for their services.
-    pub(super) fn rest_after_with(
+    pub(super) fn remaining_after_with(
         &self,
         exchange: &Exchange,
         stage: usize,
@@ -55,7 +55,7 @@
         });
         let longest = followers.map(|next| {
             let time = adapt(stage_time(&route.stages[next].service));
-            time + self.rest_after_with(exchange, next, adapt, stage_time)
+            time + self.remaining_after_with(exchange, next, adapt, stage_time)
         });
         longest.max().unwrap_or_else(|| adapt(self.generation_time(exchange)))
     }
@@ -65,7 +65,7 @@
     pub(super) fn generation_time(&self, exchange: &Exchange) -> Duration {
         let Some(prompt) = &exchange.arrival.prompt else { return Duration::ZERO };
         let own = prompt.own_tokens();
-        let speed = self.speeds.get(&exchange.service);
+        let speed = self.reading_speeds.get(&exchange.service);
         let first_token = |speed: &Speed| speed.first_token(own);
         let usual = speed.map_or_else(|| first_token(&Speed::default()), first_token);
         usual.min(exchange.route.objective.mul_f64(GENERATION_SHARE))
@@ -73,25 +73,25 @@
 
     /// The usual time of a stage: half a call's wait and a half full call.
     pub(super) fn stage_time(&self, service: &str) -> Duration {
-        let Some(shape) = self.shape(service) else { return Duration::ZERO };
+        let Some(shape) = self.piece_config(service) else { return Duration::ZERO };
         Batches::call_time(&shape, shape.batch as usize / 2) + shape.call_time / 2
     }
 }
 
 /// Time that is needed behind a stage until the first byte of an answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Rest {
+pub(super) struct RemainingTime {
     usual: Duration,
-    least: Duration,
+    minimum: Duration,
 }
 
 impl Exchange {
     /// The pieces of a stage. `rest` is the time that is needed behind it.
-    pub(super) fn new_pieces(&self, stage: usize, rest: Rest) -> Vec<Piece> {
+    pub(super) fn new_pieces(&self, stage: usize, rest: RemainingTime) -> Vec<Piece> {
         let Route { stages, .. } = &*self.route;
         let inputs = self.graph.inputs(&self.route, stage);
         let key = if inputs.is_empty() { self.arrival.piece_key.clone() } else { None };
-        let home = self.home_of(stage);
+        let home = self.destination_of(stage);
         let is_begun = self.has_run || self.graph.progress().0 > 0;
         let is_last_reader = self.graph.is_last_reader(&self.route, stage);
         let piece = |number| Piece {
@@ -102,7 +102,7 @@
             key: key.clone(),
             inputs: inputs.clone(),
             bytes: stages[stage].bytes,
-            due: self.due.saturating_sub(rest.least),
+            due: self.due.saturating_sub(rest.minimum),
             aim: self.aim.saturating_sub(rest.usual),
             priority: self.priority,
             home: home.clone(),
@@ -119,7 +119,7 @@
 
     /// Where a stage should be done: where most of what it takes in lies, or
     /// where its results will be taken in, if either is large.
-    fn home_of(&self, stage: usize) -> Option<DataCentre> {
+    fn destination_of(&self, stage: usize) -> Option<DataCentre> {
         let inputs = self.graph.input_places(&self.route, stage);
         let most = inputs.into_iter().max_by_key(|(_, bytes)| *bytes);
         let near_inputs = most.filter(|(_, bytes)| *bytes >= LARGE_RESULT).map(|(place, _)| place);
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -23,7 +23,7 @@
 /// The least urgent rank of a request; 0 is the most urgent.
 const LAST_RANK: f64 = 9.0;
 /// Endpoints that a program is asked about, the cheapest ones.
-const CHOICES: usize = 4;
+const MAX_CHOICES: usize = 4;
 
 impl Relay {
     /// Takes in the operators' program, instead of the one before.
@@ -53,7 +53,7 @@
     }
 
     /// When a refused caller should come back.
-    pub(super) fn policy_away(
+    pub(super) fn policy_retry_after(
         &self,
         now: Duration,
         key: ExchangeKey,
@@ -75,7 +75,7 @@
         let exchange = &self.exchanges[key];
         let facts = self.facts(now, exchange, Duration::ZERO);
         let mut best: Option<(f64, Candidate)> = None;
-        for candidate in choice::cheapest_few(candidates, CHOICES) {
+        for candidate in choice::cheapest_few(candidates, MAX_CHOICES) {
             let endpoint = self.directory.get(candidate.endpoint)?;
             let facts_of = self.endpoint_facts(now, endpoint);
             let score = program.route(&facts, &facts_of).given()?;
@@ -140,7 +140,7 @@
 
     /// The wait behind the pieces that wait here.
     fn expected_wait(&self, now: Duration, service: &str) -> Duration {
-        let Some(shape) = self.shape(service) else { return Duration::ZERO };
+        let Some(shape) = self.piece_config(service) else { return Duration::ZERO };
         let endpoints = self.directory.usable(now, service).len().max(1);
         let batch = shape.batch as usize;
         let calls = self.batches.waiting(service) as f64 / (endpoints * batch) as f64;
@@ -151,7 +151,7 @@
     fn expected_work(&self, exchange: &Exchange, next: Option<usize>) -> Duration {
         let Some(stage) = next else { return self.generation_time(exchange) };
         let service = &exchange.route.stages[stage].service;
-        self.stage_time(service) + self.rest_after(exchange, stage, &|time| time)
+        self.stage_time(service) + self.remaining_after(exchange, stage, &|time| time)
     }
 
     fn free_places(&self, now: Duration, service: &str) -> u32 {
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -18,36 +18,36 @@
 };
 
 /// Instances that the crashes of one content are told to: one may be gone.
-const KEEPERS: usize = 2;
+const CRASH_COLLECTORS: usize = 2;
 /// Cuts are remembered for so long: by then the directory has told whether the
 /// endpoint has started again, where the address itself did not show it.
-const REMEMBERED: Duration = Duration::from_secs(5);
+const CUT_RETENTION: Duration = Duration::from_secs(5);
 
 /// Runs that were cut at one life of an endpoint.
 #[derive(Debug, Default)]
-pub(super) struct Cuts {
-    runs: Vec<Cut>,
+pub(super) struct CutRuns {
+    runs: Vec<CutRun>,
     /// Whether the endpoint is being asked whether it is there.
     is_probed: bool,
     /// When it was found to have ended.
-    gone: Option<Duration>,
+    gone_at: Option<Duration>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Cut {
+struct CutRun {
     content: Fingerprint,
     at: Duration,
     is_late: bool,
 }
 
-impl Cuts {
+impl CutRuns {
     /// Whether the endpoint has just ended: what is cut there now ended with it.
-    fn is_gone(&self, now: Duration) -> bool {
-        self.gone.is_some_and(|at| now < at + REMEMBERED)
+    fn has_ended(&self, now: Duration) -> bool {
+        self.gone_at.is_some_and(|at| now < at + CUT_RETENTION)
     }
 
     fn add(&mut self, now: Duration, runs: Vec<Run>) {
-        let cut = |run: Run| Cut { content: run.content, at: now, is_late: run.is_late };
+        let cut = |run: Run| CutRun { content: run.content, at: now, is_late: run.is_late };
         self.runs.extend(runs.into_iter().map(cut));
     }
 }
@@ -56,7 +56,7 @@
     /// The platform's table of contents that are held back has been read: requests
     /// may be sent.
     pub fn mark_quarantine_read(&mut self) {
-        self.knows_quarantine = true;
+        self.is_quarantine_read = true;
     }
 
     /// Everything that is held back.
@@ -65,7 +65,7 @@
     }
 
     /// The runs that a call is for: one, or those of all whose pieces it has.
-    pub(super) fn runs_of(&self, now: Duration, call: CallKey) -> Vec<Run> {
+    pub(super) fn runs_of_call(&self, now: Duration, call: CallKey) -> Vec<Run> {
         let Some(state) = self.calls.get(call) else { return Vec::new() };
         let is_late = state.answered.is_some_and(|at| now >= at + quarantine::BEGINNING);
         let run = |content| Run { content, is_late };
@@ -79,16 +79,16 @@
 
     /// Runs were cut at an endpoint. Whether it has ended or only lost connections is
     /// found out next. One that is leaving may end as planned.
-    pub(super) fn note_cut(&mut self, now: Duration, endpoint: EndpointKey, runs: Vec<Run>) {
-        if self.cuts.get(&endpoint).is_some_and(|cuts| cuts.is_gone(now)) {
-            self.note_end(now, endpoint, runs);
+    pub(super) fn on_cut(&mut self, now: Duration, endpoint: EndpointKey, runs: Vec<Run>) {
+        if self.cut_runs.get(&endpoint).is_some_and(|cuts| cuts.has_ended(now)) {
+            self.record_endpoint_end(now, endpoint, runs);
             return;
         }
         let Some(known) = self.directory.get(endpoint).filter(|known| known.is_ready()) else {
             return;
         };
         let addr = known.entry.addr.clone();
-        let cuts = self.cuts.entry(endpoint).or_default();
+        let cuts = self.cut_runs.entry(endpoint).or_default();
         cuts.add(now, runs);
         if !std::mem::replace(&mut cuts.is_probed, true) {
             self.actions.push(Action::Probe { endpoint, addr });
@@ -97,29 +97,34 @@
 
     /// A new connection told whether an endpoint that cut runs is there.
     pub fn on_probe(&mut self, now: Duration, endpoint: EndpointKey, probed: Probed) {
-        let Some(cuts) = self.cuts.get_mut(&endpoint) else { return };
+        let Some(cuts) = self.cut_runs.get_mut(&endpoint) else { return };
         cuts.is_probed = false;
         if probed == Probed::Gone {
             self.directory.is_gone(now, endpoint);
-            self.take_crashes(now, endpoint);
+            self.report_crashes(now, endpoint);
         }
     }
 
     /// A life of an endpoint has ended without notice, and these runs with it. So have
     /// those that are cut there from now on.
-    pub(super) fn note_end(&mut self, now: Duration, endpoint: EndpointKey, runs: Vec<Run>) {
-        self.cuts.entry(endpoint).or_default().add(now, runs);
-        self.take_crashes(now, endpoint);
+    pub(super) fn record_endpoint_end(
+        &mut self,
+        now: Duration,
+        endpoint: EndpointKey,
+        runs: Vec<Run>,
+    ) {
+        self.cut_runs.entry(endpoint).or_default().add(now, runs);
+        self.report_crashes(now, endpoint);
     }
 
     /// Runs that were cut just before their endpoint's life ended are crashes.
-    fn take_crashes(&mut self, now: Duration, endpoint: EndpointKey) {
+    fn report_crashes(&mut self, now: Duration, endpoint: EndpointKey) {
         let Some(life) = self.directory.get(endpoint).map(|known| known.life()) else { return };
-        let cuts = self.cuts.entry(endpoint).or_default();
-        cuts.gone = Some(now);
+        let cuts = self.cut_runs.entry(endpoint).or_default();
+        cuts.gone_at = Some(now);
         let runs = std::mem::take(&mut cuts.runs);
-        let recent = runs.into_iter().filter(|cut| now < cut.at + REMEMBERED);
-        let crash = |Cut { content, at, is_late }| Crash {
+        let recent = runs.into_iter().filter(|cut| now < cut.at + CUT_RETENTION);
+        let crash = |CutRun { content, at, is_late }| Crash {
             content,
             life: life.clone(),
             age: now.saturating_sub(at),
@@ -129,7 +134,7 @@
         if crashes.is_empty() {
             return;
         }
-        self.tell_keepers(&crashes);
+        self.notify_collectors(&crashes);
         self.actions.push(Action::Crashed { life, crashes: crashes.clone() });
         for crash in &crashes {
             self.on_crash(now, crash);
@@ -195,38 +200,38 @@
     }
 
     /// Has the records removed of contents that nobody sends any more.
-    pub(super) fn release_old(&mut self, now: Duration) {
+    pub(super) fn release_expired(&mut self, now: Duration) {
         let over = self.quarantine.take_old(now);
         self.actions.extend(over.into_iter().map(Action::Unrecord));
         let directory = &self.directory;
-        self.cuts.retain(|endpoint, cuts| {
-            cuts.runs.retain(|cut| now < cut.at + REMEMBERED);
-            let is_needed = !cuts.runs.is_empty() || cuts.is_probed || cuts.is_gone(now);
+        self.cut_runs.retain(|endpoint, cuts| {
+            cuts.runs.retain(|cut| now < cut.at + CUT_RETENTION);
+            let is_needed = !cuts.runs.is_empty() || cuts.is_probed || cuts.has_ended(now);
             is_needed && directory.get(*endpoint).is_some()
         });
     }
 
     /// Peers have joined. Where the platform's table lacks what is held back, they are
     /// told by the content's keepers.
-    pub(super) fn tell_joined(&mut self) {
+    pub(super) fn notify_new_peers(&mut self) {
         let unrecorded = self.quarantine.all().filter(|(_, hold)| !hold.is_recorded);
         let unrecorded: Vec<_> =
             unrecorded.map(|(content, hold)| (content, hold.crashes)).collect();
         for (content, crashes) in unrecorded {
-            if self.keepers(content).contains(&self.settings.name) {
+            if self.crash_collectors(content).contains(&self.settings.name) {
                 self.actions.push(Action::Quarantine { content, crashes });
             }
         }
     }
 
     /// How long an exchange's content is held back; `None` if it may be sent.
-    pub(super) fn held_for(&self, now: Duration, key: ExchangeKey) -> Option<Duration> {
+    pub(super) fn quarantined_for(&self, now: Duration, key: ExchangeKey) -> Option<Duration> {
         let hold = self.quarantine.held(self.exchanges[key].content)?;
         Some(hold.until.saturating_sub(now))
     }
 
     /// Refuses an exchange whose content is held back.
-    pub(super) fn refuse_held(&mut self, now: Duration, key: ExchangeKey) {
+    pub(super) fn refuse_quarantined(&mut self, now: Duration, key: ExchangeKey) {
         let content = self.exchanges[key].content;
         if let Some(crashes) = self.quarantine.note_refused(now, content) {
             self.actions.push(Action::Record { content, crashes });
@@ -239,32 +244,34 @@
         let jitter = self.rng.random();
         if self.quarantine.hold(now, content, crashes, jitter) {
             self.actions.push(Action::HeldBack { content, crashes });
-            self.stop_runs(now, content);
+            self.stop_content(now, content);
         }
     }
 
     /// Whatever this instance has of a content is given up, before it gets to an
     /// endpoint: calls under way, pieces that wait, for itself and for peers. A stream
     /// that has begun has got over its beginning and goes on.
-    fn stop_runs(&mut self, now: Duration, content: Fingerprint) {
+    fn stop_content(&mut self, now: Duration, content: Fingerprint) {
         let open = self.exchanges.iter();
         let is_held = |exchange: &Exchange| exchange.content == content && !exchange.has_begun;
         let open: Vec<_> = open.filter(|(_, it)| is_held(it)).map(|(key, _)| key).collect();
         for key in open {
             self.stop_work(now, key);
-            self.refuse_held(now, key);
+            self.refuse_quarantined(now, key);
         }
         let waiting = self.batches.take_content(content);
-        self.take_finished(now, waiting);
+        self.process_finished(now, waiting);
     }
 
     /// The other instances that count the crashes of a content, each told of those
     /// that concern it.
-    fn tell_keepers(&mut self, crashes: &[Crash]) {
+    fn notify_collectors(&mut self, crashes: &[Crash]) {
         let mut told: Vec<(InstanceName, Vec<Crash>)> = Vec::new();
         for crash in crashes {
             let own = &self.settings.name;
-            for keeper in self.keepers(crash.content).into_iter().filter(|keeper| keeper != own) {
+            for keeper in
+                self.crash_collectors(crash.content).into_iter().filter(|keeper| keeper != own)
+            {
                 match told.iter_mut().find(|(known, _)| *known == keeper) {
                     Some((_, list)) => list.push(crash.clone()),
                     None => told.push((keeper, vec![crash.clone()])),
@@ -276,13 +283,13 @@
     }
 
     /// The instances that count the crashes of a content, this one or others.
-    fn keepers(&self, content: Fingerprint) -> Vec<InstanceName> {
+    fn crash_collectors(&self, content: Fingerprint) -> Vec<InstanceName> {
         let seed = content.0 as u64;
         let rank = |name: &InstanceName| Reverse(xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
         let mut names: Vec<_> = self.peers.iter().map(|peer| &peer.name).collect();
         names.push(&self.settings.name);
         names.sort_by_cached_key(|name| rank(name));
-        names.into_iter().take(KEEPERS).cloned().collect()
+        names.into_iter().take(CRASH_COLLECTORS).cloned().collect()
     }
 }
 
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -16,29 +16,29 @@
 
 /// Pause between two words on the queues. Two peers are told by each batcher, twenty
 /// messages of some hundred bytes a second, and only while pieces wait.
-const PAUSE: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// A word is reckoned with for so long: three of them may be lost.
-const VALID: Duration = Duration::from_millis(400);
+const REPORT_VALIDITY: Duration = Duration::from_millis(400);
 /// Shorter waits are not told: a third of a call, in which room becomes free anyway.
-const NOTABLE: Duration = Duration::from_millis(100);
+const MIN_BACKLOG: Duration = Duration::from_millis(100);
 
 impl Relay {
     /// Whoever batches a service says that pieces wait there.
     pub fn on_backlog_notice(&mut self, now: Duration, service: ServiceName) {
-        self.queues.insert(service, now);
+        self.backlogs.insert(service, now);
     }
 
     /// Whether pieces wait notably long at a service.
-    pub(super) fn is_waited_for(&self, now: Duration, service: &ServiceName) -> bool {
-        self.queues.get(service).is_some_and(|told| now <= *told + VALID)
+    pub(super) fn is_backlogged(&self, now: Duration, service: &ServiceName) -> bool {
+        self.backlogs.get(service).is_some_and(|told| now <= *told + REPORT_VALIDITY)
     }
 
     /// Tells whoever batches the other services where pieces wait.
-    pub(super) fn tell_queues(&mut self, now: Duration) {
-        if now < self.next_word {
+    pub(super) fn report_backlogs(&mut self, now: Duration) {
+        if now < self.next_backlog {
             return;
         }
-        self.next_word = now + PAUSE;
+        self.next_backlog = now + REPORT_INTERVAL;
         let waited_for: Vec<_> =
             self.batches.services().into_iter().filter(|it| self.has_backlog(now, it)).collect();
         if waited_for.is_empty() {
@@ -55,16 +55,16 @@
     }
 
     fn has_backlog(&self, now: Duration, service: &str) -> bool {
-        let Some(shape) = self.shape(service) else { return false };
+        let Some(shape) = self.piece_config(service) else { return false };
         let wait = self.batches.backlog(now, service, &shape, &self.directory);
-        wait.is_some_and(|wait| wait >= NOTABLE)
+        wait.is_some_and(|wait| wait >= MIN_BACKLOG)
     }
 
     /// The peers that batch any service.
     fn other_batchers(&self) -> Vec<InstanceName> {
         let Some(config) = &self.config else { return Vec::new() };
         let makers = config.services.iter().filter(|(_, service)| service.pieces.is_some());
-        let mut peers: Vec<_> = makers.filter_map(|(name, _)| self.owner(name)).collect();
+        let mut peers: Vec<_> = makers.filter_map(|(name, _)| self.batcher(name)).collect();
         peers.sort_unstable();
         peers.dedup();
         peers
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -36,28 +36,28 @@
         results: Vec<PieceResult>,
         load: Option<Load>,
     ) {
-        self.note_answer(now, call, load);
-        let service = self.service_of(call);
+        self.record_answer(now, call, load);
+        let service = self.service_of_call(call);
         self.end_call(now, call, Step::Ended);
         let (finished, strays) = self.batches.made(now, call, results);
         if let (Some(service), false) = (service, strays.is_empty()) {
-            self.free_at(&service, strays);
+            self.free_through_batcher(&service, strays);
         }
-        self.take_finished(now, finished);
-        self.make_all(now);
+        self.process_finished(now, finished);
+        self.dispatch_all(now);
     }
 
     /// The service of the endpoint that a call went to.
-    pub(super) fn service_of(&self, call: CallKey) -> Option<ServiceName> {
+    pub(super) fn service_of_call(&self, call: CallKey) -> Option<ServiceName> {
         let endpoint = self.directory.get(self.calls.get(call)?.endpoint)?;
         Some(endpoint.entry.service.clone())
     }
 
     /// Has the pieces of stragglers made elsewhere too, as far as the bound on
     /// repetition allows.
-    pub(super) fn make_stragglers_again(&mut self, now: Duration) {
+    pub(super) fn duplicate_stragglers(&mut self, now: Duration) {
         for (call, service, count) in self.batches.take_stragglers(now) {
-            if self.spend(now, &service, count) {
+            if self.try_withdraw(now, &service, count) {
                 self.batches.make_again(call);
             }
         }
@@ -75,8 +75,8 @@
         let step = if is_unrun { Step::Refused(None) } else { Step::Failed(failure) };
         let is_cut = !is_unrun && failure == Failure::Cut;
         if let Some(state) = self.calls.get(call).filter(|_| is_cut) {
-            let (endpoint, runs) = (state.endpoint, self.runs_of(now, call));
-            self.note_cut(now, endpoint, runs);
+            let (endpoint, runs) = (state.endpoint, self.runs_of_call(now, call));
+            self.on_cut(now, endpoint, runs);
         }
         self.end_call(now, call, step);
         let mut finished = self.batches.failed(now, call, is_unrun);
@@ -86,22 +86,22 @@
             one.piece.is_apart |= is_cut;
         }
         self.requeue(now, finished, is_safe);
-        self.make_all(now);
+        self.dispatch_all(now);
     }
 
     /// A peer hands over pieces. Their results are returned under `ticket`.
     pub fn on_handover(&mut self, now: Duration, ticket: u64, pieces: Vec<Piece>) {
         self.tickets.insert(ticket, Ticket { results: vec![None; pieces.len()] });
         for piece in &pieces {
-            self.earn(now, &piece.service, 1);
+            self.deposit(now, &piece.service, 1);
         }
         let origin = |index| Origin::Peer { ticket, index };
         let pieces = pieces.into_iter().enumerate();
         let pieces = pieces.map(|(index, piece)| (piece, origin(index)));
-        let (held, others) = pieces.partition(|(piece, _)| self.is_held(piece));
-        self.admit(now, others);
-        self.take_finished(now, held.into_iter().map(not_made).collect());
-        self.make_all(now);
+        let (held, others) = pieces.partition(|(piece, _)| self.is_quarantined(piece));
+        self.admit_pieces(now, others);
+        self.process_finished(now, held.into_iter().map(failed_piece).collect());
+        self.dispatch_all(now);
     }
 
     /// A peer does not want its pieces any more.
@@ -130,24 +130,24 @@
                     endpoint: None,
                 });
                 let finished = finished.collect();
-                self.take_finished(now, finished);
+                self.process_finished(now, finished);
             }
             None => {
                 // The peer may have had some of them made.
-                self.note_run(exchange);
-                self.avoided.insert(peer, now + AVOID_TIME);
-                self.hand_on(exchange, pieces);
+                self.mark_may_have_run(exchange);
+                self.unresponsive_peers.insert(peer, now + AVOID_TIME);
+                self.hand_over_again(exchange, pieces);
             }
         }
-        self.make_all(now);
+        self.dispatch_all(now);
     }
 
     /// Hands pieces that came back unmade to the peer that ranks next. Whoever
     /// handed pieces to the peer that failed does the same, so that they meet
     /// at one instance again.
-    fn hand_on(&mut self, exchange: ExchangeKey, pieces: Vec<Piece>) {
+    fn hand_over_again(&mut self, exchange: ExchangeKey, pieces: Vec<Piece>) {
         let Some(first) = pieces.first() else { return };
-        match self.owner(&first.service) {
+        match self.batcher(&first.service) {
             Some(peer) => self.hand_over(exchange, peer, pieces),
             None => {
                 for piece in pieces {
@@ -158,7 +158,7 @@
     }
 
     pub(super) fn start_stages(&mut self, now: Duration, key: ExchangeKey) {
-        self.find_home(now, key);
+        self.predict_destination(now, key);
         // Starting a stage may end the exchange: there may be no time for it.
         while let Some(exchange) = self.exchanges.get_mut(key) {
             let route = exchange.route.clone();
@@ -172,20 +172,20 @@
         }
         let services = self.batches.services();
         for service in services {
-            self.make(now, &service);
+            self.dispatch(now, &service);
         }
     }
 
     pub(super) fn start_stage(&mut self, now: Duration, key: ExchangeKey, stage: usize) {
         let Some(exchange) = self.exchanges.get(key) else { return };
         let service = exchange.route.stages[stage].service.clone();
-        let pieces = exchange.new_pieces(stage, self.rest(exchange, stage));
+        let pieces = exchange.new_pieces(stage, self.remaining_time(exchange, stage));
         self.exchanges[key].stage_starts.push((stage, now));
-        match self.owner(&service) {
+        match self.batcher(&service) {
             None => {
-                self.earn(now, &service, pieces.len() as u32);
+                self.deposit(now, &service, pieces.len() as u32);
                 let pieces = pieces.into_iter().map(|piece| (piece, Origin::Own(key)));
-                self.admit(now, pieces.collect());
+                self.admit_pieces(now, pieces.collect());
             }
             Some(peer) => self.hand_over(key, peer, pieces),
         }
@@ -201,7 +201,7 @@
     /// The peer that batches a service's pieces; `None` if this instance does.
     /// The strongest instances come first: a service's pieces all go through
     /// one processor.
-    pub(super) fn owner(&self, service: &str) -> Option<InstanceName> {
+    pub(super) fn batcher(&self, service: &str) -> Option<InstanceName> {
         self.first_ranked(xxh3::xxh3_64(service.as_bytes()))
     }
 
@@ -209,15 +209,16 @@
     pub(super) fn first_ranked(&self, seed: u64) -> Option<InstanceName> {
         let rank =
             |name: &str, strength: u32| (strength, xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
-        let own = rank(&self.settings.name, self.settings.strength);
-        let peers = self.peers.iter().filter(|peer| !self.avoided.contains_key(&peer.name));
+        let own = rank(&self.settings.name, self.settings.millicores);
+        let peers =
+            self.peers.iter().filter(|peer| !self.unresponsive_peers.contains_key(&peer.name));
         let ranked = peers.map(|peer| (rank(&peer.name, peer.strength), &peer.name));
         let (best, name) = ranked.max()?;
         (best > own || !self.is_batching).then(|| name.clone())
     }
 
     /// How many peers rank before this instance for a task, however strong they are.
-    pub(super) fn place_of(&self, seed: u64) -> usize {
+    pub(super) fn rank_of(&self, seed: u64) -> usize {
         let rank = |name: &str| xxh3::xxh3_64_with_seed(name.as_bytes(), seed);
         let own = rank(&self.settings.name);
         self.peers.iter().filter(|peer| rank(&peer.name) > own).count()
@@ -225,7 +226,7 @@
 
     /// Takes in pieces, but those that cannot be made in time: their callers
     /// hear it at once, while they can still come back.
-    pub(super) fn admit(&mut self, now: Duration, pieces: Vec<(Piece, Origin)>) {
+    pub(super) fn admit_pieces(&mut self, now: Duration, pieces: Vec<(Piece, Origin)>) {
         let mut late = Vec::new();
         let mut judged: Option<(Duration, Duration, bool)> = None;
         for (piece, origin) in pieces {
@@ -241,28 +242,28 @@
                 false => late.push(Batches::turn_away(piece, origin)),
             }
         }
-        self.take_finished(now, late);
+        self.process_finished(now, late);
     }
 
     fn is_feasible(&self, now: Duration, piece: &Piece) -> bool {
-        let shape = self.shape(&piece.service);
+        let shape = self.piece_config(&piece.service);
         shape.is_none_or(|shape| self.batches.is_feasible(now, piece, &shape, &self.directory))
     }
 
-    pub(super) fn shape(&self, service: &str) -> Option<Pieces> {
+    pub(super) fn piece_config(&self, service: &str) -> Option<Pieces> {
         self.config.as_ref()?.services.get(service)?.pieces
     }
 
-    pub(super) fn make_all(&mut self, now: Duration) {
-        self.has_room = false;
+    pub(super) fn dispatch_all(&mut self, now: Duration) {
+        self.has_freed_memory = false;
         for service in self.batches.services() {
-            self.make(now, &service);
+            self.dispatch(now, &service);
         }
     }
 
     /// Sends what waits for a service to its idle endpoints.
-    pub(super) fn make(&mut self, now: Duration, service: &str) {
-        let Some(shape) = self.shape(service) else { return };
+    pub(super) fn dispatch(&mut self, now: Duration, service: &str) {
+        let Some(shape) = self.piece_config(service) else { return };
         let spares = self.batches.spares_in_the_way(now, service, &shape, &self.directory);
         if !spares.is_empty() {
             self.free_at_endpoints(spares);
@@ -271,7 +272,7 @@
             true => self.batches.take_waiting(service),
             false => self.batches.take_late(now, service, &shape, &self.directory),
         };
-        self.take_finished(now, late);
+        self.process_finished(now, late);
         for order in self.batches.plan(now, service, &shape, &self.directory) {
             let endpoint = order.endpoint;
             let call = self.calls.insert(CallState {
@@ -293,13 +294,13 @@
         }
     }
 
-    pub(super) fn take_finished(&mut self, now: Duration, finished: Vec<Finished>) {
+    pub(super) fn process_finished(&mut self, now: Duration, finished: Vec<Finished>) {
         let mut touched = Vec::new();
         for one in finished {
             match one.origin {
-                Origin::Peer { ticket, index } => self.return_one(now, ticket, index, one),
+                Origin::Peer { ticket, index } => self.return_to_peer(now, ticket, index, one),
                 Origin::Own(key) => {
-                    self.take_own(now, key, one);
+                    self.process_own(now, key, one);
                     if !touched.contains(&key) {
                         touched.push(key);
                     }
@@ -311,27 +312,33 @@
         }
     }
 
-    pub(super) fn return_one(&mut self, now: Duration, ticket: u64, index: usize, one: Finished) {
+    pub(super) fn return_to_peer(
+        &mut self,
+        now: Duration,
+        ticket: u64,
+        index: usize,
+        one: Finished,
+    ) {
         if !self.tickets.contains_key(&ticket) {
             self.free_stray(one);
             return;
         }
-        let again = another_try(&one).filter(|piece| !self.is_held(piece));
-        let again = again.filter(|piece| self.may_send_again(now, piece));
+        let again = retry_piece(&one).filter(|piece| !self.is_quarantined(piece));
+        let again = again.filter(|piece| self.withdraw_for_retry(now, piece));
         let is_late = one.result == Err(PieceFailure::Late);
         match again {
             Some(piece) => self.batches.add(piece, Origin::Peer { ticket, index }),
             // The peer must not take it for unmade.
             None if is_late && !is_unmade(&one) => {
-                self.settle(ticket, index, Err(PieceFailure::Failed));
+                self.record_ticket_result(ticket, index, Err(PieceFailure::Failed));
             }
-            None => self.settle(ticket, index, one.result),
+            None => self.record_ticket_result(ticket, index, one.result),
         }
     }
 
     /// Notes the result of a peer's piece, and returns all of them once they
     /// are there.
-    fn settle(&mut self, ticket: u64, index: usize, result: PieceResult) {
+    fn record_ticket_result(&mut self, ticket: u64, index: usize, result: PieceResult) {
         let Some(open) = self.tickets.get_mut(&ticket) else { return };
         open.results[index] = Some(result);
         if open.results.iter().any(Option::is_none) {
@@ -343,14 +350,14 @@
         }
     }
 
-    pub(super) fn take_own(&mut self, now: Duration, key: ExchangeKey, one: Finished) {
+    pub(super) fn process_own(&mut self, now: Duration, key: ExchangeKey, one: Finished) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             self.free_stray(one);
             return;
         };
         exchange.has_run |= !is_unmade(&one);
         let is_old = one.piece.round != exchange.rounds;
-        self.note_stage_time(now, key, &one);
+        self.record_stage_time(now, key, &one);
         let exchange = &mut self.exchanges[key];
         match one.result {
             // Its round has been given up already.
@@ -364,8 +371,8 @@
             Err(PieceFailure::Late) => self.give_up(now, key, Refusal::Infeasible),
             Err(PieceFailure::InputGone) => self.restart_stages(now, key),
             Err(_) => {
-                let piece = another_try(&one);
-                let piece = piece.filter(|piece| self.may_send_again(now, piece));
+                let piece = retry_piece(&one);
+                let piece = piece.filter(|piece| self.withdraw_for_retry(now, piece));
                 match piece {
                     Some(piece) => self.batches.add(piece, Origin::Own(key)),
                     None => self.give_up(now, key, Refusal::Failed),
@@ -375,7 +382,7 @@
     }
 
     /// Watches how long a stage took whose piece has come back.
-    fn note_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &Finished) {
+    fn record_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &Finished) {
         let starts = &mut self.exchanges[key].stage_starts;
         let stage = usize::from(one.piece.stage);
         let Some(idx) = starts.iter().position(|(known, _)| *known == stage) else { return };
@@ -395,14 +402,14 @@
             if !is_wanted {
                 continue;
             }
-            let may_wait = !self.is_held(&one.piece);
-            if may_wait && (is_safe || self.spend(now, &one.piece.service.clone(), 1)) {
+            let may_wait = !self.is_quarantined(&one.piece);
+            if may_wait && (is_safe || self.try_withdraw(now, &one.piece.service.clone(), 1)) {
                 self.batches.add(one.piece, one.origin);
             } else {
                 lost.push(one);
             }
         }
-        self.take_finished(now, lost);
+        self.process_finished(now, lost);
     }
 
     pub(super) fn after_pieces(&mut self, now: Duration, key: ExchangeKey) {
@@ -417,7 +424,7 @@
     }
 
     /// Where the call will probably go, if large results should lie near it.
-    pub(super) fn find_home(&mut self, now: Duration, key: ExchangeKey) {
+    pub(super) fn predict_destination(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT);
         if exchange.home.is_some() || !has_large {
@@ -447,13 +454,13 @@
     }
 
     /// Whether a piece's request is held back.
-    fn is_held(&self, piece: &Piece) -> bool {
+    fn is_quarantined(&self, piece: &Piece) -> bool {
         self.quarantine.held(piece.content).is_some()
     }
 
     /// Pays for sending a piece again that was or may have been made.
-    pub(super) fn may_send_again(&mut self, now: Duration, piece: &Piece) -> bool {
-        !piece.is_repeat || self.spend(now, &piece.service.clone(), 1)
+    pub(super) fn withdraw_for_retry(&mut self, now: Duration, piece: &Piece) -> bool {
+        !piece.is_repeat || self.try_withdraw(now, &piece.service.clone(), 1)
     }
 }
 
@@ -464,12 +471,12 @@
 }
 
 /// A piece of a request that is held back.
-fn not_made((piece, origin): (Piece, Origin)) -> Finished {
+fn failed_piece((piece, origin): (Piece, Origin)) -> Finished {
     Finished { origin, piece, result: Err(PieceFailure::Failed), endpoint: None }
 }
 
 /// The piece, if another call may do better.
-fn another_try(one: &Finished) -> Option<Piece> {
+fn retry_piece(one: &Finished) -> Option<Piece> {
     let may_do_better = matches!(one.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
     let piece = &one.piece;
     let is_repeat = one.result != Err(PieceFailure::NoRoom);
--- a/crates/core/src/relay/machine/terms.rs
+++ b/crates/core/src/relay/machine/terms.rs
@@ -16,9 +16,9 @@
 
 /// How long peers are told of what does not go on: a word gets around among hundreds of
 /// instances in a few rounds of gossip.
-const NEWS_FOR: Duration = Duration::from_secs(15);
+const NOTICE_VALIDITY: Duration = Duration::from_secs(15);
 /// Notices in a message at the most, of some 50 bytes each.
-const MOST_NOTICES: usize = 32;
+const MAX_NOTICES: usize = 32;
 
 impl Relay {
     /// The head of a reply came. What its endpoint says of itself counts whatever
@@ -40,22 +40,22 @@
         let is_notable = is_news || endpoint.limit().is_some() || head.terms.is_leaving;
         if let (Some((peer, _)), true) = (placer, is_notable) {
             let notice = Notice { is_leaving: head.terms.is_leaving, ..endpoint.notice(now) };
-            self.notices.entry(peer).or_default().push(notice);
+            self.pending_notices.entry(peer).or_default().push(notice);
         }
         if is_news {
-            self.note_limit(now, key, None);
+            self.report_limit(now, key, None);
         }
         if head.terms.rest.is_some() {
             self.pace_pieces(now, key);
         }
         if head.terms.is_leaving {
-            self.leave_told(now, key, None);
+            self.mark_leaving(now, key, None);
         }
     }
 
     /// What peers should know of endpoints.
     pub fn peer_notices(&mut self, now: Duration) -> Vec<Notice> {
-        let is_fresh = |at: Duration| now < at + NEWS_FOR;
+        let is_fresh = |at: Duration| now < at + NOTICE_VALIDITY;
         let is_news = |endpoint: &&Endpoint| {
             let has_left = endpoint.left_at.is_some_and(is_fresh);
             let is_told = endpoint.word.is_some_and(|word| is_fresh(word.at));
@@ -63,7 +63,7 @@
         };
         let news = self.directory.all().filter(is_news);
         let mut notices: Vec<_> = news.map(|endpoint| endpoint.notice(now)).collect();
-        while notices.len() > MOST_NOTICES {
+        while notices.len() > MAX_NOTICES {
             // Others come with the next message.
             let idx = self.rng.random_range(0..notices.len());
             notices.swap_remove(idx);
@@ -77,15 +77,15 @@
             let Some(key) = self.directory.by_life(&notice.life) else { continue };
             let Some(endpoint) = self.directory.get_mut(key) else { continue };
             if endpoint.says(notice.word(now)) {
-                self.note_limit(now, key, Some(peer.clone()));
+                self.report_limit(now, key, Some(peer.clone()));
             }
             if notice.is_leaving {
-                self.leave_told(now, key, Some(peer.clone()));
+                self.mark_leaving(now, key, Some(peer.clone()));
             }
         }
     }
 
-    fn note_limit(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
+    fn report_limit(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
         self.pace_pieces(now, key);
         let Some(endpoint) = self.directory.get(key) else { return };
         let (name, limit) = (endpoint.entry.name.clone(), endpoint.limit());
@@ -94,7 +94,7 @@
 
     /// An endpoint said that it leaves, whatever the directory says: that may be dark, or
     /// late, and endpoints end soon after they have said so.
-    fn leave_told(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
+    fn mark_leaving(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
         let Some(endpoint) = self.directory.get_mut(key).filter(|it| it.left_at.is_none()) else {
             return;
         };
--- a/crates/core/tests/testsuite/relay/config.rs
+++ b/crates/core/tests/testsuite/relay/config.rs
@@ -55,7 +55,7 @@
                 window: ms(10_000),
             },
             instances: 1,
-            strength: 250,
+            millicores: 250,
         },
         1,
     );
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -186,7 +186,7 @@
             data_centre: Arc::from("east"),
             bound,
             instances: 1,
-            strength: 250,
+            millicores: 250,
         };
         let mut relay = Relay::new(settings, 7);
         relay.configure(config);
--- a/crates/core/tests/testsuite/relay/load/fleet.rs
+++ b/crates/core/tests/testsuite/relay/load/fleet.rs
@@ -539,7 +539,7 @@
         data_centre: Arc::from(PLACES[idx % 3]),
         bound: Bound { ratio: 0.2, slack: 50.0, window: ms(10_000) },
         instances: 1,
-        strength: 250,
+        millicores: 250,
     };
     let mut relay = Relay::new(settings, idx as u64);
     relay.mark_quarantine_read();
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -110,7 +110,7 @@
         data_centre: Arc::from("east"),
         bound: peatdeck_core::relay::allowance::Bound { ratio: 0.2, slack: 10.0, window: ms(9000) },
         instances: 1,
-        strength: 250,
+        millicores: 250,
     };
     let config = ConfigBuilder::new(1).service("desk").route(route("r", Kind::Once, "desk"));
     let mut world = World::new(config.build());
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -230,7 +230,7 @@
             data_centre: settings.data_centre.clone(),
             bound: settings.bound,
             instances: settings.instances,
-            strength: settings.strength,
+            millicores: settings.strength,
         },
         rand::random(),
     );
