--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -1,14 +1,14 @@
-//! The relay as a state machine: what happened goes in by methods, what is to
-//! be done comes out as actions.
+//! The relay as a state machine without I/O: its methods take in events, and the event loop
+//! carries out the [`Action`]s that they queue.
 //!
-//! This module holds the state and what every part needs; `calls`, `stages`,
-//! `results` and `ending` are the parts of an exchange's life, `moves` gives calls
-//! up and makes them elsewhere, `intake` decides whether it begins, `plan` by when
-//! its stages have to be done, `queues` where pieces wait, `placing` finds engines for all instances,
-//! `quarantine` keeps requests from endpoints that end under them, `evacuation` all
-//! requests from data centres that operators have emptied, `pace` most of them from
-//! endpoints that bear few, `terms` what endpoints say of themselves,
-//! `policies` is where operators' programs decide.
+//! This module holds the state and what all submodules need. `calls`, `stages`, `results` and
+//! `ending` implement the phases of an exchange; `moves` cancels calls and retries them on
+//! other endpoints; `intake` decides whether a request is admitted; `plan` computes the
+//! deadlines of its stages; `queues` reports backlogs of pieces; `placing` chooses engines
+//! for all instances; `quarantine` stops requests that crash endpoints; `evacuation` keeps
+//! all requests away from evacuated data centres; `pace` limits the calls to endpoints that
+//! are cold or state a limit; `terms` processes what endpoints report of themselves;
+//! `policies` runs the operators' programs.
 
 mod calls;
 mod ending;
@@ -57,27 +57,27 @@
     },
 };
 
-/// Pause between two clean-ups of what is not needed any more.
+/// Interval between two clean-ups of expired state.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
-/// Idle time of a caller that does not say how long it waits.
+/// Time limit of a request that states no deadline.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(600);
 
-/// How the relay works; given once at the start.
+/// Settings of the state machine, fixed at its start.
 #[data]
 pub struct Settings {
-    /// This instance.
+    /// Name of this instance.
     pub name: InstanceName,
-    /// Its data centre.
+    /// Data centre of this instance.
     pub data_centre: DataCentre,
-    /// The bound on repetition.
+    /// The retry budget that all instances share.
     pub bound: Bound,
-    /// Instances that share the bound while no more are known.
+    /// Number of instances that share the retry budget while fewer are known.
     pub instances: usize,
-    /// Its processor's share, in thousandths of a core.
+    /// CPU share of this instance, in thousandths of a core.
     pub millicores: u32,
 }
 
-/// The relay.
+/// The relay's state machine.
 pub struct Relay {
     settings: Settings,
     rng: SmallRng,
@@ -90,52 +90,54 @@
     batches: Batches,
     tickets: HashMap<u64, Ticket>,
     allowances: HashMap<ServiceName, Allowance>,
-    /// How fast engines read.
+    /// How fast the engines of each service read prompts.
     reading_speeds: HashMap<ServiceName, Speed>,
     stage_times: intake::StageTimes,
     peers: Vec<Peer>,
     /// Peers that did not answer a hand-over, and until when they get none.
     unresponsive_peers: HashMap<InstanceName, Duration>,
     announced_count: usize,
-    /// Until when requests that peers may have a part in wait for word of them.
+    /// Requests that need peers (for stages or prompts) wait until this time at the latest
+    /// for the list of peers.
     peers_deadline: Duration,
-    /// Until when all requests wait for word of what is in force.
+    /// All requests wait until this time at the latest for the platform's tables to be read
+    /// again.
     tables_deadline: Duration,
-    /// Placers that did not answer, and until when they are not asked.
+    /// Placers that did not answer, and until when this instance does not ask them.
     unresponsive_placers: HashMap<InstanceName, Duration>,
-    /// Engines that were asked what they hold, and when this instance last
+    /// Engines that this instance asked for the prompt parts that they hold, and when it last
     /// placed a prompt.
     queried_engines: HashSet<EndpointKey>,
     last_placement: Duration,
-    /// The engines of the calls that this instance placed, by their numbers.
+    /// The engines of the calls that this instance placed, by the numbers of the calls.
     runs: HashMap<RunNumber, EndpointKey>,
     next_run: RunNumber,
-    /// How long calls are at engines, as a moving average.
+    /// Moving average of how long a call runs at an engine.
     average_run: Duration,
-    /// What placers are to be told, and when.
+    /// Progress of calls that is to be sent to their placers at `report_at`.
     progress_reports: HashMap<InstanceName, Vec<Progress>>,
-    /// Limits that go with these.
+    /// Notices on endpoints that are sent with the progress reports.
     pending_notices: HashMap<InstanceName, Vec<Notice>>,
     report_at: Duration,
     is_batching: bool,
     quarantine: Quarantine,
-    /// Whether it is known what is held back. Nothing is sent before.
+    /// Whether the quarantine table has been read. No request is admitted before.
     is_quarantine_read: bool,
-    /// Runs that were cut lately, by the endpoint's life.
+    /// Runs whose connection was cut lately, by the incarnation of their endpoint.
     cut_runs: HashMap<EndpointKey, quarantine::CutRuns>,
     policy: Option<Program>,
-    /// Room has become free that waiting pieces may need.
+    /// Whether result memory has become free that waiting pieces may need.
     has_freed_memory: bool,
     deadlines: BTreeSet<(Duration, ExchangeKey)>,
-    /// When first tokens of engines are overdue.
+    /// When calls to engines that have not sent a first token become overdue.
     token_deadlines: BTreeSet<(Duration, CallKey)>,
-    /// When the engines that are called with results have probably read them.
+    /// When the engines that were called with results have probably read them.
     evictable_at: BTreeSet<(Duration, ExchangeKey)>,
-    /// When who batches a service told last that pieces wait there.
+    /// When the batcher of each service last reported that pieces wait there.
     backlogs: HashMap<ServiceName, Duration>,
-    /// When this instance tells of its own queues next.
+    /// When this instance next reports the backlogs of its own queues.
     next_backlog: Duration,
-    /// How long after its call an engine has probably read them.
+    /// How long after the start of a call an engine has probably read the results.
     read_delay: Duration,
     searching: BTreeSet<ExchangeKey>,
     next_search: Duration,
@@ -143,24 +145,24 @@
     actions: Vec<Action>,
 }
 
-/// What an arrival was taken in as.
+/// Summary of an exchange, for a log line.
 #[data]
 pub struct ExchangeSummary {
-    /// The route.
+    /// Name of the route.
     pub route: Arc<str>,
-    /// The service that is to answer.
+    /// The service that answers.
     pub service: ServiceName,
-    /// The team.
+    /// The team of the caller's key; `None` without a known key.
     pub team: Option<TeamName>,
-    /// What it asks for, and for whom.
+    /// Fingerprint of the request and its team.
     pub content: Fingerprint,
-    /// How long it is kept waiting at the most.
+    /// Time from the arrival to the deadline.
     pub wait: Duration,
-    /// Pieces of each stage.
+    /// Number of pieces of each stage.
     pub pieces: Vec<u16>,
 }
 
-/// Pieces of an exchange that were handed to a peer, until it returns them.
+/// Pieces of an exchange that were handed to a peer, until it returns their results.
 #[derive(Debug)]
 struct Handover {
     exchange: ExchangeKey,
@@ -168,16 +170,17 @@
     pieces: Vec<Piece>,
 }
 
-/// A peer's pieces that are being made here.
+/// Pieces that a peer handed to this instance, with the results so far.
 #[derive(Debug)]
 struct Ticket {
     results: Vec<Option<PieceResult>>,
 }
 
 impl Relay {
-    /// A relay that knows nothing yet.
+    /// Creates a relay without configuration, endpoints or peers.
     pub fn new(settings: Settings, seed: u64) -> Relay {
-        // Numbers of an earlier life of this instance may still be reported.
+        // Peers may still report progress under numbers of an earlier incarnation of this
+        // instance.
         let next_run = u64::from(SmallRng::seed_from_u64(!seed).random::<u32>()) << 32;
         Relay {
             settings,
@@ -226,23 +229,22 @@
         }
     }
 
-    /// What is to be done since the last time this was asked.
+    /// Takes the actions that were queued since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The configuration in force.
+    /// The configuration in force; `None` until one has been read.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.as_ref()
     }
 
-    /// Endpoints, as far as they are known.
+    /// The endpoints that this instance knows.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// What became of an arrival, for a log line: its route, service, team and
-    /// whether it was taken in at all.
+    /// Summarises an exchange for a log line; `None` once it has ended.
     pub fn describe(&self, key: ExchangeKey) -> Option<ExchangeSummary> {
         let exchange = self.exchanges.get(key)?;
         Some(ExchangeSummary {
@@ -255,12 +257,12 @@
         })
     }
 
-    /// Exchanges that have not ended.
+    /// Number of exchanges that have not ended.
     pub fn open_exchanges(&self) -> usize {
         self.exchanges.len()
     }
 
-    /// Pieces of peers that are being made here.
+    /// Number of hand-overs from peers whose results have not been returned.
     pub fn open_tickets(&self) -> usize {
         self.tickets.len()
     }
@@ -284,7 +286,7 @@
             .unwrap_or(self.next_cleanup)
     }
 
-    /// Takes in a configuration. An older one is passed over; false then.
+    /// Applies a configuration. Returns false if the one in force is as new or newer.
     pub fn configure(&mut self, config: Arc<Config>) -> bool {
         if self.config.as_ref().is_some_and(|known| known.version >= config.version) {
             return false;
@@ -293,7 +295,7 @@
         true
     }
 
-    /// Takes in a change of the directory.
+    /// Applies a change of the directory.
     pub fn apply_change(&mut self, now: Duration, change: Change) -> Changed {
         let change = self.reject_unknown_service(change);
         let changed = self.directory.change(now, change);
@@ -307,8 +309,8 @@
         changed
     }
 
-    /// An entry that moves a known endpoint to a service that the configuration does
-    /// not name is nobody's: anybody may write to the directory.
+    /// Treats an entry that moves a known endpoint to a service that the configuration does
+    /// not name as unreadable, since any process may write to the directory.
     fn reject_unknown_service(&self, change: Change) -> Change {
         let Change::Put(entry) = &change else { return change };
         let Some(config) = &self.config else { return change };
@@ -320,14 +322,14 @@
         }
     }
 
-    /// Hands no piece to itself any more where a peer can batch it: its peers
-    /// do not count on this instance from now on.
+    /// Stops batching pieces wherever a peer can do so. Peers exclude this instance as a
+    /// batcher from now on.
     pub fn stop_batching(&mut self) {
         self.is_batching = false;
     }
 
-    /// Takes in which peers are taken for alive, and how many instances there
-    /// are at the most: those that ever announced themselves.
+    /// Replaces the list of live peers. `announced` is the number of instances that ever
+    /// announced themselves, an upper bound of those that are alive.
     pub fn set_peers(&mut self, now: Duration, peers: Vec<Peer>, announced: usize) {
         self.unresponsive_peers.retain(|_, until| now < *until);
         self.unresponsive_placers.retain(|_, until| now < *until);
@@ -340,37 +342,36 @@
         }
     }
 
-    /// An instance that has just started does not know its peers yet: until then,
-    /// or until that time, requests with stages or prompts wait. After a common
-    /// restart of 295 instances, 173 of them sent calls for pieces themselves in
-    /// the fifth of a second before they knew each other, and 8,000 of these found
-    /// their endpoint full.
+    /// Makes requests with stages or prompts wait until the peers are known, or until the
+    /// given time. An instance that has just started does not know them yet. When 295
+    /// instances were restarted together, 173 of them sent calls for pieces themselves in the
+    /// 0.2 s before they knew each other, and 8,000 of these calls found their endpoint full.
     pub fn hold_for_peers(&mut self, until: Duration) {
         self.peers_deadline = until;
     }
 
-    /// This instance stood still and does not know what is in force: until it does,
-    /// or until that time, all requests wait. An instance that was suspended for half
-    /// a minute sent by the routes of before until its first look at the tables.
+    /// Makes all requests wait until the tables have been read again, or until the given
+    /// time, after the event loop stood still. An instance that was suspended for 30 s used
+    /// outdated routes until it first read the tables.
     pub fn hold_for_tables(&mut self, until: Duration) {
         self.tables_deadline = until;
     }
 
-    /// What is in force is known again.
+    /// The tables have been read again: requests that wait for them go on.
     pub fn mark_tables_read(&mut self, now: Duration) {
         if now < std::mem::take(&mut self.tables_deadline) {
             self.search(now);
         }
     }
 
-    /// The peers are known now.
+    /// The peers are known: requests that wait for them go on.
     pub fn mark_peers_known(&mut self, now: Duration) {
         if now < std::mem::take(&mut self.peers_deadline) {
             self.search(now);
         }
     }
 
-    /// A caller's request has been read whole.
+    /// Takes in a caller's request that has been read whole.
     pub fn on_request(&mut self, now: Duration, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
         let config = self.config.clone().filter(|_| self.is_quarantine_read);
         let config = config.ok_or(Refusal::NotReady)?;
@@ -422,7 +423,7 @@
         Ok(key)
     }
 
-    /// Does what has become due.
+    /// Handles all timers that have expired.
     pub fn tick(&mut self, now: Duration) {
         self.time_out_due(now);
         if now >= self.next_search && !self.searching.is_empty() {
@@ -445,7 +446,7 @@
         }
     }
 
-    /// Goes on with an exchange: its next stages, or its call.
+    /// Continues an exchange: refuses it, starts its next stages or makes its call.
     fn advance(&mut self, now: Duration, key: ExchangeKey) {
         if self.quarantined_for(now, key).is_some() {
             self.refuse_quarantined(now, key);
@@ -468,8 +469,8 @@
         self.call(now, key);
     }
 
-    /// Instances that may be alive. Those that are only out of sight count: they
-    /// repeat out of the same bound.
+    /// Upper bound of the live instances. Unreachable ones count, since they still spend from
+    /// the shared retry budget.
     fn instances(&self) -> usize {
         (self.peers.len() + 1).max(self.announced_count).max(self.settings.instances)
     }
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: where they go, what came of them, what is repeated.
+//! Calls to endpoints: where they go, how they end and which are retried.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,19 +15,19 @@
     },
 };
 
-/// Pause before an exchange looks again for a usable endpoint.
+/// Pause before an exchange searches again for a usable endpoint.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(40);
-/// Share of its objective that an exchange waits for a usable endpoint: one that
-/// restarts or whose connection broke is often back by then, and a caller that
-/// is refused then still has most of its time.
+/// Share of its objective that an exchange waits for a usable endpoint. An endpoint that
+/// restarts or whose connection broke is often usable again by then, and a caller that is
+/// refused then still has most of its time left.
 const PATIENCE_SHARE: f64 = 0.2;
-/// Nothing is sent to an endpoint with less time than this.
-const SHORTEST_CALL: Duration = Duration::from_millis(5);
+/// No call is sent if less time than this is left.
+const MIN_CALL_TIME: Duration = Duration::from_millis(5);
 
 impl Relay {
-    /// The head of a reply came. True if its body is a stream whose events are
-    /// to be asked about one by one with [`Relay::on_stream_event`]; false if the
-    /// body is to be read whole first.
+    /// Takes in the head of a reply. Returns true if its body is a stream, each event of
+    /// which is to be passed to [`Relay::on_stream_event`]; false if the body is to be read
+    /// whole first.
     pub fn on_reply_head(&mut self, now: Duration, call: CallKey, head: &ReplyHead) -> bool {
         self.on_reply_terms(now, call, head);
         let Some(exchange) = self.exchange_of(call) else { return false };
@@ -40,7 +40,7 @@
         is_stream && is_success
     }
 
-    /// Whether a stream's event goes to the caller.
+    /// Takes in an event of a stream. Returns whether it is to be passed on to the caller.
     pub fn on_stream_event(&mut self, now: Duration, call: CallKey, id: Option<u64>) -> bool {
         let Some(key) = self.exchange_of(call) else { return false };
         let exchange = &mut self.exchanges[key];
@@ -60,7 +60,7 @@
         true
     }
 
-    /// A stream ended whole.
+    /// A stream has ended completely.
     pub fn on_stream_end(&mut self, now: Duration, call: CallKey) {
         let Some(key) = self.exchange_of(call) else { return };
         self.quarantine.note_answer(now, self.exchanges[key].content);
@@ -72,7 +72,7 @@
         self.close(key);
     }
 
-    /// A reply came whole.
+    /// A reply has been read whole.
     pub fn on_reply(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
         let Some(key) = self.exchange_of(call) else { return };
         let endpoint = self.calls[call].endpoint;
@@ -98,7 +98,7 @@
         }
         let has_inputs = !self.exchanges[key].route.stages.is_empty();
         let inputs_gone = head.is_unrun && head.status == 409 && has_inputs;
-        // Whatever a later head says, one that has sent events has run it.
+        // An endpoint that has sent events has run the request, whatever a later head states.
         let has_run = self.exchanges[key].was_called;
         let may_run = self.exchanges[key].route.kind.may_repeat() || !has_run;
         if inputs_gone && may_run {
@@ -114,7 +114,7 @@
         self.retry(now, key, own_answer);
     }
 
-    /// A call failed without a whole reply.
+    /// A call failed before its reply was complete.
     pub fn on_call_failure(&mut self, now: Duration, call: CallKey, failure: Failure) {
         let Some(key) = self.exchange_of(call) else { return };
         if failure == Failure::Cut {
@@ -130,7 +130,8 @@
         self.retry(now, key, None);
     }
 
-    /// An engine did not run a call since results that it takes in are gone.
+    /// Makes the stages again after an engine refused a call because results that it needs
+    /// are gone.
     fn remake_inputs(&mut self, now: Duration, key: ExchangeKey) {
         self.extend_read_delay(key);
         self.exchanges[key].attempts -= 1;
@@ -149,13 +150,14 @@
         (all / self.instances() as u32).max(1)
     }
 
-    /// Calls an endpoint with an exchange whose stages are complete.
+    /// Calls an endpoint for an exchange whose stages are complete. Its placer chooses the
+    /// endpoint if there is one.
     pub(super) fn call(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         if exchange.is_placing {
             return;
         }
-        if exchange.due < now + SHORTEST_CALL {
+        if exchange.due < now + MIN_CALL_TIME {
             self.time_out(now, key);
             return;
         }
@@ -164,7 +166,7 @@
         }
     }
 
-    /// The same without asking anybody where to.
+    /// Calls an endpoint that this instance chooses itself.
     pub(super) fn call_without_placer(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let places = exchange.graph.output_places(&exchange.route);
@@ -180,7 +182,7 @@
         Some(self.directory.get(endpoint?)?.entry.addr.clone())
     }
 
-    /// Calls an endpoint.
+    /// Sends the call of an exchange to the chosen endpoint.
     pub(super) fn send_call(&mut self, now: Duration, key: ExchangeKey, placed: Placed) {
         let Placed { chosen, source, placer } = placed;
         let choice::Candidate { endpoint, tokens, .. } = chosen;
@@ -226,7 +228,7 @@
         self.actions.push(Action::Send(call));
     }
 
-    /// Remembers what an engine is sent.
+    /// Records the prompt that is sent to an engine.
     fn record_prompt(
         &mut self,
         now: Duration,
@@ -270,7 +272,7 @@
         self.search_later(now, key);
     }
 
-    /// Goes on with an exchange in a moment.
+    /// Continues an exchange after [`SEARCH_INTERVAL`].
     pub(super) fn search_later(&mut self, now: Duration, key: ExchangeKey) {
         if self.searching.is_empty() {
             self.next_search = now + SEARCH_INTERVAL;
@@ -278,7 +280,7 @@
         self.searching.insert(key);
     }
 
-    /// Tries again for the exchanges that found no endpoint, or no peer.
+    /// Continues the exchanges that found no usable endpoint or wait for peers or tables.
     pub(super) fn search(&mut self, now: Duration) {
         self.next_search = now + SEARCH_INTERVAL;
         for key in std::mem::take(&mut self.searching) {
@@ -288,15 +290,15 @@
         }
     }
 
-    /// Sends an exchange to another endpoint, or ends it. `answer` is the
-    /// endpoint's own failure, which is passed on if it stays at that.
+    /// Retries an exchange on another endpoint, or ends it. `answer` is a call whose error
+    /// reply is passed on to the caller if no retry is possible.
     pub(super) fn retry(&mut self, now: Duration, key: ExchangeKey, answer: Option<CallKey>) {
         let exchange = &self.exchanges[key];
         let kind = exchange.route.kind;
         let may_run = kind.may_repeat() || !exchange.was_called;
         let can_go_on = !exchange.has_begun || kind.may_repeat();
         let has_attempts = exchange.attempts < exchange.route.max_attempts;
-        let has_time = exchange.due > now + SHORTEST_CALL;
+        let has_time = exchange.due > now + MIN_CALL_TIME;
         let is_first = exchange.attempts == 0;
         let service = exchange.service.clone();
         let may_try = may_run && can_go_on && has_attempts && has_time;
@@ -352,8 +354,7 @@
         self.record_step(now, call, Step::Answered(load));
     }
 
-    /// A call has got so far: what is known of its endpoint changes, and a peer
-    /// that placed it is told.
+    /// Records how far a call has got, and reports it to the peer that placed it.
     fn record_step(&mut self, now: Duration, call: CallKey, step: Step) {
         let Some(CallState { endpoint, started, run, placer, .. }) = self.calls.get(call) else {
             return;
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -8,20 +8,20 @@
     model::{Action, ExchangeKey, Refusal},
 };
 
-/// Share of the remaining time that a caller may be told to stay away.
+/// `retry_after` is at most this share of the time that the caller has left.
 const RETRY_AFTER_SHARE: f64 = 0.3;
-/// Shortest time that a caller is told to stay away.
+/// Shortest `retry_after` that is sent; below this, none is.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Time until an endpoint that failed is usable again, as callers are told.
+/// `retry_after` while no endpoint is usable: the usual time until one that failed is usable
+/// again.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// Time until a queue that is too long has got shorter, as callers are told. It
-/// is not worked out from the queue; three tenths of what is left is nearly
-/// always less.
+/// `retry_after` while queues are too long. It is not computed from the queue, since
+/// [`RETRY_AFTER_SHARE`] of the time left is nearly always less.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(3);
 
 impl Relay {
-    /// Ends all exchanges: the instance is about to end. Callers that hold no
-    /// part of an answer are told, instead of being cut off.
+    /// Ends all exchanges before the instance stops. Callers that have received no part of an
+    /// answer get a refusal instead of a broken connection.
     pub fn end_all_exchanges(&mut self, now: Duration) {
         for key in self.exchanges.keys().collect::<Vec<_>>() {
             self.stop_work(now, key);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Gives up what is under way for an exchange. It may have run.
+    /// Cancels the call of an exchange and records that its work may have run.
     pub(super) fn stop_work(&mut self, now: Duration, key: ExchangeKey) {
         if let Some(call) = self.exchanges[key].call {
             self.cancel(now, call);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A caller has gone before its answer was whole.
+    /// A caller disconnected before its answer was complete.
     pub fn on_caller_disconnect(&mut self, now: Duration, key: ExchangeKey) {
         if let Some(call) = self.exchanges.get(key).and_then(|exchange| exchange.call) {
             self.cancel(now, call);
@@ -69,7 +69,7 @@
         self.give_up(now, key, refusal);
     }
 
-    /// Some of an exchange's work may have been done.
+    /// Records that some of an exchange's work may have run.
     pub(super) fn mark_may_have_run(&mut self, key: ExchangeKey) {
         if let Some(exchange) = self.exchanges.get_mut(key) {
             exchange.has_run = true;
@@ -93,14 +93,14 @@
         self.close(key);
     }
 
-    /// How long its caller should stay away. What is held back stays so for longer
-    /// than any caller waits: a sooner time would not be true.
+    /// When the caller should retry. Quarantined content is refused for longer than any
+    /// caller waits, so its full remaining time is stated.
     fn retry_after(&self, now: Duration, key: ExchangeKey, refusal: Refusal) -> Duration {
         if refusal == Refusal::Quarantined {
             return self.quarantined_for(now, key).unwrap_or_default();
         }
         let usual = match refusal {
-            // An evacuation ends when the operators say so; no sooner than this.
+            // An evacuation ends when the operators end it, so the longest pause is stated.
             Refusal::Infeasible | Refusal::Evacuated => OVERLOAD_RETRY_AFTER,
             _ => DEFAULT_RETRY_AFTER,
         };
@@ -108,7 +108,7 @@
         self.policy_retry_after(now, key, usual).min(remaining.mul_f64(RETRY_AFTER_SHARE))
     }
 
-    /// Forgets an exchange and gives up all that it holds.
+    /// Removes an exchange and releases all that it holds.
     pub(super) fn close(&mut self, key: ExchangeKey) {
         let Some(mut exchange) = self.exchanges.remove(key) else { return };
         self.deadlines.remove(&(exchange.due, key));
--- a/crates/core/src/relay/machine/evacuation.rs
+++ b/crates/core/src/relay/machine/evacuation.rs
@@ -1,13 +1,12 @@
-//! Data centres whose endpoints get nothing more, by the operators' order.
+//! Data centres whose endpoints get no work, by the operators' command.
 //!
-//! The order binds whatever is sent from the moment on at which this instance hears
-//! of it: calls, pieces, what is repeated, moved or resumed, and what a peer has
-//! placed there. [`Directory::usable`](crate::relay::directory::Directory::usable)
-//! leaves these endpoints out, and nothing is sent to an endpoint that it did not
-//! give just before. What runs there ends there: a stream that is moved is read
-//! again elsewhere, for nothing. Results that lie there are still read, and given
-//! up there. Engines there are no source of copies either, since a copy is asked of
-//! them.
+//! The command applies to everything that is sent after this instance has received it: calls,
+//! pieces, retried, moved or resumed requests, and calls that a peer placed there.
+//! [`Directory::usable`](crate::relay::directory::Directory::usable) leaves these endpoints
+//! out, and each endpoint that is sent anything was listed by it just before. Calls that run
+//! there run to their end, since a moved stream would have its prompt read again elsewhere
+//! for nothing. Results that lie there are still read, and freed there. Engines there do not
+//! serve as sources of copies either, since that is a request to them.
 
 use std::time::Duration;
 
@@ -18,8 +17,8 @@
 };
 
 impl Relay {
-    /// Takes in what operators ordered, the oldest first. Returns for each whether it
-    /// changed anything. Nothing is sent before all of it is in force.
+    /// Applies operators' commands, oldest first. Returns for each whether it changed
+    /// anything. Nothing is sent before all of them are applied.
     pub fn apply_operator_changes(&mut self, now: Duration, acts: Vec<Act>) -> Vec<bool> {
         let taken = acts.into_iter().map(|act| self.apply_operator_change(act)).collect();
         self.refuse_evacuated(now);
@@ -36,8 +35,8 @@
         }
     }
 
-    /// Whether an exchange still needs a service all of whose endpoints are
-    /// evacuated. Its stages that have been started may still be made.
+    /// Whether an exchange still needs a service all of whose endpoints are evacuated. Stages
+    /// that have been started do not count, since their pieces may still be made.
     pub(super) fn needs_evacuated(&self, now: Duration, key: ExchangeKey) -> bool {
         if self.directory.evacuated().next().is_none() {
             return false;
@@ -49,7 +48,8 @@
         services.any(|service| self.directory.is_evacuated(now, service))
     }
 
-    /// Ends those that nobody can serve, so that their callers hear so at once.
+    /// Refuses the exchanges that no endpoint can serve any more, at once rather than at
+    /// their deadlines.
     fn refuse_evacuated(&mut self, now: Duration) {
         let open = self.exchanges.iter().filter(|(_, exchange)| exchange.call.is_none());
         let open: Vec<_> = open.map(|(key, _)| key).collect();
--- a/crates/core/src/relay/machine/intake.rs
+++ b/crates/core/src/relay/machine/intake.rs
@@ -1,14 +1,13 @@
-//! Whether a request is taken in at all.
+//! Admission: whether a request is begun at all.
 //!
-//! The load that this answers is one that lasts: more comes than the stages can
-//! make. Each batch queue sees its own backlog only, so a request would be begun,
-//! get through its first stage and be given up in its last: work is thrown away
-//! that others lacked, and its caller hears late, and that something ran.
-//! Therefore each instance watches how long stages take for its own requests and
-//! refuses, before anything runs, part of those that would be too late. Refusing
-//! part of them and not all keeps what is watched in view, and settles where
-//! those taken in are just in time. Nothing is told between instances: all see
-//! the same queues.
+//! This protects against lasting overload, where more requests arrive than the stages can
+//! process. Each batch queue sees only its own backlog, so a request would be begun, pass its
+//! first stage and be dropped in its last: the work is wasted that other requests needed, and
+//! the caller gets a late refusal which states that something ran. Therefore each instance
+//! measures how long stages take for its own requests and refuses, before anything runs, part
+//! of those that would be too late. Since only part of them is refused, the measurements go
+//! on, and the load settles where admitted requests are just in time. Instances exchange no
+//! messages for this: all of them see the same queues.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -19,26 +18,26 @@
     model::{ExchangeKey, ServiceName},
 };
 
-/// Weight of a new time in the moving average: the last five or so count.
+/// Weight of the newest time in the moving average, which covers about the last five.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// A service that has shown no time for so long is taken for idle.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(2);
-/// How steeply the share that is taken in falls, once for each rank of urgency
-/// and once more: with three times the load for 24 s, half of the callers coming
-/// back at once, 2 gave callers more in all than 1 (the most urgent kind 506 and
-/// 453 answers in good time instead of 470 and 426, the second 333 and 303 instead
-/// of 350 and 318), and nothing that shows on days with short bursts.
+/// A service without a measured time for so long is considered idle.
+const IDLE_AFTER: Duration = Duration::from_secs(2);
+/// How steeply the admitted share falls, once for each rank of urgency and once more. With
+/// three times the load for 24 s and half of the callers retrying at once, 2 gave more
+/// answers within the target time than 1 (most urgent kind: 506 and 453 instead of 470 and
+/// 426; second: 333 and 303 instead of 350 and 318); with short bursts there was no visible
+/// difference.
 const STEEPNESS: i32 = 2;
 
-/// How long the stages that a service makes took lately, from their start until
-/// the first of their pieces came back.
+/// Moving averages of how long the stages of each service took, from their start until the
+/// first of their pieces came back.
 #[derive(Debug, Clone, Default)]
 pub(super) struct StageTimes {
     times: HashMap<ServiceName, (Duration, Duration)>,
 }
 
 impl StageTimes {
-    /// A stage took so long, or was given up after that time.
+    /// Records how long a stage took, or for how long it ran before it was dropped.
     pub(super) fn note(&mut self, now: Duration, service: &ServiceName, took: Duration) {
         let known = self.recent(now, service);
         let average = known
@@ -46,17 +45,17 @@
         self.times.insert(service.clone(), (now, average));
     }
 
-    /// The average of late; `None` if there is none.
+    /// The moving average; `None` if no time was recorded lately.
     pub(super) fn recent(&self, now: Duration, service: &str) -> Option<Duration> {
         let (at, average) = self.times.get(service)?;
-        (now < *at + FORGOTTEN_AFTER).then_some(*average)
+        (now < *at + IDLE_AFTER).then_some(*average)
     }
 }
 
 impl Relay {
-    /// Whether a request that has just come is taken in. The less urgent it is
-    /// the sooner it is not. One whose stages do not follow each other is left
-    /// to their queues, which see all that it waits for.
+    /// Whether a new request is admitted; the less urgent, the less likely. A request whose
+    /// stages do not form a chain is always admitted and left to the batch queues, which see
+    /// all that it waits for.
     pub(super) fn admits(&mut self, now: Duration, key: ExchangeKey) -> bool {
         let exchange = &self.exchanges[key];
         if !exchange.graph.has_chain(&exchange.route) {
@@ -72,7 +71,7 @@
         self.rng.random_bool(chance.clamp(0.0, 1.0))
     }
 
-    /// The time until a first token as stages go now.
+    /// The expected time until the first token, at the stage times measured lately.
     fn expected_time(&self, now: Duration, key: ExchangeKey) -> Duration {
         let exchange = &self.exchanges[key];
         let adapt = |time| time;
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -1,5 +1,5 @@
-//! Calls that are given up and made elsewhere, without a word of their endpoint:
-//! its first token is overdue, or it has started again.
+//! Calls that are cancelled and retried elsewhere without an answer of their endpoint: its
+//! first token is overdue, or it has restarted.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
     model::{Action, CallKey, EndpointKey, ExchangeKey, Failure, Step},
 };
 
-/// An engine's first token is overdue after so many times the time that nine of
-/// ten take. A slow engine is waited for, since its prompt would be read twice.
-/// Chosen, not measured: with 99 of 100 first tokens within 0.7 s few calls get there.
+/// An engine's first token is overdue after this multiple of the time within which nine of
+/// ten arrive. The factor is high because a retry reads the prompt a second time. Chosen, not
+/// measured: with 99 of 100 first tokens within 0.7 s few calls get there.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// The same, as time on top: connections and a loaded instance.
+/// Time added to that limit for connecting and for a loaded instance.
 const OVERDUE_SLACK: Duration = Duration::from_millis(300);
 
 impl Relay {
-    /// An endpoint has started again: whatever an earlier life of it was sent
-    /// comes to nothing. What it holds of connections and calls would otherwise
-    /// be waited for, where the endpoint died behind a cut and nothing says so.
+    /// Ends all calls to an endpoint's earlier incarnation after it has restarted, and closes
+    /// the connections to it. Otherwise calls would wait for replies that cannot come, if the
+    /// endpoint crashed behind a network partition and the connections were never closed.
     pub(super) fn end_incarnation(
         &mut self,
         now: Duration,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Remembers when an engine's first token is overdue.
+    /// Sets the time at which an engine's first token becomes overdue.
     pub(super) fn watch_first_token(&mut self, now: Duration, call: CallKey, chosen: &Candidate) {
         let service = &self.directory.get(chosen.endpoint).expect("it is called").entry.service;
         let speed = self.reading_speeds.get(service).cloned().unwrap_or_default();
@@ -53,9 +53,9 @@
         self.token_deadlines.insert((at, call));
     }
 
-    /// Has calls whose first tokens are overdue made elsewhere, where that does no
-    /// harm, is in time and within the bound on repetition: their engines hang, or
-    /// have more to do than was reckoned with.
+    /// Cancels calls whose first token is overdue and retries them elsewhere, if that is
+    /// safe, in time and within the retry budget. Their engines hang, or are slower than was
+    /// estimated.
     pub(super) fn retry_overdue(&mut self, now: Duration) {
         while let Some(&(at, call)) = self.token_deadlines.first()
             && at <= now
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether a call of an exchange may be made again elsewhere.
+    /// Whether the call of an exchange may be retried on another endpoint.
     fn may_retry_elsewhere(&self, now: Duration, key: ExchangeKey) -> bool {
         let Exchange { route, attempts, due, has_begun, service, tried, .. } = &self.exchanges[key];
         let may_repeat = route.kind.may_repeat() && !has_begun && *attempts < route.max_attempts;
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -1,17 +1,16 @@
-//! Endpoints that bear few calls: they are cold, or name a limit.
+//! Rates of calls to endpoints that are cold or state a limit.
 //!
-//! Either bound holds for the calls of all instances together, whether or not they hear
-//! of each other. An engine that bears few calls therefore has one instance that has it
-//! called, the placer that has it anyway, and the instance that batches a service's
-//! pieces calls its endpoints alone; it leaves the time that the endpoint needs between
-//! two calls. An endpoint that every instance calls for itself has a few of them as its
-//! callers meanwhile, those that rank first for its name, and they share the pace.
-//! While instances disagree on who is alive, there may be one caller more.
+//! Either rate holds for the calls of all instances together, even if they cannot reach each
+//! other. One instance alone therefore calls such an engine (its placer) or such an endpoint
+//! for pieces (the batcher of the service), and leaves the required interval between two
+//! calls. An endpoint that every instance calls itself is meanwhile called only by a few,
+//! those that rank first for its name, and they share the rate. While instances disagree on
+//! which peers are alive, there may be one caller more.
 //!
-//! Ways that were weighed: a share for each instance is less than a call a second
-//! with 86 of them, so that a burst of each one's first call is over the bound;
-//! leases by gossip are late by as long as an endpoint is cold; a single caller of
-//! a plain endpoint has too few requests of its own to use what the endpoint bears.
+//! Alternatives that were considered: a share for each instance is less than a call a second
+//! with 86 instances, so that the first calls of all of them together exceed the rate; leases
+//! granted by gossip arrive as late as an endpoint is cold; a single caller of an endpoint
+//! that every instance calls has too few requests of its own to use the allowed rate.
 
 use std::time::Duration;
 
@@ -28,51 +27,52 @@
     terms::Rate,
 };
 
-/// Who calls an endpoint that bears few calls hears often what it says of its limit.
-/// One of which nothing was heard for so long is called by nobody.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+/// Callers of an endpoint with a limit get its limit reports often. If none has arrived for
+/// this long, no instance calls it.
+const LIMIT_EXPIRY: Duration = Duration::from_secs(60);
 
-/// How an endpoint that bears few calls is called.
+/// How an endpoint that is cold or states a limit is called.
 #[data]
 #[derive(Copy)]
 struct Pace {
-    /// Time between two calls of one of its callers.
+    /// Time between two calls of one caller.
     interval: Duration,
-    /// How many instances call it.
+    /// Number of instances that call the endpoint.
     callers: u32,
-    /// How much of a slot that was missed is made up for, so that a caller whose
-    /// requests come at random uses all slots.
+    /// How late a call may be without delaying the next ones, so that a caller whose requests
+    /// arrive at random uses all of its slots.
     slack: Duration,
 }
 
 impl Pace {
-    /// Every so often a call of any of so many instances.
+    /// One call for each `interval` from any of the callers.
     fn new(interval: Duration, callers: u32) -> Pace {
         Pace { interval: interval * callers, callers, slack: Duration::ZERO }
     }
 }
 
 impl Relay {
-    /// How many endpoints name a limit, as far as is known.
+    /// Number of endpoints that are known to state a limit.
     pub fn limited_count(&self) -> usize {
         self.directory.all().filter(|endpoint| endpoint.limit().is_some()).count()
     }
 
-    /// Forgets limits of which nothing was heard for long: whoever calls such an
-    /// endpoint may have no requests for it. One instance after the other does so, and
-    /// hears at its first call whether the limit holds on.
+    /// Drops limits that were last reported long ago, since the instances that call such an
+    /// endpoint may have no requests for it. By the random choice about one instance at a
+    /// time drops the limit; the reply to its first call shows whether it still holds.
     pub(super) fn expire_limits(&mut self, now: Duration) {
         let instances = self.instances() as u32;
         for endpoint in self.directory.all_mut() {
-            let is_old = endpoint.word.is_some_and(|word| now >= word.at + FORGOTTEN_AFTER);
+            let is_old = endpoint.word.is_some_and(|word| now >= word.at + LIMIT_EXPIRY);
             if is_old && self.rng.random_ratio(1, instances) {
                 endpoint.word = None;
             }
         }
     }
 
-    /// Endpoints of a service that get no call from this instance now: they want none,
-    /// or bear few and are another one's to call, or were called too lately.
+    /// Endpoints of a service that get no call from this instance now: they are on hold, or
+    /// they are cold or state a limit and other instances call them, or their last call was
+    /// too recent.
     pub(super) fn withheld(
         &self,
         now: Duration,
@@ -103,9 +103,8 @@
         bound.into_iter().filter(is_withheld).map(|(key, ..)| key).collect()
     }
 
-    /// When an endpoint may be called with an exchange again, where all that it may
-    /// still go to want nothing from this instance; `None` if one of them does, or there
-    /// is none.
+    /// When an exchange may first call an endpoint again, if all untried ones are on hold;
+    /// `None` if one of them is not, or none is left.
     pub(super) fn first_available(&self, now: Duration, key: ExchangeKey) -> Option<Duration> {
         let Exchange { service, tried, .. } = &self.exchanges[key];
         let usable = self.directory.usable(now, service).into_iter();
@@ -115,7 +114,7 @@
         (first > now).then_some(first)
     }
 
-    /// An endpoint is sent a call.
+    /// Records a call to an endpoint in its pace.
     pub(super) fn pace_call(&mut self, now: Duration, key: EndpointKey) {
         let Some(endpoint) = self.directory.get(key) else { return };
         let Some(Pace { interval, slack, .. }) = self.pace(now, endpoint) else { return };
@@ -125,7 +124,7 @@
         self.pace_pieces(now, key);
     }
 
-    /// Tells until when an endpoint that makes pieces gets none.
+    /// Tells the batch queues until when an endpoint that makes pieces gets none.
     pub(super) fn pace_pieces(&mut self, now: Duration, key: EndpointKey) {
         let Some(endpoint) = self.directory.get(key) else { return };
         if self.piece_config(&endpoint.entry.service).is_some() {
@@ -136,7 +135,7 @@
         }
     }
 
-    /// The pace of an endpoint that bears few calls, the slower one of two.
+    /// The pace of an endpoint that is cold or states a limit; the slower one if both hold.
     fn pace(&self, now: Duration, endpoint: &Endpoint) -> Option<Pace> {
         let service = &endpoint.entry.service;
         let cold = endpoint.is_cold(now).then(|| self.cold_pace(service)).flatten();
@@ -148,16 +147,16 @@
         }
     }
 
-    /// What it bears within a second. Of several callers there are half as many as it
-    /// bears calls, so that a first call of each at once is within the bound too.
+    /// The rate holds in any single second. Of several callers there are half as many as
+    /// calls allowed in a second, so that the first calls of all at once stay within it too.
     fn paced_when_cold(&self, service: &str, interval: Duration) -> Pace {
         let borne = 1.0 / interval.as_secs_f64().max(f64::MIN_POSITIVE);
         Pace::new(interval, self.callers(service, (borne / 2.0) as u32))
     }
 
-    /// What it takes within four seconds: half as many more, and five. Of several callers
-    /// there are half as many as it takes calls a second, and one: with two calls of each
-    /// at once that is still one and a quarter times the limit.
+    /// In any four seconds an endpoint accepts 1.5 times its limit and five calls more. Of
+    /// several callers there are half as many as calls allowed in a second, and one: if each
+    /// makes two calls at once, that is 1.25 times the limit.
     fn paced_by_limit(&self, service: &str, rate: Rate) -> Pace {
         let wanted = ((rate.calls() / 2.0) as u32).saturating_add(1);
         let pace = Pace::new(rate.interval(), self.callers(service, wanted));
@@ -176,14 +175,15 @@
         self.config.as_ref()?.services.get(service)?.cold_pace
     }
 
-    /// Whether one instance decides for all what an endpoint of a service is sent.
+    /// Whether one instance (a placer or a batcher) makes all calls to an endpoint of a
+    /// service.
     fn has_one_caller(&self, service: &str) -> bool {
         let is_placed = self.has_engines(service) && !self.has_route_policy();
         is_placed || self.piece_config(service).is_some()
     }
 
-    /// Whether this instance is one of an endpoint's callers. One that stops is none:
-    /// its peers do not count on it.
+    /// Whether this instance is one of an endpoint's callers. An instance that stops is not,
+    /// since its peers no longer count it among them.
     fn is_caller_of(&self, service: &ServiceName, endpoint: &Endpoint, pace: Pace) -> bool {
         let is_going = !self.is_batching && !self.peers.is_empty();
         if self.has_one_caller(service) || is_going {
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -1,23 +1,21 @@
-//! Which engine reads which prompt, decided in one place for all instances.
+//! Placement of prompts: one instance chooses the engines for all.
 //!
-//! Instances that choose alone do not know what the others have just sent: two
-//! long prompts meet at one engine while another one is idle, parts that one
-//! engine has read are read again by the next, and a part that nobody has read
-//! goes to the engine that all agree on, however far that is from the results
-//! that the call takes in. Therefore one instance, the *placer*, chooses for
-//! all: it knows what each engine was given to read, and what it holds.
+//! Instances that choose on their own do not know what the others have just sent. Two long
+//! prompts go to one engine while another is idle; prompt parts that one engine has read are
+//! read again by the next; and a part that no engine has read goes to the one engine that all
+//! instances agree on, however far it is from the results that the call needs. Therefore one
+//! instance, the *placer*, chooses for all: it knows which prompts each engine was given, and
+//! which parts it holds.
 //!
-//! The placer is soft like the instance that batches pieces: it is asked with
-//! one short question a request, and an instance that gets no answer chooses
-//! alone. At larger sizes the prompts are shared out among several placers by
-//! their last shared part, so that a placer's work and traffic stay the same.
-//! There are as many as the engines need, not as many as there are instances:
-//! the fewer engines a placer has, the less evenly it can spread what its
-//! prompts ask for. With one placer for each eight of 295 instances, each had
-//! about four of 160 engines, and ten engines drowned while the others read at
-//! a fifth of their speed.
+//! Like the batcher of a service, the placer is not required for progress: an instance sends
+//! it one short message for each request, and chooses on its own if it gets no answer. In
+//! larger installations several placers divide the prompts by their last shared part, so that
+//! the work and traffic of one placer stay the same. Their number follows the number of
+//! engines, not of instances: the fewer engines a placer has, the less evenly it can spread
+//! its prompts. With one placer for each eight of 295 instances, each had about four of 160
+//! engines; ten engines were overloaded while the others read at a fifth of their speed.
 //!
-//! Instances tell the placer how the calls go on that it placed.
+//! Instances report the progress of placed calls to the placer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -40,32 +38,32 @@
     },
 };
 
-/// Engines of one placer. At twelve prompts a second an engine, the size to
-/// design for, a placer is asked 480 times a second.
+/// Number of engines for each placer. At the design load of twelve prompts a second at each
+/// engine, a placer gets 480 requests a second.
 const ENGINES_PER_PLACER: usize = 40;
-/// Pause in which an instance gathers what it tells a placer of its calls.
+/// How long an instance collects progress reports before it sends them to the placers.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a call is at an engine before any call has shown it.
+/// Assumed time of a call at an engine before any has been measured.
 pub(super) const INITIAL_RUN_TIME: Duration = Duration::from_millis(1500);
-/// Weight of a new time in the moving average of that.
+/// Weight of the newest time in the moving average of that.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// A placer that did not answer is not asked for so long. Until then its
-/// liveness counter shows whether it is there.
+/// An instance does not ask a placer for so long after it did not answer. After that its
+/// liveness counter shows whether it is alive.
 const AVOID_TIME: Duration = Duration::from_secs(2);
 
-/// Where an exchange's call goes.
+/// Where the call of an exchange goes.
 #[derive(Debug, Clone)]
 pub(super) struct Placed {
     pub(super) chosen: Candidate,
-    /// The address that the engine fetches from.
+    /// Address of the engine from which the chosen one fetches prompt parts.
     pub(super) source: Option<Arc<str>>,
-    /// The peer that chose, and its number of the call.
+    /// The peer that placed the call, and the number that it gave the call.
     pub(super) placer: Option<(InstanceName, RunNumber)>,
 }
 
 impl Relay {
-    /// Asks the placer where an exchange's call should go. False if this
-    /// instance chooses itself.
+    /// Asks the placer where an exchange's call should go. Returns false if this instance
+    /// chooses itself.
     pub(super) fn ask_placer(&mut self, now: Duration, key: ExchangeKey) -> bool {
         let exchange = &self.exchanges[key];
         let Some(prompt) = &exchange.arrival.prompt else { return false };
@@ -92,7 +90,7 @@
         self.unresponsive_placers.insert(peer.clone(), now + AVOID_TIME);
     }
 
-    /// A placer answered, or did not: `None` then, or if it found no engine.
+    /// Takes in a placer's answer. `None` if it did not answer or found no engine.
     pub fn on_placement(
         &mut self,
         now: Duration,
@@ -106,7 +104,7 @@
         let chosen = placement.filter(|_| is_wanted);
         let chosen = chosen.and_then(|placement| self.check_placement(now, key, peer, placement));
         if let (None, Some(number)) = (&chosen, number) {
-            // The placer reckons with a call that is not made.
+            // The placer accounts for a call that is not made.
             self.report(now, peer.clone(), Progress { number, step: Step::Ended });
         }
         match chosen {
@@ -116,9 +114,9 @@
         }
     }
 
-    /// Asks the engines of a service what they hold, of which this instance does
-    /// not know it: it has not placed prompts lately, or they are new. What was
-    /// read before a placer started would otherwise be read again.
+    /// Asks engines of a service which prompt parts they hold, if this instance does not
+    /// know: it has placed no prompts lately, or the engines are new. Otherwise parts that
+    /// were read before a placer started would be read again.
     fn query_parts(&mut self, now: Duration, service: &str) {
         if now > self.last_placement + prompts::HELD_FOR {
             self.queried_engines.clear();
@@ -126,7 +124,7 @@
         self.last_placement = now;
         for endpoint in self.directory.usable(now, service) {
             let Some(engine) = self.directory.get(endpoint) else { continue };
-            // The question is a call too.
+            // This request counts as a call too.
             let is_spared = engine.wants_rest(now) || engine.limit().is_some();
             if !is_spared && self.queried_engines.insert(endpoint) {
                 let addr = engine.entry.addr.clone();
@@ -135,8 +133,8 @@
         }
     }
 
-    /// An engine told which parts it holds. What another life of it holds says
-    /// nothing.
+    /// An engine reported which prompt parts it holds. A report of another incarnation is
+    /// ignored.
     pub fn on_parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &Listed) {
         let Some(engine) = self.directory.get(endpoint) else { return };
         if listed.incarnation.is_none_or(|told| told == engine.entry.incarnation) {
@@ -144,7 +142,7 @@
         }
     }
 
-    /// Chooses for a peer. `None` if no engine can take the prompt.
+    /// Chooses an engine for a peer. `None` if no engine can take the prompt.
     pub fn place_prompt(&mut self, now: Duration, question: &Question) -> Option<Placement> {
         if self.transfer(&question.service).is_some() {
             self.query_parts(now, &question.service);
@@ -173,8 +171,8 @@
         Some(Placement { engine: engine.life(), source, tokens, wait, number })
     }
 
-    /// A prompt goes to an engine, for this instance or a peer. Returns the
-    /// number of its run.
+    /// Records that a prompt goes to an engine, for this instance or a peer. Returns the
+    /// number of the call.
     pub(super) fn record_placement(
         &mut self,
         now: Duration,
@@ -198,7 +196,7 @@
         number
     }
 
-    /// Takes in how a call goes on that this instance placed.
+    /// Takes in the progress of a call that this instance placed.
     pub fn on_progress(&mut self, now: Duration, progress: Progress) {
         let Progress { number, step } = progress;
         let Some(&key) = self.runs.get(&number) else { return };
@@ -224,12 +222,12 @@
         self.progress_reports.entry(peer).or_default().push(progress);
     }
 
-    /// When placers are to be told of calls, if there is anything to tell.
+    /// When progress is to be reported to placers; `None` if there is none.
     pub(super) fn next_report(&self) -> Option<Duration> {
         (!self.progress_reports.is_empty()).then_some(self.report_at)
     }
 
-    /// Tells placers what was gathered for them.
+    /// Sends the collected progress reports to the placers.
     pub(super) fn send_reports(&mut self, now: Duration) {
         if now < self.report_at {
             return;
@@ -240,7 +238,8 @@
         }
     }
 
-    /// Forgets runs of which no end was heard.
+    /// Removes the numbers of calls that their engine's record has dropped without a report
+    /// of their end.
     pub(super) fn forget_runs(&mut self) {
         let directory = &self.directory;
         let is_there = |number: &RunNumber, key: &EndpointKey| {
@@ -249,7 +248,7 @@
         self.runs.retain(|number, key| is_there(number, key));
     }
 
-    /// What a choice of engines goes by, but for who asks.
+    /// The inputs of a choice for a service, but for those that depend on the exchange.
     fn wanted<'a>(&'a self, service: &str, inputs: &'a [(DataCentre, u64)]) -> choice::Wanted<'a> {
         let shape = self.engine_config(service);
         choice::Wanted {
@@ -267,7 +266,7 @@
         }
     }
 
-    /// Milliseconds that the engines of a service take to read a token.
+    /// Time in milliseconds that an engine of a service takes to read a token.
     fn token_millis(&self, service: &str) -> f64 {
         let speed = self.reading_speeds.get(service);
         speed.map_or_else(|| Speed::default().token_millis(), Speed::token_millis)
@@ -285,7 +284,7 @@
         self.engine_config(service)?.transfer
     }
 
-    /// Whether this instance decides where a prompt goes.
+    /// Whether this instance chooses the engine for a prompt.
     pub(super) fn is_placer(&self, service: &str, prompt: &Prompt) -> bool {
         self.placer(service, prompt).is_none()
     }
@@ -301,15 +300,16 @@
         Chooser::Placer { share: share_of(prompt, shares), shares }
     }
 
-    /// How many placers a service has.
+    /// Number of placers of a service.
     fn placer_count(&self, service: &str) -> u64 {
         let engines = self.directory.ready_count_of(service);
         let instances = self.peers.len() + 1;
         engines.div_ceil(ENGINES_PER_PLACER).clamp(1, instances) as u64
     }
 
-    /// Engines that this exchange does not go to: tried ones, and those that
-    /// have just failed this instance or want nothing from it.
+    /// Engines that may not be chosen for an exchange: those already tried, and those that
+    /// have just failed calls of this instance, are on hold or have no connection left for
+    /// it.
     fn avoided_engines(&self, now: Duration, key: ExchangeKey) -> Vec<Life> {
         let exchange = &self.exchanges[key];
         let limit = self.connection_limit(&exchange.service);
@@ -324,7 +324,8 @@
         avoided.collect()
     }
 
-    /// The engine that a placer chose, if this instance may use it.
+    /// Turns a placer's answer into a candidate; `None` if this instance may not use the
+    /// engine.
     fn check_placement(
         &self,
         now: Duration,
@@ -379,9 +380,9 @@
     }
 }
 
-/// The share of the prompts that one belongs to, by its last shared part. One
-/// share more or less moves few prompts to another placer, which does not know
-/// where their parts are.
+/// The placer's share that a prompt belongs to, by its last shared part. A change of the
+/// number of shares moves few prompts to another placer, which does not know which engines
+/// hold their parts.
 fn share_of(prompt: &Prompt, shares: u64) -> u64 {
     let part = prompt.shared().last().map_or(0, |part| part.id);
     let weight = |share: &u64| xxh3::xxh3_64_with_seed(&part.to_le_bytes(), *share);
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -1,4 +1,4 @@
-//! When a stage has to be done, and which pieces it has.
+//! Deadlines of the stages, and the pieces that they consist of.
 
 use std::time::Duration;
 
@@ -14,15 +14,15 @@
     },
 };
 
-/// Share of the usual time behind a stage that is needed at the least.
+/// Minimum share of the usual time that the work after a stage takes.
 const MIN_TIME_SHARE: f64 = 0.5;
-/// Share of the objective that a plan leaves for the generation at the most.
-/// Where engines need longer, all would be late from the start, and the order
-/// of the stages would go by nothing any more.
+/// Share of the objective that a plan reserves for the generation at most. If engines need
+/// longer, all pieces would be late from the start and the target times would order them by
+/// nothing.
 const GENERATION_SHARE: f64 = 0.5;
 
 impl Relay {
-    /// The time that is needed behind a stage.
+    /// Time that the work after a stage needs.
     pub(super) fn remaining_time(&self, exchange: &Exchange, stage: usize) -> RemainingTime {
         RemainingTime {
             usual: self.remaining_after(exchange, stage, &|time| time),
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Time that is needed behind a stage until the first byte of an answer.
-    /// `adapt` turns a stage's usual time into the one that counts.
+    /// Time from the end of a stage until the first byte of the answer. `adapt` scales the
+    /// usual time of each stage.
     pub(super) fn remaining_after(
         &self,
         exchange: &Exchange,
@@ -41,7 +41,8 @@
         self.remaining_after_with(exchange, stage, adapt, &|service| self.stage_time(service))
     }
 
-    /// The same, where stages take what `stage_time` says for their services.
+    /// Like [`Relay::remaining_after`], with the stage times of the services given by
+    /// `stage_time`.
     pub(super) fn remaining_after_with(
         &self,
         exchange: &Exchange,
@@ -60,8 +61,8 @@
         longest.max().unwrap_or_else(|| adapt(self.generation_time(exchange)))
     }
 
-    /// The usual time from the last stage to the first token. Shared parts are
-    /// taken for read already.
+    /// Usual time from the end of the last stage to the first token, if the engine has read
+    /// the shared parts already.
     pub(super) fn generation_time(&self, exchange: &Exchange) -> Duration {
         let Some(prompt) = &exchange.arrival.prompt else { return Duration::ZERO };
         let own = prompt.own_tokens();
@@ -71,14 +72,15 @@
         usual.min(exchange.route.objective.mul_f64(GENERATION_SHARE))
     }
 
-    /// The usual time of a stage: half a call's wait and a half full call.
+    /// Usual time of a stage: a wait of half a call, and a call with half of the maximum
+    /// batch.
     pub(super) fn stage_time(&self, service: &str) -> Duration {
         let Some(shape) = self.piece_config(service) else { return Duration::ZERO };
         Batches::call_time(&shape, shape.batch as usize / 2) + shape.call_time / 2
     }
 }
 
-/// Time that is needed behind a stage until the first byte of an answer.
+/// Time from the end of a stage until the first byte of the answer.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RemainingTime {
     usual: Duration,
@@ -86,7 +88,7 @@
 }
 
 impl Exchange {
-    /// The pieces of a stage. `rest` is the time that is needed behind it.
+    /// Creates the pieces of a stage. `rest` is the time that the work after it needs.
     pub(super) fn new_pieces(&self, stage: usize, rest: RemainingTime) -> Vec<Piece> {
         let Route { stages, .. } = &*self.route;
         let inputs = self.graph.inputs(&self.route, stage);
@@ -117,8 +119,8 @@
         (0..self.graph.pieces(stage) as u16).map(piece).collect()
     }
 
-    /// Where a stage should be done: where most of what it takes in lies, or
-    /// where its results will be taken in, if either is large.
+    /// Data centre where a stage should be made: where most of its inputs lie, or where its
+    /// results will be used, if either is large.
     fn destination_of(&self, stage: usize) -> Option<DataCentre> {
         let inputs = self.graph.input_places(&self.route, stage);
         let most = inputs.into_iter().max_by_key(|(_, bytes)| *bytes);
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -1,10 +1,10 @@
-//! Operators' programs at the points where they may decide.
+//! The operators' program, at the points where it may decide.
 //!
-//! A program only ever chooses among what the built-in rules allow: whom to
-//! refuse although there is room, who is more urgent, which usable endpoint is
-//! taken, when a refused caller should come back. It cannot make a request run
-//! twice, or on an endpoint that is leaving. What it does not define, or fails
-//! at, is decided by the built-in rules.
+//! A program only chooses among what the built-in rules allow: which requests are refused
+//! although there is capacity, which are more urgent, which usable endpoint is called, and
+//! when a refused caller should retry. It cannot make a request run twice, or on an endpoint
+//! that is leaving. The built-in rules decide wherever it defines no function or its function
+//! fails.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -20,39 +20,39 @@
     },
 };
 
-/// The least urgent rank of a request; 0 is the most urgent.
-const LAST_RANK: f64 = 9.0;
-/// Endpoints that a program is asked about, the cheapest ones.
+/// Rank of the least urgent requests; 0 is the most urgent.
+const MAX_RANK: f64 = 9.0;
+/// A program chooses among this many of the cheapest endpoints.
 const MAX_CHOICES: usize = 4;
 
 impl Relay {
-    /// Takes in the operators' program, instead of the one before.
+    /// Replaces the operators' program.
     pub fn set_policy(&mut self, policy: Program) {
         self.policy = Some(policy);
     }
 
-    /// Calls of the program's functions that failed.
+    /// Number of calls of the program's functions that failed.
     pub fn policy_failures(&self) -> u64 {
         self.policy.as_ref().map_or(0, Program::failures)
     }
 
-    /// Whether a request is taken in that the built-in rules would take in.
+    /// Whether the program admits a request that the built-in rules admit.
     pub(super) fn policy_admits(&self, now: Duration, key: ExchangeKey) -> bool {
         let Some(program) = self.program(Function::Admit) else { return true };
         program.admit(&self.facts(now, &self.exchanges[key], Duration::ZERO)).or(true)
     }
 
-    /// The rank of a request. A program gives larger numbers to what is more
-    /// urgent; 9 is rank 0.
+    /// The rank of a request. A program returns larger numbers for more urgent requests; 9 is
+    /// rank 0.
     pub(super) fn policy_priority(&self, now: Duration, key: ExchangeKey) -> u8 {
         let exchange = &self.exchanges[key];
         let Some(program) = self.program(Function::Order) else { return exchange.priority };
         let order = program.order(&self.facts(now, exchange, Duration::ZERO)).given();
-        let rank = |order: f64| (LAST_RANK - order).clamp(0.0, LAST_RANK).round() as u8;
+        let rank = |order: f64| (MAX_RANK - order).clamp(0.0, MAX_RANK).round() as u8;
         order.map_or(exchange.priority, rank)
     }
 
-    /// When a refused caller should come back.
+    /// The pause after which a refused caller should retry.
     pub(super) fn policy_retry_after(
         &self,
         now: Duration,
@@ -63,8 +63,8 @@
         program.refuse(&self.facts(now, &self.exchanges[key], built_in)).or(built_in)
     }
 
-    /// The candidate that the program likes best, of the cheapest ones; `None`
-    /// if it does not say.
+    /// The candidate that the program rates highest among the cheapest ones; `None` if it
+    /// does not decide.
     pub(super) fn policy_choice(
         &self,
         now: Duration,
@@ -86,7 +86,7 @@
         best.map(|(_, candidate)| candidate)
     }
 
-    /// Whether a program chooses endpoints.
+    /// Whether the program chooses endpoints.
     pub(super) fn has_route_policy(&self) -> bool {
         self.program(Function::Route).is_some()
     }
@@ -113,7 +113,7 @@
             left,
             wait,
             work,
-            // The call itself counts as one piece.
+            // The call counts as one piece.
             cost: (all - made + 1) as f64,
             spent: made as f64,
             waiting: self.batches.waiting(service) as u32,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The wait behind the pieces that wait here.
+    /// Estimated wait for the pieces that are queued here.
     fn expected_wait(&self, now: Duration, service: &str) -> Duration {
         let Some(shape) = self.piece_config(service) else { return Duration::ZERO };
         let endpoints = self.directory.usable(now, service).len().max(1);
@@ -147,7 +147,7 @@
         Batches::call_time(&shape, batch).mul_f64(calls)
     }
 
-    /// The usual time until the first byte of an answer.
+    /// Usual time until the first byte of the answer.
     fn expected_work(&self, exchange: &Exchange, next: Option<usize>) -> Duration {
         let Some(stage) = next else { return self.generation_time(exchange) };
         let service = &exchange.route.stages[stage].service;
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that crash what runs them: their crashes are noticed, told to the
-//! content's keepers, and end in nobody sending them any more.
+//! Requests that crash endpoints: their crashes are detected and reported to the collectors
+//! of the content, until all instances stop sending it.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -17,19 +17,19 @@
     },
 };
 
-/// Instances that the crashes of one content are told to: one may be gone.
+/// Instances that collect the crashes of one content; two, since one may be down.
 const CRASH_COLLECTORS: usize = 2;
-/// Cuts are remembered for so long: by then the directory has told whether the
-/// endpoint has started again, where the address itself did not show it.
+/// How long cut runs are kept. Within that time the directory reports whether the endpoint
+/// has restarted, if the probe of its address did not show it.
 const CUT_RETENTION: Duration = Duration::from_secs(5);
 
-/// Runs that were cut at one life of an endpoint.
+/// Runs that were cut at one incarnation of an endpoint.
 #[derive(Debug, Default)]
 pub(super) struct CutRuns {
     runs: Vec<CutRun>,
-    /// Whether the endpoint is being asked whether it is there.
+    /// Whether a probe of the endpoint is under way.
     is_probed: bool,
-    /// When it was found to have ended.
+    /// When the endpoint was found to have ended.
     gone_at: Option<Duration>,
 }
 
@@ -41,7 +41,8 @@
 }
 
 impl CutRuns {
-    /// Whether the endpoint has just ended: what is cut there now ended with it.
+    /// Whether the endpoint has ended lately, so that runs that are cut there now ended with
+    /// it.
     fn has_ended(&self, now: Duration) -> bool {
         self.gone_at.is_some_and(|at| now < at + CUT_RETENTION)
     }
@@ -53,18 +54,18 @@
 }
 
 impl Relay {
-    /// The platform's table of contents that are held back has been read: requests
-    /// may be sent.
+    /// The platform's quarantine table has been read: requests may be admitted.
     pub fn mark_quarantine_read(&mut self) {
         self.is_quarantine_read = true;
     }
 
-    /// Everything that is held back.
+    /// All quarantined contents.
     pub fn quarantined(&self) -> impl Iterator<Item = (Fingerprint, &Hold)> {
         self.quarantine.all()
     }
 
-    /// The runs that a call is for: one, or those of all whose pieces it has.
+    /// The runs that a call is for: that of its exchange, or those of all exchanges whose
+    /// pieces it makes.
     pub(super) fn runs_of_call(&self, now: Duration, call: CallKey) -> Vec<Run> {
         let Some(state) = self.calls.get(call) else { return Vec::new() };
         let is_late = state.answered.is_some_and(|at| now >= at + quarantine::BEGINNING);
@@ -77,8 +78,9 @@
         }
     }
 
-    /// Runs were cut at an endpoint. Whether it has ended or only lost connections is
-    /// found out next. One that is leaving may end as planned.
+    /// Runs were cut at an endpoint. Starts a probe that finds out whether the endpoint has
+    /// ended or only lost connections. An endpoint that is leaving is not probed, since it
+    /// may end as planned.
     pub(super) fn on_cut(&mut self, now: Duration, endpoint: EndpointKey, runs: Vec<Run>) {
         if self.cut_runs.get(&endpoint).is_some_and(|cuts| cuts.has_ended(now)) {
             self.record_endpoint_end(now, endpoint, runs);
@@ -95,7 +97,7 @@
         }
     }
 
-    /// A new connection told whether an endpoint that cut runs is there.
+    /// Takes in the result of probing an endpoint that cut runs.
     pub fn on_probe(&mut self, now: Duration, endpoint: EndpointKey, probed: Probed) {
         let Some(cuts) = self.cut_runs.get_mut(&endpoint) else { return };
         cuts.is_probed = false;
@@ -105,8 +107,8 @@
         }
     }
 
-    /// A life of an endpoint has ended without notice, and these runs with it. So have
-    /// those that are cut there from now on.
+    /// An incarnation of an endpoint has ended without notice, together with these runs. Runs
+    /// that are cut there from now on ended with it too.
     pub(super) fn record_endpoint_end(
         &mut self,
         now: Duration,
@@ -117,7 +119,8 @@
         self.report_crashes(now, endpoint);
     }
 
-    /// Runs that were cut just before their endpoint's life ended are crashes.
+    /// Reports runs that were cut just before the end of their endpoint's incarnation as
+    /// crashes.
     fn report_crashes(&mut self, now: Duration, endpoint: EndpointKey) {
         let Some(life) = self.directory.get(endpoint).map(|known| known.life()) else { return };
         let cuts = self.cut_runs.entry(endpoint).or_default();
@@ -141,8 +144,8 @@
         }
     }
 
-    /// Takes in a crash, seen here or by a peer. Where the content is held back already,
-    /// somebody has not heard of it: all are told again.
+    /// Takes in a crash that this instance or a peer detected. If the content is quarantined
+    /// already, some instance does not know it, so the quarantine is announced again.
     pub fn on_crash(&mut self, now: Duration, crash: &Crash) {
         if let Some(Hold { crashes, .. }) = self.quarantine.held(crash.content) {
             let (content, crashes) = (crash.content, *crashes);
@@ -158,14 +161,14 @@
         }
     }
 
-    /// Whether this instance had a content answered since a time: it is no poison
-    /// then.
+    /// Whether an endpoint answered this content for this instance since the given time. If
+    /// so, the content does not crash what runs it.
     pub fn was_answered(&self, content: Fingerprint, since: Duration) -> bool {
         self.quarantine.was_answered(content, since)
     }
 
-    /// All instances that could be asked have said whether they had a content answered
-    /// meanwhile.
+    /// All reachable instances have reported whether an endpoint answered the content for
+    /// them since its first crash.
     pub fn on_consultation(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
         if was_answered {
             self.actions.push(Action::Acquitted(content));
@@ -176,7 +179,7 @@
         }
     }
 
-    /// The platform's table says that a content is held back.
+    /// The platform's table has a record that a content is quarantined.
     pub fn on_quarantine_record(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
         self.quarantine_content(now, content, crashes);
         self.quarantine.note_recorded(content);
@@ -189,7 +192,7 @@
         }
     }
 
-    /// An operator releases a content. False if it is not held back.
+    /// Releases a content on an operator's command. Returns false if it is not quarantined.
     pub fn release_content(&mut self, content: Fingerprint) -> bool {
         let is_held = self.quarantine.release(content).is_some();
         if is_held {
@@ -199,7 +202,8 @@
         is_held
     }
 
-    /// Has the records removed of contents that nobody sends any more.
+    /// Deletes the records of contents that no caller has sent for long, and drops old cut
+    /// runs.
     pub(super) fn release_expired(&mut self, now: Duration) {
         let over = self.quarantine.take_old(now);
         self.actions.extend(over.into_iter().map(Action::Unrecord));
@@ -211,8 +215,8 @@
         });
     }
 
-    /// Peers have joined. Where the platform's table lacks what is held back, they are
-    /// told by the content's keepers.
+    /// Announces contents that the platform's table lacks to peers that have joined. Only the
+    /// collectors of a content do so.
     pub(super) fn notify_new_peers(&mut self) {
         let unrecorded = self.quarantine.all().filter(|(_, hold)| !hold.is_recorded);
         let unrecorded: Vec<_> =
@@ -224,13 +228,13 @@
         }
     }
 
-    /// How long an exchange's content is held back; `None` if it may be sent.
+    /// How long an exchange's content remains quarantined; `None` if it may be sent.
     pub(super) fn quarantined_for(&self, now: Duration, key: ExchangeKey) -> Option<Duration> {
         let hold = self.quarantine.held(self.exchanges[key].content)?;
         Some(hold.until.saturating_sub(now))
     }
 
-    /// Refuses an exchange whose content is held back.
+    /// Refuses an exchange whose content is quarantined.
     pub(super) fn refuse_quarantined(&mut self, now: Duration, key: ExchangeKey) {
         let content = self.exchanges[key].content;
         if let Some(crashes) = self.quarantine.note_refused(now, content) {
@@ -239,7 +243,7 @@
         self.give_up(now, key, Refusal::Quarantined);
     }
 
-    /// Holds a content back from now on.
+    /// Quarantines a content.
     pub fn quarantine_content(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
         let jitter = self.rng.random();
         if self.quarantine.hold(now, content, crashes, jitter) {
@@ -248,9 +252,9 @@
         }
     }
 
-    /// Whatever this instance has of a content is given up, before it gets to an
-    /// endpoint: calls under way, pieces that wait, for itself and for peers. A stream
-    /// that has begun has got over its beginning and goes on.
+    /// Stops all work on a content that has not begun to be answered: calls under way, and
+    /// queued pieces of this instance and of peers. A stream that has begun continues, since
+    /// its endpoint survived the beginning of the run.
     fn stop_content(&mut self, now: Duration, content: Fingerprint) {
         let open = self.exchanges.iter();
         let is_held = |exchange: &Exchange| exchange.content == content && !exchange.has_begun;
@@ -263,8 +267,8 @@
         self.process_finished(now, waiting);
     }
 
-    /// The other instances that count the crashes of a content, each told of those
-    /// that concern it.
+    /// Reports crashes to the other collectors of their contents, each of which gets those
+    /// that it collects.
     fn notify_collectors(&mut self, crashes: &[Crash]) {
         let mut told: Vec<(InstanceName, Vec<Crash>)> = Vec::new();
         for crash in crashes {
@@ -282,7 +286,7 @@
         self.actions.extend(actions);
     }
 
-    /// The instances that count the crashes of a content, this one or others.
+    /// The instances that collect the crashes of a content; this one may be among them.
     fn crash_collectors(&self, content: Fingerprint) -> Vec<InstanceName> {
         let seed = content.0 as u64;
         let rank = |name: &InstanceName| Reverse(xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
@@ -293,7 +297,7 @@
     }
 }
 
-/// A run at an endpoint, as far as crashes go.
+/// A run at an endpoint, as needed to detect crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Run {
     pub(super) content: Fingerprint,
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -1,8 +1,9 @@
-//! Where pieces wait for their turn.
+//! Reports of backlogs between batchers.
 //!
-//! Where pieces wait, room for results is scarce: whoever makes something of them gives
-//! room back early by telling which he has read. Where none wait that is only traffic,
-//! so who batches a service says so to those who batch the others, while pieces wait.
+//! Where pieces wait, result memory is scarce, and the instances that use results help by
+//! reporting early which of them have been read. Elsewhere these reports would only be
+//! traffic, so each batcher tells the batchers of the other services while pieces wait at its
+//! own.
 
 use std::time::Duration;
 
@@ -14,26 +15,27 @@
     },
 };
 
-/// Pause between two words on the queues. Two peers are told by each batcher, twenty
+/// Interval between two backlog reports. Each batcher sends them to two peers: twenty
 /// messages of some hundred bytes a second, and only while pieces wait.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// A word is reckoned with for so long: three of them may be lost.
+/// How long a backlog report is valid: three successive ones may be lost.
 const REPORT_VALIDITY: Duration = Duration::from_millis(400);
-/// Shorter waits are not told: a third of a call, in which room becomes free anyway.
+/// Shorter waits are not reported: a third of a call, within which result memory is freed
+/// anyway.
 const MIN_BACKLOG: Duration = Duration::from_millis(100);
 
 impl Relay {
-    /// Whoever batches a service says that pieces wait there.
+    /// The batcher of a service reports that pieces wait there.
     pub fn on_backlog_notice(&mut self, now: Duration, service: ServiceName) {
         self.backlogs.insert(service, now);
     }
 
-    /// Whether pieces wait notably long at a service.
+    /// Whether pieces wait at a service for long enough to matter.
     pub(super) fn is_backlogged(&self, now: Duration, service: &ServiceName) -> bool {
         self.backlogs.get(service).is_some_and(|told| now <= *told + REPORT_VALIDITY)
     }
 
-    /// Tells whoever batches the other services where pieces wait.
+    /// Reports backlogs of this instance's queues to the batchers of the other services.
     pub(super) fn report_backlogs(&mut self, now: Duration) {
         if now < self.next_backlog {
             return;
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -1,4 +1,4 @@
-//! Results at endpoints are given up as soon as nothing needs them.
+//! Results at endpoints, which are freed as soon as nothing needs them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,27 +9,27 @@
     model::{Action, ExchangeKey, Handle, ServiceName},
 };
 
-/// How long after its call an engine has probably read its inputs, as long as no
-/// engine has shown otherwise: an engine reads them before anything else, and
-/// ten large results take 12 ms on a link of 10 Gbit/s, which others use too.
-/// Results that are given up then, and not with the first token, free room some
-/// 200 ms sooner where a burst waits for nothing but room.
+/// How long after the start of a call an engine has probably read its inputs, until an engine
+/// shows otherwise. An engine reads them before anything else, and ten large results take 12
+/// ms on a shared link of 10 Gbit/s. Freeing results then, and not at the first token, frees
+/// memory some 200 ms sooner, for which a burst of pieces may be waiting.
 pub(super) const INITIAL_READ_DELAY: Duration = Duration::from_millis(60);
-/// The longest such time: the first token has come by then.
+/// Upper bound of that delay: the first token has come by then.
 const MAX_READ_DELAY: Duration = Duration::from_secs(2);
 
 impl Relay {
-    /// An engine that is called with an exchange's results comes to them at that
-    /// time: they are spare a while later. Where engines are what is scarce the
-    /// results are so held for longer, and what cannot be read in time waits for
-    /// room, where the most urgent goes first, and not at an engine.
+    /// Makes an exchange's results evictable some time after `begins`, when the engine starts
+    /// to read them. If engines are the bottleneck, results are thus kept for longer, and
+    /// pieces wait for result memory in their queue, in order of urgency, instead of at an
+    /// engine.
     pub(super) fn schedule_eviction(&mut self, begins: Duration, key: ExchangeKey) {
         if !self.exchanges[key].route.stages.is_empty() {
             self.evictable_at.insert((begins + self.read_delay, key));
         }
     }
 
-    /// Tells who batches their services that large results are spare by now.
+    /// Reports large results that engines have probably read to the batchers of their
+    /// services.
     pub(super) fn report_evictable(&mut self, now: Duration) {
         while let Some(&(at, key)) = self.evictable_at.first()
             && at <= now
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Tells who batches their services of results that calls for pieces have read,
-    /// where pieces wait: elsewhere it is traffic that nobody needs, some 40 messages a
-    /// second with 86 instances.
+    /// Reports results that calls for pieces have read to the batchers of their services, if
+    /// pieces wait there. Elsewhere nothing needs these reports, some 40 messages a second
+    /// with 86 instances.
     pub(super) fn report_read_inputs(&mut self, now: Duration) {
         let mut by_service: Vec<(ServiceName, Vec<Handle>)> = Vec::new();
         let mut known: Option<(Arc<str>, ServiceName)> = None;
-        // They are sorted, so those of one endpoint follow each other.
+        // Handles are sorted, so those of one endpoint are adjacent.
         for handle in self.batches.take_read(now) {
             let Some(addr) = holder_addr(&handle) else { continue };
             if known.as_ref().is_none_or(|(last, _)| **last != *addr) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Tells who batches a service that results are spare.
+    /// Reports evictable results to the batcher of their service.
     fn mark_evictable_at_batcher(&mut self, service: &str, handles: Vec<Handle>) {
         match self.batcher(service) {
             Some(peer) => {
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Results that this instance's calls made are spare.
+    /// Marks results of calls that this instance made as evictable.
     pub fn mark_evictable(&mut self, handles: Vec<Handle>) {
         self.batches.spared(&handles);
         self.has_freed_memory = true;
     }
 
-    /// An engine missed results that may have been given up too early: from now
-    /// on they are held twice as long.
+    /// Doubles the delay until results become evictable, after an engine lacked results that
+    /// may have been freed too early.
     pub(super) fn extend_read_delay(&mut self, key: ExchangeKey) {
         if std::mem::take(&mut self.exchanges[key].is_spare) {
             self.read_delay = (self.read_delay * 2).min(MAX_READ_DELAY);
@@ -111,15 +111,15 @@
         }
     }
 
-    /// Gives up results of an exchange's stages.
+    /// Frees results of an exchange's stages.
     pub(super) fn free(&mut self, route: &Route, results: Vec<(usize, Handle)>) {
         for (service, handles) in by_service(route, results) {
             self.free_through_batcher(&service, handles);
         }
     }
 
-    /// Gives results up through the instance that batches their service, so
-    /// that it knows how much room its endpoints have.
+    /// Frees results through the batcher of their service, which keeps account of the free
+    /// result memory of its endpoints.
     pub(super) fn free_through_batcher(&mut self, service: &str, handles: Vec<Handle>) {
         match self.batcher(service) {
             Some(peer) => {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Gives results up at the endpoints that hold them.
+    /// Frees results at the endpoints that hold them.
     pub fn free_at_endpoints(&mut self, handles: Vec<Handle>) {
         self.batches.freed(&handles);
         self.has_freed_memory = true;
@@ -147,7 +147,7 @@
     }
 }
 
-/// Results with their stages, by the services of these.
+/// Groups results, given with their stages, by the services of these.
 fn by_service(route: &Route, results: Vec<(usize, Handle)>) -> Vec<(ServiceName, Vec<Handle>)> {
     let mut sorted: Vec<(ServiceName, Vec<Handle>)> = Vec::new();
     for (stage, handle) in results {
@@ -160,7 +160,7 @@
     sorted
 }
 
-/// The address of the endpoint that holds a result: a handle begins with it.
+/// The address of the endpoint that holds a result: the handle's first part.
 fn holder_addr(handle: &str) -> Option<&str> {
     handle.split_once('/').map(|(addr, _)| addr)
 }
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -1,4 +1,5 @@
-//! Stages: pieces are started, batched or handed over, and taken in.
+//! Stages: their pieces are started, batched here or handed over to a peer, and their results
+//! collected.
 
 use std::time::Duration;
 
@@ -19,16 +20,16 @@
     },
 };
 
-/// How often an exchange's pieces are made at the most.
+/// How often the stages of an exchange are started at most.
 const MAX_ROUNDS: u8 = 2;
-/// A peer that did not answer a hand-over gets none for so long. Until then its
-/// liveness counter shows whether it is there.
+/// A peer gets no pieces for so long after it did not answer a hand-over. After that its
+/// liveness counter shows whether it is alive.
 const AVOID_TIME: Duration = Duration::from_secs(2);
-/// How often a piece is sent at the most.
+/// How often a piece is sent at most.
 const MAX_TRIES: u8 = 3;
 
 impl Relay {
-    /// A call for pieces brought results.
+    /// A call for pieces returned results.
     pub fn on_pieces_made(
         &mut self,
         now: Duration,
@@ -53,8 +54,7 @@
         Some(endpoint.entry.service.clone())
     }
 
-    /// Has the pieces of stragglers made elsewhere too, as far as the bound on
-    /// repetition allows.
+    /// Sends the pieces of stragglers to other endpoints too, within the retry budget.
     pub(super) fn duplicate_stragglers(&mut self, now: Duration) {
         for (call, service, count) in self.batches.take_stragglers(now) {
             if self.try_withdraw(now, &service, count) {
@@ -63,8 +63,7 @@
         }
     }
 
-    /// A call for pieces failed; `is_unrun` if the endpoint said that it did
-    /// not run.
+    /// A call for pieces failed. `is_unrun` if the endpoint stated that it did not run.
     pub fn on_pieces_failure(
         &mut self,
         now: Duration,
@@ -104,13 +103,13 @@
         self.dispatch_all(now);
     }
 
-    /// A peer does not want its pieces any more.
+    /// A peer no longer needs the pieces that it handed over.
     pub fn on_handover_recall(&mut self, ticket: u64) {
         self.tickets.remove(&ticket);
         self.batches.drop_waiting(Holder::Ticket(ticket));
     }
 
-    /// A peer returned the results of pieces; `None` if it cannot be reached.
+    /// A peer returned the results of pieces; `None` if it could not be reached.
     pub fn on_handover_return(
         &mut self,
         now: Duration,
@@ -142,9 +141,9 @@
         self.dispatch_all(now);
     }
 
-    /// Hands pieces that came back unmade to the peer that ranks next. Whoever
-    /// handed pieces to the peer that failed does the same, so that they meet
-    /// at one instance again.
+    /// Hands pieces that a peer did not make to the peer that ranks next. Other instances
+    /// that handed pieces to the failed peer do the same, so that one instance batches all of
+    /// them again.
     fn hand_over_again(&mut self, exchange: ExchangeKey, pieces: Vec<Piece>) {
         let Some(first) = pieces.first() else { return };
         match self.batcher(&first.service) {
@@ -159,7 +158,7 @@
 
     pub(super) fn start_stages(&mut self, now: Duration, key: ExchangeKey) {
         self.predict_destination(now, key);
-        // Starting a stage may end the exchange: there may be no time for it.
+        // Starting a stage may end the exchange if too little time is left.
         while let Some(exchange) = self.exchanges.get_mut(key) {
             let route = exchange.route.clone();
             let ready = exchange.graph.start_ready(&route, LARGE_RESULT);
@@ -198,9 +197,9 @@
         self.actions.push(Action::HandOver { key: handover, peer, pieces });
     }
 
-    /// The peer that batches a service's pieces; `None` if this instance does.
-    /// The strongest instances come first: a service's pieces all go through
-    /// one processor.
+    /// The peer that batches a service's pieces; `None` if this instance does. The instances
+    /// with the largest CPU shares come first, since all pieces of a service pass through one
+    /// process.
     pub(super) fn batcher(&self, service: &str) -> Option<InstanceName> {
         self.first_ranked(xxh3::xxh3_64(service.as_bytes()))
     }
@@ -217,20 +216,20 @@
         (best > own || !self.is_batching).then(|| name.clone())
     }
 
-    /// How many peers rank before this instance for a task, however strong they are.
+    /// How many peers rank before this instance for a task, regardless of their CPU shares.
     pub(super) fn rank_of(&self, seed: u64) -> usize {
         let rank = |name: &str| xxh3::xxh3_64_with_seed(name.as_bytes(), seed);
         let own = rank(&self.settings.name);
         self.peers.iter().filter(|peer| rank(&peer.name) > own).count()
     }
 
-    /// Takes in pieces, but those that cannot be made in time: their callers
-    /// hear it at once, while they can still come back.
+    /// Queues pieces, except those that cannot be made in time. They are refused at once,
+    /// while their callers still have time to retry.
     pub(super) fn admit_pieces(&mut self, now: Duration, pieces: Vec<(Piece, Origin)>) {
         let mut late = Vec::new();
         let mut judged: Option<(Duration, Duration, bool)> = None;
         for (piece, origin) in pieces {
-            // The pieces of a stage are judged together.
+            // One decision holds for all pieces of a stage.
             let known = judged.filter(|(aim, due, _)| (*aim, *due) == (piece.aim, piece.due));
             let is_feasible = match known {
                 Some((_, _, is_feasible)) => is_feasible,
@@ -261,7 +260,7 @@
         }
     }
 
-    /// Sends what waits for a service to its idle endpoints.
+    /// Sends queued pieces of a service to its idle endpoints.
     pub(super) fn dispatch(&mut self, now: Duration, service: &str) {
         let Some(shape) = self.piece_config(service) else { return };
         let spares = self.batches.spares_in_the_way(now, service, &shape, &self.directory);
@@ -328,7 +327,7 @@
         let is_late = one.result == Err(PieceFailure::Late);
         match again {
             Some(piece) => self.batches.add(piece, Origin::Peer { ticket, index }),
-            // The peer must not take it for unmade.
+            // The peer must not assume that the piece was never made.
             None if is_late && !is_unmade(&one) => {
                 self.record_ticket_result(ticket, index, Err(PieceFailure::Failed));
             }
@@ -336,8 +335,7 @@
         }
     }
 
-    /// Notes the result of a peer's piece, and returns all of them once they
-    /// are there.
+    /// Records the result of a peer's piece, and returns all results once they are complete.
     fn record_ticket_result(&mut self, ticket: u64, index: usize, result: PieceResult) {
         let Some(open) = self.tickets.get_mut(&ticket) else { return };
         open.results[index] = Some(result);
@@ -360,7 +358,7 @@
         self.record_stage_time(now, key, &one);
         let exchange = &mut self.exchanges[key];
         match one.result {
-            // Its round has been given up already.
+            // The round of this piece has been abandoned already.
             Err(_) if is_old => {}
             Ok(handle) => {
                 let place = self.directory.place_of(&handle, one.endpoint);
@@ -381,7 +379,7 @@
         }
     }
 
-    /// Watches how long a stage took whose piece has come back.
+    /// Records how long a stage took when the first of its pieces has come back.
     fn record_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &Finished) {
         let starts = &mut self.exchanges[key].stage_starts;
         let stage = usize::from(one.piece.stage);
@@ -390,8 +388,8 @@
         self.stage_times.note(now, &one.piece.service, now.saturating_sub(started));
     }
 
-    /// Pieces of a failed call wait again. `is_safe` if they certainly did not
-    /// arrive anywhere as work.
+    /// Queues the pieces of a failed call again. `is_safe` if certainly no endpoint received
+    /// them as work.
     pub(super) fn requeue(&mut self, now: Duration, finished: Vec<Finished>, is_safe: bool) {
         let mut lost = Vec::new();
         for one in finished {
@@ -423,7 +421,7 @@
         }
     }
 
-    /// Where the call will probably go, if large results should lie near it.
+    /// Predicts the data centre of the call, if large results should be made near it.
     pub(super) fn predict_destination(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT);
@@ -435,7 +433,7 @@
         self.exchanges[key].home = home;
     }
 
-    /// The results of an exchange's stages are gone: they are made again.
+    /// Makes the stages of an exchange again after their results were lost.
     pub(super) fn restart_stages(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &mut self.exchanges[key];
         if exchange.route.stages.is_empty() {
@@ -453,29 +451,30 @@
         self.advance(now, key);
     }
 
-    /// Whether a piece's request is held back.
+    /// Whether the content of a piece's request is quarantined.
     fn is_quarantined(&self, piece: &Piece) -> bool {
         self.quarantine.held(piece.content).is_some()
     }
 
-    /// Pays for sending a piece again that was or may have been made.
+    /// Withdraws from the retry budget if a piece was or may have been made before. Returns
+    /// whether it may be sent.
     pub(super) fn withdraw_for_retry(&mut self, now: Duration, piece: &Piece) -> bool {
         !piece.is_repeat || self.try_withdraw(now, &piece.service.clone(), 1)
     }
 }
 
-/// Whether nothing was made of a piece that is late. One whose call brought no
-/// answer may have been made all the same.
+/// Whether a late piece was certainly not made. A piece whose call brought no answer may have
+/// been made all the same.
 fn is_unmade(one: &Finished) -> bool {
     one.result == Err(PieceFailure::Late) && !one.piece.is_repeat
 }
 
-/// A piece of a request that is held back.
+/// The result of a piece whose content is quarantined.
 fn failed_piece((piece, origin): (Piece, Origin)) -> Finished {
     Finished { origin, piece, result: Err(PieceFailure::Failed), endpoint: None }
 }
 
-/// The piece, if another call may do better.
+/// The piece for another attempt, if that may succeed.
 fn retry_piece(one: &Finished) -> Option<Piece> {
     let may_do_better = matches!(one.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
     let piece = &one.piece;
--- a/crates/core/src/relay/machine/terms.rs
+++ b/crates/core/src/relay/machine/terms.rs
@@ -1,4 +1,5 @@
-//! What endpoints say of themselves: taken in from every reply, and told to peers.
+//! What endpoints report of themselves in each reply: limits, holds, cold starts and leaving.
+//! Peers are notified.
 
 use std::time::Duration;
 
@@ -14,15 +15,15 @@
     },
 };
 
-/// How long peers are told of what does not go on: a word gets around among hundreds of
-/// instances in a few rounds of gossip.
+/// How long peers are notified of a change: a notice reaches hundreds of instances within a
+/// few rounds of gossip.
 const NOTICE_VALIDITY: Duration = Duration::from_secs(15);
-/// Notices in a message at the most, of some 50 bytes each.
+/// Maximum number of notices in a message, of some 50 bytes each.
 const MAX_NOTICES: usize = 32;
 
 impl Relay {
-    /// The head of a reply came. What its endpoint says of itself counts whatever
-    /// becomes of the call, but where another one has its address.
+    /// Takes in the head of a reply. What the endpoint reports of itself holds however the
+    /// call ends, unless another endpoint answered at its address.
     pub fn on_reply_terms(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
         if head.status == 421 {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// What peers should know of endpoints.
+    /// Notices on endpoints for the next message to a peer.
     pub fn peer_notices(&mut self, now: Duration) -> Vec<Notice> {
         let is_fresh = |at: Duration| now < at + NOTICE_VALIDITY;
         let is_news = |endpoint: &&Endpoint| {
@@ -64,14 +65,14 @@
         let news = self.directory.all().filter(is_news);
         let mut notices: Vec<_> = news.map(|endpoint| endpoint.notice(now)).collect();
         while notices.len() > MAX_NOTICES {
-            // Others come with the next message.
+            // The others are sent with later messages.
             let idx = self.rng.random_range(0..notices.len());
             notices.swap_remove(idx);
         }
         notices
     }
 
-    /// A peer told of endpoints.
+    /// Takes in a peer's notices on endpoints.
     pub fn on_peer_notices(&mut self, now: Duration, peer: &InstanceName, notices: &[Notice]) {
         for notice in notices {
             let Some(key) = self.directory.by_life(&notice.life) else { continue };
@@ -92,8 +93,9 @@
         self.actions.push(Action::Limit { endpoint: name, limit, source });
     }
 
-    /// An endpoint said that it leaves, whatever the directory says: that may be dark, or
-    /// late, and endpoints end soon after they have said so.
+    /// Marks an endpoint as leaving after it announced that, whatever the directory states.
+    /// The directory may be unreachable or late, and endpoints stop soon after the
+    /// announcement.
     fn mark_leaving(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
         let Some(endpoint) = self.directory.get_mut(key).filter(|it| it.left_at.is_none()) else {
             return;
