--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -274,12 +274,12 @@
         }
         let due = self.deadlines.first().map(|(at, _)| *at);
         let search = (!self.searching.is_empty()).then_some(self.next_search);
-        let spare = self.evictable_at.first().map(|(at, _)| *at);
+        let evictable = self.evictable_at.first().map(|(at, _)| *at);
         let batch = self.batches.next_wake(now);
         let overdue = self.token_deadlines.first().map(|(at, _)| *at);
         let report = self.next_report();
-        let word = (!self.batches.services().is_empty()).then_some(self.next_backlog.max(now));
-        [due, overdue, search, spare, batch, report, word]
+        let backlog = (!self.batches.services().is_empty()).then_some(self.next_backlog.max(now));
+        [due, overdue, search, evictable, batch, report, backlog]
             .into_iter()
             .flatten()
             .min()
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -208,7 +208,8 @@
         exchange.attempts += 1;
         exchange.tried.push(endpoint);
         exchange.patience = None;
-        let target = self.directory.get_mut(endpoint).expect("a chosen endpoint is known");
+        let target =
+            self.directory.get_mut(endpoint).expect("the directory has the chosen endpoint");
         target.sent();
         let call = Call {
             key: call,
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -85,10 +85,10 @@
             return;
         }
         let has_run = exchange.has_run || exchange.was_called || refusal == Refusal::TimedOut;
-        let may_come_back = !has_run || exchange.route.kind.may_repeat();
-        let away = self.retry_after(now, key, refusal);
+        let may_retry = !has_run || exchange.route.kind.may_repeat();
+        let pause = self.retry_after(now, key, refusal);
         let refusal = refusal.after(has_run);
-        let retry_after = (may_come_back && away >= MIN_RETRY_AFTER).then_some(away);
+        let retry_after = (may_retry && pause >= MIN_RETRY_AFTER).then_some(pause);
         self.actions.push(Action::Refuse { exchange: key, refusal, retry_after });
         self.close(key);
     }
--- a/crates/core/src/relay/machine/intake.rs
+++ b/crates/core/src/relay/machine/intake.rs
@@ -38,7 +38,7 @@
 
 impl StageTimes {
     /// Records how long a stage took, or for how long it ran before it was dropped.
-    pub(super) fn note(&mut self, now: Duration, service: &ServiceName, took: Duration) {
+    pub(super) fn record(&mut self, now: Duration, service: &ServiceName, took: Duration) {
         let known = self.recent(now, service);
         let average = known
             .map_or(took, |known| known.mul_f64(1.0 - NEWEST_WEIGHT) + took.mul_f64(NEWEST_WEIGHT));
@@ -66,8 +66,8 @@
         if expected <= objective {
             return true;
         }
-        let fit = objective.as_secs_f64() / expected.as_secs_f64();
-        let chance = fit.powi(STEEPNESS * (1 + i32::from(exchange.priority)));
+        let ratio = objective.as_secs_f64() / expected.as_secs_f64();
+        let chance = ratio.powi(STEEPNESS * (1 + i32::from(exchange.priority)));
         self.rng.random_bool(chance.clamp(0.0, 1.0))
     }
 
@@ -75,10 +75,10 @@
     fn expected_time(&self, now: Duration, key: ExchangeKey) -> Duration {
         let exchange = &self.exchanges[key];
         let adapt = |time| time;
-        let firsts = (0..exchange.route.stages.len())
+        let first_stages = (0..exchange.route.stages.len())
             .filter(|idx| exchange.route.stages[*idx].after.is_empty())
             .filter(|idx| exchange.graph.pieces(*idx) > 0);
-        let times = firsts.map(|idx| {
+        let times = first_stages.map(|idx| {
             let own = self.recent_time(now, &exchange.route.stages[idx].service);
             own + self.remaining_after_with(exchange, idx, &adapt, &|service| {
                 self.recent_time(now, service)
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -45,7 +45,12 @@
 
     /// Sets the time at which an engine's first token becomes overdue.
     pub(super) fn watch_first_token(&mut self, now: Duration, call: CallKey, chosen: &Candidate) {
-        let service = &self.directory.get(chosen.endpoint).expect("it is called").entry.service;
+        let service = &self
+            .directory
+            .get(chosen.endpoint)
+            .expect("the directory has the called endpoint")
+            .entry
+            .service;
         let speed = self.reading_speeds.get(service).cloned().unwrap_or_default();
         let usual = chosen.wait + chosen.copying + speed.first_token(chosen.tokens);
         let at = now + usual.mul_f64(OVERDUE_FACTOR) + OVERDUE_SLACK;
@@ -79,10 +84,10 @@
     fn may_retry_elsewhere(&self, now: Duration, key: ExchangeKey) -> bool {
         let Exchange { route, attempts, due, has_begun, service, tried, .. } = &self.exchanges[key];
         let may_repeat = route.kind.may_repeat() && !has_begun && *attempts < route.max_attempts;
-        let is_sound =
+        let is_available =
             |key: &EndpointKey| self.directory.get(*key).is_some_and(|it| !it.is_paused(now));
         let others = self.directory.usable(now, service).into_iter();
-        let has_other = others.filter(|key| !tried.contains(key)).any(|key| is_sound(&key));
+        let has_other = others.filter(|key| !tried.contains(key)).any(|key| is_available(&key));
         may_repeat && has_other && *due > now + OVERDUE_SLACK
     }
 }
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -81,12 +81,12 @@
     ) -> Vec<EndpointKey> {
         let usable = self.directory.usable(now, service);
         let known = usable.iter().filter_map(|key| Some((*key, self.directory.get(*key)?)));
-        let bound = known.filter_map(|(key, endpoint)| {
+        let limited = known.filter_map(|(key, endpoint)| {
             let pace = self.pace(now, endpoint);
             (pace.is_some() || endpoint.wants_rest(now)).then_some((key, endpoint, pace))
         });
-        let bound: Vec<_> = bound.collect();
-        if bound.is_empty() {
+        let limited: Vec<_> = limited.collect();
+        if limited.is_empty() {
             return Vec::new();
         }
         let foreign = chooser.foreign(&self.directory, &usable);
@@ -100,7 +100,7 @@
             });
             is_paced || endpoint.wants_rest(now)
         };
-        bound.into_iter().filter(is_withheld).map(|(key, ..)| key).collect()
+        limited.into_iter().filter(is_withheld).map(|(key, ..)| key).collect()
     }
 
     /// When an exchange may first call an endpoint again, if all untried ones are on hold;
@@ -138,7 +138,7 @@
     /// The pace of an endpoint that is cold or states a limit; the slower one if both hold.
     fn pace(&self, now: Duration, endpoint: &Endpoint) -> Option<Pace> {
         let service = &endpoint.entry.service;
-        let cold = endpoint.is_cold(now).then(|| self.cold_pace(service)).flatten();
+        let cold = endpoint.is_cold(now).then(|| self.cold_interval(service)).flatten();
         let cold = cold.map(|interval| self.paced_when_cold(service, interval));
         let limit = endpoint.limit().map(|rate| self.paced_by_limit(service, rate));
         match (cold, limit) {
@@ -150,8 +150,8 @@
     /// The rate holds in any single second. Of several callers there are half as many as
     /// calls allowed in a second, so that the first calls of all at once stay within it too.
     fn paced_when_cold(&self, service: &str, interval: Duration) -> Pace {
-        let borne = 1.0 / interval.as_secs_f64().max(f64::MIN_POSITIVE);
-        Pace::new(interval, self.callers(service, (borne / 2.0) as u32))
+        let calls_per_second = 1.0 / interval.as_secs_f64().max(f64::MIN_POSITIVE);
+        Pace::new(interval, self.callers(service, (calls_per_second / 2.0) as u32))
     }
 
     /// In any four seconds an endpoint accepts 1.5 times its limit and five calls more. Of
@@ -167,11 +167,11 @@
         if self.has_one_caller(service) {
             return 1;
         }
-        let most = u32::try_from(self.instances()).unwrap_or(u32::MAX);
-        wanted.clamp(1, most)
+        let max = u32::try_from(self.instances()).unwrap_or(u32::MAX);
+        wanted.clamp(1, max)
     }
 
-    fn cold_pace(&self, service: &str) -> Option<Duration> {
+    fn cold_interval(&self, service: &str) -> Option<Duration> {
         self.config.as_ref()?.services.get(service)?.cold_pace
     }
 
@@ -185,11 +185,11 @@
     /// Whether this instance is one of an endpoint's callers. An instance that stops is not,
     /// since its peers no longer count it among them.
     fn is_caller_of(&self, service: &ServiceName, endpoint: &Endpoint, pace: Pace) -> bool {
-        let is_going = !self.is_batching && !self.peers.is_empty();
-        if self.has_one_caller(service) || is_going {
+        let is_stopping = !self.is_batching && !self.peers.is_empty();
+        if self.has_one_caller(service) || is_stopping {
             return false;
         }
-        let place = self.rank_of(xxh3::xxh3_64(endpoint.entry.name.as_bytes()));
-        place < pace.callers as usize
+        let rank = self.rank_of(xxh3::xxh3_64(endpoint.entry.name.as_bytes()));
+        rank < pace.callers as usize
     }
 }
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -78,7 +78,7 @@
             service: exchange.service.clone(),
             prompt: prompt.clone(),
             inputs: exchange.graph.output_places(&exchange.route),
-            avoided: self.avoided_engines(now, key),
+            avoided: self.excluded_engines(now, key),
         };
         self.exchanges[key].is_placing = true;
         self.actions.push(Action::Ask { exchange: key, peer, question });
@@ -125,8 +125,8 @@
         for endpoint in self.directory.usable(now, service) {
             let Some(engine) = self.directory.get(endpoint) else { continue };
             // This request counts as a call too.
-            let is_spared = engine.wants_rest(now) || engine.limit().is_some();
-            if !is_spared && self.queried_engines.insert(endpoint) {
+            let is_limited = engine.wants_rest(now) || engine.limit().is_some();
+            if !is_limited && self.queried_engines.insert(endpoint) {
                 let addr = engine.entry.addr.clone();
                 self.actions.push(Action::ListParts { endpoint, addr });
             }
@@ -137,7 +137,7 @@
     /// ignored.
     pub fn on_parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &Listed) {
         let Some(engine) = self.directory.get(endpoint) else { return };
-        if listed.incarnation.is_none_or(|told| told == engine.entry.incarnation) {
+        if listed.incarnation.is_none_or(|reported| reported == engine.entry.incarnation) {
             self.prompt_memory.holds_parts(now, endpoint, listed.parts.iter().copied());
         }
     }
@@ -242,10 +242,10 @@
     /// of their end.
     pub(super) fn forget_runs(&mut self) {
         let directory = &self.directory;
-        let is_there = |number: &RunNumber, key: &EndpointKey| {
+        let is_known = |number: &RunNumber, key: &EndpointKey| {
             directory.get(*key).is_some_and(|endpoint| endpoint.engine.has(*number))
         };
-        self.runs.retain(|number, key| is_there(number, key));
+        self.runs.retain(|number, key| is_known(number, key));
     }
 
     /// The inputs of a choice for a service, but for those that depend on the exchange.
@@ -310,16 +310,16 @@
     /// Engines that may not be chosen for an exchange: those already tried, and those that
     /// have just failed calls of this instance, are on hold or have no connection left for
     /// it.
-    fn avoided_engines(&self, now: Duration, key: ExchangeKey) -> Vec<Life> {
+    fn excluded_engines(&self, now: Duration, key: ExchangeKey) -> Vec<Life> {
         let exchange = &self.exchanges[key];
         let limit = self.connection_limit(&exchange.service);
         let known = self.directory.usable(now, &exchange.service).into_iter();
         let avoided = known.filter_map(|key| {
             let engine = self.directory.get(key)?;
             let is_full = engine.in_flight >= limit;
-            let is_unwilling = engine.is_paused(now) || engine.wants_rest(now);
-            let is_avoided = exchange.tried.contains(&key) || is_unwilling || is_full;
-            is_avoided.then(|| engine.life())
+            let is_unavailable = engine.is_paused(now) || engine.wants_rest(now);
+            let is_excluded = exchange.tried.contains(&key) || is_unavailable || is_full;
+            is_excluded.then(|| engine.life())
         });
         avoided.collect()
     }
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -75,8 +75,8 @@
     /// Usual time of a stage: a wait of half a call, and a call with half of the maximum
     /// batch.
     pub(super) fn stage_time(&self, service: &str) -> Duration {
-        let Some(shape) = self.piece_config(service) else { return Duration::ZERO };
-        Batches::call_time(&shape, shape.batch as usize / 2) + shape.call_time / 2
+        let Some(config) = self.piece_config(service) else { return Duration::ZERO };
+        Batches::call_time(&config, config.batch as usize / 2) + config.call_time / 2
     }
 }
 
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -77,8 +77,8 @@
         let mut best: Option<(f64, Candidate)> = None;
         for candidate in choice::cheapest_few(candidates, MAX_CHOICES) {
             let endpoint = self.directory.get(candidate.endpoint)?;
-            let facts_of = self.endpoint_facts(now, endpoint);
-            let score = program.route(&facts, &facts_of).given()?;
+            let candidate_facts = self.endpoint_facts(now, endpoint);
+            let score = program.route(&facts, &candidate_facts).given()?;
             if best.is_none_or(|(highest, _)| score > highest) {
                 best = Some((score, candidate));
             }
@@ -103,7 +103,7 @@
         let (left, wait) = (exchange.due.saturating_sub(now), self.expected_wait(now, service));
         let work = self.expected_work(exchange, next);
         let teams: HashSet<_> = self.exchanges.values().map(|other| &other.team).collect();
-        let of_team = self.exchanges.values().filter(|other| other.team == exchange.team);
+        let team_exchanges = self.exchanges.values().filter(|other| other.team == exchange.team);
         Facts {
             team: exchange.team.clone().unwrap_or_else(|| "".into()),
             pipeline: exchange.route.name.clone(),
@@ -117,8 +117,8 @@
             cost: (all - made + 1) as f64,
             spent: made as f64,
             waiting: self.batches.waiting(service) as u32,
-            free: self.free_places(now, service),
-            held: of_team.count() as u32,
+            free: self.free_slots(now, service),
+            held: team_exchanges.count() as u32,
             share: 1.0 / teams.len().max(1) as f64,
             feasible: wait + work <= left,
             retry_after,
@@ -140,11 +140,11 @@
 
     /// Estimated wait for the pieces that are queued here.
     fn expected_wait(&self, now: Duration, service: &str) -> Duration {
-        let Some(shape) = self.piece_config(service) else { return Duration::ZERO };
+        let Some(config) = self.piece_config(service) else { return Duration::ZERO };
         let endpoints = self.directory.usable(now, service).len().max(1);
-        let batch = shape.batch as usize;
+        let batch = config.batch as usize;
         let calls = self.batches.waiting(service) as f64 / (endpoints * batch) as f64;
-        Batches::call_time(&shape, batch).mul_f64(calls)
+        Batches::call_time(&config, batch).mul_f64(calls)
     }
 
     /// Usual time until the first byte of the answer.
@@ -154,7 +154,7 @@
         self.stage_time(service) + self.remaining_after(exchange, stage, &|time| time)
     }
 
-    fn free_places(&self, now: Duration, service: &str) -> u32 {
+    fn free_slots(&self, now: Duration, service: &str) -> u32 {
         let usable = self.directory.usable(now, service).into_iter();
         let known = usable.filter_map(|key| self.directory.get(key));
         known.map(|endpoint| endpoint.entry.slots.saturating_sub(endpoint.calls(now))).sum()
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -194,19 +194,19 @@
 
     /// Releases a content on an operator's command. Returns false if it is not quarantined.
     pub fn release_content(&mut self, content: Fingerprint) -> bool {
-        let is_held = self.quarantine.release(content).is_some();
-        if is_held {
+        let was_quarantined = self.quarantine.release(content).is_some();
+        if was_quarantined {
             self.actions.push(Action::Released(content));
             self.actions.push(Action::Unrecord(content));
         }
-        is_held
+        was_quarantined
     }
 
     /// Deletes the records of contents that no caller has sent for long, and drops old cut
     /// runs.
     pub(super) fn release_expired(&mut self, now: Duration) {
-        let over = self.quarantine.take_old(now);
-        self.actions.extend(over.into_iter().map(Action::Unrecord));
+        let expired = self.quarantine.take_old(now);
+        self.actions.extend(expired.into_iter().map(Action::Unrecord));
         let directory = &self.directory;
         self.cut_runs.retain(|endpoint, cuts| {
             cuts.runs.retain(|cut| now < cut.at + CUT_RETENTION);
@@ -257,8 +257,8 @@
     /// its endpoint survived the beginning of the run.
     fn stop_content(&mut self, now: Duration, content: Fingerprint) {
         let open = self.exchanges.iter();
-        let is_held = |exchange: &Exchange| exchange.content == content && !exchange.has_begun;
-        let open: Vec<_> = open.filter(|(_, it)| is_held(it)).map(|(key, _)| key).collect();
+        let is_affected = |exchange: &Exchange| exchange.content == content && !exchange.has_begun;
+        let open: Vec<_> = open.filter(|(_, it)| is_affected(it)).map(|(key, _)| key).collect();
         for key in open {
             self.stop_work(now, key);
             self.refuse_quarantined(now, key);
@@ -270,19 +270,21 @@
     /// Reports crashes to the other collectors of their contents, each of which gets those
     /// that it collects.
     fn notify_collectors(&mut self, crashes: &[Crash]) {
-        let mut told: Vec<(InstanceName, Vec<Crash>)> = Vec::new();
+        let mut reports: Vec<(InstanceName, Vec<Crash>)> = Vec::new();
         for crash in crashes {
             let own = &self.settings.name;
-            for keeper in
-                self.crash_collectors(crash.content).into_iter().filter(|keeper| keeper != own)
+            for collector in self
+                .crash_collectors(crash.content)
+                .into_iter()
+                .filter(|collector| collector != own)
             {
-                match told.iter_mut().find(|(known, _)| *known == keeper) {
+                match reports.iter_mut().find(|(known, _)| *known == collector) {
                     Some((_, list)) => list.push(crash.clone()),
-                    None => told.push((keeper, vec![crash.clone()])),
+                    None => reports.push((collector, vec![crash.clone()])),
                 }
             }
         }
-        let actions = told.into_iter().map(|(peer, crashes)| Action::Accuse { peer, crashes });
+        let actions = reports.into_iter().map(|(peer, crashes)| Action::Accuse { peer, crashes });
         self.actions.extend(actions);
     }
 
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -32,7 +32,7 @@
 
     /// Whether pieces wait at a service for long enough to matter.
     pub(super) fn is_backlogged(&self, now: Duration, service: &ServiceName) -> bool {
-        self.backlogs.get(service).is_some_and(|told| now <= *told + REPORT_VALIDITY)
+        self.backlogs.get(service).is_some_and(|reported| now <= *reported + REPORT_VALIDITY)
     }
 
     /// Reports backlogs of this instance's queues to the batchers of the other services.
@@ -41,32 +41,32 @@
             return;
         }
         self.next_backlog = now + REPORT_INTERVAL;
-        let waited_for: Vec<_> =
+        let backlogged: Vec<_> =
             self.batches.services().into_iter().filter(|it| self.has_backlog(now, it)).collect();
-        if waited_for.is_empty() {
+        if backlogged.is_empty() {
             return;
         }
         let peers = self.other_batchers();
-        for service in waited_for {
+        for service in backlogged {
             self.on_backlog_notice(now, service.clone());
-            let words = peers
+            let announcements = peers
                 .iter()
                 .map(|peer| Action::TellQueue { peer: peer.clone(), service: service.clone() });
-            self.actions.extend(words);
+            self.actions.extend(announcements);
         }
     }
 
     fn has_backlog(&self, now: Duration, service: &str) -> bool {
-        let Some(shape) = self.piece_config(service) else { return false };
-        let wait = self.batches.backlog(now, service, &shape, &self.directory);
+        let Some(config) = self.piece_config(service) else { return false };
+        let wait = self.batches.backlog(now, service, &config, &self.directory);
         wait.is_some_and(|wait| wait >= MIN_BACKLOG)
     }
 
     /// The peers that batch any service.
     fn other_batchers(&self) -> Vec<InstanceName> {
         let Some(config) = &self.config else { return Vec::new() };
-        let makers = config.services.iter().filter(|(_, service)| service.pieces.is_some());
-        let mut peers: Vec<_> = makers.filter_map(|(name, _)| self.batcher(name)).collect();
+        let batched = config.services.iter().filter(|(_, service)| service.pieces.is_some());
+        let mut peers: Vec<_> = batched.filter_map(|(name, _)| self.batcher(name)).collect();
         peers.sort_unstable();
         peers.dedup();
         peers
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -105,7 +105,7 @@
         self.free(&route, held);
     }
 
-    pub(super) fn free_stray(&mut self, one: Finished) {
+    pub(super) fn free_unclaimed(&mut self, one: Finished) {
         if let Ok(handle) = one.result {
             self.free_through_batcher(&one.piece.service, vec![handle]);
         }
@@ -149,15 +149,15 @@
 
 /// Groups results, given with their stages, by the services of these.
 fn by_service(route: &Route, results: Vec<(usize, Handle)>) -> Vec<(ServiceName, Vec<Handle>)> {
-    let mut sorted: Vec<(ServiceName, Vec<Handle>)> = Vec::new();
+    let mut groups: Vec<(ServiceName, Vec<Handle>)> = Vec::new();
     for (stage, handle) in results {
         let service = &route.stages[stage].service;
-        match sorted.iter_mut().find(|(known, _)| known == service) {
+        match groups.iter_mut().find(|(known, _)| known == service) {
             Some((_, handles)) => handles.push(handle),
-            None => sorted.push((service.clone(), vec![handle])),
+            None => groups.push((service.clone(), vec![handle])),
         }
     }
-    sorted
+    groups
 }
 
 /// The address of the endpoint that holds a result: the handle's first part.
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -40,9 +40,9 @@
         self.record_answer(now, call, load);
         let service = self.service_of_call(call);
         self.end_call(now, call, Step::Ended);
-        let (finished, strays) = self.batches.made(now, call, results);
-        if let (Some(service), false) = (service, strays.is_empty()) {
-            self.free_through_batcher(&service, strays);
+        let (finished, unclaimed) = self.batches.made(now, call, results);
+        if let (Some(service), false) = (service, unclaimed.is_empty()) {
+            self.free_through_batcher(&service, unclaimed);
         }
         self.process_finished(now, finished);
         self.dispatch_all(now);
@@ -97,9 +97,9 @@
         let origin = |index| Origin::Peer { ticket, index };
         let pieces = pieces.into_iter().enumerate();
         let pieces = pieces.map(|(index, piece)| (piece, origin(index)));
-        let (held, others) = pieces.partition(|(piece, _)| self.is_quarantined(piece));
+        let (quarantined, others) = pieces.partition(|(piece, _)| self.is_quarantined(piece));
         self.admit_pieces(now, others);
-        self.process_finished(now, held.into_iter().map(failed_piece).collect());
+        self.process_finished(now, quarantined.into_iter().map(failed_piece).collect());
         self.dispatch_all(now);
     }
 
@@ -191,8 +191,8 @@
     }
 
     pub(super) fn hand_over(&mut self, key: ExchangeKey, peer: InstanceName, pieces: Vec<Piece>) {
-        let held = Handover { exchange: key, peer: peer.clone(), pieces: pieces.clone() };
-        let handover = self.handovers.insert(held);
+        let handover = Handover { exchange: key, peer: peer.clone(), pieces: pieces.clone() };
+        let handover = self.handovers.insert(handover);
         self.exchanges[key].handovers.push(handover);
         self.actions.push(Action::HandOver { key: handover, peer, pieces });
     }
@@ -206,8 +206,7 @@
 
     /// The peer that ranks first for a task; `None` if this instance does.
     pub(super) fn first_ranked(&self, seed: u64) -> Option<InstanceName> {
-        let rank =
-            |name: &str, strength: u32| (strength, xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
+        let rank = |name: &str, cpu: u32| (cpu, xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
         let own = rank(&self.settings.name, self.settings.millicores);
         let peers =
             self.peers.iter().filter(|peer| !self.unresponsive_peers.contains_key(&peer.name));
@@ -227,15 +226,16 @@
     /// while their callers still have time to retry.
     pub(super) fn admit_pieces(&mut self, now: Duration, pieces: Vec<(Piece, Origin)>) {
         let mut late = Vec::new();
-        let mut judged: Option<(Duration, Duration, bool)> = None;
+        let mut last_decision: Option<(Duration, Duration, bool)> = None;
         for (piece, origin) in pieces {
             // One decision holds for all pieces of a stage.
-            let known = judged.filter(|(aim, due, _)| (*aim, *due) == (piece.aim, piece.due));
+            let known =
+                last_decision.filter(|(aim, due, _)| (*aim, *due) == (piece.aim, piece.due));
             let is_feasible = match known {
                 Some((_, _, is_feasible)) => is_feasible,
                 None => self.is_feasible(now, &piece),
             };
-            judged = Some((piece.aim, piece.due, is_feasible));
+            last_decision = Some((piece.aim, piece.due, is_feasible));
             match is_feasible {
                 true => self.batches.add(piece, origin),
                 false => late.push(Batches::turn_away(piece, origin)),
@@ -245,8 +245,8 @@
     }
 
     fn is_feasible(&self, now: Duration, piece: &Piece) -> bool {
-        let shape = self.piece_config(&piece.service);
-        shape.is_none_or(|shape| self.batches.is_feasible(now, piece, &shape, &self.directory))
+        let config = self.piece_config(&piece.service);
+        config.is_none_or(|config| self.batches.is_feasible(now, piece, &config, &self.directory))
     }
 
     pub(super) fn piece_config(&self, service: &str) -> Option<Pieces> {
@@ -262,17 +262,17 @@
 
     /// Sends queued pieces of a service to its idle endpoints.
     pub(super) fn dispatch(&mut self, now: Duration, service: &str) {
-        let Some(shape) = self.piece_config(service) else { return };
-        let spares = self.batches.spares_in_the_way(now, service, &shape, &self.directory);
-        if !spares.is_empty() {
-            self.free_at_endpoints(spares);
+        let Some(config) = self.piece_config(service) else { return };
+        let evictable = self.batches.spares_in_the_way(now, service, &config, &self.directory);
+        if !evictable.is_empty() {
+            self.free_at_endpoints(evictable);
         }
         let late = match self.directory.is_evacuated(now, service) {
             true => self.batches.take_waiting(service),
-            false => self.batches.take_late(now, service, &shape, &self.directory),
+            false => self.batches.take_late(now, service, &config, &self.directory),
         };
         self.process_finished(now, late);
-        for order in self.batches.plan(now, service, &shape, &self.directory) {
+        for order in self.batches.plan(now, service, &config, &self.directory) {
             let endpoint = order.endpoint;
             let call = self.calls.insert(CallState {
                 exchange: ExchangeOf::Pieces,
@@ -284,9 +284,10 @@
                 answered: None,
                 overdue: None,
             });
-            self.batches.started(now, call, &order, &shape);
+            self.batches.started(now, call, &order, &config);
             self.pace_call(now, endpoint);
-            let target = self.directory.get_mut(endpoint).expect("a planned endpoint is known");
+            let target =
+                self.directory.get_mut(endpoint).expect("the directory has the planned endpoint");
             target.sent();
             let (endpoint, addr) = (target.entry.name.clone(), target.entry.addr.clone());
             self.actions.push(Action::Make { call, endpoint, addr, pieces: order.pieces });
@@ -294,19 +295,19 @@
     }
 
     pub(super) fn process_finished(&mut self, now: Duration, finished: Vec<Finished>) {
-        let mut touched = Vec::new();
+        let mut affected = Vec::new();
         for one in finished {
             match one.origin {
                 Origin::Peer { ticket, index } => self.return_to_peer(now, ticket, index, one),
                 Origin::Own(key) => {
                     self.process_own(now, key, one);
-                    if !touched.contains(&key) {
-                        touched.push(key);
+                    if !affected.contains(&key) {
+                        affected.push(key);
                     }
                 }
             }
         }
-        for key in touched {
+        for key in affected {
             self.after_pieces(now, key);
         }
     }
@@ -319,13 +320,13 @@
         one: Finished,
     ) {
         if !self.tickets.contains_key(&ticket) {
-            self.free_stray(one);
+            self.free_unclaimed(one);
             return;
         }
-        let again = retry_piece(&one).filter(|piece| !self.is_quarantined(piece));
-        let again = again.filter(|piece| self.withdraw_for_retry(now, piece));
+        let retry = retry_piece(&one).filter(|piece| !self.is_quarantined(piece));
+        let retry = retry.filter(|piece| self.withdraw_for_retry(now, piece));
         let is_late = one.result == Err(PieceFailure::Late);
-        match again {
+        match retry {
             Some(piece) => self.batches.add(piece, Origin::Peer { ticket, index }),
             // The peer must not assume that the piece was never made.
             None if is_late && !is_unmade(&one) => {
@@ -350,16 +351,16 @@
 
     pub(super) fn process_own(&mut self, now: Duration, key: ExchangeKey, one: Finished) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
-            self.free_stray(one);
+            self.free_unclaimed(one);
             return;
         };
         exchange.has_run |= !is_unmade(&one);
-        let is_old = one.piece.round != exchange.rounds;
+        let is_stale = one.piece.round != exchange.rounds;
         self.record_stage_time(now, key, &one);
         let exchange = &mut self.exchanges[key];
         match one.result {
             // The round of this piece has been abandoned already.
-            Err(_) if is_old => {}
+            Err(_) if is_stale => {}
             Ok(handle) => {
                 let place = self.directory.place_of(&handle, one.endpoint);
                 let made = Made { handle, place };
@@ -385,13 +386,13 @@
         let stage = usize::from(one.piece.stage);
         let Some(idx) = starts.iter().position(|(known, _)| *known == stage) else { return };
         let (_, started) = starts.swap_remove(idx);
-        self.stage_times.note(now, &one.piece.service, now.saturating_sub(started));
+        self.stage_times.record(now, &one.piece.service, now.saturating_sub(started));
     }
 
     /// Queues the pieces of a failed call again. `is_safe` if certainly no endpoint received
     /// them as work.
     pub(super) fn requeue(&mut self, now: Duration, finished: Vec<Finished>, is_safe: bool) {
-        let mut lost = Vec::new();
+        let mut failed = Vec::new();
         for one in finished {
             let is_wanted = match one.origin {
                 Origin::Own(key) => self.exchanges.contains_key(key),
@@ -404,10 +405,10 @@
             if may_wait && (is_safe || self.try_withdraw(now, &one.piece.service.clone(), 1)) {
                 self.batches.add(one.piece, one.origin);
             } else {
-                lost.push(one);
+                failed.push(one);
             }
         }
-        self.process_finished(now, lost);
+        self.process_finished(now, failed);
     }
 
     pub(super) fn after_pieces(&mut self, now: Duration, key: ExchangeKey) {
@@ -415,8 +416,8 @@
         let route = exchange.route.clone();
         let used = exchange.graph.take_used(&route);
         self.free(&route, used);
-        let is_calling = self.exchanges[key].call.is_some();
-        if !is_calling {
+        let has_call = self.exchanges[key].call.is_some();
+        if !has_call {
             self.advance(now, key);
         }
     }
@@ -476,9 +477,9 @@
 
 /// The piece for another attempt, if that may succeed.
 fn retry_piece(one: &Finished) -> Option<Piece> {
-    let may_do_better = matches!(one.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
+    let may_succeed = matches!(one.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
     let piece = &one.piece;
     let is_repeat = one.result != Err(PieceFailure::NoRoom);
     let tries = piece.tries.saturating_add(u8::from(is_repeat));
-    (may_do_better && tries < MAX_TRIES).then(|| Piece { tries, is_repeat, ..piece.clone() })
+    (may_succeed && tries < MAX_TRIES).then(|| Piece { tries, is_repeat, ..piece.clone() })
 }
--- a/crates/core/src/relay/machine/terms.rs
+++ b/crates/core/src/relay/machine/terms.rs
@@ -31,11 +31,11 @@
         let Some(state) = self.calls.get(call) else { return };
         let (key, placer) = (state.endpoint, state.placer.clone());
         let Some(endpoint) = self.directory.get_mut(key) else { return };
-        if let Some(left) = head.terms.cold {
-            endpoint.cools(now, left);
+        if let Some(cold_left) = head.terms.cold {
+            endpoint.cools(now, cold_left);
         }
-        if let Some(rest) = head.terms.rest {
-            endpoint.asks_rest(now, rest);
+        if let Some(hold) = head.terms.rest {
+            endpoint.asks_rest(now, hold);
         }
         let is_news = endpoint.says(Word { limit: head.terms.limit, at: now });
         let is_notable = is_news || endpoint.limit().is_some() || head.terms.is_leaving;
@@ -58,9 +58,9 @@
     pub fn peer_notices(&mut self, now: Duration) -> Vec<Notice> {
         let is_fresh = |at: Duration| now < at + NOTICE_VALIDITY;
         let is_news = |endpoint: &&Endpoint| {
-            let has_left = endpoint.left_at.is_some_and(is_fresh);
-            let is_told = endpoint.word.is_some_and(|word| is_fresh(word.at));
-            endpoint.limit().is_some() || has_left || is_told
+            let is_leaving = endpoint.left_at.is_some_and(is_fresh);
+            let is_reported = endpoint.word.is_some_and(|word| is_fresh(word.at));
+            endpoint.limit().is_some() || is_leaving || is_reported
         };
         let news = self.directory.all().filter(is_news);
         let mut notices: Vec<_> = news.map(|endpoint| endpoint.notice(now)).collect();
