--- a/crates/core/src/instance/admit.rs
+++ b/crates/core/src/instance/admit.rs
@@ -14,8 +14,8 @@
         timers::Timer,
     },
     model::{
-        CallerId, Doubt, DoubtKind, Invalid, Outcome, Refusal, RefusalKind, Request, RequestId,
-        StageName,
+        CallerId, Invalid, Outcome, Refusal, RefusalKind, Request, RequestId, StageName,
+        Uncertainty, UncertaintyKind,
     },
 };
 
@@ -100,14 +100,14 @@
         let probe = self.probes.entry(pipeline.name.clone()).or_default();
         match decision {
             Ok(()) => {
-                probe.admitted(self.now);
+                probe.record_admission(self.now);
                 Ok(false)
             }
             Err(refusal) if refusal.kind == RefusalKind::Infeasible && probe.is_due(self.now) => {
-                probe.admitted(self.now);
+                probe.record_admission(self.now);
                 Ok(true)
             }
-            Err(refusal) => Err(Outcome::NotRun(admission::spread(refusal, &mut self.rng))),
+            Err(refusal) => Err(Outcome::NotRun(admission::add_jitter(refusal, &mut self.rng))),
         }
     }
 
@@ -145,7 +145,7 @@
         // A non-idempotent request that runs is left to its end: its caller
         // may come back for the outcome.
         if self.held[key].request.idempotent {
-            self.conclude(key, doubt(DoubtKind::TimedOut, None, None));
+            self.conclude(key, doubt(UncertaintyKind::TimedOut, None, None));
         } else if self.held[key].written == 0 {
             self.conclude(key, refused(RefusalKind::Expired));
         }
@@ -181,7 +181,7 @@
 }
 
 /// What a request is told that arrives after the instance's exit.
-pub fn closed(request: &Request) -> Outcome {
+pub fn outcome_after_exit(request: &Request) -> Outcome {
     truthful(request, false, refused(RefusalKind::Stopping))
 }
 
@@ -190,7 +190,7 @@
 pub(super) fn truthful(request: &Request, won: bool, outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::NotRun(refusal) if request.repeat && !request.idempotent && !won => {
-            doubt(DoubtKind::EarlierUnknown, None, Some(refusal.retry_after))
+            doubt(UncertaintyKind::EarlierUnknown, None, Some(refusal.retry_after))
         }
         outcome => outcome,
     }
@@ -202,15 +202,15 @@
 }
 
 pub(super) fn doubt(
-    kind: DoubtKind,
+    kind: UncertaintyKind,
     stage: Option<StageName>,
     retry_after: Option<Duration>,
 ) -> Outcome {
-    Outcome::MayHaveRun(Doubt { kind, stage, retry_after })
+    Outcome::MayHaveRun(Uncertainty { kind, stage, retry_after })
 }
 
 pub(super) fn in_progress() -> Outcome {
-    doubt(DoubtKind::InProgress, None, Some(RETRY_IN_PROGRESS))
+    doubt(UncertaintyKind::InProgress, None, Some(RETRY_IN_PROGRESS))
 }
 
 pub(super) fn key_reused() -> Outcome {
--- a/crates/core/src/instance/platform.rs
+++ b/crates/core/src/instance/platform.rs
@@ -8,7 +8,7 @@
     instance::{Append, Instance, action::Action, plan::Plan},
     model::{AppendId, Incarnation, Listing},
     record::{Batch, ConfigRecord, Stream, Version},
-    subset::{self, Chooser},
+    subset::{self, Params},
 };
 
 impl Instance {
@@ -80,16 +80,16 @@
 
     pub(super) fn listed(&mut self, listing: &Listing) {
         self.was_listed = true;
-        self.members.listed(self.now, &listing.instances);
+        self.members.apply_listing(self.now, &listing.instances);
         let before = self.table.leaving_marks().len();
-        let chooser = Chooser {
+        let chooser = Params {
             name: &self.identity.name,
             data_centre: &self.identity.data_centre,
             size: self.settings.subset,
             evacuated: self.table.evacuated(),
         };
         let endpoints = subset::choose(chooser, &listing.endpoints);
-        self.table.listed(self.now, &endpoints);
+        self.table.apply_listing(self.now, &endpoints);
         let after = self.table.leaving_marks().len();
         self.counters.leaving_learnt += after.saturating_sub(before) as u64;
     }
@@ -106,13 +106,13 @@
 
     /// Whether a newer configuration could be in force without a chance to know.
     pub(super) fn is_isolated(&self) -> bool {
-        let heard = self.last_read.max(self.members.last_heard());
+        let heard = self.last_read.max(self.members.last_received());
         let silent = heard.is_none_or(|at| self.now.saturating_sub(at) > self.settings.isolation);
         silent && self.members.has_listed_peers()
     }
 
     /// Reasons for not being ready; empty when ready.
-    pub fn ready(&self) -> Vec<Arc<str>> {
+    pub fn unready_reasons(&self) -> Vec<Arc<str>> {
         let mut reasons: Vec<Arc<str>> = Vec::new();
         if self.stopping.is_some() {
             reasons.push("the instance is stopping".into());
--- a/crates/core/src/relay/machine/intake.rs
+++ b/crates/core/src/relay/machine/intake.rs
@@ -58,10 +58,10 @@
     /// all that it waits for.
     pub(super) fn admits(&mut self, now: Duration, key: ExchangeKey) -> bool {
         let exchange = &self.exchanges[key];
-        if !exchange.graph.has_chain(&exchange.route) {
+        if !exchange.graph.has_dependent_stages(&exchange.route) {
             return true;
         }
-        let objective = exchange.aim - exchange.started;
+        let objective = exchange.target - exchange.started_at;
         let expected = self.expected_time(now, key);
         if expected <= objective {
             return true;
@@ -77,12 +77,10 @@
         let adapt = |time| time;
         let first_stages = (0..exchange.route.stages.len())
             .filter(|idx| exchange.route.stages[*idx].after.is_empty())
-            .filter(|idx| exchange.graph.pieces(*idx) > 0);
+            .filter(|idx| exchange.graph.piece_count(*idx) > 0);
         let times = first_stages.map(|idx| {
             let own = self.recent_time(now, &exchange.route.stages[idx].service);
-            own + self.remaining_after_with(exchange, idx, &adapt, &|service| {
-                self.recent_time(now, service)
-            })
+            own + self.remaining_after_with(exchange, idx, &adapt, &|service| self.recent_time(now, service))
         });
         times.max().unwrap_or_default()
     }
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -5,7 +5,7 @@
 
 use crate::relay::{
     choice::Candidate,
-    exchange::{Exchange, ExchangeOf},
+    exchange::{CallPurpose, Exchange},
     machine::Relay,
     model::{Action, CallKey, EndpointKey, ExchangeKey, Failure, Step},
 };
@@ -25,8 +25,7 @@
         &mut self,
         now: Duration,
         endpoint: EndpointKey,
-        is_planned: bool,
-    ) {
+        is_planned: bool) {
         let Some(ended) = self.directory.get(endpoint) else { return };
         self.actions.push(Action::Disconnect(ended.entry.addr.clone()));
         if !is_planned {
@@ -37,8 +36,8 @@
         for (call, exchange) in open {
             self.actions.push(Action::Cancel(call));
             match exchange {
-                ExchangeOf::Exchange(_) => self.on_call_failure(now, call, Failure::Cut),
-                ExchangeOf::Pieces => self.on_pieces_failure(now, call, Failure::Cut, false),
+                CallPurpose::Exchange(_) => self.on_call_failure(now, call, Failure::Cut),
+                CallPurpose::Pieces => self.on_pieces_failure(now, call, Failure::Cut, false),
             }
         }
     }
@@ -52,9 +51,9 @@
             .entry
             .service;
         let speed = self.reading_speeds.get(service).cloned().unwrap_or_default();
-        let usual = chosen.wait + chosen.copying + speed.first_token(chosen.tokens);
+        let usual = chosen.wait + chosen.copy_time + speed.time_to_first_token(chosen.tokens);
         let at = now + usual.mul_f64(OVERDUE_FACTOR) + OVERDUE_SLACK;
-        self.calls[call].overdue = Some(at);
+        self.calls[call].overdue_at = Some(at);
         self.token_deadlines.insert((at, call));
     }
 
@@ -67,7 +66,7 @@
         {
             self.token_deadlines.remove(&(at, call));
             let Some(key) = self.exchange_of(call) else { continue };
-            if self.calls[call].answered.is_some() || !self.may_retry_elsewhere(now, key) {
+            if self.calls[call].answered_at.is_some() || !self.may_retry_elsewhere(now, key) {
                 continue;
             }
             let service = self.exchanges[key].service.clone();
@@ -82,7 +81,15 @@
 
     /// Whether the call of an exchange may be retried on another endpoint.
     fn may_retry_elsewhere(&self, now: Duration, key: ExchangeKey) -> bool {
-        let Exchange { route, attempts, due, has_begun, service, tried, .. } = &self.exchanges[key];
+        let Exchange {
+            route,
+            attempts,
+            deadline: due,
+            has_sent_head: has_begun,
+            service,
+            tried,
+            ..
+        } = &self.exchanges[key];
         let may_repeat = route.kind.may_repeat() && !has_begun && *attempts < route.max_attempts;
         let is_available =
             |key: &EndpointKey| self.directory.get(*key).is_some_and(|it| !it.is_paused(now));
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -9,7 +9,7 @@
 use crate::{
     model::InstanceName,
     relay::{
-        exchange::{Exchange, ExchangeOf},
+        exchange::{CallPurpose, Exchange},
         fingerprint::Fingerprint,
         machine::Relay,
         model::{Action, CallKey, EndpointKey, ExchangeKey, Probed, Refusal},
@@ -68,11 +68,11 @@
     /// pieces it makes.
     pub(super) fn runs_of_call(&self, now: Duration, call: CallKey) -> Vec<Run> {
         let Some(state) = self.calls.get(call) else { return Vec::new() };
-        let is_late = state.answered.is_some_and(|at| now >= at + quarantine::BEGINNING);
+        let is_late = state.answered_at.is_some_and(|at| now >= at + quarantine::BEGINNING);
         let run = |content| Run { content, is_late };
         match state.exchange {
-            ExchangeOf::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
-            ExchangeOf::Exchange(key) => {
+            CallPurpose::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
+            CallPurpose::Exchange(key) => {
                 self.exchanges.get(key).map(|it| run(it.content)).into_iter().collect()
             }
         }
@@ -113,8 +113,7 @@
         &mut self,
         now: Duration,
         endpoint: EndpointKey,
-        runs: Vec<Run>,
-    ) {
+        runs: Vec<Run>) {
         self.cut_runs.entry(endpoint).or_default().add(now, runs);
         self.report_crashes(now, endpoint);
     }
@@ -257,7 +256,7 @@
     /// its endpoint survived the beginning of the run.
     fn stop_content(&mut self, now: Duration, content: Fingerprint) {
         let open = self.exchanges.iter();
-        let is_affected = |exchange: &Exchange| exchange.content == content && !exchange.has_begun;
+        let is_affected = |exchange: &Exchange| exchange.content == content && !exchange.has_sent_head;
         let open: Vec<_> = open.filter(|(_, it)| is_affected(it)).map(|(key, _)| key).collect();
         for key in open {
             self.stop_work(now, key);
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -41,8 +41,12 @@
             return;
         }
         self.next_backlog = now + REPORT_INTERVAL;
-        let backlogged: Vec<_> =
-            self.batches.services().into_iter().filter(|it| self.has_backlog(now, it)).collect();
+        let backlogged: Vec<_> = self
+            .batches
+            .waiting_services()
+            .into_iter()
+            .filter(|it| self.has_backlog(now, it))
+            .collect();
         if backlogged.is_empty() {
             return;
         }
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::relay::{
-    batch::{Finished, queue::LARGE_RESULT},
+    batch::{FinishedPiece, queue::LARGE_RESULT_BYTES},
     config::Route,
     machine::Relay,
     model::{Action, ExchangeKey, Handle, ServiceName},
@@ -36,12 +36,12 @@
         {
             self.evictable_at.remove(&(at, key));
             let Some(exchange) = self.exchanges.get_mut(key) else { continue };
-            if exchange.call.is_none() || exchange.has_begun {
+            if exchange.call.is_none() || exchange.has_sent_head {
                 continue;
             }
             let route = exchange.route.clone();
-            let results = exchange.graph.unfreed(&route, LARGE_RESULT);
-            exchange.is_spare |= !results.is_empty();
+            let results = exchange.graph.unfreed(&route, LARGE_RESULT_BYTES);
+            exchange.has_evictable_results |= !results.is_empty();
             for (service, handles) in by_service(&route, results) {
                 self.mark_evictable_at_batcher(&service, handles);
             }
@@ -87,25 +87,25 @@
 
     /// Marks results of calls that this instance made as evictable.
     pub fn mark_evictable(&mut self, handles: Vec<Handle>) {
-        self.batches.spared(&handles);
+        self.batches.mark_evictable(&handles);
         self.has_freed_memory = true;
     }
 
     /// Doubles the delay until results become evictable, after an engine lacked results that
     /// may have been freed too early.
     pub(super) fn extend_read_delay(&mut self, key: ExchangeKey) {
-        if std::mem::take(&mut self.exchanges[key].is_spare) {
+        if std::mem::take(&mut self.exchanges[key].has_evictable_results) {
             self.read_delay = (self.read_delay * 2).min(MAX_READ_DELAY);
         }
     }
 
     pub(super) fn free_results(&mut self, key: ExchangeKey) {
         let exchange = &mut self.exchanges[key];
-        let (route, held) = (exchange.route.clone(), exchange.graph.take_all());
+        let (route, held) = (exchange.route.clone(), exchange.graph.take_unfreed());
         self.free(&route, held);
     }
 
-    pub(super) fn free_unclaimed(&mut self, one: Finished) {
+    pub(super) fn free_unclaimed(&mut self, one: FinishedPiece) {
         if let Ok(handle) = one.result {
             self.free_through_batcher(&one.piece.service, vec![handle]);
         }
@@ -132,7 +132,7 @@
 
     /// Frees results at the endpoints that hold them.
     pub fn free_at_endpoints(&mut self, handles: Vec<Handle>) {
-        self.batches.freed(&handles);
+        self.batches.record_freed(&handles);
         self.has_freed_memory = true;
         let mut by_addr: Vec<(Arc<str>, Vec<Handle>)> = Vec::new();
         for handle in handles {
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -8,10 +8,10 @@
 use crate::{
     model::{InstanceName, Load},
     relay::{
-        batch::{Batches, Finished, Holder, Origin, queue::LARGE_RESULT},
+        batch::{Batcher, FinishedPiece, Origin, Requester, queue::LARGE_RESULT_BYTES},
         config::Pieces,
-        exchange::{CallState, ExchangeOf},
-        graph::{Graph, Made},
+        exchange::{CallPurpose, CallState},
+        graph::{LocatedResult, StageGraph},
         machine::{Handover, Relay, Ticket},
         model::{
             Action, CallKey, ExchangeKey, Failure, HandoverKey, Piece, PieceFailure, PieceResult,
@@ -40,7 +40,7 @@
         self.record_answer(now, call, load);
         let service = self.service_of_call(call);
         self.end_call(now, call, Step::Ended);
-        let (finished, unclaimed) = self.batches.made(now, call, results);
+        let (finished, unclaimed) = self.batches.record_results(now, call, results);
         if let (Some(service), false) = (service, unclaimed.is_empty()) {
             self.free_through_batcher(&service, unclaimed);
         }
@@ -58,7 +58,7 @@
     pub(super) fn duplicate_stragglers(&mut self, now: Duration) {
         for (call, service, count) in self.batches.take_stragglers(now) {
             if self.try_withdraw(now, &service, count) {
-                self.batches.make_again(call);
+                self.batches.requeue(call);
             }
         }
     }
@@ -69,8 +69,7 @@
         now: Duration,
         call: CallKey,
         failure: Failure,
-        is_unrun: bool,
-    ) {
+        is_unrun: bool) {
         let step = if is_unrun { Step::Refused(None) } else { Step::Failed(failure) };
         let is_cut = !is_unrun && failure == Failure::Cut;
         if let Some(state) = self.calls.get(call).filter(|_| is_cut) {
@@ -78,7 +77,7 @@
             self.on_cut(now, endpoint, runs);
         }
         self.end_call(now, call, step);
-        let mut finished = self.batches.failed(now, call, is_unrun);
+        let mut finished = self.batches.record_failure(now, call, is_unrun);
         let is_safe = is_unrun || failure == Failure::Unsent;
         for one in &mut finished {
             one.piece.is_repeat |= !is_safe;
@@ -106,7 +105,7 @@
     /// A peer no longer needs the pieces that it handed over.
     pub fn on_handover_recall(&mut self, ticket: u64) {
         self.tickets.remove(&ticket);
-        self.batches.drop_waiting(Holder::Ticket(ticket));
+        self.batches.cancel(Requester::Ticket(ticket));
     }
 
     /// A peer returned the results of pieces; `None` if it could not be reached.
@@ -114,20 +113,17 @@
         &mut self,
         now: Duration,
         key: HandoverKey,
-        results: Option<Vec<PieceResult>>,
-    ) {
+        results: Option<Vec<PieceResult>>) {
         let Some(Handover { exchange, peer, pieces }) = self.handovers.remove(key) else { return };
         let Some(state) = self.exchanges.get_mut(exchange) else { return };
         state.handovers.retain(|other| *other != key);
         match results {
             Some(results) => {
-                let origin = Origin::Own(exchange);
-                let finished = pieces.into_iter().zip(results).map(|(piece, result)| Finished {
-                    origin,
-                    piece,
-                    result,
-                    endpoint: None,
-                });
+                let origin = Origin::Local(exchange);
+                let finished = pieces
+                    .into_iter()
+                    .zip(results)
+                    .map(|(piece, result)| FinishedPiece { origin, piece, result, endpoint: None });
                 let finished = finished.collect();
                 self.process_finished(now, finished);
             }
@@ -150,7 +146,7 @@
             Some(peer) => self.hand_over(exchange, peer, pieces),
             None => {
                 for piece in pieces {
-                    self.batches.add(piece, Origin::Own(exchange));
+                    self.batches.add(piece, Origin::Local(exchange));
                 }
             }
         }
@@ -161,7 +157,7 @@
         // Starting a stage may end the exchange if too little time is left.
         while let Some(exchange) = self.exchanges.get_mut(key) {
             let route = exchange.route.clone();
-            let ready = exchange.graph.start_ready(&route, LARGE_RESULT);
+            let ready = exchange.graph.start_ready(&route, LARGE_RESULT_BYTES);
             if ready.is_empty() {
                 break;
             }
@@ -169,7 +165,7 @@
                 self.start_stage(now, key, stage);
             }
         }
-        let services = self.batches.services();
+        let services = self.batches.waiting_services();
         for service in services {
             self.dispatch(now, &service);
         }
@@ -183,7 +179,7 @@
         match self.batcher(&service) {
             None => {
                 self.deposit(now, &service, pieces.len() as u32);
-                let pieces = pieces.into_iter().map(|piece| (piece, Origin::Own(key)));
+                let pieces = pieces.into_iter().map(|piece| (piece, Origin::Local(key)));
                 self.admit_pieces(now, pieces.collect());
             }
             Some(peer) => self.hand_over(key, peer, pieces),
@@ -238,7 +234,7 @@
             last_decision = Some((piece.aim, piece.due, is_feasible));
             match is_feasible {
                 true => self.batches.add(piece, origin),
-                false => late.push(Batches::turn_away(piece, origin)),
+                false => late.push(Batcher::reject_late(piece, origin)),
             }
         }
         self.process_finished(now, late);
@@ -255,7 +251,7 @@
 
     pub(super) fn dispatch_all(&mut self, now: Duration) {
         self.has_freed_memory = false;
-        for service in self.batches.services() {
+        for service in self.batches.waiting_services() {
             self.dispatch(now, &service);
         }
     }
@@ -263,7 +259,7 @@
     /// Sends queued pieces of a service to its idle endpoints.
     pub(super) fn dispatch(&mut self, now: Duration, service: &str) {
         let Some(config) = self.piece_config(service) else { return };
-        let evictable = self.batches.spares_in_the_way(now, service, &config, &self.directory);
+        let evictable = self.batches.results_to_evict(now, service, &config, &self.directory);
         if !evictable.is_empty() {
             self.free_at_endpoints(evictable);
         }
@@ -275,16 +271,16 @@
         for order in self.batches.plan(now, service, &config, &self.directory) {
             let endpoint = order.endpoint;
             let call = self.calls.insert(CallState {
-                exchange: ExchangeOf::Pieces,
+                exchange: CallPurpose::Pieces,
                 endpoint,
-                started: now,
+                started_at: now,
                 tokens: 0,
                 run: None,
                 placer: None,
-                answered: None,
-                overdue: None,
+                answered_at: None,
+                overdue_at: None,
             });
-            self.batches.started(now, call, &order, &config);
+            self.batches.record_start(now, call, &order, &config);
             self.pace_call(now, endpoint);
             let target =
                 self.directory.get_mut(endpoint).expect("the directory has the planned endpoint");
@@ -294,12 +290,12 @@
         }
     }
 
-    pub(super) fn process_finished(&mut self, now: Duration, finished: Vec<Finished>) {
+    pub(super) fn process_finished(&mut self, now: Duration, finished: Vec<FinishedPiece>) {
         let mut affected = Vec::new();
         for one in finished {
             match one.origin {
                 Origin::Peer { ticket, index } => self.return_to_peer(now, ticket, index, one),
-                Origin::Own(key) => {
+                Origin::Local(key) => {
                     self.process_own(now, key, one);
                     if !affected.contains(&key) {
                         affected.push(key);
@@ -317,7 +313,7 @@
         now: Duration,
         ticket: u64,
         index: usize,
-        one: Finished,
+        one: FinishedPiece,
     ) {
         if !self.tickets.contains_key(&ticket) {
             self.free_unclaimed(one);
@@ -349,7 +345,7 @@
         }
     }
 
-    pub(super) fn process_own(&mut self, now: Duration, key: ExchangeKey, one: Finished) {
+    pub(super) fn process_own(&mut self, now: Duration, key: ExchangeKey, one: FinishedPiece) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             self.free_unclaimed(one);
             return;
@@ -363,9 +359,9 @@
             Err(_) if is_stale => {}
             Ok(handle) => {
                 let place = self.directory.place_of(&handle, one.endpoint);
-                let made = Made { handle, place };
+                let made = LocatedResult { handle, data_centre: place };
                 let (stage, number) = (usize::from(one.piece.stage), usize::from(one.piece.number));
-                exchange.graph.made(stage, number, made);
+                exchange.graph.record_result(stage, number, made);
             }
             Err(PieceFailure::Late) => self.give_up(now, key, Refusal::Infeasible),
             Err(PieceFailure::InputGone) => self.restart_stages(now, key),
@@ -373,7 +369,7 @@
                 let piece = retry_piece(&one);
                 let piece = piece.filter(|piece| self.withdraw_for_retry(now, piece));
                 match piece {
-                    Some(piece) => self.batches.add(piece, Origin::Own(key)),
+                    Some(piece) => self.batches.add(piece, Origin::Local(key)),
                     None => self.give_up(now, key, Refusal::Failed),
                 }
             }
@@ -381,7 +377,7 @@
     }
 
     /// Records how long a stage took when the first of its pieces has come back.
-    fn record_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &Finished) {
+    fn record_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &FinishedPiece) {
         let starts = &mut self.exchanges[key].stage_starts;
         let stage = usize::from(one.piece.stage);
         let Some(idx) = starts.iter().position(|(known, _)| *known == stage) else { return };
@@ -391,11 +387,11 @@
 
     /// Queues the pieces of a failed call again. `is_safe` if certainly no endpoint received
     /// them as work.
-    pub(super) fn requeue(&mut self, now: Duration, finished: Vec<Finished>, is_safe: bool) {
+    pub(super) fn requeue(&mut self, now: Duration, finished: Vec<FinishedPiece>, is_safe: bool) {
         let mut failed = Vec::new();
         for one in finished {
             let is_wanted = match one.origin {
-                Origin::Own(key) => self.exchanges.contains_key(key),
+                Origin::Local(key) => self.exchanges.contains_key(key),
                 Origin::Peer { ticket, .. } => self.tickets.contains_key(&ticket),
             };
             if !is_wanted {
@@ -414,7 +410,7 @@
     pub(super) fn after_pieces(&mut self, now: Duration, key: ExchangeKey) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let route = exchange.route.clone();
-        let used = exchange.graph.take_used(&route);
+        let used = exchange.graph.take_unneeded(&route);
         self.free(&route, used);
         let has_call = self.exchanges[key].call.is_some();
         if !has_call {
@@ -425,13 +421,13 @@
     /// Predicts the data centre of the call, if large results should be made near it.
     pub(super) fn predict_destination(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
-        let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT);
-        if exchange.home.is_some() || !has_large {
+        let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT_BYTES);
+        if exchange.preferred_data_centre.is_some() || !has_large {
             return;
         }
         let Some(chosen) = self.choose(now, key, &[]) else { return };
         let home = self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
-        self.exchanges[key].home = home;
+        self.exchanges[key].preferred_data_centre = home;
     }
 
     /// Makes the stages of an exchange again after their results were lost.
@@ -445,9 +441,9 @@
             self.give_up(now, key, Refusal::Failed);
             return;
         }
-        let used = exchange.graph.take_all();
+        let used = exchange.graph.take_unfreed();
         let (route, pieces) = (exchange.route.clone(), exchange.arrival.pieces.clone());
-        exchange.graph = Graph::new(&route, &pieces);
+        exchange.graph = StageGraph::new(&route, &pieces);
         self.free(&route, used);
         self.advance(now, key);
     }
@@ -466,17 +462,17 @@
 
 /// Whether a late piece was certainly not made. A piece whose call brought no answer may have
 /// been made all the same.
-fn is_unmade(one: &Finished) -> bool {
+fn is_unmade(one: &FinishedPiece) -> bool {
     one.result == Err(PieceFailure::Late) && !one.piece.is_repeat
 }
 
 /// The result of a piece whose content is quarantined.
-fn failed_piece((piece, origin): (Piece, Origin)) -> Finished {
-    Finished { origin, piece, result: Err(PieceFailure::Failed), endpoint: None }
+fn failed_piece((piece, origin): (Piece, Origin)) -> FinishedPiece {
+    FinishedPiece { origin, piece, result: Err(PieceFailure::Failed), endpoint: None }
 }
 
 /// The piece for another attempt, if that may succeed.
-fn retry_piece(one: &Finished) -> Option<Piece> {
+fn retry_piece(one: &FinishedPiece) -> Option<Piece> {
     let may_succeed = matches!(one.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
     let piece = &one.piece;
     let is_repeat = one.result != Err(PieceFailure::NoRoom);
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -160,7 +160,7 @@
             }
         }
         let entries: Vec<_> = listed.values().map(|listed| listed.entry.clone()).collect();
-        self.members.borrow_mut().listed(now, &entries);
+        self.members.borrow_mut().apply_listing(now, &entries);
     }
 
     /// Whether this instance reads the platform's tables itself: it is one of
@@ -187,7 +187,7 @@
     }
 
     fn is_stale(&self, now: Duration) -> bool {
-        let is_old = self.tables.age(now).is_none_or(|age| age > readers::STALE);
+        let is_old = self.tables.age(now).is_none_or(|age| age > readers::STALE_AFTER);
         is_old && !self.learning.is_underway(now)
     }
 
@@ -198,7 +198,7 @@
         let reachable = alive.filter(|name| members.addr(name).is_some());
         let mut instances: Vec<_> = reachable.map(|name| self.peer(name)).collect();
         instances.push(self.peer(members.identity().name.clone()));
-        readers::readers(&instances)
+        readers::select_readers(&instances)
     }
 
     /// An instance with what it announced of itself.
@@ -225,7 +225,7 @@
 pub fn update(driver: &Rc<Driver>) {
     let now = driver.now();
     let members = driver.peers.members.borrow();
-    let versions = members.peer_versions(now);
+    let versions = members.peer_statuses(now);
     let usable = versions.into_iter().filter(|peer| peer.is_usable(now));
     let peers = usable.filter(|peer| members.addr(&peer.name).is_some());
     let peers: Vec<_> = peers.map(|peer| driver.peers.peer(peer.name)).collect();
