--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -272,14 +272,15 @@
         if self.has_freed_memory && !self.batches.waiting_services().is_empty() {
             return now;
         }
-        let due = self.deadlines.first().map(|(at, _)| *at);
+        let deadline = self.deadlines.first().map(|(at, _)| *at);
         let search = (!self.searching.is_empty()).then_some(self.next_search);
         let evictable = self.evictable_at.first().map(|(at, _)| *at);
         let batch = self.batches.next_wake(now);
         let overdue = self.token_deadlines.first().map(|(at, _)| *at);
         let report = self.next_report();
-        let backlog = (!self.batches.waiting_services().is_empty()).then_some(self.next_backlog.max(now));
-        [due, overdue, search, evictable, batch, report, backlog]
+        let backlog =
+            (!self.batches.waiting_services().is_empty()).then_some(self.next_backlog.max(now));
+        [deadline, overdue, search, evictable, batch, report, backlog]
             .into_iter()
             .flatten()
             .min()
@@ -409,9 +410,9 @@
             arrival,
         };
         self.deposit(now, &exchange.service, 1);
-        let due = exchange.deadline;
+        let deadline = exchange.deadline;
         let key = self.exchanges.insert(exchange);
-        self.deadlines.insert((due, key));
+        self.deadlines.insert((deadline, key));
         if !self.admits(now, key) {
             self.give_up(now, key, Refusal::Infeasible);
         } else if self.policy_admits(now, key) {
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -169,8 +169,8 @@
     /// Calls an endpoint that this instance chooses itself.
     pub(super) fn call_without_placer(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
-        let places = exchange.graph.outputs_by_data_centre(&exchange.route);
-        let Some(chosen) = self.choose(now, key, &places) else {
+        let inputs = exchange.graph.outputs_by_data_centre(&exchange.route);
+        let Some(chosen) = self.choose(now, key, &inputs) else {
             self.wait_for_endpoint(now, key);
             return;
         };
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -118,7 +118,7 @@
             self.handovers.remove(handover);
             self.actions.push(Action::Recall(handover));
         }
-        let held = exchange.graph.take_unfreed();
-        self.free(&exchange.route, held);
+        let unfreed = exchange.graph.take_unfreed();
+        self.free(&exchange.route, unfreed);
     }
 }
--- a/crates/core/src/relay/machine/evacuation.rs
+++ b/crates/core/src/relay/machine/evacuation.rs
@@ -19,16 +19,17 @@
 impl Relay {
     /// Applies operators' commands, oldest first. Returns for each whether it changed
     /// anything. Nothing is sent before all of them are applied.
-    pub fn apply_operator_changes(&mut self, now: Duration, acts: Vec<Act>) -> Vec<bool> {
-        let taken = acts.into_iter().map(|act| self.apply_operator_change(act)).collect();
+    pub fn apply_operator_changes(&mut self, now: Duration, commands: Vec<Act>) -> Vec<bool> {
+        let results =
+            commands.into_iter().map(|command| self.apply_operator_change(command)).collect();
         self.refuse_evacuated(now);
         self.search(now);
         self.dispatch_all(now);
-        taken
+        results
     }
 
-    fn apply_operator_change(&mut self, act: Act) -> bool {
-        match act {
+    fn apply_operator_change(&mut self, command: Act) -> bool {
+        match command {
             Act::Configure(config) => self.configure(config.into()),
             Act::Evacuate(data_centre) => self.directory.evacuate(data_centre),
             Act::Restore(data_centre) => self.directory.restore(&data_centre),
--- a/crates/core/src/relay/machine/intake.rs
+++ b/crates/core/src/relay/machine/intake.rs
@@ -39,9 +39,10 @@
 impl StageTimes {
     /// Records how long a stage took, or for how long it ran before it was dropped.
     pub(super) fn record(&mut self, now: Duration, service: &ServiceName, took: Duration) {
-        let known = self.recent(now, service);
-        let average = known
-            .map_or(took, |known| known.mul_f64(1.0 - NEWEST_WEIGHT) + took.mul_f64(NEWEST_WEIGHT));
+        let previous = self.recent(now, service);
+        let average = previous.map_or(took, |previous| {
+            previous.mul_f64(1.0 - NEWEST_WEIGHT) + took.mul_f64(NEWEST_WEIGHT)
+        });
         self.times.insert(service.clone(), (now, average));
     }
 
@@ -80,7 +81,9 @@
             .filter(|idx| exchange.graph.piece_count(*idx) > 0);
         let times = first_stages.map(|idx| {
             let own = self.recent_time(now, &exchange.route.stages[idx].service);
-            own + self.remaining_after_with(exchange, idx, &adapt, &|service| self.recent_time(now, service))
+            own + self.remaining_after_with(exchange, idx, &adapt, &|service| {
+                self.recent_time(now, service)
+            })
         });
         times.max().unwrap_or_default()
     }
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -25,7 +25,8 @@
         &mut self,
         now: Duration,
         endpoint: EndpointKey,
-        is_planned: bool) {
+        is_planned: bool,
+    ) {
         let Some(ended) = self.directory.get(endpoint) else { return };
         self.actions.push(Action::Disconnect(ended.entry.addr.clone()));
         if !is_planned {
@@ -81,20 +82,14 @@
 
     /// Whether the call of an exchange may be retried on another endpoint.
     fn may_retry_elsewhere(&self, now: Duration, key: ExchangeKey) -> bool {
-        let Exchange {
-            route,
-            attempts,
-            deadline: due,
-            has_sent_head: has_begun,
-            service,
-            tried,
-            ..
-        } = &self.exchanges[key];
-        let may_repeat = route.kind.may_repeat() && !has_begun && *attempts < route.max_attempts;
+        let Exchange { route, attempts, deadline, has_sent_head, service, tried, .. } =
+            &self.exchanges[key];
+        let may_repeat =
+            route.kind.may_repeat() && !has_sent_head && *attempts < route.max_attempts;
         let is_available =
             |key: &EndpointKey| self.directory.get(*key).is_some_and(|it| !it.is_paused(now));
         let others = self.directory.usable(now, service).into_iter();
         let has_other = others.filter(|key| !tried.contains(key)).any(|key| is_available(&key));
-        may_repeat && has_other && *due > now + OVERDUE_SLACK
+        may_repeat && has_other && *deadline > now + OVERDUE_SLACK
     }
 }
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -143,22 +143,22 @@
     }
 
     /// Chooses an engine for a peer. `None` if no engine can take the prompt.
-    pub fn place_prompt(&mut self, now: Duration, question: &Question) -> Option<Placement> {
-        if self.transfer(&question.service).is_some() {
-            self.query_parts(now, &question.service);
+    pub fn place_prompt(&mut self, now: Duration, request: &Question) -> Option<Placement> {
+        if self.transfer(&request.service).is_some() {
+            self.query_parts(now, &request.service);
         }
-        let avoided = question.avoided.iter().filter_map(|life| self.directory.by_life(life));
-        let avoided: Vec<_> = avoided.collect();
-        let chooser = self.placer_chooser(&question.service, &question.prompt);
-        let withheld = self.withheld(now, &question.service, chooser);
+        let excluded = request.avoided.iter().filter_map(|id| self.directory.by_life(id));
+        let excluded: Vec<_> = excluded.collect();
+        let chooser = self.placer_chooser(&request.service, &request.prompt);
+        let withheld = self.withheld(now, &request.service, chooser);
         let wanted = choice::Criteria {
-            tried: &avoided,
+            tried: &excluded,
             withheld: &withheld,
             max_in_flight: u32::MAX,
             chooser,
-            ..self.wanted(&question.service, &question.inputs)
+            ..self.wanted(&request.service, &request.inputs)
         };
-        let (service, prompt) = (&question.service, &question.prompt);
+        let (service, prompt) = (&request.service, &request.prompt);
         let (directory, memory) = (&self.directory, &self.prompt_memory);
         let candidates = choice::engine_candidates(directory, memory, now, service, prompt, wanted);
         let chosen = choice::cheapest(&candidates)?;
@@ -259,15 +259,15 @@
         service: &str,
         inputs: &'a [(DataCentre, u64)],
     ) -> choice::Criteria<'a> {
-        let shape = self.engine_config(service);
+        let engine = self.engine_config(service);
         choice::Criteria {
             data_centre: &self.settings.data_centre,
             tried: &[],
             withheld: &[],
             inputs,
             max_in_flight: self.connection_limit(service),
-            transfer: shape.and_then(|shape| shape.transfer),
-            engine: shape,
+            transfer: engine.and_then(|engine| engine.transfer),
+            engine,
             token_millis: self.token_millis(service),
             run_time: self.average_run,
             chooser: Chooser::Independent,
@@ -323,14 +323,14 @@
         let exchange = &self.exchanges[key];
         let limit = self.connection_limit(&exchange.service);
         let known = self.directory.usable(now, &exchange.service).into_iter();
-        let avoided = known.filter_map(|key| {
+        let excluded = known.filter_map(|key| {
             let engine = self.directory.get(key)?;
             let is_full = engine.in_flight >= limit;
             let is_unavailable = engine.is_paused(now) || engine.wants_rest(now);
             let is_excluded = exchange.tried.contains(&key) || is_unavailable || is_full;
             is_excluded.then(|| engine.life())
         });
-        avoided.collect()
+        excluded.collect()
     }
 
     /// Turns a placer's answer into a candidate; `None` if this instance may not use the
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -88,12 +88,12 @@
 }
 
 impl Exchange {
-    /// Creates the pieces of a stage. `rest` is the time that the work after it needs.
-    pub(super) fn new_pieces(&self, stage: usize, rest: RemainingTime) -> Vec<Piece> {
+    /// Creates the pieces of a stage. `remaining` is the time that the work after it needs.
+    pub(super) fn new_pieces(&self, stage: usize, remaining: RemainingTime) -> Vec<Piece> {
         let Route { stages, .. } = &*self.route;
         let inputs = self.graph.inputs(&self.route, stage);
         let key = if inputs.is_empty() { self.arrival.piece_key.clone() } else { None };
-        let home = self.destination_of(stage);
+        let destination = self.destination_of(stage);
         let is_begun = self.has_run || self.graph.progress().0 > 0;
         let is_last_reader = self.graph.is_last_reader(&self.route, stage);
         let piece = |number| Piece {
@@ -104,10 +104,10 @@
             key: key.clone(),
             inputs: inputs.clone(),
             bytes: stages[stage].bytes,
-            due: self.deadline.saturating_sub(rest.minimum),
-            aim: self.target.saturating_sub(rest.usual),
+            due: self.deadline.saturating_sub(remaining.minimum),
+            aim: self.target.saturating_sub(remaining.usual),
             priority: self.priority,
-            home: home.clone(),
+            home: destination.clone(),
             round: self.rounds,
             tries: 0,
             is_repeat: self.rounds > 0,
@@ -123,9 +123,10 @@
     /// results will be used, if either is large.
     fn destination_of(&self, stage: usize) -> Option<DataCentre> {
         let inputs = self.graph.inputs_by_data_centre(&self.route, stage);
-        let most = inputs.into_iter().max_by_key(|(_, bytes)| *bytes);
-        let near_inputs =
-            most.filter(|(_, bytes)| *bytes >= LARGE_RESULT_BYTES).map(|(place, _)| place);
+        let largest = inputs.into_iter().max_by_key(|(_, bytes)| *bytes);
+        let near_inputs = largest
+            .filter(|(_, bytes)| *bytes >= LARGE_RESULT_BYTES)
+            .map(|(data_centre, _)| data_centre);
         let has_large = self.route.stages[stage].bytes >= LARGE_RESULT_BYTES;
         near_inputs.or_else(|| self.preferred_data_centre.clone().filter(|_| has_large))
     }
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -113,7 +113,8 @@
         &mut self,
         now: Duration,
         endpoint: EndpointKey,
-        runs: Vec<Run>) {
+        runs: Vec<Run>,
+    ) {
         self.cut_runs.entry(endpoint).or_default().add(now, runs);
         self.report_crashes(now, endpoint);
     }
@@ -256,7 +257,8 @@
     /// its endpoint survived the beginning of the run.
     fn stop_content(&mut self, now: Duration, content: Fingerprint) {
         let open = self.exchanges.iter();
-        let is_affected = |exchange: &Exchange| exchange.content == content && !exchange.has_sent_head;
+        let is_affected =
+            |exchange: &Exchange| exchange.content == content && !exchange.has_sent_head;
         let open: Vec<_> = open.filter(|(_, it)| is_affected(it)).map(|(key, _)| key).collect();
         for key in open {
             self.stop_work(now, key);
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -101,8 +101,8 @@
 
     pub(super) fn free_results(&mut self, key: ExchangeKey) {
         let exchange = &mut self.exchanges[key];
-        let (route, held) = (exchange.route.clone(), exchange.graph.take_unfreed());
-        self.free(&route, held);
+        let (route, unfreed) = (exchange.route.clone(), exchange.graph.take_unfreed());
+        self.free(&route, unfreed);
     }
 
     pub(super) fn free_unclaimed(&mut self, one: FinishedPiece) {
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -69,7 +69,8 @@
         now: Duration,
         call: CallKey,
         failure: Failure,
-        is_unrun: bool) {
+        is_unrun: bool,
+    ) {
         let step = if is_unrun { Step::Refused(None) } else { Step::Failed(failure) };
         let is_cut = !is_unrun && failure == Failure::Cut;
         if let Some(state) = self.calls.get(call).filter(|_| is_cut) {
@@ -113,7 +114,8 @@
         &mut self,
         now: Duration,
         key: HandoverKey,
-        results: Option<Vec<PieceResult>>) {
+        results: Option<Vec<PieceResult>>,
+    ) {
         let Some(Handover { exchange, peer, pieces }) = self.handovers.remove(key) else { return };
         let Some(state) = self.exchanges.get_mut(exchange) else { return };
         state.handovers.retain(|other| *other != key);
@@ -225,8 +227,8 @@
         let mut last_decision: Option<(Duration, Duration, bool)> = None;
         for (piece, origin) in pieces {
             // One decision holds for all pieces of a stage.
-            let known =
-                last_decision.filter(|(aim, due, _)| (*aim, *due) == (piece.aim, piece.due));
+            let known = last_decision
+                .filter(|(target, deadline, _)| (*target, *deadline) == (piece.aim, piece.due));
             let is_feasible = match known {
                 Some((_, _, is_feasible)) => is_feasible,
                 None => self.is_feasible(now, &piece),
@@ -358,8 +360,8 @@
             // The round of this piece has been abandoned already.
             Err(_) if is_stale => {}
             Ok(handle) => {
-                let place = self.directory.place_of(&handle, one.endpoint);
-                let made = LocatedResult { handle, data_centre: place };
+                let data_centre = self.directory.place_of(&handle, one.endpoint);
+                let made = LocatedResult { handle, data_centre };
                 let (stage, number) = (usize::from(one.piece.stage), usize::from(one.piece.number));
                 exchange.graph.record_result(stage, number, made);
             }
@@ -426,8 +428,9 @@
             return;
         }
         let Some(chosen) = self.choose(now, key, &[]) else { return };
-        let home = self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
-        self.exchanges[key].preferred_data_centre = home;
+        let data_centre =
+            self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
+        self.exchanges[key].preferred_data_centre = data_centre;
     }
 
     /// Makes the stages of an exchange again after their results were lost.
