--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -80,12 +80,12 @@
     pub(super) fn give_up(&mut self, now: Duration, key: ExchangeKey, refusal: Refusal) {
         let Some(exchange) = self.exchanges.get(key) else { return };
         if exchange.has_sent_head {
-            self.actions.push(Action::Break(key));
+            self.actions.push(Action::AbortStream(key));
             self.close(key);
             return;
         }
         let has_run = exchange.has_run || exchange.was_called || refusal == Refusal::TimedOut;
-        let may_retry = !has_run || exchange.route.kind.may_repeat();
+        let may_retry = !has_run || exchange.route.kind.is_repeatable();
         let pause = self.retry_after(now, key, refusal);
         let refusal = refusal.after(has_run);
         let retry_after = (may_retry && pause >= MIN_RETRY_AFTER).then_some(pause);
@@ -116,7 +116,7 @@
         self.batches.cancel(Requester::Local(key));
         for handover in exchange.handovers.drain(..) {
             self.handovers.remove(handover);
-            self.actions.push(Action::Recall(handover));
+            self.actions.push(Action::RecallPieces(handover));
         }
         let unfreed = exchange.graph.take_unfreed();
         self.free(&exchange.route, unfreed);
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -85,7 +85,7 @@
         let Exchange { route, attempts, deadline, has_sent_head, service, tried, .. } =
             &self.exchanges[key];
         let may_repeat =
-            route.kind.may_repeat() && !has_sent_head && *attempts < route.max_attempts;
+            route.kind.is_repeatable() && !has_sent_head && *attempts < route.max_attempts;
         let is_available =
             |key: &EndpointKey| self.directory.get(*key).is_some_and(|it| !it.is_paused(now));
         let others = self.directory.usable(now, service).into_iter();
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -172,7 +172,7 @@
     }
 
     fn cold_interval(&self, service: &str) -> Option<Duration> {
-        self.config.as_ref()?.services.get(service)?.cold_pace
+        self.config.as_ref()?.services.get(service)?.cold_interval
     }
 
     /// Whether one instance (a placer or a batcher) makes all calls to an endpoint of a
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -31,8 +31,8 @@
         exchange::Exchange,
         machine::Relay,
         model::{
-            Action, EndpointKey, ExchangeKey, Life, Listed, Placement, Progress, Prompt, Question,
-            RunNumber, Step,
+            Action, EndpointId, EndpointKey, ExchangeKey, HeldParts, Placement, PlacementRequest,
+            Progress, Prompt, RunNumber, Step,
         },
         reading::PrefillSpeed,
     },
@@ -74,14 +74,14 @@
         if self.unresponsive_placers.get(&peer).is_some_and(|until| now < *until) {
             return false;
         }
-        let question = Question {
+        let question = PlacementRequest {
             service: exchange.service.clone(),
             prompt: prompt.clone(),
             inputs: exchange.graph.outputs_by_data_centre(&exchange.route),
-            avoided: self.excluded_engines(now, key),
+            excluded: self.excluded_engines(now, key),
         };
         self.exchanges[key].is_placement_pending = true;
-        self.actions.push(Action::Ask { exchange: key, peer, question });
+        self.actions.push(Action::RequestPlacement { exchange: key, peer, question });
         true
     }
 
@@ -135,7 +135,7 @@
 
     /// An engine reported which prompt parts it holds. A report of another incarnation is
     /// ignored.
-    pub fn on_parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &Listed) {
+    pub fn on_parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &HeldParts) {
         let Some(engine) = self.directory.get(endpoint) else { return };
         if listed.incarnation.is_none_or(|reported| reported == engine.entry.incarnation) {
             self.prompt_memory.record_parts(now, endpoint, listed.parts.iter().copied());
@@ -143,11 +143,11 @@
     }
 
     /// Chooses an engine for a peer. `None` if no engine can take the prompt.
-    pub fn place_prompt(&mut self, now: Duration, request: &Question) -> Option<Placement> {
+    pub fn place_prompt(&mut self, now: Duration, request: &PlacementRequest) -> Option<Placement> {
         if self.transfer(&request.service).is_some() {
             self.query_parts(now, &request.service);
         }
-        let excluded = request.avoided.iter().filter_map(|id| self.directory.by_life(id));
+        let excluded = request.excluded.iter().filter_map(|id| self.directory.by_life(id));
         let excluded: Vec<_> = excluded.collect();
         let chooser = self.placer_chooser(&request.service, &request.prompt);
         let withheld = self.withheld(now, &request.service, chooser);
@@ -239,7 +239,7 @@
         }
         for (peer, progress) in std::mem::take(&mut self.progress_reports) {
             let notices = self.pending_notices.remove(&peer).unwrap_or_default();
-            self.actions.push(Action::Report { peer, progress, notices });
+            self.actions.push(Action::ReportProgress { peer, progress, notices });
         }
     }
 
@@ -319,7 +319,7 @@
     /// Engines that may not be chosen for an exchange: those already tried, and those that
     /// have just failed calls of this instance, are on hold or have no connection left for
     /// it.
-    fn excluded_engines(&self, now: Duration, key: ExchangeKey) -> Vec<Life> {
+    fn excluded_engines(&self, now: Duration, key: ExchangeKey) -> Vec<EndpointId> {
         let exchange = &self.exchanges[key];
         let limit = self.connection_limit(&exchange.service);
         let known = self.directory.usable(now, &exchange.service).into_iter();
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -12,7 +12,7 @@
         exchange::{CallPurpose, Exchange},
         fingerprint::Fingerprint,
         machine::Relay,
-        model::{Action, CallKey, EndpointKey, ExchangeKey, Probed, Refusal},
+        model::{Action, CallKey, EndpointKey, ExchangeKey, ProbeResult, Refusal},
         quarantine::{self, Crash, Hold, Suspicion},
     },
 };
@@ -98,10 +98,10 @@
     }
 
     /// Takes in the result of probing an endpoint that cut runs.
-    pub fn on_probe(&mut self, now: Duration, endpoint: EndpointKey, probed: Probed) {
+    pub fn on_probe(&mut self, now: Duration, endpoint: EndpointKey, probed: ProbeResult) {
         let Some(cuts) = self.cut_runs.get_mut(&endpoint) else { return };
         cuts.is_probed = false;
-        if probed == Probed::Gone {
+        if probed == ProbeResult::Gone {
             self.directory.is_gone(now, endpoint);
             self.report_crashes(now, endpoint);
         }
@@ -138,7 +138,7 @@
             return;
         }
         self.notify_collectors(&crashes);
-        self.actions.push(Action::Crashed { life, crashes: crashes.clone() });
+        self.actions.push(Action::EndpointCrashed { life, crashes: crashes.clone() });
         for crash in &crashes {
             self.on_crash(now, crash);
         }
@@ -149,7 +149,7 @@
     pub fn on_crash(&mut self, now: Duration, crash: &Crash) {
         if let Some(Hold { crashes, .. }) = self.quarantine.held(crash.content) {
             let (content, crashes) = (crash.content, *crashes);
-            self.actions.push(Action::Quarantine { content, crashes });
+            self.actions.push(Action::AnnounceQuarantine { content, crashes });
             return;
         }
         let Some(Suspicion { content, since }) = self.quarantine.crashed(now, crash) else {
@@ -157,7 +157,7 @@
         };
         match self.was_answered(content, since) {
             true => self.on_consultation(now, content, true),
-            false => self.actions.push(Action::Consult { content, since }),
+            false => self.actions.push(Action::QueryAnswered { content, since }),
         }
     }
 
@@ -171,11 +171,11 @@
     /// them since its first crash.
     pub fn on_consultation(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
         if was_answered {
-            self.actions.push(Action::Acquitted(content));
+            self.actions.push(Action::SuspicionCleared(content));
         }
         if let Some(crashes) = self.quarantine.consulted(content, was_answered) {
             self.quarantine_content(now, content, crashes);
-            self.actions.push(Action::Quarantine { content, crashes });
+            self.actions.push(Action::AnnounceQuarantine { content, crashes });
         }
     }
 
@@ -197,7 +197,7 @@
         let was_quarantined = self.quarantine.release(content).is_some();
         if was_quarantined {
             self.actions.push(Action::Released(content));
-            self.actions.push(Action::Unrecord(content));
+            self.actions.push(Action::DeleteQuarantine(content));
         }
         was_quarantined
     }
@@ -206,7 +206,7 @@
     /// runs.
     pub(super) fn release_expired(&mut self, now: Duration) {
         let expired = self.quarantine.take_old(now);
-        self.actions.extend(expired.into_iter().map(Action::Unrecord));
+        self.actions.extend(expired.into_iter().map(Action::DeleteQuarantine));
         let directory = &self.directory;
         self.cut_runs.retain(|endpoint, cuts| {
             cuts.runs.retain(|cut| now < cut.at + CUT_RETENTION);
@@ -223,7 +223,7 @@
             unrecorded.map(|(content, hold)| (content, hold.crashes)).collect();
         for (content, crashes) in unrecorded {
             if self.crash_collectors(content).contains(&self.settings.name) {
-                self.actions.push(Action::Quarantine { content, crashes });
+                self.actions.push(Action::AnnounceQuarantine { content, crashes });
             }
         }
     }
@@ -238,7 +238,7 @@
     pub(super) fn refuse_quarantined(&mut self, now: Duration, key: ExchangeKey) {
         let content = self.exchanges[key].content;
         if let Some(crashes) = self.quarantine.note_refused(now, content) {
-            self.actions.push(Action::Record { content, crashes });
+            self.actions.push(Action::WriteQuarantine { content, crashes });
         }
         self.give_up(now, key, Refusal::Quarantined);
     }
@@ -247,7 +247,7 @@
     pub fn quarantine_content(&mut self, now: Duration, content: Fingerprint, crashes: u32) {
         let jitter = self.rng.random();
         if self.quarantine.hold(now, content, crashes, jitter) {
-            self.actions.push(Action::HeldBack { content, crashes });
+            self.actions.push(Action::Quarantined { content, crashes });
             self.stop_content(now, content);
         }
     }
@@ -285,7 +285,8 @@
                 }
             }
         }
-        let actions = reports.into_iter().map(|(peer, crashes)| Action::Accuse { peer, crashes });
+        let actions =
+            reports.into_iter().map(|(peer, crashes)| Action::ReportCrashes { peer, crashes });
         self.actions.extend(actions);
     }
 
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -82,7 +82,7 @@
         let is_safe = is_unrun || failure == Failure::Unsent;
         for one in &mut finished {
             one.piece.is_repeat |= !is_safe;
-            one.piece.is_apart |= is_cut;
+            one.piece.is_isolated |= is_cut;
         }
         self.requeue(now, finished, is_safe);
         self.dispatch_all(now);
@@ -192,7 +192,7 @@
         let handover = Handover { exchange: key, peer: peer.clone(), pieces: pieces.clone() };
         let handover = self.handovers.insert(handover);
         self.exchanges[key].handovers.push(handover);
-        self.actions.push(Action::HandOver { key: handover, peer, pieces });
+        self.actions.push(Action::HandOverPieces { key: handover, peer, pieces });
     }
 
     /// The peer that batches a service's pieces; `None` if this instance does. The instances
@@ -208,7 +208,7 @@
         let own = rank(&self.settings.name, self.settings.millicores);
         let peers =
             self.peers.iter().filter(|peer| !self.unresponsive_peers.contains_key(&peer.name));
-        let ranked = peers.map(|peer| (rank(&peer.name, peer.strength), &peer.name));
+        let ranked = peers.map(|peer| (rank(&peer.name, peer.millicores), &peer.name));
         let (best, name) = ranked.max()?;
         (best > own || !self.is_batching).then(|| name.clone())
     }
@@ -227,13 +227,14 @@
         let mut last_decision: Option<(Duration, Duration, bool)> = None;
         for (piece, origin) in pieces {
             // One decision holds for all pieces of a stage.
-            let known = last_decision
-                .filter(|(target, deadline, _)| (*target, *deadline) == (piece.aim, piece.due));
+            let known =
+                last_decision
+                .filter(|(target, deadline, _)| (*target, *deadline) == (piece.target, piece.deadline));
             let is_feasible = match known {
                 Some((_, _, is_feasible)) => is_feasible,
                 None => self.is_feasible(now, &piece),
             };
-            last_decision = Some((piece.aim, piece.due, is_feasible));
+            last_decision = Some((piece.target, piece.deadline, is_feasible));
             match is_feasible {
                 true => self.batches.add(piece, origin),
                 false => late.push(Batcher::reject_late(piece, origin)),
@@ -288,7 +289,7 @@
                 self.directory.get_mut(endpoint).expect("the directory has the planned endpoint");
             target.sent();
             let (endpoint, addr) = (target.entry.name.clone(), target.entry.addr.clone());
-            self.actions.push(Action::Make { call, endpoint, addr, pieces: order.pieces });
+            self.actions.push(Action::MakePieces { call, endpoint, addr, pieces: order.pieces });
         }
     }
 
@@ -343,7 +344,7 @@
         }
         if let Some(open) = self.tickets.remove(&ticket) {
             let results = open.results.into_iter().flatten().collect();
-            self.actions.push(Action::Return { ticket, results });
+            self.actions.push(Action::ReturnResults { ticket, results });
         }
     }
 
