--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -156,7 +156,7 @@
             return;
         };
         match self.was_answered(content, since) {
-            true => self.on_consultation(now, content, true),
+            true => self.on_query_result(now, content, true),
             false => self.actions.push(Action::QueryAnswered { content, since }),
         }
     }
@@ -169,7 +169,7 @@
 
     /// All reachable instances have reported whether an endpoint answered the content for
     /// them since its first crash.
-    pub fn on_consultation(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
+    pub fn on_query_result(&mut self, now: Duration, content: Fingerprint, was_answered: bool) {
         if was_answered {
             self.actions.push(Action::SuspicionCleared(content));
         }
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -78,8 +78,8 @@
     fn mark_evictable_at_batcher(&mut self, service: &str, handles: Vec<Handle>) {
         match self.batcher(service) {
             Some(peer) => {
-                let is_spare = true;
-                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable: is_spare });
+                let is_evictable = true;
+                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable });
             }
             None => self.mark_evictable(handles),
         }
@@ -123,8 +123,8 @@
     pub(super) fn free_through_batcher(&mut self, service: &str, handles: Vec<Handle>) {
         match self.batcher(service) {
             Some(peer) => {
-                let is_spare = false;
-                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable: is_spare });
+                let is_evictable = false;
+                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable });
             }
             None => self.free_at_endpoints(handles),
         }
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -63,23 +63,23 @@
         }
     }
 
-    /// A call for pieces failed. `is_unrun` if the endpoint stated that it did not run.
+    /// A call for pieces failed. `is_not_run` if the endpoint stated that it did not run.
     pub fn on_pieces_failure(
         &mut self,
         now: Duration,
         call: CallKey,
         failure: Failure,
-        is_unrun: bool,
+        is_not_run: bool,
     ) {
-        let step = if is_unrun { Step::Refused(None) } else { Step::Failed(failure) };
-        let is_cut = !is_unrun && failure == Failure::Cut;
+        let step = if is_not_run { Step::Refused(None) } else { Step::Failed(failure) };
+        let is_cut = !is_not_run && failure == Failure::Cut;
         if let Some(state) = self.calls.get(call).filter(|_| is_cut) {
             let (endpoint, runs) = (state.endpoint, self.runs_of_call(now, call));
             self.on_cut(now, endpoint, runs);
         }
         self.end_call(now, call, step);
-        let mut finished = self.batches.record_failure(now, call, is_unrun);
-        let is_safe = is_unrun || failure == Failure::Unsent;
+        let mut finished = self.batches.record_failure(now, call, is_not_run);
+        let is_safe = is_not_run || failure == Failure::Unsent;
         for one in &mut finished {
             one.piece.is_repeat |= !is_safe;
             one.piece.is_isolated |= is_cut;
@@ -155,7 +155,7 @@
     }
 
     pub(super) fn start_stages(&mut self, now: Duration, key: ExchangeKey) {
-        self.predict_destination(now, key);
+        self.predict_data_centre(now, key);
         // Starting a stage may end the exchange if too little time is left.
         while let Some(exchange) = self.exchanges.get_mut(key) {
             let route = exchange.route.clone();
@@ -227,9 +227,9 @@
         let mut last_decision: Option<(Duration, Duration, bool)> = None;
         for (piece, origin) in pieces {
             // One decision holds for all pieces of a stage.
-            let known =
-                last_decision
-                .filter(|(target, deadline, _)| (*target, *deadline) == (piece.target, piece.deadline));
+            let known = last_decision.filter(|(target, deadline, _)| {
+                (*target, *deadline) == (piece.target, piece.deadline)
+            });
             let is_feasible = match known {
                 Some((_, _, is_feasible)) => is_feasible,
                 None => self.is_feasible(now, &piece),
@@ -422,7 +422,7 @@
     }
 
     /// Predicts the data centre of the call, if large results should be made near it.
-    pub(super) fn predict_destination(&mut self, now: Duration, key: ExchangeKey) {
+    pub(super) fn predict_data_centre(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT_BYTES);
         if exchange.preferred_data_centre.is_some() || !has_large {
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -210,7 +210,7 @@
         }
         for content in consults {
             let was_answered = content.0 % 2 == 0;
-            world.relay.on_consultation(world.now, content, was_answered);
+            world.relay.on_query_result(world.now, content, was_answered);
             world.collect();
             self.check(world);
         }
--- a/crates/core/tests/testsuite/relay/quarantine.rs
+++ b/crates/core/tests/testsuite/relay/quarantine.rs
@@ -82,7 +82,7 @@
 
 fn answer_consult(world: &mut World, was_answered: bool) {
     for content in consulted(world) {
-        world.relay.on_consultation(world.now, content, was_answered);
+        world.relay.on_query_result(world.now, content, was_answered);
         world.collect();
     }
 }
--- a/crates/relay/src/peers/verdicts.rs
+++ b/crates/relay/src/peers/verdicts.rs
@@ -41,7 +41,7 @@
             let asked = asked.map(|addr| was_answered(&driver, addr, content, age));
             let answers = future::join_all(asked).await;
             let was_answered = answers.contains(&true);
-            driver.feed(|machine, now| machine.on_consultation(now, content, was_answered));
+            driver.feed(|machine, now| machine.on_query_result(now, content, was_answered));
         });
     }
 
