--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -453,7 +453,7 @@
             self.refuse_quarantined(now, key);
             return;
         }
-        if self.needs_evacuated(now, key) {
+        if self.needs_evacuated_service(now, key) {
             self.give_up(now, key, Refusal::Evacuated);
             return;
         }
@@ -472,7 +472,7 @@
 
     /// Upper bound of the live instances. Unreachable ones count, since they still spend from
     /// the shared retry budget.
-    fn instances(&self) -> usize {
+    fn instance_count(&self) -> usize {
         (self.peers.len() + 1).max(self.announced_count).max(self.settings.instances)
     }
 
@@ -481,7 +481,7 @@
     }
 
     fn try_withdraw(&mut self, now: Duration, service: &ServiceName, count: u32) -> bool {
-        let instances = self.instances();
+        let instances = self.instance_count();
         self.allowance(service).try_withdraw(now, count, instances)
     }
 
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -110,8 +110,8 @@
             exchange.attempts -= 1;
         }
         exchange.was_called |= !head.is_not_run;
-        let own_answer = (!head.is_not_run && head.is_sealed).then_some(call);
-        self.retry(now, key, own_answer);
+        let sealed_reply = (!head.is_not_run && head.is_sealed).then_some(call);
+        self.retry(now, key, sealed_reply);
     }
 
     /// A call failed before its reply was complete.
@@ -147,7 +147,7 @@
     pub(super) fn connection_limit(&self, service: &str) -> u32 {
         let service = self.config.as_ref().and_then(|config| config.services.get(service));
         let all = service.map_or(u32::MAX, |service| service.connections);
-        (all / self.instances() as u32).max(1)
+        (all / self.instance_count() as u32).max(1)
     }
 
     /// Calls an endpoint for an exchange whose stages are complete. Its placer chooses the
@@ -188,7 +188,7 @@
         let choice::Candidate { endpoint, tokens, .. } = chosen;
         self.searching.remove(&key);
         let run = self.record_prompt(now, key, &chosen);
-        let basis = self.basis(now, key, endpoint, tokens);
+        let basis = self.choice_basis(now, key, endpoint, tokens);
         let call = self.calls.insert(CallState {
             exchange: CallPurpose::Exchange(key),
             endpoint,
@@ -241,18 +241,18 @@
         Some(self.record_placement(now, &service.clone(), chosen, &prompt))
     }
 
-    pub(super) fn basis(
+    pub(super) fn choice_basis(
         &self,
         now: Duration,
         key: ExchangeKey,
         endpoint: EndpointKey,
         tokens: u64,
     ) -> Basis {
-        let known = self.directory.get(endpoint);
+        let target = self.directory.get(endpoint);
         Basis {
             version: self.config.as_ref().map_or(0, |config| config.version),
-            calls: known.map_or(0, |known| known.calls(now)),
-            load_age: known.and_then(|known| known.load_age(now)),
+            calls: target.map_or(0, |target| target.calls(now)),
+            load_age: target.and_then(|target| target.load_age(now)),
             tokens,
             usable: self.directory.usable(now, &self.exchanges[key].service).len(),
         }
@@ -297,13 +297,13 @@
         let exchange = &self.exchanges[key];
         let kind = exchange.route.kind;
         let may_run = kind.is_repeatable() || !exchange.was_called;
-        let can_go_on = !exchange.has_sent_head || kind.is_repeatable();
+        let can_resume = !exchange.has_sent_head || kind.is_repeatable();
         let has_attempts = exchange.attempts < exchange.route.max_attempts;
         let has_time = exchange.deadline > now + MIN_CALL_TIME;
         let is_first = exchange.attempts == 0;
         let service = exchange.service.clone();
-        let may_try = may_run && can_go_on && has_attempts && has_time;
-        if may_try && (is_first || self.try_withdraw(now, &service, 1)) {
+        let may_retry = may_run && can_resume && has_attempts && has_time;
+        if may_retry && (is_first || self.try_withdraw(now, &service, 1)) {
             if self.exchanges[key].has_sent_head {
                 self.restart_stages(now, key);
             }
@@ -357,12 +357,10 @@
 
     /// Records how far a call has got, and reports it to the peer that placed it.
     fn record_step(&mut self, now: Duration, call: CallKey, step: Step) {
-        let Some(CallState { endpoint, started_at: started, run, placer, .. }) =
-            self.calls.get(call)
-        else {
+        let Some(CallState { endpoint, started_at, run, placer, .. }) = self.calls.get(call) else {
             return;
         };
-        let (endpoint, took) = (*endpoint, now.saturating_sub(*started));
+        let (endpoint, took) = (*endpoint, now.saturating_sub(*started_at));
         let (run, placer) = (*run, placer.clone());
         match (run, self.directory.get_mut(endpoint)) {
             (Some(number), _) => self.on_progress(now, Progress { number, step }),
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -59,8 +59,9 @@
 
     pub(super) fn time_out(&mut self, now: Duration, key: ExchangeKey) {
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let is_making = !exchange.graph.is_complete();
-        let (has_run, call) = (is_making || exchange.has_run || exchange.was_called, exchange.call);
+        let is_incomplete = !exchange.graph.is_complete();
+        let (has_run, call) =
+            (is_incomplete || exchange.has_run || exchange.was_called, exchange.call);
         if let Some(call) = call {
             self.cancel(now, call);
         }
--- a/crates/core/src/relay/machine/evacuation.rs
+++ b/crates/core/src/relay/machine/evacuation.rs
@@ -38,7 +38,7 @@
 
     /// Whether an exchange still needs a service all of whose endpoints are evacuated. Stages
     /// that have been started do not count, since their pieces may still be made.
-    pub(super) fn needs_evacuated(&self, now: Duration, key: ExchangeKey) -> bool {
+    pub(super) fn needs_evacuated_service(&self, now: Duration, key: ExchangeKey) -> bool {
         if self.directory.evacuated().next().is_none() {
             return false;
         }
@@ -55,7 +55,7 @@
         let open = self.exchanges.iter().filter(|(_, exchange)| exchange.call.is_none());
         let open: Vec<_> = open.map(|(key, _)| key).collect();
         for key in open {
-            if self.needs_evacuated(now, key) {
+            if self.needs_evacuated_service(now, key) {
                 self.give_up(now, key, Refusal::Evacuated);
             }
         }
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -61,7 +61,7 @@
     /// endpoint may have no requests for it. By the random choice about one instance at a
     /// time drops the limit; the reply to its first call shows whether it still holds.
     pub(super) fn expire_limits(&mut self, now: Duration) {
-        let instances = self.instances() as u32;
+        let instances = self.instance_count() as u32;
         for endpoint in self.directory.all_mut() {
             let is_old = endpoint.word.is_some_and(|word| now >= word.at + LIMIT_EXPIRY);
             if is_old && self.rng.random_ratio(1, instances) {
@@ -151,7 +151,7 @@
     /// calls allowed in a second, so that the first calls of all at once stay within it too.
     fn paced_when_cold(&self, service: &str, interval: Duration) -> Pace {
         let calls_per_second = 1.0 / interval.as_secs_f64().max(f64::MIN_POSITIVE);
-        Pace::new(interval, self.callers(service, (calls_per_second / 2.0) as u32))
+        Pace::new(interval, self.caller_count(service, (calls_per_second / 2.0) as u32))
     }
 
     /// In any four seconds an endpoint accepts 1.5 times its limit and five calls more. Of
@@ -159,15 +159,15 @@
     /// makes two calls at once, that is 1.25 times the limit.
     fn paced_by_limit(&self, service: &str, rate: Rate) -> Pace {
         let wanted = ((rate.calls() / 2.0) as u32).saturating_add(1);
-        let pace = Pace::new(rate.interval(), self.callers(service, wanted));
+        let pace = Pace::new(rate.interval(), self.caller_count(service, wanted));
         Pace { slack: pace.interval, ..pace }
     }
 
-    fn callers(&self, service: &str, wanted: u32) -> u32 {
+    fn caller_count(&self, service: &str, wanted: u32) -> u32 {
         if self.has_one_caller(service) {
             return 1;
         }
-        let max = u32::try_from(self.instances()).unwrap_or(u32::MAX);
+        let max = u32::try_from(self.instance_count()).unwrap_or(u32::MAX);
         wanted.clamp(1, max)
     }
 
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -151,16 +151,17 @@
         let excluded: Vec<_> = excluded.collect();
         let chooser = self.placer_chooser(&request.service, &request.prompt);
         let withheld = self.withheld(now, &request.service, chooser);
-        let wanted = choice::Criteria {
+        let criteria = choice::Criteria {
             tried: &excluded,
             withheld: &withheld,
             max_in_flight: u32::MAX,
             chooser,
-            ..self.wanted(&request.service, &request.inputs)
+            ..self.criteria(&request.service, &request.inputs)
         };
         let (service, prompt) = (&request.service, &request.prompt);
         let (directory, memory) = (&self.directory, &self.prompt_memory);
-        let candidates = choice::engine_candidates(directory, memory, now, service, prompt, wanted);
+        let candidates =
+            choice::engine_candidates(directory, memory, now, service, prompt, criteria);
         let chosen = choice::cheapest(&candidates)?;
         let number = self.record_placement(now, service, &chosen, prompt);
         let source = self.addr_of(chosen.source);
@@ -184,17 +185,17 @@
         self.next_run += 1;
         let number = self.next_run;
         let speed = self.reading_speeds.get(service).cloned().unwrap_or_default();
-        let copying = chosen.copy_time;
-        let (reading, first) = (speed.prefill_time(chosen.tokens), speed.median_overhead());
+        let copy_time = chosen.copy_time;
+        let (prefill, first_token) = (speed.prefill_time(chosen.tokens), speed.median_overhead());
         if let Some(source) = chosen.source.and_then(|key| self.directory.get_mut(key)) {
-            source.engine.add_copy(now, copying);
+            source.engine.add_copy(now, copy_time);
         }
         if let Some(endpoint) = self.directory.get_mut(chosen.endpoint) {
             endpoint.engine.add_run(
                 now,
                 number,
                 prompt,
-                CallEstimate { prefill: reading, copy_time: copying, first_token: first },
+                CallEstimate { prefill, copy_time, first_token },
             );
             self.runs.insert(number, chosen.endpoint);
         }
@@ -254,7 +255,7 @@
     }
 
     /// The inputs of a choice for a service, but for those that depend on the exchange.
-    fn wanted<'a>(
+    fn criteria<'a>(
         &'a self,
         service: &str,
         inputs: &'a [(DataCentre, u64)],
@@ -271,7 +272,7 @@
             token_millis: self.token_millis(service),
             run_time: self.average_run,
             chooser: Chooser::Independent,
-            instances: self.instances(),
+            instances: self.instance_count(),
         }
     }
 
@@ -350,9 +351,8 @@
             return None;
         }
         let Placement { tokens, wait, source, number, .. } = placement;
-        let copying = Duration::ZERO;
-        let chosen =
-            Candidate { endpoint, tokens, source: None, wait, copy_time: copying, cost: 0.0 };
+        let copy_time = Duration::ZERO;
+        let chosen = Candidate { endpoint, tokens, source: None, wait, copy_time, cost: 0.0 };
         Some(Placed { chosen, source, placer: Some((peer.clone(), number)) })
     }
 
@@ -374,18 +374,18 @@
             _ => Chooser::Independent,
         };
         let withheld = self.withheld(now, &service, chooser);
-        let wanted = choice::Criteria {
+        let criteria = choice::Criteria {
             tried: &self.exchanges[key].tried,
             withheld: &withheld,
             chooser,
-            ..self.wanted(&service, inputs)
+            ..self.criteria(&service, inputs)
         };
         let (directory, memory) = (&self.directory, &self.prompt_memory);
         let candidates = match &prompt {
             Some(prompt) => {
-                choice::engine_candidates(directory, memory, now, &service, prompt, wanted)
+                choice::engine_candidates(directory, memory, now, &service, prompt, criteria)
             }
-            None => choice::plain_candidates(directory, now, &service, wanted, || rng.random()),
+            None => choice::plain_candidates(directory, now, &service, criteria, || rng.random()),
         };
         let chosen = self.policy_choice(now, key, &candidates);
         chosen.or_else(|| choice::cheapest(&candidates))
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -93,7 +93,7 @@
         let Route { stages, .. } = &*self.route;
         let inputs = self.graph.inputs(&self.route, stage);
         let key = if inputs.is_empty() { self.arrival.piece_key.clone() } else { None };
-        let data_centre = self.data_centre_of(stage);
+        let destination = self.destination_of(stage);
         let is_begun = self.has_run || self.graph.progress().0 > 0;
         let is_last_reader = self.graph.is_last_reader(&self.route, stage);
         let piece = |number| Piece {
@@ -107,7 +107,7 @@
             deadline: self.deadline.saturating_sub(remaining.minimum),
             target: self.target.saturating_sub(remaining.usual),
             priority: self.priority,
-            preferred_data_centre: data_centre.clone(),
+            preferred_data_centre: destination.clone(),
             round: self.rounds,
             tries: 0,
             is_repeat: self.rounds > 0,
@@ -121,7 +121,7 @@
 
     /// Data centre where a stage should be made: where most of its inputs lie, or where its
     /// results will be used, if either is large.
-    fn data_centre_of(&self, stage: usize) -> Option<DataCentre> {
+    fn destination_of(&self, stage: usize) -> Option<DataCentre> {
         let inputs = self.graph.inputs_by_data_centre(&self.route, stage);
         let largest = inputs.into_iter().max_by_key(|(_, bytes)| *bytes);
         let near_inputs = largest
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -86,10 +86,10 @@
             self.record_endpoint_end(now, endpoint, runs);
             return;
         }
-        let Some(known) = self.directory.get(endpoint).filter(|known| known.is_ready()) else {
+        let Some(target) = self.directory.get(endpoint).filter(|target| target.is_ready()) else {
             return;
         };
-        let addr = known.entry.addr.clone();
+        let addr = target.entry.addr.clone();
         let cuts = self.cut_runs.entry(endpoint).or_default();
         cuts.add(now, runs);
         if !std::mem::replace(&mut cuts.is_probed, true) {
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -105,9 +105,9 @@
         self.free(&route, unfreed);
     }
 
-    pub(super) fn free_unclaimed(&mut self, one: FinishedPiece) {
-        if let Ok(handle) = one.result {
-            self.free_through_batcher(&one.piece.service, vec![handle]);
+    pub(super) fn free_unclaimed(&mut self, outcome: FinishedPiece) {
+        if let Ok(handle) = outcome.result {
+            self.free_through_batcher(&outcome.piece.service, vec![handle]);
         }
     }
 
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -80,9 +80,9 @@
         self.end_call(now, call, step);
         let mut finished = self.batches.record_failure(now, call, is_not_run);
         let is_safe = is_not_run || failure == Failure::Unsent;
-        for one in &mut finished {
-            one.piece.is_repeat |= !is_safe;
-            one.piece.is_isolated |= is_cut;
+        for outcome in &mut finished {
+            outcome.piece.is_repeat |= !is_safe;
+            outcome.piece.is_isolated |= is_cut;
         }
         self.requeue(now, finished, is_safe);
         self.dispatch_all(now);
@@ -155,7 +155,7 @@
     }
 
     pub(super) fn start_stages(&mut self, now: Duration, key: ExchangeKey) {
-        self.predict_data_centre(now, key);
+        self.predict_destination(now, key);
         // Starting a stage may end the exchange if too little time is left.
         while let Some(exchange) = self.exchanges.get_mut(key) {
             let route = exchange.route.clone();
@@ -295,11 +295,11 @@
 
     pub(super) fn process_finished(&mut self, now: Duration, finished: Vec<FinishedPiece>) {
         let mut affected = Vec::new();
-        for one in finished {
-            match one.origin {
-                Origin::Peer { ticket, index } => self.return_to_peer(now, ticket, index, one),
+        for outcome in finished {
+            match outcome.origin {
+                Origin::Peer { ticket, index } => self.return_to_peer(now, ticket, index, outcome),
                 Origin::Local(key) => {
-                    self.process_own(now, key, one);
+                    self.process_own_piece(now, key, outcome);
                     if !affected.contains(&key) {
                         affected.push(key);
                     }
@@ -307,7 +307,7 @@
             }
         }
         for key in affected {
-            self.after_pieces(now, key);
+            self.advance_after_pieces(now, key);
         }
     }
 
@@ -316,22 +316,22 @@
         now: Duration,
         ticket: u64,
         index: usize,
-        one: FinishedPiece,
+        outcome: FinishedPiece,
     ) {
         if !self.tickets.contains_key(&ticket) {
-            self.free_unclaimed(one);
+            self.free_unclaimed(outcome);
             return;
         }
-        let retry = retry_piece(&one).filter(|piece| !self.is_quarantined(piece));
+        let retry = retry_piece(&outcome).filter(|piece| !self.is_quarantined(piece));
         let retry = retry.filter(|piece| self.withdraw_for_retry(now, piece));
-        let is_late = one.result == Err(PieceFailure::Late);
+        let is_late = outcome.result == Err(PieceFailure::Late);
         match retry {
             Some(piece) => self.batches.add(piece, Origin::Peer { ticket, index }),
             // The peer must not assume that the piece was never made.
-            None if is_late && !is_unmade(&one) => {
+            None if is_late && !is_unmade(&outcome) => {
                 self.record_ticket_result(ticket, index, Err(PieceFailure::Failed));
             }
-            None => self.record_ticket_result(ticket, index, one.result),
+            None => self.record_ticket_result(ticket, index, outcome.result),
         }
     }
 
@@ -348,28 +348,34 @@
         }
     }
 
-    pub(super) fn process_own(&mut self, now: Duration, key: ExchangeKey, one: FinishedPiece) {
+    pub(super) fn process_own_piece(
+        &mut self,
+        now: Duration,
+        key: ExchangeKey,
+        outcome: FinishedPiece,
+    ) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
-            self.free_unclaimed(one);
+            self.free_unclaimed(outcome);
             return;
         };
-        exchange.has_run |= !is_unmade(&one);
-        let is_stale = one.piece.round != exchange.rounds;
-        self.record_stage_time(now, key, &one);
+        exchange.has_run |= !is_unmade(&outcome);
+        let is_stale = outcome.piece.round != exchange.rounds;
+        self.record_stage_time(now, key, &outcome);
         let exchange = &mut self.exchanges[key];
-        match one.result {
+        match outcome.result {
             // The round of this piece has been abandoned already.
             Err(_) if is_stale => {}
             Ok(handle) => {
-                let data_centre = self.directory.place_of(&handle, one.endpoint);
+                let data_centre = self.directory.place_of(&handle, outcome.endpoint);
                 let made = LocatedResult { handle, data_centre };
-                let (stage, number) = (usize::from(one.piece.stage), usize::from(one.piece.number));
+                let (stage, number) =
+                    (usize::from(outcome.piece.stage), usize::from(outcome.piece.number));
                 exchange.graph.record_result(stage, number, made);
             }
             Err(PieceFailure::Late) => self.give_up(now, key, Refusal::Infeasible),
             Err(PieceFailure::InputGone) => self.restart_stages(now, key),
             Err(_) => {
-                let piece = retry_piece(&one);
+                let piece = retry_piece(&outcome);
                 let piece = piece.filter(|piece| self.withdraw_for_retry(now, piece));
                 match piece {
                     Some(piece) => self.batches.add(piece, Origin::Local(key)),
@@ -380,37 +386,37 @@
     }
 
     /// Records how long a stage took when the first of its pieces has come back.
-    fn record_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &FinishedPiece) {
+    fn record_stage_time(&mut self, now: Duration, key: ExchangeKey, outcome: &FinishedPiece) {
         let starts = &mut self.exchanges[key].stage_starts;
-        let stage = usize::from(one.piece.stage);
+        let stage = usize::from(outcome.piece.stage);
         let Some(idx) = starts.iter().position(|(known, _)| *known == stage) else { return };
         let (_, started) = starts.swap_remove(idx);
-        self.stage_times.record(now, &one.piece.service, now.saturating_sub(started));
+        self.stage_times.record(now, &outcome.piece.service, now.saturating_sub(started));
     }
 
     /// Queues the pieces of a failed call again. `is_safe` if certainly no endpoint received
     /// them as work.
     pub(super) fn requeue(&mut self, now: Duration, finished: Vec<FinishedPiece>, is_safe: bool) {
         let mut failed = Vec::new();
-        for one in finished {
-            let is_wanted = match one.origin {
+        for outcome in finished {
+            let is_wanted = match outcome.origin {
                 Origin::Local(key) => self.exchanges.contains_key(key),
                 Origin::Peer { ticket, .. } => self.tickets.contains_key(&ticket),
             };
             if !is_wanted {
                 continue;
             }
-            let may_wait = !self.is_quarantined(&one.piece);
-            if may_wait && (is_safe || self.try_withdraw(now, &one.piece.service.clone(), 1)) {
-                self.batches.add(one.piece, one.origin);
+            let may_wait = !self.is_quarantined(&outcome.piece);
+            if may_wait && (is_safe || self.try_withdraw(now, &outcome.piece.service.clone(), 1)) {
+                self.batches.add(outcome.piece, outcome.origin);
             } else {
-                failed.push(one);
+                failed.push(outcome);
             }
         }
         self.process_finished(now, failed);
     }
 
-    pub(super) fn after_pieces(&mut self, now: Duration, key: ExchangeKey) {
+    pub(super) fn advance_after_pieces(&mut self, now: Duration, key: ExchangeKey) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let route = exchange.route.clone();
         let used = exchange.graph.take_unneeded(&route);
@@ -422,16 +428,16 @@
     }
 
     /// Predicts the data centre of the call, if large results should be made near it.
-    pub(super) fn predict_data_centre(&mut self, now: Duration, key: ExchangeKey) {
+    pub(super) fn predict_destination(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT_BYTES);
         if exchange.preferred_data_centre.is_some() || !has_large {
             return;
         }
         let Some(chosen) = self.choose(now, key, &[]) else { return };
-        let data_centre =
+        let destination =
             self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
-        self.exchanges[key].preferred_data_centre = data_centre;
+        self.exchanges[key].preferred_data_centre = destination;
     }
 
     /// Makes the stages of an exchange again after their results were lost.
@@ -466,8 +472,8 @@
 
 /// Whether a late piece was certainly not made. A piece whose call brought no answer may have
 /// been made all the same.
-fn is_unmade(one: &FinishedPiece) -> bool {
-    one.result == Err(PieceFailure::Late) && !one.piece.is_repeat
+fn is_unmade(outcome: &FinishedPiece) -> bool {
+    outcome.result == Err(PieceFailure::Late) && !outcome.piece.is_repeat
 }
 
 /// The result of a piece whose content is quarantined.
@@ -476,10 +482,10 @@
 }
 
 /// The piece for another attempt, if that may succeed.
-fn retry_piece(one: &FinishedPiece) -> Option<Piece> {
-    let may_succeed = matches!(one.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
-    let piece = &one.piece;
-    let is_repeat = one.result != Err(PieceFailure::NoRoom);
+fn retry_piece(outcome: &FinishedPiece) -> Option<Piece> {
+    let may_succeed = matches!(outcome.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
+    let piece = &outcome.piece;
+    let is_repeat = outcome.result != Err(PieceFailure::NoRoom);
     let tries = piece.tries.saturating_add(u8::from(is_repeat));
     (may_succeed && tries < MAX_TRIES).then(|| Piece { tries, is_repeat, ..piece.clone() })
 }
