--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -68,8 +68,8 @@
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
-        bound,
-        instances: 74,
+        retry_budget: bound,
+        min_instances: 74,
         millicores: 120,
     };
     let mut relay = Relay::new(settings, 1);
--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -70,9 +70,9 @@
     /// Data centre of this instance.
     pub data_centre: DataCentre,
     /// The retry budget that all instances share.
-    pub bound: RetryBudgetConfig,
+    pub retry_budget: RetryBudgetConfig,
     /// Number of instances that share the retry budget while fewer are known.
-    pub instances: usize,
+    pub min_instances: usize,
     /// CPU share of this instance, in thousandths of a core.
     pub millicores: u32,
 }
@@ -83,15 +83,15 @@
     rng: SmallRng,
     config: Option<Arc<Config>>,
     directory: Directory,
-    prompt_memory: choice::prompts::SentParts,
+    sent_parts: choice::prompts::SentParts,
     exchanges: SlotMap<ExchangeKey, Exchange>,
     calls: SlotMap<CallKey, CallState>,
     handovers: SlotMap<HandoverKey, Handover>,
-    batches: Batcher,
+    batcher: Batcher,
     tickets: HashMap<u64, Ticket>,
-    allowances: HashMap<ServiceName, RetryBudget>,
+    retry_budgets: HashMap<ServiceName, RetryBudget>,
     /// How fast the engines of each service read prompts.
-    reading_speeds: HashMap<ServiceName, PrefillSpeed>,
+    prefill_speeds: HashMap<ServiceName, PrefillSpeed>,
     stage_times: intake::StageTimes,
     peers: Vec<Peer>,
     /// Peers that did not answer a hand-over, and until when they get none.
@@ -187,14 +187,14 @@
             rng: SmallRng::seed_from_u64(seed),
             config: None,
             directory: Directory::default(),
-            prompt_memory: choice::prompts::SentParts::default(),
+            sent_parts: choice::prompts::SentParts::default(),
             exchanges: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             handovers: SlotMap::with_key(),
-            batches: Batcher::default(),
+            batcher: Batcher::default(),
             tickets: HashMap::new(),
-            allowances: HashMap::new(),
-            reading_speeds: HashMap::new(),
+            retry_budgets: HashMap::new(),
+            prefill_speeds: HashMap::new(),
             stage_times: intake::StageTimes::default(),
             peers: Vec::new(),
             unresponsive_peers: HashMap::new(),
@@ -269,17 +269,17 @@
 
     /// When [`Relay::tick`] should be called next.
     pub fn next_wake(&self, now: Duration) -> Duration {
-        if self.has_freed_memory && !self.batches.waiting_services().is_empty() {
+        if self.has_freed_memory && !self.batcher.waiting_services().is_empty() {
             return now;
         }
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let search = (!self.searching.is_empty()).then_some(self.next_search);
         let evictable = self.evictable_at.first().map(|(at, _)| *at);
-        let batch = self.batches.next_wake(now);
+        let batch = self.batcher.next_wake(now);
         let overdue = self.token_deadlines.first().map(|(at, _)| *at);
         let report = self.next_report();
         let backlog =
-            (!self.batches.waiting_services().is_empty()).then_some(self.next_backlog.max(now));
+            (!self.batcher.waiting_services().is_empty()).then_some(self.next_backlog.max(now));
         [deadline, overdue, search, evictable, batch, report, backlog]
             .into_iter()
             .flatten()
@@ -443,7 +443,7 @@
             self.release_expired(now);
             self.forget_runs();
             self.expire_limits(now);
-            self.batches.forget_removed(&self.directory);
+            self.batcher.forget_removed(&self.directory);
         }
     }
 
@@ -473,20 +473,20 @@
     /// Upper bound of the live instances. Unreachable ones count, since they still spend from
     /// the shared retry budget.
     fn instance_count(&self) -> usize {
-        (self.peers.len() + 1).max(self.announced_count).max(self.settings.instances)
+        (self.peers.len() + 1).max(self.announced_count).max(self.settings.min_instances)
     }
 
     fn deposit(&mut self, now: Duration, service: &ServiceName, count: u32) {
-        self.allowance(service).deposit(now, count);
+        self.retry_budget(service).deposit(now, count);
     }
 
     fn try_withdraw(&mut self, now: Duration, service: &ServiceName, count: u32) -> bool {
         let instances = self.instance_count();
-        self.allowance(service).try_withdraw(now, count, instances)
+        self.retry_budget(service).try_withdraw(now, count, instances)
     }
 
-    fn allowance(&mut self, service: &ServiceName) -> &mut RetryBudget {
-        let bound = self.settings.bound;
-        self.allowances.entry(service.clone()).or_insert_with(|| RetryBudget::new(bound))
+    fn retry_budget(&mut self, service: &ServiceName) -> &mut RetryBudget {
+        let config = self.settings.retry_budget;
+        self.retry_budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(config))
     }
 }
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -350,7 +350,7 @@
             && let Some(Exchange { service, arrival, .. }) = self.exchanges.get(key)
             && arrival.prompt.is_some()
         {
-            self.reading_speeds.entry(service.clone()).or_default().record(now, tokens, took);
+            self.prefill_speeds.entry(service.clone()).or_default().record(now, tokens, took);
         }
         self.record_step(now, call, Step::Answered(load));
     }
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -114,7 +114,7 @@
         let Some(mut exchange) = self.exchanges.remove(key) else { return };
         self.deadlines.remove(&(exchange.deadline, key));
         self.searching.remove(&key);
-        self.batches.cancel(Requester::Local(key));
+        self.batcher.cancel(Requester::Local(key));
         for handover in exchange.handovers.drain(..) {
             self.handovers.remove(handover);
             self.actions.push(Action::RecallPieces(handover));
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -51,7 +51,7 @@
             .expect("the directory has the called endpoint")
             .entry
             .service;
-        let speed = self.reading_speeds.get(service).cloned().unwrap_or_default();
+        let speed = self.prefill_speeds.get(service).cloned().unwrap_or_default();
         let usual = chosen.wait + chosen.copy_time + speed.time_to_first_token(chosen.tokens);
         let at = now + usual.mul_f64(OVERDUE_FACTOR) + OVERDUE_SLACK;
         self.calls[call].overdue_at = Some(at);
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -131,7 +131,7 @@
             let pace = self.pace(now, endpoint);
             let slot = pace.and_then(|pace| Some(endpoint.slot? + pace.interval));
             let until = endpoint.rests_until.max(slot.unwrap_or(now));
-            self.batches.hold_endpoint(key, until);
+            self.batcher.hold_endpoint(key, until);
         }
     }
 
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -138,7 +138,7 @@
     pub fn on_parts_listed(&mut self, now: Duration, endpoint: EndpointKey, listed: &HeldParts) {
         let Some(engine) = self.directory.get(endpoint) else { return };
         if listed.incarnation.is_none_or(|reported| reported == engine.entry.incarnation) {
-            self.prompt_memory.record_parts(now, endpoint, listed.parts.iter().copied());
+            self.sent_parts.record_parts(now, endpoint, listed.parts.iter().copied());
         }
     }
 
@@ -159,9 +159,9 @@
             ..self.criteria(&request.service, &request.inputs)
         };
         let (service, prompt) = (&request.service, &request.prompt);
-        let (directory, memory) = (&self.directory, &self.prompt_memory);
+        let (directory, sent_parts) = (&self.directory, &self.sent_parts);
         let candidates =
-            choice::engine_candidates(directory, memory, now, service, prompt, criteria);
+            choice::engine_candidates(directory, sent_parts, now, service, prompt, criteria);
         let chosen = choice::cheapest(&candidates)?;
         let number = self.record_placement(now, service, &chosen, prompt);
         let source = self.addr_of(chosen.source);
@@ -181,10 +181,10 @@
         chosen: &Candidate,
         prompt: &Prompt,
     ) -> RunNumber {
-        self.prompt_memory.record_prompt(now, chosen.endpoint, prompt);
+        self.sent_parts.record_prompt(now, chosen.endpoint, prompt);
         self.next_run += 1;
         let number = self.next_run;
-        let speed = self.reading_speeds.get(service).cloned().unwrap_or_default();
+        let speed = self.prefill_speeds.get(service).cloned().unwrap_or_default();
         let copy_time = chosen.copy_time;
         let (prefill, first_token) = (speed.prefill_time(chosen.tokens), speed.median_overhead());
         if let Some(source) = chosen.source.and_then(|key| self.directory.get_mut(key)) {
@@ -278,7 +278,7 @@
 
     /// Time in milliseconds that an engine of a service takes to read a token.
     fn token_millis(&self, service: &str) -> f64 {
-        let speed = self.reading_speeds.get(service);
+        let speed = self.prefill_speeds.get(service);
         speed.map_or_else(|| PrefillSpeed::default().token_millis(), PrefillSpeed::token_millis)
     }
 
@@ -380,10 +380,10 @@
             chooser,
             ..self.criteria(&service, inputs)
         };
-        let (directory, memory) = (&self.directory, &self.prompt_memory);
+        let (directory, sent_parts) = (&self.directory, &self.sent_parts);
         let candidates = match &prompt {
             Some(prompt) => {
-                choice::engine_candidates(directory, memory, now, &service, prompt, criteria)
+                choice::engine_candidates(directory, sent_parts, now, &service, prompt, criteria)
             }
             None => choice::plain_candidates(directory, now, &service, criteria, || rng.random()),
         };
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -66,7 +66,7 @@
     pub(super) fn generation_time(&self, exchange: &Exchange) -> Duration {
         let Some(prompt) = &exchange.arrival.prompt else { return Duration::ZERO };
         let own = prompt.own_tokens();
-        let speed = self.reading_speeds.get(&exchange.service);
+        let speed = self.prefill_speeds.get(&exchange.service);
         let first_token = |speed: &PrefillSpeed| speed.time_to_first_token(own);
         let usual = speed.map_or_else(|| first_token(&PrefillSpeed::default()), first_token);
         usual.min(exchange.route.objective.mul_f64(GENERATION_SHARE))
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -117,7 +117,7 @@
             // The call counts as one piece.
             cost: (all - made + 1) as f64,
             spent: made as f64,
-            waiting: self.batches.waiting_count(service) as u32,
+            waiting: self.batcher.waiting_count(service) as u32,
             free: self.free_slots(now, service),
             team_held: team_exchanges.count() as u32,
             team_share: 1.0 / teams.len().max(1) as f64,
@@ -144,7 +144,7 @@
         let Some(config) = self.piece_config(service) else { return Duration::ZERO };
         let endpoints = self.directory.usable(now, service).len().max(1);
         let batch = config.batch as usize;
-        let calls = self.batches.waiting_count(service) as f64 / (endpoints * batch) as f64;
+        let calls = self.batcher.waiting_count(service) as f64 / (endpoints * batch) as f64;
         Batcher::call_time(&config, batch).mul_f64(calls)
     }
 
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -71,7 +71,7 @@
         let is_late = state.answered_at.is_some_and(|at| now >= at + quarantine::BEGINNING);
         let run = |content| Run { content, is_late };
         match state.exchange {
-            CallPurpose::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
+            CallPurpose::Pieces => self.batcher.contents_of(call).into_iter().map(run).collect(),
             CallPurpose::Exchange(key) => {
                 self.exchanges.get(key).map(|it| run(it.content)).into_iter().collect()
             }
@@ -264,7 +264,7 @@
             self.stop_work(now, key);
             self.refuse_quarantined(now, key);
         }
-        let waiting = self.batches.take_content(content);
+        let waiting = self.batcher.take_content(content);
         self.process_finished(now, waiting);
     }
 
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -42,7 +42,7 @@
         }
         self.next_backlog = now + REPORT_INTERVAL;
         let backlogged: Vec<_> = self
-            .batches
+            .batcher
             .waiting_services()
             .into_iter()
             .filter(|it| self.has_backlog(now, it))
@@ -62,7 +62,7 @@
 
     fn has_backlog(&self, now: Duration, service: &str) -> bool {
         let Some(config) = self.piece_config(service) else { return false };
-        let wait = self.batches.backlog(now, service, &config, &self.directory);
+        let wait = self.batcher.backlog(now, service, &config, &self.directory);
         wait.is_some_and(|wait| wait >= MIN_BACKLOG)
     }
 
@@ -70,7 +70,7 @@
     fn other_batchers(&self) -> Vec<InstanceName> {
         let Some(config) = &self.config else { return Vec::new() };
         let batched = config.services.iter().filter(|(_, service)| service.pieces.is_some());
-        let mut peers: Vec<_> = batched.filter_map(|(name, _)| self.batcher(name)).collect();
+        let mut peers: Vec<_> = batched.filter_map(|(name, _)| self.batcher_peer(name)).collect();
         peers.sort_unstable();
         peers.dedup();
         peers
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -55,7 +55,7 @@
         let mut by_service: Vec<(ServiceName, Vec<Handle>)> = Vec::new();
         let mut known: Option<(Arc<str>, ServiceName)> = None;
         // Handles are sorted, so those of one endpoint are adjacent.
-        for handle in self.batches.take_read(now) {
+        for handle in self.batcher.take_read(now) {
             let Some(addr) = holder_addr(&handle) else { continue };
             if known.as_ref().is_none_or(|(last, _)| **last != *addr) {
                 let service = self.directory.service_at(addr);
@@ -76,7 +76,7 @@
 
     /// Reports evictable results to the batcher of their service.
     fn mark_evictable_at_batcher(&mut self, service: &str, handles: Vec<Handle>) {
-        match self.batcher(service) {
+        match self.batcher_peer(service) {
             Some(peer) => {
                 let is_evictable = true;
                 self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable });
@@ -87,7 +87,7 @@
 
     /// Marks results of calls that this instance made as evictable.
     pub fn mark_evictable(&mut self, handles: Vec<Handle>) {
-        self.batches.mark_evictable(&handles);
+        self.batcher.mark_evictable(&handles);
         self.has_freed_memory = true;
     }
 
@@ -121,7 +121,7 @@
     /// Frees results through the batcher of their service, which keeps account of the free
     /// result memory of its endpoints.
     pub(super) fn free_through_batcher(&mut self, service: &str, handles: Vec<Handle>) {
-        match self.batcher(service) {
+        match self.batcher_peer(service) {
             Some(peer) => {
                 let is_evictable = false;
                 self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable });
@@ -132,7 +132,7 @@
 
     /// Frees results at the endpoints that hold them.
     pub fn free_at_endpoints(&mut self, handles: Vec<Handle>) {
-        self.batches.record_freed(&handles);
+        self.batcher.record_freed(&handles);
         self.has_freed_memory = true;
         let mut by_addr: Vec<(Arc<str>, Vec<Handle>)> = Vec::new();
         for handle in handles {
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -40,7 +40,7 @@
         self.record_answer(now, call, load);
         let service = self.service_of_call(call);
         self.end_call(now, call, Step::Ended);
-        let (finished, unclaimed) = self.batches.record_results(now, call, results);
+        let (finished, unclaimed) = self.batcher.record_results(now, call, results);
         if let (Some(service), false) = (service, unclaimed.is_empty()) {
             self.free_through_batcher(&service, unclaimed);
         }
@@ -56,9 +56,9 @@
 
     /// Sends the pieces of stragglers to other endpoints too, within the retry budget.
     pub(super) fn duplicate_stragglers(&mut self, now: Duration) {
-        for (call, service, count) in self.batches.take_stragglers(now) {
+        for (call, service, count) in self.batcher.take_stragglers(now) {
             if self.try_withdraw(now, &service, count) {
-                self.batches.requeue(call);
+                self.batcher.requeue(call);
             }
         }
     }
@@ -78,7 +78,7 @@
             self.on_cut(now, endpoint, runs);
         }
         self.end_call(now, call, step);
-        let mut finished = self.batches.record_failure(now, call, is_not_run);
+        let mut finished = self.batcher.record_failure(now, call, is_not_run);
         let is_safe = is_not_run || failure == Failure::Unsent;
         for outcome in &mut finished {
             outcome.piece.is_repeat |= !is_safe;
@@ -106,7 +106,7 @@
     /// A peer no longer needs the pieces that it handed over.
     pub fn on_handover_recall(&mut self, ticket: u64) {
         self.tickets.remove(&ticket);
-        self.batches.cancel(Requester::Ticket(ticket));
+        self.batcher.cancel(Requester::Ticket(ticket));
     }
 
     /// A peer returned the results of pieces; `None` if it could not be reached.
@@ -144,11 +144,11 @@
     /// them again.
     fn hand_over_again(&mut self, exchange: ExchangeKey, pieces: Vec<Piece>) {
         let Some(first) = pieces.first() else { return };
-        match self.batcher(&first.service) {
+        match self.batcher_peer(&first.service) {
             Some(peer) => self.hand_over(exchange, peer, pieces),
             None => {
                 for piece in pieces {
-                    self.batches.add(piece, Origin::Local(exchange));
+                    self.batcher.add(piece, Origin::Local(exchange));
                 }
             }
         }
@@ -167,7 +167,7 @@
                 self.start_stage(now, key, stage);
             }
         }
-        let services = self.batches.waiting_services();
+        let services = self.batcher.waiting_services();
         for service in services {
             self.dispatch(now, &service);
         }
@@ -178,7 +178,7 @@
         let service = exchange.route.stages[stage].service.clone();
         let pieces = exchange.new_pieces(stage, self.remaining_time(exchange, stage));
         self.exchanges[key].stage_starts.push((stage, now));
-        match self.batcher(&service) {
+        match self.batcher_peer(&service) {
             None => {
                 self.deposit(now, &service, pieces.len() as u32);
                 let pieces = pieces.into_iter().map(|piece| (piece, Origin::Local(key)));
@@ -198,7 +198,7 @@
     /// The peer that batches a service's pieces; `None` if this instance does. The instances
     /// with the largest CPU shares come first, since all pieces of a service pass through one
     /// process.
-    pub(super) fn batcher(&self, service: &str) -> Option<InstanceName> {
+    pub(super) fn batcher_peer(&self, service: &str) -> Option<InstanceName> {
         self.first_ranked(xxh3::xxh3_64(service.as_bytes()))
     }
 
@@ -236,7 +236,7 @@
             };
             last_decision = Some((piece.target, piece.deadline, is_feasible));
             match is_feasible {
-                true => self.batches.add(piece, origin),
+                true => self.batcher.add(piece, origin),
                 false => late.push(Batcher::reject_late(piece, origin)),
             }
         }
@@ -245,7 +245,7 @@
 
     fn is_feasible(&self, now: Duration, piece: &Piece) -> bool {
         let config = self.piece_config(&piece.service);
-        config.is_none_or(|config| self.batches.is_feasible(now, piece, &config, &self.directory))
+        config.is_none_or(|config| self.batcher.is_feasible(now, piece, &config, &self.directory))
     }
 
     pub(super) fn piece_config(&self, service: &str) -> Option<Pieces> {
@@ -254,7 +254,7 @@
 
     pub(super) fn dispatch_all(&mut self, now: Duration) {
         self.has_freed_memory = false;
-        for service in self.batches.waiting_services() {
+        for service in self.batcher.waiting_services() {
             self.dispatch(now, &service);
         }
     }
@@ -262,16 +262,16 @@
     /// Sends queued pieces of a service to its idle endpoints.
     pub(super) fn dispatch(&mut self, now: Duration, service: &str) {
         let Some(config) = self.piece_config(service) else { return };
-        let evictable = self.batches.results_to_evict(now, service, &config, &self.directory);
+        let evictable = self.batcher.results_to_evict(now, service, &config, &self.directory);
         if !evictable.is_empty() {
             self.free_at_endpoints(evictable);
         }
         let late = match self.directory.is_evacuated(now, service) {
-            true => self.batches.take_waiting(service),
-            false => self.batches.take_late(now, service, &config, &self.directory),
+            true => self.batcher.take_waiting(service),
+            false => self.batcher.take_late(now, service, &config, &self.directory),
         };
         self.process_finished(now, late);
-        for order in self.batches.plan(now, service, &config, &self.directory) {
+        for order in self.batcher.plan(now, service, &config, &self.directory) {
             let endpoint = order.endpoint;
             let call = self.calls.insert(CallState {
                 exchange: CallPurpose::Pieces,
@@ -283,7 +283,7 @@
                 answered_at: None,
                 overdue_at: None,
             });
-            self.batches.record_start(now, call, &order, &config);
+            self.batcher.record_start(now, call, &order, &config);
             self.pace_call(now, endpoint);
             let target =
                 self.directory.get_mut(endpoint).expect("the directory has the planned endpoint");
@@ -326,7 +326,7 @@
         let retry = retry.filter(|piece| self.withdraw_for_retry(now, piece));
         let is_late = outcome.result == Err(PieceFailure::Late);
         match retry {
-            Some(piece) => self.batches.add(piece, Origin::Peer { ticket, index }),
+            Some(piece) => self.batcher.add(piece, Origin::Peer { ticket, index }),
             // The peer must not assume that the piece was never made.
             None if is_late && !is_unmade(&outcome) => {
                 self.record_ticket_result(ticket, index, Err(PieceFailure::Failed));
@@ -378,7 +378,7 @@
                 let piece = retry_piece(&outcome);
                 let piece = piece.filter(|piece| self.withdraw_for_retry(now, piece));
                 match piece {
-                    Some(piece) => self.batches.add(piece, Origin::Local(key)),
+                    Some(piece) => self.batcher.add(piece, Origin::Local(key)),
                     None => self.give_up(now, key, Refusal::Failed),
                 }
             }
@@ -408,7 +408,7 @@
             }
             let may_wait = !self.is_quarantined(&outcome.piece);
             if may_wait && (is_safe || self.try_withdraw(now, &outcome.piece.service.clone(), 1)) {
-                self.batches.add(outcome.piece, outcome.origin);
+                self.batcher.add(outcome.piece, outcome.origin);
             } else {
                 failed.push(outcome);
             }
--- a/crates/core/tests/testsuite/relay/config.rs
+++ b/crates/core/tests/testsuite/relay/config.rs
@@ -49,12 +49,12 @@
         peatdeck_core::relay::Settings {
             name: Arc::from("own"),
             data_centre: Arc::from("east"),
-            bound: peatdeck_core::relay::allowance::RetryBudgetConfig {
+            retry_budget: peatdeck_core::relay::allowance::RetryBudgetConfig {
                 ratio: 0.2,
                 slack: 10.0,
                 window: ms(10_000),
             },
-            instances: 1,
+            min_instances: 1,
             millicores: 250,
         },
         1,
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -193,8 +193,8 @@
         let settings = Settings {
             name: Arc::from(name),
             data_centre: Arc::from("east"),
-            bound,
-            instances: 1,
+            retry_budget: bound,
+            min_instances: 1,
             millicores: 250,
         };
         let mut relay = Relay::new(settings, 7);
--- a/crates/core/tests/testsuite/relay/load/fleet.rs
+++ b/crates/core/tests/testsuite/relay/load/fleet.rs
@@ -541,8 +541,8 @@
     let settings = Settings {
         name: name(idx),
         data_centre: Arc::from(PLACES[idx % 3]),
-        bound: RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: ms(10_000) },
-        instances: 1,
+        retry_budget: RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: ms(10_000) },
+        min_instances: 1,
         millicores: 250,
     };
     let mut relay = Relay::new(settings, idx as u64);
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -108,12 +108,12 @@
     let settings = peatdeck_core::relay::Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("east"),
-        bound: peatdeck_core::relay::allowance::RetryBudgetConfig {
+        retry_budget: peatdeck_core::relay::allowance::RetryBudgetConfig {
             ratio: 0.2,
             slack: 10.0,
             window: ms(9000),
         },
-        instances: 1,
+        min_instances: 1,
         millicores: 250,
     };
     let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -228,8 +228,8 @@
         relay::Settings {
             name: settings.name.clone(),
             data_centre: settings.data_centre.clone(),
-            bound: settings.bound,
-            instances: settings.instances,
+            retry_budget: settings.bound,
+            min_instances: settings.instances,
             millicores: settings.strength,
         },
         rand::random(),
