--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -95,7 +95,7 @@
     }
 
     /// When the caller should retry. Quarantined content is refused for longer than any
-    /// caller waits, so its full remaining time is stated.
+    /// caller waits, so the whole rest of that time is stated.
     fn retry_after(&self, now: Duration, key: ExchangeKey, refusal: Refusal) -> Duration {
         if refusal == Refusal::Quarantined {
             return self.quarantined_for(now, key).unwrap_or_default();
--- a/crates/core/src/relay/machine/pace.rs
+++ b/crates/core/src/relay/machine/pace.rs
@@ -1,11 +1,11 @@
 //! Rates of calls to endpoints that are cold or state a limit.
 //!
 //! Either rate holds for the calls of all instances together, even if they cannot reach each
-//! other. One instance alone therefore calls such an engine (its placer) or such an endpoint
-//! for pieces (the batcher of the service), and leaves the required interval between two
-//! calls. An endpoint that every instance calls itself is meanwhile called only by a few,
-//! those that rank first for its name, and they share the rate. While instances disagree on
-//! which peers are alive, there may be one caller more.
+//! other. One instance alone therefore decides the calls to such an engine (its placer) or
+//! such an endpoint for pieces (the batcher of the service), and leaves the required interval
+//! between two calls. An endpoint that every instance calls itself is meanwhile called only
+//! by a few, those that rank first for its name, and they share the rate. While instances
+//! disagree on which peers are alive, there may be one caller more.
 //!
 //! Alternatives that were considered: a share for each instance is less than a call a second
 //! with 86 instances, so that the first calls of all of them together exceed the rate; leases
@@ -175,8 +175,7 @@
         self.config.as_ref()?.services.get(service)?.cold_interval
     }
 
-    /// Whether one instance (a placer or a batcher) makes all calls to an endpoint of a
-    /// service.
+    /// Whether one instance (a placer or a batcher) decides all calls to an endpoint of a service.
     fn has_one_caller(&self, service: &str) -> bool {
         let is_placed = self.has_engines(service) && !self.has_route_policy();
         is_placed || self.piece_config(service).is_some()
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -143,11 +143,7 @@
     }
 
     /// Chooses an engine for a peer. `None` if no engine can take the prompt.
-    pub fn place_prompt(
-        &mut self,
-        now: Duration,
-        request: &PlacementRequest,
-    ) -> Option<Placement> {
+    pub fn place_prompt(&mut self, now: Duration, request: &PlacementRequest) -> Option<Placement> {
         if self.transfer(&request.service).is_some() {
             self.query_parts(now, &request.service);
         }
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -17,8 +17,8 @@
 /// Minimum share of the usual time that the work after a stage takes.
 const MIN_TIME_SHARE: f64 = 0.5;
 /// Share of the objective that a plan reserves for the generation at most. If engines need
-/// longer, all pieces would be late from the start and the target times would order them by
-/// nothing.
+/// longer, all pieces would be late from the start and the target times would give no useful
+/// order.
 const GENERATION_SHARE: f64 = 0.5;
 
 impl Relay {
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// A call for pieces failed. `is_not_run` if the endpoint stated that it did not run.
+    /// A call for pieces failed. `is_not_run` if the endpoint stated that it did not run the
+    /// call.
     pub fn on_pieces_failure(
         &mut self,
         now: Duration,
