--- a/crates/core/src/check.rs
+++ b/crates/core/src/check.rs
@@ -1,12 +1,11 @@
-//! Whether a configuration document is valid.
+//! Validation of configuration documents.
 //!
-//! One checker decides it for everyone: the operator's command line before a
-//! file is sent, the administration API before a publish is appended. It looks
-//! at the whole document and reports every problem at once, each with its
-//! place and a remedy.
+//! The same check runs in the operator's command line before a file is sent and in the
+//! administration API before a publish is appended. It covers the whole document and reports every
+//! problem at once, each with its location and a remedy.
 //!
-//! The checker doesn't compile policies itself; the caller passes the compiler
-//! in, so that a tool without the policy language can still check the rest.
+//! The checker doesn't compile policies itself; the caller passes the compiler in, so that a tool
+//! without the policy language can still check the rest.
 
 use std::{collections::HashMap, fmt, sync::Arc, time::Duration};
 
@@ -18,43 +17,44 @@
     policy,
 };
 
-/// The largest document that is accepted, in bytes of its JSON form. Every
-/// instance holds it, and it travels whole.
+/// The largest document that is accepted, in bytes of its JSON form. Every instance keeps the whole
+/// document in memory, and it is always sent as a whole.
 pub const MAX_DOCUMENT_BYTES: usize = 256 * 1024;
 /// The longest name of anything in a document, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// One thing that is wrong with a document.
+/// One error in a document.
 #[message]
 #[derive(Eq)]
 pub struct Problem {
-    /// Where it is.
+    /// Where in the document the error is.
     pub path: Path,
     /// What is wrong.
     pub message: String,
-    /// What to do about it.
+    /// How the operator can correct it.
     pub remedy: String,
 }
 
-/// A place in a document. With no steps, the document as a whole.
+/// A location in a document. Without steps, the document as a whole.
 #[message]
 #[derive(Eq, Default)]
 pub struct Path {
-    /// The tables passed on the way, outermost first.
+    /// The tables that contain the location, outermost first.
     pub steps: Vec<Step>,
-    /// The field within the last table, where one is to blame.
+    /// The field of the innermost table that has the error; `None` if the error concerns the table
+    /// itself.
     pub field: Option<Arc<str>>,
 }
 
-/// One table on the way to a place.
+/// One table on the path to a location.
 #[message]
 #[derive(Eq)]
 pub struct Step {
     /// The table's key in the document: `pool`, `pipeline`, `stage`, ….
     pub table: Arc<str>,
-    /// Its position among the tables of that key, from 0.
+    /// Its index among the tables with that key, from 0.
     pub index: usize,
-    /// The name that it gives itself.
+    /// The value of its `name` field.
     pub name: Arc<str>,
 }
 
@@ -74,8 +74,8 @@
     }
 }
 
-/// Every problem of a document, in the order of its tables; none if it is
-/// valid. `compile` says of a policy's source whether it compiles.
+/// Every problem of a document, in the order of its tables; empty if the document is valid.
+/// `compile` reports whether a policy's source compiles.
 pub fn check(document: &Document, compile: impl Fn(&str) -> Result<(), String>) -> Vec<Problem> {
     let mut checker = Checker { document, path: Path::default(), problems: Vec::new() };
     checker.size();
@@ -86,7 +86,7 @@
     checker.problems
 }
 
-/// A walk through a document: where it is and what it found so far.
+/// A traversal of a document: the current location and the problems found so far.
 struct Checker<'a> {
     document: &'a Document,
     path: Path,
@@ -109,7 +109,7 @@
         let pools = &self.document.pools;
         self.names("pool", pools.iter().map(|pool| &pool.name));
         for (idx, pool) in pools.iter().enumerate() {
-            self.within("pool", idx, &pool.name, |checker| checker.pool(pool));
+            self.at_step("pool", idx, &pool.name, |checker| checker.pool(pool));
         }
     }
 
@@ -127,7 +127,7 @@
         let pipelines = &self.document.pipelines;
         self.names("pipeline", pipelines.iter().map(|pipeline| &pipeline.name));
         for (idx, pipeline) in pipelines.iter().enumerate() {
-            self.within("pipeline", idx, &pipeline.name, |checker| checker.pipeline(pipeline));
+            self.at_step("pipeline", idx, &pipeline.name, |checker| checker.pipeline(pipeline));
         }
     }
 
@@ -141,14 +141,14 @@
             );
         }
         if let Some(policy) = &pipeline.policy {
-            self.policy_named(policy);
+            self.policy_reference(policy);
         }
         if pipeline.stages.is_empty() {
             self.report(None, "the pipeline has no stage", "add a [[pipeline.stage]]");
         }
         self.names("stage", pipeline.stages.iter().map(|stage| &stage.name));
         for (idx, stage) in pipeline.stages.iter().enumerate() {
-            self.within("stage", idx, &stage.name, |checker| checker.stage(stage));
+            self.at_step("stage", idx, &stage.name, |checker| checker.stage(stage));
         }
     }
 
@@ -163,18 +163,19 @@
         );
     }
 
-    fn policy_named(&mut self, policy: &str) {
+    fn policy_reference(&mut self, policy: &str) {
         let policies = &self.document.policies;
         if policies.iter().any(|known| &*known.name == policy) {
             return;
         }
-        let remedy = instead("policy", policies.iter().map(|policy| &policy.name));
+        let remedy = reference_remedy("policy", policies.iter().map(|policy| &policy.name));
         self.report(Some("policy"), format!("no policy is named \"{policy}\""), remedy);
     }
 
     fn stage(&mut self, stage: &Stage) {
         let Some(pool) = self.document.pool(&stage.pool) else {
-            let remedy = instead("pool", self.document.pools.iter().map(|pool| &pool.name));
+            let remedy =
+                reference_remedy("pool", self.document.pools.iter().map(|pool| &pool.name));
             let message = format!("no pool is named \"{}\"", stage.pool);
             return self.report(Some("pool"), message, remedy);
         };
@@ -202,7 +203,7 @@
         let teams = &self.document.teams;
         self.names("team", teams.iter().map(|team| &team.name));
         for (idx, team) in teams.iter().enumerate() {
-            self.within("team", idx, &team.name, |checker| checker.team(team));
+            self.at_step("team", idx, &team.name, |checker| checker.team(team));
         }
     }
 
@@ -220,21 +221,21 @@
         let policies = &self.document.policies;
         self.names("policy", policies.iter().map(|policy| &policy.name));
         for (idx, policy) in policies.iter().enumerate() {
-            self.within("policy", idx, &policy.name, |checker| checker.policy(policy, &compile));
+            self.at_step("policy", idx, &policy.name, |checker| checker.policy(policy, &compile));
         }
     }
 
     fn policy(&mut self, policy: &Policy, compile: impl Fn(&str) -> Result<(), String>) {
         let Err(cause) = compile(&policy.script) else { return };
-        self.report(Some("script"), cause, "mend the script, then check again");
+        self.report(Some("script"), cause, "correct the script, then check again");
     }
 
-    /// Checks the names of one kind of table: form, and that none is used twice.
+    /// Checks the names of all tables of one kind: each must be well-formed and unique.
     fn names<'n>(&mut self, table: &str, names: impl Iterator<Item = &'n Arc<str>>) {
         let mut first = HashMap::new();
         for (idx, name) in names.enumerate() {
             let earlier = *first.entry(name).or_insert(idx);
-            self.within(table, idx, name, |checker| {
+            self.at_step(table, idx, name, |checker| {
                 checker.name(name);
                 if earlier != idx {
                     checker.report(
@@ -265,7 +266,7 @@
         }
     }
 
-    fn within(&mut self, table: &str, index: usize, name: &Arc<str>, run: impl FnOnce(&mut Self)) {
+    fn at_step(&mut self, table: &str, index: usize, name: &Arc<str>, run: impl FnOnce(&mut Self)) {
         self.path.steps.push(Step { table: table.into(), index, name: Arc::clone(name) });
         run(self);
         self.path.steps.pop();
@@ -283,7 +284,7 @@
 }
 
 /// The remedy for a reference to a table that doesn't exist.
-fn instead<'n>(table: &str, names: impl Iterator<Item = &'n Arc<str>>) -> String {
+fn reference_remedy<'n>(table: &str, names: impl Iterator<Item = &'n Arc<str>>) -> String {
     let names: Vec<String> = names.map(|name| format!("\"{name}\"")).collect();
     match names.as_slice() {
         [] => format!("add a [[{table}]] of that name"),
@@ -291,10 +292,10 @@
     }
 }
 
-/// Whether a policy's source compiles, in the form that [`check`] asks it.
+/// Compiles a policy's source; suited as the `compile` argument of [`check`].
 ///
 /// # Errors
-/// What is wrong with it, for the operator.
+/// The compiler's message, written for the operator.
 pub fn compile(script: &str) -> Result<(), String> {
     match policy::compile(script) {
         Ok(_) => Ok(()),
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -1,21 +1,21 @@
-//! What an instance knows of each endpoint.
+//! The state of each endpoint, as seen by one instance.
 //!
-//! Three sources feed a [`Table`]: the platform's list, which lags and may
-//! flap; marks that an endpoint is leaving, from whoever learnt it first; and
-//! the instance's own calls. Four rules hold whatever order they come in:
+//! A [`Table`] has three sources: the platform's list, which lags and may flap; marks that an
+//! endpoint is leaving, from whichever process detects it first; and the results of the instance's
+//! own calls. Four rules hold in whatever order they arrive:
 //!
-//! - **Leaving is sticky for one incarnation.** Once marked, an endpoint gets
-//!   no call until a larger incarnation of it is listed. A mark may come
-//!   before the endpoint is listed at all; it is kept until then.
-//! - **An incarnation never goes back.** A list that shows an older one is
-//!   behind and changes nothing.
-//! - **An evacuated data centre's endpoints get nothing**, listed before or after, until
-//!   the order is taken back.
-//! - **Absence counts only when it lasts.** An endpoint missing from the list
-//!   for a moment stays; the list must miss it over a span of time.
+//! - **Leaving is permanent for an incarnation.** Once marked, an endpoint gets no call until a
+//!   larger incarnation of it is listed. A mark may arrive before the endpoint is listed at all; it
+//!   is kept until then.
+//! - **An incarnation never decreases.** A list that shows an older one is outdated, and its entry
+//!   for the endpoint changes nothing.
+//! - **The endpoints of an evacuated data centre get no calls** until the order is withdrawn,
+//!   whether they are listed before or after it.
+//! - **Absence counts only when it lasts.** An endpoint that is missing from the list for a moment
+//!   stays; it is removed once it has been missing for a span of time.
 //!
-//! Map: [`marks`] remembers who is leaving, [`health`] ejects outliers and
-//! lets them back after one probe, [`entry`] is one endpoint.
+//! Submodules: [`marks`] stores which endpoints are leaving, [`health`] ejects outliers and
+//! readmits them after one probe, [`entry`] is one endpoint.
 
 pub mod entry;
 pub mod health;
@@ -38,22 +38,22 @@
 };
 
 slotmap::new_key_type! {
-    /// An endpoint's place in a table.
+    /// An endpoint's key in a table.
     struct Key;
 }
 
-/// How a table behaves.
+/// Settings of a table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How long the list must miss an endpoint before it counts as gone.
+    /// How long an endpoint must be missing from the list before it counts as gone.
     pub absent_after: Duration,
-    /// Leaving marks remembered for endpoints that aren't listed.
+    /// The most leaving marks that are kept for endpoints that aren't listed.
     pub max_marks: usize,
-    /// Time in which a new endpoint's limit grows to its full value.
+    /// The time in which a new endpoint's limit grows to its full value.
     pub slow_start: Duration,
-    /// When outliers are ejected.
+    /// When outliers are ejected, and for how long.
     pub health: health::Settings,
-    /// How limits adapt.
+    /// How the limits of concurrent calls adapt.
     pub limit: limits::Settings,
 }
 
@@ -72,94 +72,94 @@
 /// How a call to an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallEnd {
-    /// From sending to the end.
+    /// The time from sending the call to its end.
     pub took: Duration,
-    /// In what way.
+    /// Whether it succeeded.
     pub result: CallResult,
-    /// Tokens generated, by an engine.
+    /// The number of tokens that an engine generated; `None` if it reported none.
     pub tokens: Option<u32>,
 }
 
-/// In what way a call ended.
+/// Whether a call succeeded, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallResult {
-    /// With a whole reply.
+    /// The endpoint sent a complete reply.
     Ok,
-    /// The endpoint didn't run it.
+    /// The endpoint refused the call and didn't run it.
     Refused(RefuseReason),
-    /// Without a whole reply.
+    /// The call ended without a complete reply.
     Failed,
-    /// We cancelled it.
+    /// This instance cancelled the call.
     Cancelled,
-    /// With a reply that belongs to another call.
+    /// The endpoint sent the reply of another call.
     Mismatched,
 }
 
-/// All endpoints of all pools.
+/// All known endpoints of all pools.
 #[derive(Debug)]
 pub struct Table {
     settings: Settings,
-    slots: SlotMap<Key, Endpoint>,
-    names: HashMap<EndpointName, Key>,
+    endpoints: SlotMap<Key, Endpoint>,
+    by_name: HashMap<EndpointName, Key>,
     pools: HashMap<PoolName, Vec<Key>>,
     marks: Marks,
     /// Data centres whose endpoints get no new work.
     evacuated: BTreeSet<DataCentre>,
-    /// Whether a list with an endpoint was seen.
-    seen: bool,
+    /// Whether a list with at least one endpoint was applied.
+    has_listing: bool,
     now: Duration,
 }
 
 impl Table {
-    /// A table that knows no endpoint.
+    /// A table without endpoints.
     pub fn new(settings: Settings) -> Table {
         let marks = Marks::new(settings.max_marks);
         Table {
             settings,
-            slots: SlotMap::with_key(),
-            names: HashMap::new(),
+            endpoints: SlotMap::with_key(),
+            by_name: HashMap::new(),
             pools: HashMap::new(),
             marks,
             evacuated: BTreeSet::new(),
-            seen: false,
+            has_listing: false,
             now: Duration::ZERO,
         }
     }
 
-    /// Takes in the platform's list.
+    /// Applies the platform's list.
     pub fn apply_listing(&mut self, now: Duration, entries: &[EndpointEntry]) {
         self.tick(now);
         for entry in entries {
             if entry.presence == Presence::Leaving {
                 self.mark_leaving(&entry.name, entry.incarnation);
             }
-            self.list_one(now, entry);
+            self.apply_entry(now, entry);
         }
         let names: HashSet<&str> = entries.iter().map(|entry| &*entry.name).collect();
         let after = self.settings.absent_after;
-        for endpoint in self.slots.values_mut() {
+        for endpoint in self.endpoints.values_mut() {
             endpoint.set_listed(now, names.contains(&*endpoint.name), after);
         }
-        self.note_evacuated();
-        self.forget_gone();
-        self.seen |= !entries.is_empty();
+        self.update_evacuated();
+        self.remove_gone();
+        self.has_listing |= !entries.is_empty();
     }
 
-    /// Marks an endpoint as leaving, for this and every earlier incarnation.
-    /// True if that wasn't known.
+    /// Marks an endpoint as leaving, for this and every earlier incarnation. Returns `true` if the
+    /// mark is new.
     pub fn mark_leaving(&mut self, endpoint: &str, incarnation: Incarnation) -> bool {
-        let listed = self.names.get(endpoint).copied();
+        let listed = self.by_name.get(endpoint).copied();
         let is_new = self.marks.add(endpoint, incarnation, listed.is_some());
         if let Some(key) = listed {
-            self.slots[key].mark_leaving(incarnation);
+            self.endpoints[key].mark_leaving(incarnation);
         }
         is_new
     }
 
-    /// Just the endpoints of these data centres get no new work until it is said anew.
+    /// Replaces the list of data centres whose endpoints get no new work.
     pub fn evacuate(&mut self, data_centres: Vec<DataCentre>) {
         self.evacuated = data_centres.into_iter().collect();
-        self.note_evacuated();
+        self.update_evacuated();
     }
 
     /// The data centres whose endpoints get no new work.
@@ -167,23 +167,23 @@
         &self.evacuated
     }
 
-    fn note_evacuated(&mut self) {
-        for endpoint in self.slots.values_mut() {
+    fn update_evacuated(&mut self) {
+        for endpoint in self.endpoints.values_mut() {
             endpoint.set_evacuated(self.evacuated.contains(&endpoint.data_centre));
         }
     }
 
-    /// All marks, for peers.
+    /// All leaving marks, for gossip to peers.
     pub fn leaving_marks(&self) -> Vec<LeavingMark> {
         self.marks.all()
     }
 
-    /// The endpoint of that name.
+    /// The endpoint of the given name; `None` if it is not in the table.
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
-        self.names.get(name).map(|key| &self.slots[*key])
+        self.by_name.get(name).map(|key| &self.endpoints[*key])
     }
 
-    /// Counts a call that was sent.
+    /// Records that a call was sent.
     pub fn call_started(&mut self, now: Duration, name: &str) {
         self.tick(now);
         if let Some(endpoint) = self.endpoint_mut(name) {
@@ -191,20 +191,20 @@
         }
     }
 
-    /// Counts the end of a call.
+    /// Records the end of a call.
     pub fn call_ended(&mut self, now: Duration, name: &str, end: CallEnd) {
         self.tick(now);
-        let Some(key) = self.names.get(name).copied() else { return };
+        let Some(key) = self.by_name.get(name).copied() else { return };
         let pool = self.pool_view(key);
-        self.slots[key].ended(now, &end, pool);
+        self.endpoints[key].ended(now, &end, pool);
         if end.result == CallResult::Refused(RefuseReason::Leaving) {
-            let incarnation = self.slots[key].incarnation;
+            let incarnation = self.endpoints[key].incarnation;
             self.mark_leaving(name, incarnation);
         }
-        self.forget_gone();
+        self.remove_gone();
     }
 
-    /// Takes in a load report, the endpoint's own or one through a peer.
+    /// Applies a load report, from the endpoint itself or through a peer.
     pub fn load_reported(&mut self, now: Duration, name: &str, load: Load) {
         self.tick(now);
         if let Some(endpoint) = self.endpoint_mut(name) {
@@ -212,66 +212,66 @@
         }
     }
 
-    /// What peers should know.
+    /// The states of endpoints, for gossip to peers.
     pub fn states(&self, now: Duration) -> Vec<EndpointState> {
-        let known = self.slots.values().filter(|endpoint| endpoint.is_worth_telling());
-        known.map(|endpoint| endpoint.told(now)).collect()
+        let with_news = self.endpoints.values().filter(|endpoint| endpoint.has_news());
+        with_news.map(|endpoint| endpoint.to_state(now)).collect()
     }
 
-    /// Every endpoint.
+    /// All endpoints, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
-        self.slots.values()
+        self.endpoints.values()
     }
 
     /// The endpoints of a pool, in a stable order.
     pub fn pool(&self, pool: &str) -> impl Iterator<Item = &Endpoint> {
-        self.pools.get(pool).into_iter().flatten().map(|key| &self.slots[*key])
+        self.pools.get(pool).into_iter().flatten().map(|key| &self.endpoints[*key])
     }
 
-    /// Places free under the limits of a pool's usable endpoints.
+    /// The free slots for calls under the limits of a pool's usable endpoints.
     pub fn pool_free_slots(&self, now: Duration, pool: &str) -> u32 {
         self.pool(pool).map(|endpoint| endpoint.free(now)).sum()
     }
 
-    /// Places under the limits of a pool's usable endpoints, free or not.
+    /// All slots for calls under the limits of a pool's usable endpoints, free or not.
     pub fn pool_slots(&self, now: Duration, pool: &str) -> u32 {
-        let well = self.pool(pool).filter(|endpoint| endpoint.state() == State::Usable);
-        well.map(|endpoint| endpoint.limit(now)).sum()
+        let usable = self.pool(pool).filter(|endpoint| endpoint.state() == State::Usable);
+        usable.map(|endpoint| endpoint.limit(now)).sum()
     }
 
-    /// Endpoints of a pool that may get calls now.
+    /// The number of a pool's endpoints that may get calls now.
     pub fn pool_usable(&self, now: Duration, pool: &str) -> usize {
         self.pool(pool).filter(|endpoint| endpoint.is_usable(now)).count()
     }
 
-    /// Lets time pass. Every other call with a time does so too.
+    /// Advances the table's clock. Every other method that takes a time and changes the table does
+    /// so too.
     pub fn tick(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
-    /// When an endpoint next changes by time alone: an ejection ends, or a
-    /// slow start frees a place.
+    /// When an endpoint next changes by time alone: an ejection ends, or a slow start frees a slot.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.slots.values().filter_map(|endpoint| endpoint.next_wake(self.now)).min()
+        self.endpoints.values().filter_map(|endpoint| endpoint.next_wake(self.now)).min()
     }
 
     fn endpoint_mut(&mut self, name: &str) -> Option<&mut Endpoint> {
-        self.names.get(name).map(|key| &mut self.slots[*key])
+        self.by_name.get(name).map(|key| &mut self.endpoints[*key])
     }
 
-    fn list_one(&mut self, now: Duration, entry: &EndpointEntry) {
-        let Some(key) = self.names.get(&entry.name).copied() else {
+    fn apply_entry(&mut self, now: Duration, entry: &EndpointEntry) {
+        let Some(key) = self.by_name.get(&entry.name).copied() else {
             self.insert(now, entry);
             return;
         };
-        let old_pool = self.slots[key].pool.clone();
-        self.slots[key].list(now, entry, &self.settings);
+        let old_pool = self.endpoints[key].pool.clone();
+        self.endpoints[key].update(now, entry, &self.settings);
         if let Some(mark) = self.marks.incarnation(&entry.name) {
-            self.slots[key].mark_leaving(mark);
+            self.endpoints[key].mark_leaving(mark);
         }
-        let pool = self.slots[key].pool.clone();
+        let pool = self.endpoints[key].pool.clone();
         if pool != old_pool {
-            self.leave_pool(&old_pool, key);
+            self.remove_from_pool(&old_pool, key);
             self.pools.entry(pool).or_default().push(key);
         }
     }
@@ -281,47 +281,51 @@
         if let Some(mark) = self.marks.incarnation(&entry.name) {
             endpoint.mark_leaving(mark);
         }
-        if !self.seen {
+        if !self.has_listing {
             endpoint.skip_slow_start();
         }
-        let key = self.slots.insert(endpoint);
-        self.names.insert(entry.name.clone(), key);
+        let key = self.endpoints.insert(endpoint);
+        self.by_name.insert(entry.name.clone(), key);
         self.pools.entry(entry.pool.clone()).or_default().push(key);
         self.marks.set_listed(&entry.name, true);
     }
 
     fn pool_view(&self, key: Key) -> PoolView {
-        let pool = &self.slots[key].pool;
+        let pool = &self.endpoints[key].pool;
         let mut times: Vec<Duration> = self.pool(pool).filter_map(Endpoint::call_latency).collect();
         times.sort_unstable();
-        PoolView { may_eject: self.may_eject(key), usual: times.get(times.len() / 2).copied() }
+        PoolView {
+            may_eject: self.may_eject(key),
+            median_latency: times.get(times.len() / 2).copied(),
+        }
     }
 
-    /// Whether ejecting one more endpoint leaves enough of its pool.
+    /// Whether the share of ejected endpoints in the pool stays within its limit if one more is
+    /// ejected.
     fn may_eject(&self, key: Key) -> bool {
-        let pool = &self.slots[key].pool;
+        let pool = &self.endpoints[key].pool;
         let present = self.pool(pool).filter(|endpoint| endpoint.state() != State::Leaving);
         let (mut total, mut ejected) = (0_u32, 0_u32);
         for endpoint in present {
             total += 1;
             ejected += u32::from(endpoint.state() == State::Ejected);
         }
-        let most = f64::from(total) * self.settings.health.max_share;
-        f64::from(ejected + 1) <= most
+        let max_ejected = f64::from(total) * self.settings.health.max_share;
+        f64::from(ejected + 1) <= max_ejected
     }
 
-    fn forget_gone(&mut self) {
-        let gone = self.slots.iter().filter(|(_, endpoint)| endpoint.is_forgettable());
+    fn remove_gone(&mut self) {
+        let gone = self.endpoints.iter().filter(|(_, endpoint)| endpoint.is_removable());
         let keys: Vec<Key> = gone.map(|(key, _)| key).collect();
         for key in keys {
-            let Some(endpoint) = self.slots.remove(key) else { continue };
-            self.names.remove(&endpoint.name);
-            self.leave_pool(&endpoint.pool, key);
+            let Some(endpoint) = self.endpoints.remove(key) else { continue };
+            self.by_name.remove(&endpoint.name);
+            self.remove_from_pool(&endpoint.pool, key);
             self.marks.set_listed(&endpoint.name, false);
         }
     }
 
-    fn leave_pool(&mut self, pool: &PoolName, key: Key) {
+    fn remove_from_pool(&mut self, pool: &PoolName, key: Key) {
         let Some(keys) = self.pools.get_mut(pool) else { return };
         keys.retain(|other| *other != key);
         if keys.is_empty() {
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -1,4 +1,4 @@
-//! One endpoint: its life, its calls, its load.
+//! One endpoint: its incarnation, its calls and its load.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,23 +13,24 @@
     model::{DataCentre, EndpointEntry, EndpointName, Incarnation, Load, PoolName},
 };
 
-/// Whether an endpoint gets calls.
+/// Whether an endpoint gets calls, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// It gets calls.
     Usable,
-    /// It doesn't, for the rest of this incarnation.
+    /// It gets no calls for the rest of this incarnation.
     Leaving,
-    /// It doesn't for a while, because its calls went badly; or it gets one probe.
+    /// It gets no calls for a while because earlier calls failed, or its single probe is in flight
+    /// or due.
     Ejected,
-    /// The list has missed it for long.
+    /// It has been missing from the list for too long.
     Gone,
     /// Its data centre is evacuated.
     Evacuated,
 }
 
 impl State {
-    /// Its name in a status report.
+    /// The name of the state in a status report.
     pub fn name(self) -> &'static str {
         match self {
             State::Usable => "usable",
@@ -41,7 +42,7 @@
     }
 }
 
-/// One endpoint.
+/// One endpoint, as seen by this instance.
 #[derive(Debug)]
 pub struct Endpoint {
     /// Its name.
@@ -52,71 +53,72 @@
     pub addr: Arc<str>,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Its life.
+    /// The newest incarnation that was listed.
     pub incarnation: Incarnation,
-    /// Calls of this instance that are under way there, in this life.
+    /// Calls of this instance that are in flight to this incarnation.
     pub in_flight: u32,
-    /// Calls under way that were sent to an earlier life.
-    stale: u32,
-    leaving: bool,
-    evacuated: bool,
-    gone: bool,
-    /// Since when the list has missed it.
-    absent: Option<Duration>,
-    /// When this life began, as far as this instance knows.
-    since: Duration,
+    /// Calls in flight that were sent to an earlier incarnation.
+    stale_calls: u32,
+    is_leaving: bool,
+    is_evacuated: bool,
+    is_gone: bool,
+    /// When it was first missing from the list; `None` while it is listed.
+    absent_since: Option<Duration>,
+    /// When this instance first saw this incarnation.
+    started_at: Duration,
     /// When its slow start began; `None` if it had none.
-    ramp: Option<Duration>,
+    ramp_start: Option<Duration>,
     slow_start: Duration,
     health: Health,
     limit: AdaptiveLimit,
-    speed: Speed,
+    latency: LatencyStats,
     report: Option<Report>,
 }
 
-/// What an endpoint has to know of its pool when a call ends.
+/// What is needed of an endpoint's pool when one of its calls ends.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PoolView {
     /// Whether one more endpoint may be ejected.
     pub may_eject: bool,
-    /// How long whole calls take in the pool; `None` if not known.
-    pub usual: Option<Duration>,
+    /// The median time of successful calls over the endpoints of the pool; `None` if not known.
+    pub median_latency: Option<Duration>,
 }
 
-/// A load report, and when it was true.
+/// A load report, and when the endpoint measured it.
 #[derive(Debug, Clone, Copy)]
 struct Report {
     load: Load,
-    at: Duration,
+    measured_at: Duration,
 }
 
-/// How long calls take, as a moving average.
+/// Moving averages over recent calls.
 #[derive(Debug, Clone, Copy, Default)]
-struct Speed {
-    /// Seconds a call, or a token for an engine.
-    took: Option<f64>,
-    /// Seconds a whole call.
-    whole: Option<f64>,
-    at: Duration,
-    /// Whether the endpoint says how many tokens it made.
-    by_token: bool,
-    /// Share of calls that went well.
-    good: f64,
+struct LatencyStats {
+    /// Seconds for a call, or for one token if the endpoint reports tokens.
+    unit_secs: Option<f64>,
+    /// Seconds for a whole call.
+    call_secs: Option<f64>,
+    /// When the last call ended.
+    last_end: Duration,
+    /// Whether the endpoint reports how many tokens it generated.
+    is_per_token: bool,
+    /// Share of calls that succeeded.
+    success_rate: f64,
 }
 
-/// Weight of the newest call in the averages.
-const NEWEST: f64 = 0.1;
-/// Times the pool's usual time after which a cancelled call counts as failed.
+/// Weight of the newest call in the moving averages.
+const NEWEST_WEIGHT: f64 = 0.1;
+/// A cancelled call counts as failed after this many times the pool's median call time.
 const HUNG_FACTOR: f64 = 5.0;
-/// Share of its limit that a new endpoint starts with.
-const FIRST_SHARE: f64 = 0.1;
-/// Age at which a reported queue counts half, where nothing else is known.
+/// Share of its limit at which a new endpoint starts.
+const INITIAL_SHARE: f64 = 0.1;
+/// Half-life of a reported queue length, where nothing newer is known.
 const REPORT_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Steps of a slow start, for waking up.
-const RAMP_STEPS: u32 = 10;
+/// Number of wake-ups over a slow start, so that queued calls use the slots that it frees.
+const SLOW_START_STEPS: u32 = 10;
 
 impl Endpoint {
-    /// A new life, with a slow start.
+    /// An endpoint at the beginning of an incarnation, with a slow start.
     pub(super) fn new(now: Duration, entry: &EndpointEntry, settings: &Settings) -> Endpoint {
         Endpoint {
             name: entry.name.clone(),
@@ -125,35 +127,35 @@
             data_centre: entry.data_centre.clone(),
             incarnation: entry.incarnation,
             in_flight: 0,
-            stale: 0,
-            leaving: false,
-            evacuated: false,
-            gone: false,
-            absent: None,
-            since: now,
-            ramp: Some(now),
+            stale_calls: 0,
+            is_leaving: false,
+            is_evacuated: false,
+            is_gone: false,
+            absent_since: None,
+            started_at: now,
+            ramp_start: Some(now),
             slow_start: settings.slow_start,
             health: Health::new(settings.health),
             limit: AdaptiveLimit::new(settings.limit),
-            speed: Speed { good: 1.0, ..Speed::default() },
+            latency: LatencyStats { success_rate: 1.0, ..LatencyStats::default() },
             report: None,
         }
     }
 
-    /// Starts at full speed: it isn't new, this instance is.
+    /// Removes the slow start: this instance is new, not the endpoint.
     pub(super) fn skip_slow_start(&mut self) {
-        self.ramp = None;
+        self.ramp_start = None;
     }
 
-    /// Whether it gets calls.
+    /// Whether it gets calls, and if not, why.
     pub fn state(&self) -> State {
-        if self.leaving {
+        if self.is_leaving {
             return State::Leaving;
         }
-        if self.gone {
+        if self.is_gone {
             return State::Gone;
         }
-        if self.evacuated {
+        if self.is_evacuated {
             return State::Evacuated;
         }
         match self.health.phase() {
@@ -162,24 +164,25 @@
         }
     }
 
-    /// Whether it may get a call now, but for its limit. True for one probe of an ejected one.
+    /// Whether it may get a call now, apart from its limit. This includes the probe of an ejected
+    /// endpoint.
     pub fn is_usable(&self, now: Duration) -> bool {
-        !self.leaving && !self.evacuated && !self.gone && self.health.is_open(now)
+        !self.is_leaving && !self.is_evacuated && !self.is_gone && self.health.is_open(now)
     }
 
-    /// Whether its next call is the probe that may bring it back.
+    /// Whether the next call to it is the probe that may end its ejection.
     pub fn is_probe_due(&self, now: Duration) -> bool {
         self.is_usable(now) && self.health.is_probe_due(now)
     }
 
-    /// Calls of this instance that may run there at once.
+    /// The most calls of this instance that may run there at the same time.
     pub fn limit(&self, now: Duration) -> u32 {
         let full = f64::from(self.limit.value());
-        let share = self.ramp_share(now);
+        let share = self.slow_start_share(now);
         ((full * share) as u32).max(1)
     }
 
-    /// Calls that may be sent to it now.
+    /// The number of calls that may be sent to it now.
     pub fn free(&self, now: Duration) -> u32 {
         if !self.is_usable(now) {
             return 0;
@@ -188,45 +191,47 @@
         if self.is_probe_due(now) { free.min(1) } else { free }
     }
 
-    /// Calls that it reported as waiting, and how old the report is.
+    /// The number of calls that it reported as queued, and the age of the report.
     pub fn reported_queue(&self, now: Duration) -> Option<(u32, Duration)> {
-        self.report.map(|report| (report.load.queued, now.saturating_sub(report.at)))
+        self.report.map(|report| (report.load.queued, now.saturating_sub(report.measured_at)))
     }
 
-    /// Calls that it reported as waiting, worth less the older the report is.
+    /// The number of calls that it reported as queued, reduced exponentially with the age of the
+    /// report.
     pub fn decayed_queue(&self, now: Duration) -> f64 {
         let Some((queued, age)) = self.reported_queue(now) else { return 0.0 };
         f64::from(queued) * (-age.as_secs_f64() / REPORT_HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    /// Calls that it can work on at once, where it reported that.
+    /// The number of calls that it can run at the same time, if it has reported it.
     pub fn places(&self) -> Option<u32> {
         self.report.map(|report| report.load.places.max(1))
     }
 
-    /// How long its calls took lately, for an engine per token, and when the last one ended.
+    /// The average time of its recent calls (per token, for an engine), and when the last one
+    /// ended.
     pub fn latency(&self) -> Option<(Duration, Duration)> {
-        self.speed.took.map(|took| (Duration::from_secs_f64(took), self.speed.at))
+        self.latency.unit_secs.map(|took| (Duration::from_secs_f64(took), self.latency.last_end))
     }
 
-    /// How long its whole calls took lately.
+    /// The average time of its recent calls as a whole.
     pub fn call_latency(&self) -> Option<Duration> {
-        self.speed.whole.map(Duration::from_secs_f64)
+        self.latency.call_secs.map(Duration::from_secs_f64)
     }
 
-    /// Share of its recent calls that went well.
+    /// Share of its recent calls that succeeded.
     pub fn success_rate(&self) -> f64 {
-        self.speed.good
+        self.latency.success_rate
     }
 
-    /// Takes in its entry of the list; a larger incarnation starts a new life.
-    pub(super) fn list(&mut self, now: Duration, entry: &EndpointEntry, settings: &Settings) {
+    /// Applies its entry of the list. A larger incarnation resets everything known of the endpoint.
+    pub(super) fn update(&mut self, now: Duration, entry: &EndpointEntry, settings: &Settings) {
         if entry.incarnation < self.incarnation {
             return;
         }
         if entry.incarnation > self.incarnation {
-            let stale = self.stale + self.in_flight;
-            *self = Endpoint { stale, ..Endpoint::new(now, entry, settings) };
+            let stale_calls = self.stale_calls + self.in_flight;
+            *self = Endpoint { stale_calls, ..Endpoint::new(now, entry, settings) };
             return;
         }
         self.pool = entry.pool.clone();
@@ -234,23 +239,23 @@
         self.data_centre = entry.data_centre.clone();
     }
 
-    /// Says whether the newest list has it.
+    /// Records whether the newest list has it; it counts as gone once it was missing for `after`.
     pub(super) fn set_listed(&mut self, now: Duration, listed: bool, after: Duration) {
         if listed {
-            self.absent = None;
-            self.gone = false;
+            self.absent_since = None;
+            self.is_gone = false;
             return;
         }
-        let since = *self.absent.get_or_insert(now);
-        self.gone = now.saturating_sub(since) >= after;
+        let since = *self.absent_since.get_or_insert(now);
+        self.is_gone = now.saturating_sub(since) >= after;
     }
 
     pub(super) fn set_evacuated(&mut self, is_evacuated: bool) {
-        self.evacuated = is_evacuated;
+        self.is_evacuated = is_evacuated;
     }
 
     pub(super) fn mark_leaving(&mut self, incarnation: Incarnation) {
-        self.leaving |= incarnation >= self.incarnation;
+        self.is_leaving |= incarnation >= self.incarnation;
     }
 
     pub(super) fn started(&mut self, now: Duration) {
@@ -260,9 +265,9 @@
 
     pub(super) fn ended(&mut self, now: Duration, end: &CallEnd, pool: PoolView) {
         let sent = now.saturating_sub(end.took);
-        let is_stale = self.stale > 0 && (sent < self.since || self.in_flight == 0);
+        let is_stale = self.stale_calls > 0 && (sent < self.started_at || self.in_flight == 0);
         if is_stale {
-            self.stale -= 1;
+            self.stale_calls -= 1;
             return;
         }
         let in_flight = self.in_flight;
@@ -272,64 +277,64 @@
             CallResult::Refused(reason) => self.refused(now, sent, reason),
             CallResult::Failed => self.failed(now, sent, pool.may_eject),
             CallResult::Cancelled => self.cancelled(now, end, in_flight, pool),
-            CallResult::Mismatched => self.distrusted(now),
+            CallResult::Mismatched => self.mismatched(now),
         }
     }
 
     pub(super) fn reported(&mut self, now: Duration, load: Load) {
-        let at = now.saturating_sub(Duration::from_millis(u64::from(load.age_ms)));
-        if self.report.is_some_and(|known| known.at > at) {
+        let measured_at = now.saturating_sub(Duration::from_millis(u64::from(load.age_ms)));
+        if self.report.is_some_and(|known| known.measured_at > measured_at) {
             return;
         }
-        self.report = Some(Report { load, at });
-        self.limit.record_report(now, at, load.queued, load.places.max(1));
+        self.report = Some(Report { load, measured_at });
+        self.limit.record_report(now, measured_at, load.queued, load.places.max(1));
     }
 
-    pub(super) fn is_worth_telling(&self) -> bool {
+    pub(super) fn has_news(&self) -> bool {
         self.in_flight > 0 || self.report.is_some()
     }
 
-    pub(super) fn told(&self, now: Duration) -> EndpointState {
+    pub(super) fn to_state(&self, now: Duration) -> EndpointState {
         let load = self.report.map(|report| {
-            let age = now.saturating_sub(report.at).as_millis();
+            let age = now.saturating_sub(report.measured_at).as_millis();
             Load { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..report.load }
         });
         EndpointState { endpoint: self.name.clone(), in_flight: self.in_flight, load }
     }
 
-    pub(super) fn is_forgettable(&self) -> bool {
-        self.gone && self.in_flight == 0 && self.stale == 0
+    pub(super) fn is_removable(&self) -> bool {
+        self.is_gone && self.in_flight == 0 && self.stale_calls == 0
     }
 
     pub(super) fn next_wake(&self, now: Duration) -> Option<Duration> {
-        if self.leaving || self.gone {
+        if self.is_leaving || self.is_gone {
             return None;
         }
         if let Phase::Ejected { until } = self.health.phase() {
             return (until > now).then_some(until);
         }
-        let end = self.ramp? + self.slow_start;
-        (now < end).then(|| end.min(now + self.slow_start / RAMP_STEPS))
+        let end = self.ramp_start? + self.slow_start;
+        (now < end).then(|| end.min(now + self.slow_start / SLOW_START_STEPS))
     }
 
-    /// Share of the limit that a slow start allows by now.
-    fn ramp_share(&self, now: Duration) -> f64 {
-        let Some(ramp) = self.ramp else { return 1.0 };
+    /// The share of the limit that the slow start allows by now.
+    fn slow_start_share(&self, now: Duration) -> f64 {
+        let Some(ramp) = self.ramp_start else { return 1.0 };
         if self.slow_start.is_zero() {
             return 1.0;
         }
         let done = now.saturating_sub(ramp).as_secs_f64() / self.slow_start.as_secs_f64();
-        (FIRST_SHARE + (1.0 - FIRST_SHARE) * done).min(1.0)
+        (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * done).min(1.0)
     }
 
     fn succeeded(&mut self, now: Duration, sent: Duration, end: &CallEnd, in_flight: u32) {
         if self.health.succeeded(sent) {
-            self.ramp = Some(now);
+            self.ramp_start = Some(now);
         }
-        let unit = unit(end);
-        self.speed.by_token |= end.tokens.is_some();
+        let unit = unit_time(end);
+        self.latency.is_per_token |= end.tokens.is_some();
         self.limit.record_completion(now, unit, in_flight);
-        self.speed.record(now, unit, end.took);
+        self.latency.record(now, unit, end.took);
     }
 
     fn refused(&mut self, now: Duration, sent: Duration, reason: RefuseReason) {
@@ -339,50 +344,52 @@
         }
     }
 
-    /// A cancelled call tells nothing, unless it took so long that it hung.
+    /// A cancelled call doesn't count against the endpoint, unless it took so long that it must
+    /// have hung.
     fn cancelled(&mut self, now: Duration, end: &CallEnd, in_flight: u32, pool: PoolView) {
         let sent = now.saturating_sub(end.took);
-        let hung = pool.usual.is_some_and(|usual| end.took > usual.mul_f64(HUNG_FACTOR));
-        if hung {
+        let has_hung =
+            pool.median_latency.is_some_and(|median| end.took > median.mul_f64(HUNG_FACTOR));
+        if has_hung {
             self.failed(now, sent, pool.may_eject);
         } else {
             self.health.probe_inconclusive(now, sent);
         }
-        if !self.speed.by_token || end.tokens.is_some() {
-            self.limit.record_cancellation(now, unit(end), in_flight);
+        if !self.latency.is_per_token || end.tokens.is_some() {
+            self.limit.record_cancellation(now, unit_time(end), in_flight);
         }
     }
 
     fn failed(&mut self, now: Duration, sent: Duration, may_eject: bool) {
-        self.speed.failed();
+        self.latency.failed();
         self.health.failed(now, sent, may_eject);
     }
 
-    fn distrusted(&mut self, now: Duration) {
-        self.speed.failed();
+    fn mismatched(&mut self, now: Duration) {
+        self.latency.failed();
         self.health.eject(now);
     }
 }
 
-impl Speed {
-    fn record(&mut self, now: Duration, unit: Duration, whole: Duration) {
-        self.took = Some(averaged(self.took, unit.as_secs_f64()));
-        self.whole = Some(averaged(self.whole, whole.as_secs_f64()));
-        self.at = now;
-        self.good += (1.0 - self.good) * NEWEST;
+impl LatencyStats {
+    fn record(&mut self, now: Duration, unit: Duration, call: Duration) {
+        self.unit_secs = Some(averaged(self.unit_secs, unit.as_secs_f64()));
+        self.call_secs = Some(averaged(self.call_secs, call.as_secs_f64()));
+        self.last_end = now;
+        self.success_rate += (1.0 - self.success_rate) * NEWEST_WEIGHT;
     }
 
     fn failed(&mut self) {
-        self.good -= self.good * NEWEST;
+        self.success_rate -= self.success_rate * NEWEST_WEIGHT;
     }
 }
 
-/// The time of a call, for an engine per token.
-fn unit(end: &CallEnd) -> Duration {
+/// The time of a call, or per token if the endpoint reported tokens.
+fn unit_time(end: &CallEnd) -> Duration {
     end.took.div_f64(f64::from(end.tokens.unwrap_or(1).max(1)))
 }
 
 fn averaged(old: Option<f64>, new: f64) -> f64 {
     let old = old.unwrap_or(new);
-    old + (new - old) * NEWEST
+    old + (new - old) * NEWEST_WEIGHT
 }
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -11,101 +11,101 @@
     membership::{
         ConfigMark, EndpointState, Gossip, LeavingMark, MemberState, Settings,
         peer::Peer,
-        spread::{self, EndpointSpread, LeavingSpread},
+        spread::{self, EndpointSelector, LeavingSelector},
     },
     model::{Incarnation, InstanceEntry, InstanceName, Presence},
     record::{Snapshot, Version},
 };
 
-/// Peers that no list has named are remembered up to this number.
+/// The most peers that are kept although no list has named them.
 const MAX_UNLISTED: usize = 1024;
-/// One peer that is not known to live is tried every so many rounds.
+/// Every this many rounds, one peer that is not known to be alive gets a message.
 const PROBE_ROUNDS: u64 = 4;
-/// A step of the clock over so many rounds is a pause of this instance.
+/// If the clock advances by more than this many rounds at once, this instance was paused.
 const PAUSE_ROUNDS: u32 = 4;
 
-/// A counter reaches everybody in time while this many messages hold them all.
-const SPREAD_MESSAGES: usize = 2;
+/// While this many messages have room for all counters, every counter reaches all instances within
+/// the configured time.
+const FULL_MESSAGES: usize = 2;
 
-/// Time until gossip has told an instance that has just started of all peers
-/// that live: six rounds of 400 ms.
-const SETTLE_TIME: Duration = Duration::from_millis(2500);
+/// How long it takes until an instance that has just started has received, through gossip, the
+/// counters of all peers that are alive: six rounds of 400 ms.
+const DISCOVERY_TIME: Duration = Duration::from_millis(2500);
 
 slotmap::new_key_type! {
     struct PeerKey;
 }
 
-/// A peer that was asked for its configuration.
-struct Asked {
+/// A request to a peer for its configuration.
+struct SnapshotRequest {
     peer: PeerKey,
     until: Duration,
 }
 
-/// What a message is for.
+/// What a message is sent for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Purpose {
     /// A round of gossip.
     Round,
-    /// A round of gossip; the peer is asked for its configuration besides.
-    Ask,
+    /// A round of gossip that also requests the peer's configuration.
+    RequestSnapshot,
     /// A reply.
     Reply,
-    /// A reply to a peer that lacks this instance's configuration and asks for
-    /// it.
-    Give,
+    /// A reply to a peer that has requested this instance's configuration and has an older one.
+    SendSnapshot,
 }
 
-/// What the instance itself has to tell.
+/// The state of this instance that it sends to peers.
 pub struct LocalState<'a> {
-    /// How far its configuration is.
+    /// How new its configuration is.
     pub mark: ConfigMark,
     /// Its configuration; `None` if it is not known.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Endpoints that it knows to be leaving.
+    /// Endpoints that are known to be leaving.
     pub leaving: &'a [LeavingMark],
-    /// Its calls in flight and the loads that it saw.
+    /// Its calls in flight and the loads that it has seen.
     pub endpoints: &'a [EndpointState],
 }
 
-/// A message and where it goes.
+/// A message and its receiver.
 #[data]
 pub struct Envelope {
-    /// The peer.
+    /// The receiver.
     pub to: InstanceName,
-    /// Where it listens, `ip:port`. Empty for a reply to a peer that is not
-    /// listed yet; replies go back the way that the question came.
+    /// The address on which the receiver listens, `ip:port`. Empty for a reply to a peer that is
+    /// not listed yet; a reply is sent back on the connection of the message that it answers.
     pub addr: Arc<str>,
-    /// The message.
+    /// The message to send.
     pub message: Gossip,
 }
 
-/// What a peer is known to have in force.
+/// What is known of a peer.
 #[data]
 pub struct PeerStatus {
     /// The peer.
     pub name: InstanceName,
-    /// The newest version that it said is in force there.
+    /// The newest version that the peer has reported as in force.
     pub version: Version,
-    /// Whether it takes requests.
+    /// Whether the peer accepts requests.
     pub is_ready: bool,
-    /// Whether it is taken for alive.
+    /// Whether the peer is considered alive.
     pub is_alive: bool,
-    /// Whether nothing was heard of it yet, and nothing speaks against it.
+    /// Whether no counter of the peer was received yet and no message to it has failed.
     pub is_unknown: bool,
-    /// Whether the newest list names it.
+    /// Whether the newest list names the peer.
     pub is_listed: bool,
 }
 
 impl PeerStatus {
-    /// Whether work may be handed to it by an instance that has run for so
-    /// long. One that has just started counts on peers which it has not heard
-    /// of yet: a peer that is dead is found out by the first hand-over, but if
-    /// each did the work itself meanwhile, they would be in each other's way.
+    /// Whether work may be handed over to the peer by an instance that has run for `run_time`. An
+    /// instance that has just started also relies on peers of which it has received nothing yet: a
+    /// peer that is dead is detected by the first hand-over, but if each instance did the work
+    /// itself meanwhile, they would interfere with each other.
     pub fn is_usable(&self, run_time: Duration) -> bool {
-        let is_sound = self.is_alive && self.is_ready;
-        is_sound || (run_time < SETTLE_TIME && (self.is_alive || self.is_unknown))
+        let is_serving = self.is_alive && self.is_ready;
+        is_serving || (run_time < DISCOVERY_TIME && (self.is_alive || self.is_unknown))
     }
 }
 
@@ -116,17 +116,17 @@
     rng: SmallRng,
     peers: SlotMap<PeerKey, Peer>,
     by_name: HashMap<InstanceName, PeerKey>,
-    leaving: LeavingSpread,
-    endpoints: EndpointSpread,
+    leaving: LeavingSelector,
+    endpoints: EndpointSelector,
     heartbeat: u64,
     next_tick: Duration,
     last_now: Duration,
-    last_heard: Option<Duration>,
-    asked: Option<Asked>,
+    last_received: Option<Duration>,
+    snapshot_request: Option<SnapshotRequest>,
 }
 
 impl Members {
-    /// An instance that knows no peer.
+    /// The state before any peer is known.
     pub fn new(identity: Identity, settings: Settings, seed: u64) -> Members {
         Members {
             identity,
@@ -134,24 +134,24 @@
             rng: SmallRng::seed_from_u64(seed),
             peers: SlotMap::with_key(),
             by_name: HashMap::new(),
-            leaving: LeavingSpread::default(),
-            endpoints: EndpointSpread::default(),
+            leaving: LeavingSelector::default(),
+            endpoints: EndpointSelector::default(),
             heartbeat: 0,
             next_tick: Duration::ZERO,
             last_now: Duration::ZERO,
-            last_heard: None,
-            asked: None,
+            last_received: None,
+            snapshot_request: None,
         }
     }
 
-    /// Who the instance is.
+    /// The name and the incarnation of this instance.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Takes in the platform's list.
+    /// Applies the platform's list.
     pub fn apply_listing(&mut self, now: Duration, instances: &[InstanceEntry]) {
-        self.observe(now);
+        self.record_time(now);
         for peer in self.peers.values_mut() {
             peer.presence = None;
         }
@@ -160,92 +160,93 @@
                 continue;
             }
             let key = self.key_for(now, &entry.name);
-            self.peers[key].listed(now, entry);
+            self.peers[key].apply_entry(now, entry);
         }
     }
 
-    /// Sends the round's messages, if it is time for one.
+    /// The messages of the round, if one is due.
     pub fn tick(&mut self, now: Duration, local: &LocalState<'_>) -> Vec<Envelope> {
-        self.observe(now);
+        self.record_time(now);
         if now < self.next_tick {
             return Vec::new();
         }
         self.next_tick = now + self.jittered_tick();
         self.heartbeat += 1;
-        self.forget(now);
-        let ahead = self.one_ahead(now, local.mark);
+        self.remove_expired(now);
+        let ahead = self.choose_ahead(now, local.mark);
         let targets = self.targets(now, ahead);
-        let asked = ahead.filter(|key| self.begin_ask(now, *key));
-        let purpose = |key| if asked == Some(key) { Purpose::Ask } else { Purpose::Round };
+        let requested = ahead.filter(|key| self.begin_request(now, *key));
+        let purpose =
+            |key| if requested == Some(key) { Purpose::RequestSnapshot } else { Purpose::Round };
         let envelopes = targets.into_iter().map(|key| self.envelope(now, key, purpose(key), local));
         envelopes.collect()
     }
 
-    /// Takes in a peer's message; the reply, if it wants one.
+    /// Applies a peer's message. Returns the reply, if the peer wants one.
     pub fn receive(
         &mut self,
         now: Duration,
         message: &Gossip,
         local: &LocalState<'_>,
     ) -> Option<Envelope> {
-        self.observe(now);
+        self.record_time(now);
         if message.from == self.identity.name {
             return None;
         }
-        self.last_heard = Some(now);
+        self.last_received = Some(now);
         for state in &message.members {
-            self.heard_of(now, state);
+            self.update_member(now, state);
         }
         let key = self.known_key(now, &message.from)?;
         if message.snapshot.is_some() {
-            self.end_ask(key);
+            self.end_request(key);
         }
         let peer = &mut self.peers[key];
         peer.mark = Some(message.mark);
         peer.seen_at = now;
         let sent = message.members.iter().find(|state| state.name == message.from);
         if let Some(sent) = sent {
-            peer.tell_counts(now, sent, &message.endpoints);
+            peer.update_counts(now, sent, &message.endpoints);
         }
-        let is_given = message.wants_snapshot && peer.is_behind(local.mark);
-        let purpose = if is_given { Purpose::Give } else { Purpose::Reply };
+        let is_wanted = message.wants_snapshot && peer.is_behind(local.mark);
+        let purpose = if is_wanted { Purpose::SendSnapshot } else { Purpose::Reply };
         message.wants_reply.then(|| self.envelope(now, key, purpose, local))
     }
 
-    /// A message to a peer failed.
+    /// Records that a message to a peer could not be delivered.
     pub fn send_failed(&mut self, now: Duration, peer: &InstanceName) {
-        self.observe(now);
+        self.record_time(now);
         if let Some(&key) = self.by_name.get(peer) {
-            self.peers[key].failed();
-            self.end_ask(key);
+            self.peers[key].record_failure();
+            self.end_request(key);
         }
     }
 
-    /// The peers that are taken for alive.
+    /// The names of the peers that are considered alive.
     pub fn alive(&self, now: Duration) -> Vec<InstanceName> {
         self.alive_peers(now).map(|peer| peer.name.clone()).collect()
     }
 
-    /// Whether that life of a peer is taken for alive.
+    /// Whether the given incarnation of a peer is considered alive.
     pub fn is_alive(&self, now: Duration, peer: &str, incarnation: Incarnation) -> bool {
         let mut alive = self.alive_peers(now);
         alive.any(|known| *known.name == *peer && known.state.incarnation == incarnation)
     }
 
-    /// Where a peer listens, if the list has told.
+    /// The address on which a peer listens; `None` if no list has named the peer.
     pub fn addr(&self, peer: &str) -> Option<Arc<str>> {
         let key = self.by_name.get(peer)?;
         self.peers[*key].addr.clone()
     }
 
-    /// Whether the newest list names a peer that stays.
+    /// Whether the newest list names a peer that is not leaving.
     pub fn has_listed_peers(&self) -> bool {
         self.peers.values().any(|peer| peer.presence == Some(Presence::Live))
     }
 
-    /// When any peer was last heard.
+    /// When the last message of any peer was received.
     pub fn last_received(&self) -> Option<Duration> {
-        self.last_heard
+        self.last_received
     }
 
     /// When [`Members::tick`] should be called next.
@@ -253,10 +254,10 @@
         Some(self.next_tick)
     }
 
-    /// What each peer has in force, by name.
+    /// What is known of each peer, ordered by name.
     pub fn peer_statuses(&self, now: Duration) -> Vec<PeerStatus> {
-        let (time, dead_after) = (self.unpaused(now), self.dead_after());
-        let mut versions: Vec<_> = self
+        let (time, dead_after) = (self.time_before_pause(now), self.dead_after());
+        let mut statuses: Vec<_> = self
             .peers
             .values()
             .map(|peer| PeerStatus {
@@ -268,50 +269,51 @@
                 is_listed: peer.presence.is_some(),
             })
             .collect();
-        versions.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-        versions
+        statuses.sort_unstable_by(|a, b| a.name.cmp(&b.name));
+        statuses
     }
 
-    /// The peers' calls in flight to an endpoint, as they told lately.
+    /// The calls that live peers have in flight to an endpoint, by their recent messages.
     pub fn in_flight(&self, now: Duration, endpoint: &str) -> u32 {
-        let time = self.unpaused(now);
-        let age = self.settings.count_age;
+        let time = self.time_before_pause(now);
+        let age = self.settings.max_count_age;
         let counts = self.alive_peers(now).map(|peer| peer.in_flight(time, endpoint, age));
         counts.fold(0, u32::saturating_add)
     }
 
     fn alive_peers(&self, now: Duration) -> impl Iterator<Item = &Peer> {
-        let (time, dead_after) = (self.unpaused(now), self.dead_after());
+        let (time, dead_after) = (self.time_before_pause(now), self.dead_after());
         self.peers.values().filter(move |peer| peer.is_alive(time, dead_after))
     }
 
-    /// Notes the time. While this instance was paused it could hear nobody, so
-    /// a long step does not count against the peers.
-    fn observe(&mut self, now: Duration) {
+    /// Records the time. A paused instance cannot receive messages, so a long step does not count
+    /// against the peers.
+    fn record_time(&mut self, now: Duration) {
         let step = now.saturating_sub(self.last_now);
-        if step > self.pause() {
+        if step > self.pause_threshold() {
             for peer in self.peers.values_mut() {
-                peer.skip(step);
+                peer.shift_times(step);
             }
         }
         self.last_now = self.last_now.max(now);
     }
 
-    /// The time by which peers are judged before a pause was noted.
-    fn unpaused(&self, now: Duration) -> Duration {
+    /// The time at which the liveness of peers is judged: the last recorded time if this instance
+    /// was paused since then.
+    fn time_before_pause(&self, now: Duration) -> Duration {
         let step = now.saturating_sub(self.last_now);
-        if step > self.pause() { self.last_now } else { now }
+        if step > self.pause_threshold() { self.last_now } else { now }
     }
 
-    /// The silence that makes a peer dead. A message has room for a limited
-    /// number of counters, so in a large group each one takes longer to spread.
+    /// The time without a new counter after which a peer is considered dead. A message has room for
+    /// a limited number of counters, so in a large group each one takes longer to spread.
     fn dead_after(&self) -> Duration {
-        let room = SPREAD_MESSAGES * self.settings.max_members;
+        let room = FULL_MESSAGES * self.settings.max_members;
         let crowding = self.peers.len() as f64 / room as f64;
         self.settings.dead_after.mul_f64(crowding.max(1.0))
     }
 
-    fn pause(&self) -> Duration {
+    fn pause_threshold(&self) -> Duration {
         self.settings.tick * PAUSE_ROUNDS
     }
 
@@ -319,15 +321,16 @@
         self.settings.tick.mul_f64(self.rng.random_range(0.9..1.1))
     }
 
-    fn heard_of(&mut self, now: Duration, state: &MemberState) {
+    fn update_member(&mut self, now: Duration, state: &MemberState) {
         if state.name == self.identity.name {
             return;
         }
         let Some(key) = self.known_key(now, &state.name) else { return };
-        self.peers[key].heard_of(now, state);
+        self.peers[key].update_state(now, state);
     }
 
-    /// The peer of that name; a new one if there is room for one not listed.
+    /// The key of the peer with the given name; it is added if there is room for another peer that
+    /// is not listed.
     fn known_key(&mut self, now: Duration, name: &InstanceName) -> Option<PeerKey> {
         if let Some(&key) = self.by_name.get(name) {
             return Some(key);
@@ -345,14 +348,15 @@
         key
     }
 
-    /// Forgets peers that are neither listed nor heard of, and old counts.
-    fn forget(&mut self, now: Duration) {
-        let Settings { forget_after, count_age, .. } = self.settings;
+    /// Removes peers that are no longer listed and of which nothing was received for long, and
+    /// outdated counts.
+    fn remove_expired(&mut self, now: Duration) {
+        let Settings { remove_after, max_count_age, .. } = self.settings;
         let by_name = &mut self.by_name;
         self.peers.retain(|_, peer| {
-            peer.prune_counts(now, count_age);
+            peer.prune_counts(now, max_count_age);
             let is_gone =
-                peer.presence.is_none() && now.saturating_sub(peer.seen_at) > forget_after;
+                peer.presence.is_none() && now.saturating_sub(peer.seen_at) > remove_after;
             if is_gone {
                 by_name.remove(&peer.name);
             }
@@ -360,25 +364,25 @@
         });
     }
 
-    /// The peers that can be reached: those that may live, and the others.
+    /// The peers with a known address: those that may be alive, and the others.
     fn reachable(&self, now: Duration) -> (Vec<PeerKey>, Vec<PeerKey>) {
         let dead_after = self.dead_after();
-        let may_live = |key: &PeerKey| {
+        let may_be_alive = |key: &PeerKey| {
             self.peers[*key].is_unknown() || self.peers[*key].is_alive(now, dead_after)
         };
         let reachable = self.peers.iter().filter(|(_, peer)| peer.addr.is_some());
-        reachable.map(|(key, _)| key).partition(may_live)
+        reachable.map(|(key, _)| key).partition(may_be_alive)
     }
 
-    /// A peer that has a newer configuration, if there is one.
-    fn one_ahead(&mut self, now: Duration, mark: ConfigMark) -> Option<PeerKey> {
+    /// A random peer that has a newer configuration, if there is one.
+    fn choose_ahead(&mut self, now: Duration, mark: ConfigMark) -> Option<PeerKey> {
         let (live, _) = self.reachable(now);
         let ahead = live.into_iter().filter(|key| self.peers[*key].is_ahead(mark));
         ahead.choose(&mut self.rng)
     }
 
-    /// Whom to send to: some peers that may live, the one that has a newer
-    /// configuration, and now and then one that seems dead.
+    /// The receivers of a round: some peers that may be alive, the one that has a newer
+    /// configuration, and every few rounds one that seems dead.
     fn targets(&mut self, now: Duration, ahead: Option<PeerKey>) -> Vec<PeerKey> {
         let (live, dead) = self.reachable(now);
         let mut targets = live.into_iter().choose_multiple(&mut self.rng, self.settings.fanout);
@@ -389,20 +393,21 @@
         targets
     }
 
-    /// Notes that a peer is asked for its configuration. False if another one
-    /// may still be sending its own: copies under way together would keep each
-    /// other from arriving in time.
-    fn begin_ask(&mut self, now: Duration, peer: PeerKey) -> bool {
-        if self.asked.as_ref().is_some_and(|asked| now < asked.until) {
+    /// Records that a peer is asked for its configuration. Returns `false` if another peer may
+    /// still be sending its own: copies sent at the same time would delay each other past their
+    /// timeout.
+    fn begin_request(&mut self, now: Duration, peer: PeerKey) -> bool {
+        if self.snapshot_request.as_ref().is_some_and(|request| now < request.until) {
             return false;
         }
-        self.asked = Some(Asked { peer, until: now + self.settings.snapshot_timeout });
+        self.snapshot_request =
+            Some(SnapshotRequest { peer, until: now + self.settings.snapshot_timeout });
         true
     }
 
-    /// A peer has sent its configuration, or cannot.
-    fn end_ask(&mut self, peer: PeerKey) {
-        self.asked.take_if(|asked| asked.peer == peer);
+    /// Ends the request to a peer, which has sent its configuration or cannot be reached.
+    fn end_request(&mut self, peer: PeerKey) {
+        self.snapshot_request.take_if(|request| request.peer == peer);
     }
 
     fn envelope(
@@ -419,10 +424,10 @@
         let endpoints = self.endpoints.pick(local.endpoints, limit, max_endpoints);
         let message = Gossip {
             from: self.identity.name.clone(),
-            wants_reply: matches!(purpose, Purpose::Round | Purpose::Ask),
+            wants_reply: matches!(purpose, Purpose::Round | Purpose::RequestSnapshot),
             mark: local.mark,
-            snapshot: local.snapshot.clone().filter(|_| purpose == Purpose::Give),
-            wants_snapshot: purpose == Purpose::Ask,
+            snapshot: local.snapshot.clone().filter(|_| purpose == Purpose::SendSnapshot),
+            wants_snapshot: purpose == Purpose::RequestSnapshot,
             members,
             leaving,
             endpoints,
@@ -432,7 +437,7 @@
         Envelope { to: peer.name.clone(), addr, message }
     }
 
-    /// The own counter and those of others that were sent least often.
+    /// This instance's own counter, and those of other instances that were sent least often.
     fn pick_members(
         &mut self,
         now: Duration,
@@ -443,8 +448,8 @@
     ) -> Vec<MemberState> {
         let dead_after = self.dead_after();
         let others = self.peers.iter().filter(|&(key, peer)| {
-            let is_told = peer.heard_at.is_some();
-            key != to && is_told && peer.is_alive(now, dead_after)
+            let has_state = peer.updated_at.is_some();
+            key != to && has_state && peer.is_alive(now, dead_after)
         });
         let news = others.map(|(key, peer)| (key, peer.sends));
         let picked = spread::least_sent(&mut self.rng, news, limit, max.saturating_sub(1));
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -128,6 +128,6 @@
             .filter(|(_, bytes)| *bytes >= LARGE_RESULT_BYTES)
             .map(|(data_centre, _)| data_centre);
         let has_large = self.route.stages[stage].bytes >= LARGE_RESULT_BYTES;
-        near_inputs.or_else(|| self.preferred_data_centre.clone().filter(|_| has_large))
+        near_inputs.or_else(|| self.destination.clone().filter(|_| has_large))
     }
 }
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -432,13 +432,13 @@
     pub(super) fn predict_destination(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT_BYTES);
-        if exchange.preferred_data_centre.is_some() || !has_large {
+        if exchange.destination.is_some() || !has_large {
             return;
         }
         let Some(chosen) = self.choose(now, key, &[]) else { return };
         let destination =
             self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
-        self.exchanges[key].preferred_data_centre = destination;
+        self.exchanges[key].destination = destination;
     }
 
     /// Makes the stages of an exchange again after their results were lost.
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,19 +1,17 @@
-//! Which endpoint gets a call.
+//! Chooses the endpoint that gets a call.
 //!
-//! Two endpoints are drawn at random and the better one is taken. That is
-//! nearly as good as taking the best, and instances with the same stale view
-//! don't all run to the same endpoint. Better means less expected time: calls
-//! that are there or wait there, over what the endpoint gets done. What peers
-//! and reports say counts less the older it is beside the time of a call: calls
-//! of a tenth of a second are long over when a report of them arrives.
+//! Of two endpoints drawn at random the one with the lower expected time is taken. That is nearly
+//! as good as taking the best of all, and instances with the same stale view don't all choose the
+//! same endpoint. The expected time is computed from the calls that run or wait at the endpoint and
+//! from its speed. Data from peers and load reports count less the older they are relative to the
+//! duration of a call: calls of 100 ms have long ended when a report of them arrives.
 //!
-//! A call with a prompt prefix goes where that prefix is likely cached: to
-//! the pool's first endpoint by rendezvous hash, unless it holds clearly more
-//! than the average or is much slower, then to the second, then as without a
-//! prefix.
+//! A call with a prompt prefix goes to the endpoint that has likely cached the prefix: the pool's
+//! first by rendezvous hash, or the second if the first has clearly more calls than the average or
+//! is much slower. If that holds for both, the prefix is ignored.
 //!
-//! A probe that is due is sent first: nothing else brings an ejected endpoint
-//! back. A repeated call never is a probe.
+//! An ejected endpoint whose probe is due gets the next call, since only a successful call can
+//! bring it back. A repeated call is never used as a probe.
 
 use std::time::Duration;
 
@@ -25,109 +23,114 @@
     model::EndpointName,
 };
 
-/// What a call asks for.
+/// What is required of the endpoint for a call.
 pub struct Criteria<'a> {
-    /// The pool.
+    /// The pool to choose from.
     pub pool: &'a str,
-    /// Hash of the prompt's start, for engines.
+    /// Hash of the start of the prompt; only for engines.
     pub prefix: Option<u64>,
-    /// Endpoints that are out of the question: tried already.
+    /// Endpoints not to be chosen because they were already tried.
     pub exclude: &'a [EndpointName],
-    /// Calls that the peers have in flight at an endpoint.
+    /// Returns how many calls the peers have in flight at an endpoint.
     pub peers: &'a dyn Fn(&str) -> u32,
 }
 
-/// How far above the average an endpoint may be filled for a prefix's sake.
+/// Ratio to the average load up to which an endpoint is chosen for its cached prefix.
 const LOAD_BOUND: f64 = 1.25;
-/// How old the peers' counts usually are.
-const PEERS_AGE: Duration = Duration::from_millis(200);
-/// The shortest call that is counted with, in seconds.
-const MIN_WHOLE: f64 = 1e-3;
-/// Endpoints tried for a prefix.
+/// Typical age of the peers' counts of calls in flight.
+const PEERS_AGE_ESTIMATE: Duration = Duration::from_millis(200);
+/// Lower bound on the duration of a call in the computation, in seconds.
+const MIN_CALL_SECONDS: f64 = 1e-3;
+/// Number of endpoints that are considered for a prefix.
 const AFFINITY_DEPTH: usize = 2;
-/// How far above the usual cost an endpoint may be for a prefix's sake.
+/// Ratio to the median cost up to which an endpoint is chosen for its cached prefix.
 const COST_BOUND: f64 = 3.0;
-/// Time after which half of an endpoint's deviation from its pool is forgotten.
-const FORGET: Duration = Duration::from_secs(10);
-/// Endpoints that a policy scores for a call.
-const SCORED: usize = 4;
-/// The least share of good calls that is counted with.
-const MIN_GOOD: f64 = 0.05;
-
-/// Picks an endpoint; `None` if none may get the call now.
+/// Time in which an endpoint's deviation from its pool's average decays to half.
+const DEVIATION_HALF_LIFE: Duration = Duration::from_secs(10);
+/// Number of endpoints that a policy scores for a call.
+const SCORED_ENDPOINTS: usize = 4;
+/// Lower bound on the success rate in the computation.
+const MIN_SUCCESS_RATE: f64 = 0.05;
+
+/// Chooses an endpoint; `None` if no endpoint may get the call now.
 pub fn choose(
     table: &Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     rng: &mut SmallRng,
 ) -> Option<EndpointName> {
-    probe(table, now, demand).or_else(|| choose_avoiding_probes(table, now, demand, rng))
+    probe(table, now, criteria).or_else(|| choose_avoiding_probes(table, now, criteria, rng))
 }
 
-/// As [`choose`], for a call that mustn't be risked: it is a probe only where
-/// nothing else is free.
+/// Like [`choose`], but uses the call as a probe only if no other endpoint is free.
 pub fn choose_avoiding_probes(
     table: &Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     rng: &mut SmallRng,
 ) -> Option<EndpointName> {
-    let free = proven(table, now, demand);
-    let scale = Scale::of(table, demand.pool);
-    let cost = |endpoint: &Endpoint| cost(endpoint, now, demand, &scale);
-    if let Some(prefix) = demand.prefix
-        && let Some(near) = nearest(&free, demand, prefix, cost)
+    let free = avoiding_probes(table, now, criteria);
+    let averages = PoolAverages::of(table, criteria.pool);
+    let cost = |endpoint: &Endpoint| cost(endpoint, now, criteria, &averages);
+    if let Some(prefix) = criteria.prefix
+        && let Some(near) = affinity_endpoint(&free, criteria, prefix, cost)
     {
         return Some(near.name.clone());
     }
     better_of_two(&free, rng, cost).map(|endpoint| endpoint.name.clone())
 }
 
-/// As [`choose`], by a policy's score: of a few drawn at random the one
-/// with the largest. Where the policy has no score, the built-in choice holds.
+/// Like [`choose`], but takes the endpoint with the highest score of a few drawn at random. If the
+/// policy gives no score, the built-in choice applies.
 pub fn choose_scored(
     table: &Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     rng: &mut SmallRng,
     score: &dyn Fn(&Endpoint) -> Option<f64>,
 ) -> Option<EndpointName> {
-    if let Some(probe) = probe(table, now, demand) {
+    if let Some(probe) = probe(table, now, criteria) {
         return Some(probe);
     }
-    let free = proven(table, now, demand);
-    let drawn = free.choose_multiple(rng, SCORED);
+    let free = avoiding_probes(table, now, criteria);
+    let drawn = free.choose_multiple(rng, SCORED_ENDPOINTS);
     let scores: Option<Vec<(f64, &Endpoint)>> =
         drawn.map(|endpoint| Some((score(endpoint)?, *endpoint))).collect();
-    let Some(scores) = scores else { return choose_avoiding_probes(table, now, demand, rng) };
+    let Some(scores) = scores else { return choose_avoiding_probes(table, now, criteria, rng) };
     let best = scores.into_iter().max_by(|a, b| a.0.total_cmp(&b.0));
     best.map(|(_, endpoint)| endpoint.name.clone())
 }
 
-/// An endpoint that waits for its probe, unless the call is a repeat.
-fn probe(table: &Table, now: Duration, demand: &Criteria<'_>) -> Option<EndpointName> {
-    if !demand.exclude.is_empty() {
+/// An endpoint whose probe is due, unless the call is a repeat.
+fn probe(table: &Table, now: Duration, criteria: &Criteria<'_>) -> Option<EndpointName> {
+    if !criteria.exclude.is_empty() {
         return None;
     }
-    let due = candidates(table, now, demand).find(|endpoint| endpoint.is_probe_due(now))?;
+    let due = candidates(table, now, criteria).find(|endpoint| endpoint.is_probe_due(now))?;
     Some(due.name.clone())
 }
 
-/// Free endpoints that aren't to be probed; those too if there are no others.
-fn proven<'t>(table: &'t Table, now: Duration, demand: &Criteria<'_>) -> Vec<&'t Endpoint> {
-    let free: Vec<&Endpoint> = candidates(table, now, demand).collect();
-    let proven = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
-    let proven: Vec<&Endpoint> = proven.collect();
-    if proven.is_empty() { free } else { proven }
+/// Free endpoints whose probe isn't due; if there are none, all free ones.
+fn avoiding_probes<'t>(
+    table: &'t Table,
+    now: Duration,
+    criteria: &Criteria<'_>,
+) -> Vec<&'t Endpoint> {
+    let free: Vec<&Endpoint> = candidates(table, now, criteria).collect();
+    let unprobed = free.iter().copied().filter(|endpoint| !endpoint.is_probe_due(now));
+    let unprobed: Vec<&Endpoint> = unprobed.collect();
+    if unprobed.is_empty() { free } else { unprobed }
 }
 
 fn candidates<'t>(
     table: &'t Table,
     now: Duration,
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
 ) -> impl Iterator<Item = &'t Endpoint> {
-    let pool = table.pool(demand.pool);
-    pool.filter(move |endpoint| endpoint.free(now) > 0 && !demand.exclude.contains(&endpoint.name))
+    let pool = table.pool(criteria.pool);
+    pool.filter(move |endpoint| {
+        endpoint.free(now) > 0 && !criteria.exclude.contains(&endpoint.name)
+    })
 }
 
 fn better_of_two<'t>(
@@ -148,14 +151,15 @@
     }
 }
 
-/// The endpoint that likely holds the prefix, if it isn't too full or too slow.
-fn nearest<'t>(
+/// The endpoint that has likely cached the prefix, unless its load or cost is too high.
+fn affinity_endpoint<'t>(
     free: &[&'t Endpoint],
-    demand: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     prefix: u64,
     cost: impl Fn(&Endpoint) -> f64,
 ) -> Option<&'t Endpoint> {
-    let load = |endpoint: &Endpoint| f64::from(endpoint.in_flight + (demand.peers)(&endpoint.name));
+    let load =
+        |endpoint: &Endpoint| f64::from(endpoint.in_flight + (criteria.peers)(&endpoint.name));
     let total: f64 = free.iter().map(|endpoint| load(endpoint)).sum();
     let most = ((total + 1.0) / free.len() as f64 * LOAD_BOUND).ceil();
     let slowest = lower_median(free.iter().map(|endpoint| cost(endpoint)))? * COST_BOUND;
@@ -173,27 +177,30 @@
     values.get(values.len().saturating_sub(1) / 2).copied()
 }
 
-/// What is usual in a pool.
-struct Scale {
-    /// Seconds a call, or a token for an engine.
-    took: f64,
-    /// Seconds a whole call.
-    whole: f64,
-    /// Calls that an endpoint works on at once.
-    places: f64,
-}
-
-impl Scale {
-    fn of(table: &Table, pool: &str) -> Scale {
-        let took =
-            table.pool(pool).filter_map(Endpoint::latency).map(|(took, _)| took.as_secs_f64());
-        let places = table.pool(pool).filter_map(Endpoint::places).map(f64::from);
-        let whole = table.pool(pool).filter_map(Endpoint::call_latency);
-        let whole = mean(whole.map(|whole| whole.as_secs_f64())).unwrap_or(1.0);
-        Scale {
-            took: mean(took).unwrap_or(1.0),
-            whole: whole.max(MIN_WHOLE),
-            places: mean(places).unwrap_or(1.0),
+/// Averages over a pool.
+struct PoolAverages {
+    /// Seconds per call, or per token for an engine.
+    latency: f64,
+    /// Seconds per whole call.
+    call_latency: f64,
+    /// Calls that an endpoint runs at once.
+    slots: f64,
+}
+
+impl PoolAverages {
+    fn of(table: &Table, pool: &str) -> PoolAverages {
+        let latency = table
+            .pool(pool)
+            .filter_map(Endpoint::latency)
+            .map(|(latency, _)| latency.as_secs_f64());
+        let slots = table.pool(pool).filter_map(Endpoint::places).map(f64::from);
+        let call_latency = table.pool(pool).filter_map(Endpoint::call_latency);
+        let call_latency =
+            mean(call_latency.map(|call_latency| call_latency.as_secs_f64())).unwrap_or(1.0);
+        PoolAverages {
+            latency: mean(latency).unwrap_or(1.0),
+            call_latency: call_latency.max(MIN_CALL_SECONDS),
+            slots: mean(slots).unwrap_or(1.0),
         }
     }
 }
@@ -207,26 +214,33 @@
     (count > 0.0).then(|| sum / count)
 }
 
-/// What is still true of something said `age` ago. Calls come and go in the
-/// time that a call takes, so that is how fast it becomes worthless.
-fn still_true(age: Duration, scale: &Scale) -> f64 {
-    (-age.as_secs_f64() / scale.whole).exp2()
+/// Weight of data that is `age` old. It halves in the time that a call takes, since that is how
+/// fast calls come and go.
+fn freshness(age: Duration, averages: &PoolAverages) -> f64 {
+    (-age.as_secs_f64() / averages.call_latency).exp2()
 }
 
-/// Expected time of a call, up to a factor that all of the pool share.
-fn cost(endpoint: &Endpoint, now: Duration, demand: &Criteria<'_>, scale: &Scale) -> f64 {
-    let peers = f64::from((demand.peers)(&endpoint.name)) * still_true(PEERS_AGE, scale);
+/// Expected time of a call, up to a factor that is the same for the whole pool.
+fn cost(
+    endpoint: &Endpoint,
+    now: Duration,
+    criteria: &Criteria<'_>,
+    averages: &PoolAverages,
+) -> f64 {
+    let peers =
+        f64::from((criteria.peers)(&endpoint.name)) * freshness(PEERS_AGE_ESTIMATE, averages);
     let queued = endpoint
         .reported_queue(now)
-        .map_or(0.0, |(queued, age)| f64::from(queued) * still_true(age, scale));
+        .map_or(0.0, |(queued, age)| f64::from(queued) * freshness(age, averages));
     let ahead = f64::from(endpoint.in_flight) + peers + queued + 1.0;
-    let places = endpoint.places().map_or(scale.places, f64::from);
-    ahead / places * took(endpoint, now, scale) / endpoint.success_rate().max(MIN_GOOD)
+    let slots = endpoint.places().map_or(averages.slots, f64::from);
+    ahead / slots * expected_latency(endpoint, now, averages)
+        / endpoint.success_rate().max(MIN_SUCCESS_RATE)
 }
 
-/// The endpoint's usual time; without news it tends to the pool's.
-fn took(endpoint: &Endpoint, now: Duration, scale: &Scale) -> f64 {
-    let Some((took, at)) = endpoint.latency() else { return scale.took };
-    let idle = now.saturating_sub(at).as_secs_f64() / FORGET.as_secs_f64();
-    scale.took + (took.as_secs_f64() - scale.took) * (-idle).exp2()
+/// The endpoint's latency, which tends to the pool's average while no new call ends.
+fn expected_latency(endpoint: &Endpoint, now: Duration, averages: &PoolAverages) -> f64 {
+    let Some((latency, at)) = endpoint.latency() else { return averages.latency };
+    let idle = now.saturating_sub(at).as_secs_f64() / DEVIATION_HALF_LIFE.as_secs_f64();
+    averages.latency + (latency.as_secs_f64() - averages.latency) * (-idle).exp2()
 }
