--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -68,9 +68,9 @@
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
-        bound,
-        instances: 74,
-        strength: 120,
+        retry_budget: bound,
+        min_instances: 74,
+        millicores: 120,
     };
     let mut relay = Relay::new(settings, 1);
     let slots = if room < 1 << 40 { 2 } else { 1 };
--- a/crates/core/src/relay/machine/queues.rs
+++ b/crates/core/src/relay/machine/queues.rs
@@ -1,8 +1,9 @@
-//! Where pieces wait for their turn.
+//! Reports of backlogs between batchers.
 //!
-//! Where pieces wait, room for results is scarce: whoever makes something of them gives
-//! room back early by telling which he has read. Where none wait that is only traffic,
-//! so who batches a service says so to those who batch the others, while pieces wait.
+//! Where pieces wait, result memory is scarce, and the instances that use results help by
+//! reporting early which of them have been read. Elsewhere these reports would only be
+//! traffic, so each batcher tells the batchers of the other services while pieces wait at its
+//! own.
 
 use std::time::Duration;
 
@@ -14,61 +15,62 @@
     },
 };
 
-/// Pause between two words on the queues. Two peers are told by each batcher, twenty
+/// Interval between two backlog reports. Each batcher sends them to two peers: twenty
 /// messages of some hundred bytes a second, and only while pieces wait.
-const PAUSE: Duration = Duration::from_millis(100);
-/// A word is reckoned with for so long: three of them may be lost.
-const VALID: Duration = Duration::from_millis(400);
-/// Shorter waits are not told: a third of a call, in which room becomes free anyway.
-const NOTABLE: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a backlog report is valid: three successive ones may be lost.
+const REPORT_VALIDITY: Duration = Duration::from_millis(400);
+/// Shorter waits are not reported: a third of a call, within which result memory is freed
+/// anyway.
+const MIN_BACKLOG: Duration = Duration::from_millis(100);
 
 impl Relay {
-    /// Whoever batches a service says that pieces wait there.
+    /// The batcher of a service reports that pieces wait there.
     pub fn on_backlog_notice(&mut self, now: Duration, service: ServiceName) {
-        self.queues.insert(service, now);
+        self.backlogs.insert(service, now);
     }
 
-    /// Whether pieces wait notably long at a service.
-    pub(super) fn is_waited_for(&self, now: Duration, service: &ServiceName) -> bool {
-        self.queues.get(service).is_some_and(|told| now <= *told + VALID)
+    /// Whether pieces wait at a service for long enough to matter.
+    pub(super) fn is_backlogged(&self, now: Duration, service: &ServiceName) -> bool {
+        self.backlogs.get(service).is_some_and(|reported| now <= *reported + REPORT_VALIDITY)
     }
 
-    /// Tells whoever batches the other services where pieces wait.
-    pub(super) fn tell_queues(&mut self, now: Duration) {
-        if now < self.next_word {
+    /// Reports backlogs of this instance's queues to the batchers of the other services.
+    pub(super) fn report_backlogs(&mut self, now: Duration) {
+        if now < self.next_backlog {
             return;
         }
-        self.next_word = now + PAUSE;
-        let waited_for: Vec<_> = self
-            .batches
+        self.next_backlog = now + REPORT_INTERVAL;
+        let backlogged: Vec<_> = self
+            .batcher
             .waiting_services()
             .into_iter()
             .filter(|it| self.has_backlog(now, it))
             .collect();
-        if waited_for.is_empty() {
+        if backlogged.is_empty() {
             return;
         }
         let peers = self.other_batchers();
-        for service in waited_for {
+        for service in backlogged {
             self.on_backlog_notice(now, service.clone());
-            let words = peers
+            let announcements = peers
                 .iter()
                 .map(|peer| Action::AnnounceQueue { peer: peer.clone(), service: service.clone() });
-            self.actions.extend(words);
+            self.actions.extend(announcements);
         }
     }
 
     fn has_backlog(&self, now: Duration, service: &str) -> bool {
-        let Some(shape) = self.shape(service) else { return false };
-        let wait = self.batches.backlog(now, service, &shape, &self.directory);
-        wait.is_some_and(|wait| wait >= NOTABLE)
+        let Some(config) = self.piece_config(service) else { return false };
+        let wait = self.batcher.backlog(now, service, &config, &self.directory);
+        wait.is_some_and(|wait| wait >= MIN_BACKLOG)
     }
 
     /// The peers that batch any service.
     fn other_batchers(&self) -> Vec<InstanceName> {
         let Some(config) = &self.config else { return Vec::new() };
-        let makers = config.services.iter().filter(|(_, service)| service.pieces.is_some());
-        let mut peers: Vec<_> = makers.filter_map(|(name, _)| self.owner(name)).collect();
+        let batched = config.services.iter().filter(|(_, service)| service.pieces.is_some());
+        let mut peers: Vec<_> = batched.filter_map(|(name, _)| self.batcher_peer(name)).collect();
         peers.sort_unstable();
         peers.dedup();
         peers
--- a/crates/core/src/relay/machine/results.rs
+++ b/crates/core/src/relay/machine/results.rs
@@ -1,4 +1,4 @@
-//! Results at endpoints are given up as soon as nothing needs them.
+//! Results at endpoints, which are freed as soon as nothing needs them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,32 +9,32 @@
     model::{Action, ExchangeKey, Handle, ServiceName},
 };
 
-/// How long after its call an engine has probably read its inputs, as long as no
-/// engine has shown otherwise: an engine reads them before anything else, and
-/// ten large results take 12 ms on a link of 10 Gbit/s, which others use too.
-/// Results that are given up then, and not with the first token, free room some
-/// 200 ms sooner where a burst waits for nothing but room.
-pub(super) const FIRST_READ_TIME: Duration = Duration::from_millis(60);
-/// The longest such time: the first token has come by then.
-const LONGEST_READ_TIME: Duration = Duration::from_secs(2);
+/// How long after the start of a call an engine has probably read its inputs, until an engine
+/// shows otherwise. An engine reads them before anything else, and ten large results take 12
+/// ms on a shared link of 10 Gbit/s. Freeing results then, and not at the first token, frees
+/// memory some 200 ms sooner, for which a burst of pieces may be waiting.
+pub(super) const INITIAL_READ_DELAY: Duration = Duration::from_millis(60);
+/// Upper bound of that delay: the first token has come by then.
+const MAX_READ_DELAY: Duration = Duration::from_secs(2);
 
 impl Relay {
-    /// An engine that is called with an exchange's results comes to them at that
-    /// time: they are spare a while later. Where engines are what is scarce the
-    /// results are so held for longer, and what cannot be read in time waits for
-    /// room, where the most urgent goes first, and not at an engine.
-    pub(super) fn spare_later(&mut self, begins: Duration, key: ExchangeKey) {
+    /// Makes an exchange's results evictable some time after `begins`, when the engine starts
+    /// to read them. If engines are the bottleneck, results are thus kept for longer, and
+    /// pieces wait for result memory in their queue, in order of urgency, instead of at an
+    /// engine.
+    pub(super) fn schedule_eviction(&mut self, begins: Duration, key: ExchangeKey) {
         if !self.exchanges[key].route.stages.is_empty() {
-            self.spare_at.insert((begins + self.read_time, key));
+            self.evictable_at.insert((begins + self.read_delay, key));
         }
     }
 
-    /// Tells who batches their services that large results are spare by now.
-    pub(super) fn spare_results(&mut self, now: Duration) {
-        while let Some(&(at, key)) = self.spare_at.first()
+    /// Reports large results that engines have probably read to the batchers of their
+    /// services.
+    pub(super) fn report_evictable(&mut self, now: Duration) {
+        while let Some(&(at, key)) = self.evictable_at.first()
             && at <= now
         {
-            self.spare_at.remove(&(at, key));
+            self.evictable_at.remove(&(at, key));
             let Some(exchange) = self.exchanges.get_mut(key) else { continue };
             if exchange.call.is_none() || exchange.has_sent_head {
                 continue;
@@ -43,20 +43,20 @@
             let results = exchange.graph.unfreed(&route, LARGE_RESULT_BYTES);
             exchange.has_evictable_results |= !results.is_empty();
             for (service, handles) in by_service(&route, results) {
-                self.spare_at_owner(&service, handles);
+                self.mark_evictable_at_batcher(&service, handles);
             }
         }
     }
 
-    /// Tells who batches their services of results that calls for pieces have read,
-    /// where pieces wait: elsewhere it is traffic that nobody needs, some 40 messages a
-    /// second with 86 instances.
-    pub(super) fn spare_inputs(&mut self, now: Duration) {
+    /// Reports results that calls for pieces have read to the batchers of their services, if
+    /// pieces wait there. Elsewhere nothing needs these reports, some 40 messages a second
+    /// with 86 instances.
+    pub(super) fn report_read_inputs(&mut self, now: Duration) {
         let mut by_service: Vec<(ServiceName, Vec<Handle>)> = Vec::new();
         let mut known: Option<(Arc<str>, ServiceName)> = None;
-        // They are sorted, so those of one endpoint follow each other.
-        for handle in self.batches.take_read(now) {
-            let Some(addr) = holder(&handle) else { continue };
+        // Handles are sorted, so those of one endpoint are adjacent.
+        for handle in self.batcher.take_read(now) {
+            let Some(addr) = holder_addr(&handle) else { continue };
             if known.as_ref().is_none_or(|(last, _)| **last != *addr) {
                 let service = self.directory.service_at(addr);
                 known = service.map(|service| (Arc::from(addr), service));
@@ -68,75 +68,75 @@
             }
         }
         for (service, handles) in by_service {
-            if self.is_waited_for(now, &service) {
-                self.spare_at_owner(&service, handles);
+            if self.is_backlogged(now, &service) {
+                self.mark_evictable_at_batcher(&service, handles);
             }
         }
     }
 
-    /// Tells who batches a service that results are spare.
-    fn spare_at_owner(&mut self, service: &str, handles: Vec<Handle>) {
-        match self.owner(service) {
+    /// Reports evictable results to the batcher of their service.
+    fn mark_evictable_at_batcher(&mut self, service: &str, handles: Vec<Handle>) {
+        match self.batcher_peer(service) {
             Some(peer) => {
-                let is_spare = true;
-                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable: is_spare });
+                let is_evictable = true;
+                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable });
             }
             None => self.mark_evictable(handles),
         }
     }
 
-    /// Results that this instance's calls made are spare.
+    /// Marks results of calls that this instance made as evictable.
     pub fn mark_evictable(&mut self, handles: Vec<Handle>) {
-        self.batches.mark_evictable(&handles);
-        self.has_room = true;
+        self.batcher.mark_evictable(&handles);
+        self.has_freed_memory = true;
     }
 
-    /// An engine missed results that may have been given up too early: from now
-    /// on they are held twice as long.
-    pub(super) fn note_early_spare(&mut self, key: ExchangeKey) {
+    /// Doubles the delay until results become evictable, after an engine lacked results that
+    /// may have been freed too early.
+    pub(super) fn extend_read_delay(&mut self, key: ExchangeKey) {
         if std::mem::take(&mut self.exchanges[key].has_evictable_results) {
-            self.read_time = (self.read_time * 2).min(LONGEST_READ_TIME);
+            self.read_delay = (self.read_delay * 2).min(MAX_READ_DELAY);
         }
     }
 
     pub(super) fn free_results(&mut self, key: ExchangeKey) {
         let exchange = &mut self.exchanges[key];
-        let (route, held) = (exchange.route.clone(), exchange.graph.take_unfreed());
-        self.free(&route, held);
+        let (route, unfreed) = (exchange.route.clone(), exchange.graph.take_unfreed());
+        self.free(&route, unfreed);
     }
 
-    pub(super) fn free_stray(&mut self, one: FinishedPiece) {
-        if let Ok(handle) = one.result {
-            self.free_at(&one.piece.service, vec![handle]);
+    pub(super) fn free_unclaimed(&mut self, outcome: FinishedPiece) {
+        if let Ok(handle) = outcome.result {
+            self.free_through_batcher(&outcome.piece.service, vec![handle]);
         }
     }
 
-    /// Gives up results of an exchange's stages.
+    /// Frees results of an exchange's stages.
     pub(super) fn free(&mut self, route: &Route, results: Vec<(usize, Handle)>) {
         for (service, handles) in by_service(route, results) {
-            self.free_at(&service, handles);
+            self.free_through_batcher(&service, handles);
         }
     }
 
-    /// Gives results up through the instance that batches their service, so
-    /// that it knows how much room its endpoints have.
-    pub(super) fn free_at(&mut self, service: &str, handles: Vec<Handle>) {
-        match self.owner(service) {
+    /// Frees results through the batcher of their service, which keeps account of the free
+    /// result memory of its endpoints.
+    pub(super) fn free_through_batcher(&mut self, service: &str, handles: Vec<Handle>) {
+        match self.batcher_peer(service) {
             Some(peer) => {
-                let is_spare = false;
-                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable: is_spare });
+                let is_evictable = false;
+                self.actions.push(Action::FreeViaPeer { peer, handles, is_evictable });
             }
             None => self.free_at_endpoints(handles),
         }
     }
 
-    /// Gives results up at the endpoints that hold them.
+    /// Frees results at the endpoints that hold them.
     pub fn free_at_endpoints(&mut self, handles: Vec<Handle>) {
-        self.batches.record_freed(&handles);
-        self.has_room = true;
+        self.batcher.record_freed(&handles);
+        self.has_freed_memory = true;
         let mut by_addr: Vec<(Arc<str>, Vec<Handle>)> = Vec::new();
         for handle in handles {
-            let Some(addr) = holder(&handle) else { continue };
+            let Some(addr) = holder_addr(&handle) else { continue };
             match by_addr.iter_mut().find(|(known, _)| **known == *addr) {
                 Some((_, list)) => list.push(handle),
                 None => by_addr.push((Arc::from(addr), vec![handle.clone()])),
@@ -148,20 +148,20 @@
     }
 }
 
-/// Results with their stages, by the services of these.
+/// Groups results, given with their stages, by the services of these.
 fn by_service(route: &Route, results: Vec<(usize, Handle)>) -> Vec<(ServiceName, Vec<Handle>)> {
-    let mut sorted: Vec<(ServiceName, Vec<Handle>)> = Vec::new();
+    let mut groups: Vec<(ServiceName, Vec<Handle>)> = Vec::new();
     for (stage, handle) in results {
         let service = &route.stages[stage].service;
-        match sorted.iter_mut().find(|(known, _)| known == service) {
+        match groups.iter_mut().find(|(known, _)| known == service) {
             Some((_, handles)) => handles.push(handle),
-            None => sorted.push((service.clone(), vec![handle])),
+            None => groups.push((service.clone(), vec![handle])),
         }
     }
-    sorted
+    groups
 }
 
-/// The address of the endpoint that holds a result: a handle begins with it.
-fn holder(handle: &str) -> Option<&str> {
+/// The address of the endpoint that holds a result: the handle's first part.
+fn holder_addr(handle: &str) -> Option<&str> {
     handle.split_once('/').map(|(addr, _)| addr)
 }
