--- a/crates/core/src/relay/batch.rs
+++ b/crates/core/src/relay/batch.rs
@@ -110,7 +110,7 @@
     origin: Origin,
     call: Option<CallKey>,
     /// Whether the piece was queued again while a call that became a straggler may still return it.
-    is_straggler: bool,
+    is_requeued: bool,
     /// Whether its requester has cancelled it, so that it is not run again.
     is_cancelled: bool,
 }
@@ -119,7 +119,7 @@
 struct RunningCall {
     endpoint: EndpointKey,
     keys: Vec<PieceKey>,
-    started: Duration,
+    started_at: Duration,
     expected: Duration,
     lease: Duration,
     /// When the call becomes a straggler; `None` once it has been treated as one.
@@ -151,8 +151,8 @@
     /// Queues a piece.
     pub fn add(&mut self, piece: Piece, origin: Origin) {
         let service = piece.service.clone();
-        let (is_straggler, is_cancelled) = (false, false);
-        let entry = TrackedPiece { piece, origin, call: None, is_straggler, is_cancelled };
+        let (is_requeued, is_cancelled) = (false, false);
+        let entry = TrackedPiece { piece, origin, call: None, is_requeued, is_cancelled };
         let key = self.pieces.insert(entry);
         self.by_requester.entry(origin.requester()).or_default().push(key);
         self.queues.entry(service).or_default().push(key, &self.pieces[key].piece);
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The contents of the requests whose pieces a call runs, each once.
+    /// The fingerprints of the requests whose pieces a call runs, each once.
     pub fn contents_of(&self, call: CallKey) -> Vec<Fingerprint> {
         let keys = self.running.get(&call).map_or(&[][..], |running| &running.keys);
         let pieces = keys.iter().filter_map(|key| self.pieces.get(*key));
@@ -181,7 +181,8 @@
         contents
     }
 
-    /// Removes the queued pieces of a content as failed. Its running pieces are not run again.
+    /// Removes, as failed, the queued pieces of the requests with a fingerprint. Their running pieces
+    /// are not run again.
     pub fn take_content(&mut self, content: Fingerprint) -> Vec<FinishedPiece> {
         let mut keys = Vec::new();
         for (key, entry) in self.pieces.iter_mut().filter(|(_, it)| it.piece.content == content) {
@@ -197,8 +198,8 @@
 
     /// The services that have queued pieces.
     pub fn waiting_services(&self) -> Vec<ServiceName> {
-        let busy = self.queues.iter().filter(|(_, waiting)| !waiting.is_empty());
-        busy.map(|(service, _)| service.clone()).collect()
+        let non_empty = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
+        non_empty.map(|(service, _)| service.clone()).collect()
     }
 
     /// The number of queued pieces of a service.
@@ -287,7 +288,7 @@
         let running = RunningCall {
             endpoint,
             keys,
-            started: now,
+            started_at: now,
             expected,
             lease,
             straggler_at,
@@ -307,18 +308,18 @@
     /// pieces.
     pub fn take_stragglers(&mut self, now: Duration) -> Vec<(CallKey, ServiceName, u32)> {
         let pieces = &self.pieces;
-        let late = self
+        let stragglers = self
             .running
             .iter_mut()
             .filter(|(_, running)| running.straggler_at.is_some_and(|at| at <= now));
-        let owed = late.filter_map(|(call, running)| {
+        let unfinished = stragglers.filter_map(|(call, running)| {
             running.straggler_at = None;
-            let owed = running.keys.iter().filter_map(|key| pieces.get(*key));
-            let mut owed = owed.filter(|entry| !entry.is_cancelled).peekable();
-            let service = owed.peek()?.piece.service.clone();
-            Some((*call, service, owed.count() as u32))
+            let unfinished = running.keys.iter().filter_map(|key| pieces.get(*key));
+            let mut unfinished = unfinished.filter(|entry| !entry.is_cancelled).peekable();
+            let service = unfinished.peek()?.piece.service.clone();
+            Some((*call, service, unfinished.count() as u32))
         });
-        owed.collect()
+        unfinished.collect()
     }
 
     /// Queues the pieces of a straggler again, to be run at another endpoint as well. The first
@@ -330,7 +331,7 @@
                 continue;
             };
             entry.call = None;
-            entry.is_straggler = true;
+            entry.is_requeued = true;
             entry.piece.is_repeat = true;
             let service = entry.piece.service.clone();
             self.queues.entry(service).or_default().push(key, &entry.piece);
@@ -349,7 +350,7 @@
         let is_gone = |key: &PieceKey| !self.pieces.contains_key(*key);
         let pairs = running.keys.iter().zip(&results);
         let unclaimed =
-            pairs.filter(|(key, _)| is_gone(key)).filter_map(|(_, made)| made.clone().ok());
+            pairs.filter(|(key, _)| is_gone(key)).filter_map(|(_, result)| result.clone().ok());
         let unclaimed = unclaimed.collect();
         self.release(&running);
         if running.has_inputs {
@@ -357,7 +358,7 @@
         }
         self.record_completed(now, &running, &results);
         let worker = self.workers.entry(running.endpoint).or_default();
-        worker.record_duration(now, now.saturating_sub(running.started), running.expected);
+        worker.record_duration(now, now.saturating_sub(running.started_at), running.expected);
         let had_some = results.iter().any(Result::is_ok);
         for (key, result) in running.keys.iter().zip(&results) {
             let bytes = self.pieces.get(*key).map_or(0, |entry| entry.piece.bytes);
@@ -400,9 +401,9 @@
             return Vec::new();
         };
         let needed = bytes.saturating_mul(u64::from(config.batch));
-        let lacks_room = |worker: &&Worker| is_large || worker.free_bytes(now, config) < needed;
+        let lacks_memory = |worker: &&Worker| is_large || worker.free_bytes(now, config) < needed;
         let endpoints = directory.usable(now, service).into_iter();
-        let workers = endpoints.filter_map(|key| self.workers.get(&key)).filter(lacks_room);
+        let workers = endpoints.filter_map(|key| self.workers.get(&key)).filter(lacks_memory);
         workers.flat_map(Worker::evictable).cloned().collect()
     }
 
--- a/crates/core/src/relay/batch/admission.rs
+++ b/crates/core/src/relay/batch/admission.rs
@@ -77,18 +77,19 @@
         directory: &Directory,
     ) -> Vec<FinishedPiece> {
         let Some(queue) = self.queues.get_mut(service) else { return Vec::new() };
-        let mut late = queue.due_before(now + Batcher::call_time(config, 1));
+        let mut late = queue.expiring_before(now + Batcher::call_time(config, 1));
         let batch = config.batch as usize;
         if queue.len() > batch && now >= queue.next_starvation_check {
             queue.next_starvation_check = now + STARVATION_CHECK_INTERVAL;
             queue.demote_late(now + Batcher::call_time(config, batch));
             let configured = configured_rate(now, service, config, directory);
             let drain_rate = self.drain_rates.entry(service.into()).or_default();
-            let own = Batcher::call_time(config, 1);
-            let wait =
-                |class, ahead| drain_rate.expected_late_wait(now, class, ahead, configured) + own;
+            let call_time = Batcher::call_time(config, 1);
+            let wait = |class, ahead| {
+                drain_rate.expected_late_wait(now, class, ahead, configured) + call_time
+            };
             let starved = queue.starved(now, wait).into_iter();
-            late.extend(starved.filter(|key| !self.pieces[*key].is_straggler));
+            late.extend(starved.filter(|key| !self.pieces[*key].is_requeued));
         }
         let entries = late.into_iter().filter_map(|key| {
             self.dequeue(key);
@@ -121,8 +122,8 @@
         running: &RunningCall,
         results: &[PieceResult],
     ) {
-        let made = running.keys.iter().zip(results).filter(|(_, result)| result.is_ok());
-        for piece in made.filter_map(|(key, _)| Some(&self.pieces.get(*key)?.piece)) {
+        let completed = running.keys.iter().zip(results).filter(|(_, result)| result.is_ok());
+        for piece in completed.filter_map(|(key, _)| Some(&self.pieces.get(*key)?.piece)) {
             let drain_rate = self.drain_rates.entry(piece.service.clone()).or_default();
             drain_rate.record_completed(now, SizeClass::of(piece.bytes), 1);
         }
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -90,7 +90,7 @@
     pub accepts: &'a dyn Fn(&Group) -> bool,
 }
 
-/// The pieces of one service that wait.
+/// The queued pieces of one service.
 #[derive(Debug, Default)]
 pub struct Queue {
     classes: [BTreeMap<GroupKey, Group>; SIZE_CLASSES.len()],
@@ -183,9 +183,9 @@
     }
 
     /// The pieces with deadlines before a time.
-    pub fn due_before(&self, time: Duration) -> Vec<PieceKey> {
-        let due = self.by_deadline.iter().take_while(|(deadline, _)| *deadline < time);
-        due.map(|(_, key)| *key).collect()
+    pub fn expiring_before(&self, time: Duration) -> Vec<PieceKey> {
+        let expiring = self.by_deadline.iter().take_while(|(deadline, _)| *deadline < time);
+        expiring.map(|(_, key)| *key).collect()
     }
 
     /// Late pieces that will not get their turn before their deadlines. `wait` returns how long
@@ -262,9 +262,9 @@
 
 fn merge(groups: &mut BTreeMap<GroupKey, Group>, group_key: GroupKey, group: Group) {
     match groups.entry(group_key) {
-        Entry::Vacant(place) => {
-            place.insert(group);
+        Entry::Vacant(vacant) => {
+            vacant.insert(group);
         }
-        Entry::Occupied(mut held) => held.get_mut().keys.extend(group.keys),
+        Entry::Occupied(mut existing) => existing.get_mut().keys.extend(group.keys),
     }
 }
