--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -124,7 +124,7 @@
     pub tokens: u64,
     /// The engine that it should fetch prompt parts from first.
     pub source: Option<EndpointKey>,
-    /// How long the prefill of earlier prompts takes.
+    /// Time until the prefill of earlier prompts ends.
     pub wait: Duration,
     /// Time to copy the fetched prompt parts.
     pub copy_time: Duration,
@@ -151,14 +151,14 @@
         time * distance * (1.0 + endpoint.fullness(now) + f64::from(endpoint.in_flight) * 0.1)
     };
     let candidates = candidates.into_iter().map(|(key, endpoint)| {
-        let spread = 1.0 + 0.1 * jitter();
+        let jitter_factor = 1.0 + 0.1 * jitter();
         Candidate {
             endpoint: key,
             tokens: 0,
             source: None,
             wait: Duration::ZERO,
             copy_time: Duration::ZERO,
-            cost: time(endpoint) * spread,
+            cost: time(endpoint) * jitter_factor,
         }
     });
     candidates.collect()
@@ -186,7 +186,7 @@
 /// The engines that may take a prompt.
 pub fn engine_candidates(
     directory: &Directory,
-    memory: &SentParts,
+    sent_parts: &SentParts,
     now: Duration,
     service: &str,
     prompt: &Prompt,
@@ -200,7 +200,7 @@
     let others = criteria.chooser.owned_by_others(directory, &engines);
     let sources = prompts::fetch_sources(directory, now, &engines);
     let rates = PrefillRates { transfer: criteria.transfer, token_millis: criteria.token_millis };
-    let locations = PartLocations::new(memory, prompt, owners, &sources, rates);
+    let locations = PartLocations::new(sent_parts, prompt, owners, &sources, rates);
     let candidates = candidates.iter().map(|&(key, endpoint)| {
         let PrefillPlan { tokens, fetched, source, source_wait } = locations.plan(key);
         let wait = endpoint.engine.prefill_wait(now);
@@ -228,8 +228,8 @@
 /// times slower, so each of them is late by the time by which the prefill exceeds the allowed gap
 /// between tokens.
 fn stall_cost(endpoint: &Endpoint, prefill: f64, criteria: Criteria<'_>) -> f64 {
-    let pause = criteria.engine.and_then(|engine| engine.max_gap);
-    let excess = pause.map_or(0.0, |pause| (prefill - millis(pause)).max(0.0));
+    let max_gap = criteria.engine.and_then(|engine| engine.max_gap);
+    let excess = max_gap.map_or(0.0, |max_gap| (prefill - millis(max_gap)).max(0.0));
     f64::from(endpoint.engine.stream_count()) * excess
 }
 
@@ -273,8 +273,8 @@
     let usable = directory.usable(now, service).into_iter();
     let open = usable.filter(|key| !criteria.withheld.contains(key));
     let untried = open.filter(|key| !criteria.tried.contains(key));
-    let known = untried.filter_map(|key| Some((key, directory.get(key)?)));
-    let free = known.filter(|(_, endpoint)| endpoint.in_flight < criteria.max_in_flight);
+    let endpoints = untried.filter_map(|key| Some((key, directory.get(key)?)));
+    let free = endpoints.filter(|(_, endpoint)| endpoint.in_flight < criteria.max_in_flight);
     let (paused, available): (Vec<_>, Vec<_>) =
         free.partition(|(_, endpoint)| endpoint.is_paused(now));
     if available.is_empty() { paused } else { available }
--- a/crates/core/src/relay/choice/prompts.rs
+++ b/crates/core/src/relay/choice/prompts.rs
@@ -101,7 +101,7 @@
 
 /// Which engines of a service hold which parts of one prompt.
 pub struct PartLocations<'a> {
-    memory: &'a SentParts,
+    sent_parts: &'a SentParts,
     prompt: &'a Prompt,
     rates: PrefillRates,
     /// The engine that all instances agree on for the last shared part.
@@ -117,14 +117,14 @@
     /// Ranks `sources`, the engines that can be fetched from. The parts' owner is chosen from
     /// `owners`.
     pub fn new(
-        memory: &'a SentParts,
+        sent_parts: &'a SentParts,
         prompt: &'a Prompt,
         owners: &[(EndpointKey, &Endpoint)],
         sources: &[FetchSource],
         rates: PrefillRates,
     ) -> PartLocations<'a> {
         let owner = prompt.shared().last().and_then(|part| owner(owners, part));
-        let mut locations = PartLocations { memory, prompt, rates, owner, best: Vec::new() };
+        let mut locations = PartLocations { sent_parts, prompt, rates, owner, best: Vec::new() };
         let sources = sources.iter().map(|source| locations.rank(*source));
         let mut sources: Vec<_> = sources.filter(|source| source.tokens > 0).collect();
         sources.sort_by(|a, b| b.saved_millis.total_cmp(&a.saved_millis));
@@ -135,9 +135,9 @@
 
     fn rank(&self, source: FetchSource) -> RankedSource {
         let tokens = self.recorded(source.key);
-        let copying = self.rates.transfer.map_or(0.0, |transfer| transfer.millis(tokens));
-        let reading = tokens as f64 * self.rates.token_millis;
-        let saved_millis = reading - copying - source.wait.as_secs_f64() * 1e3;
+        let copy_millis = self.rates.transfer.map_or(0.0, |transfer| transfer.millis(tokens));
+        let prefill_millis = tokens as f64 * self.rates.token_millis;
+        let saved_millis = prefill_millis - copy_millis - source.wait.as_secs_f64() * 1e3;
         RankedSource { source, tokens, saved_millis }
     }
 
@@ -174,20 +174,20 @@
     fn held(&self, engine: EndpointKey) -> u64 {
         let shared = self.prompt.shared().len();
         let expected = if self.owner == Some(engine) { shared } else { 0 };
-        self.prefix(|idx, part| idx < expected || self.memory.holds(engine, part))
+        self.prefix(|idx, part| idx < expected || self.sent_parts.holds(engine, part))
     }
 
     /// Tokens from the start of the prompt that this instance has recorded as sent to the engine.
     fn recorded(&self, engine: EndpointKey) -> u64 {
-        self.prefix(|_, part| self.memory.holds(engine, part))
+        self.prefix(|_, part| self.sent_parts.holds(engine, part))
     }
 
     /// Tokens of the first parts that an engine holds: a part only counts if all parts before it
     /// are held too.
-    fn prefix(&self, is_there: impl Fn(usize, u64) -> bool) -> u64 {
+    fn prefix(&self, is_held: impl Fn(usize, u64) -> bool) -> u64 {
         let parts = self.prompt.parts.iter().enumerate();
-        let there = parts.take_while(|(idx, part)| is_there(*idx, part.id));
-        there.map(|(_, part)| u64::from(part.tokens)).sum()
+        let held = parts.take_while(|(idx, part)| is_held(*idx, part.id));
+        held.map(|(_, part)| u64::from(part.tokens)).sum()
     }
 }
 
@@ -208,6 +208,6 @@
 fn owner(candidates: &[(EndpointKey, &Endpoint)], part: &Part) -> Option<EndpointKey> {
     let weight =
         |endpoint: &Endpoint| xxh3::xxh3_64_with_seed(endpoint.entry.name.as_bytes(), part.id);
-    let first = candidates.iter().max_by_key(|(_, endpoint)| weight(endpoint));
-    first.map(|(key, _)| *key)
+    let best = candidates.iter().max_by_key(|(_, endpoint)| weight(endpoint));
+    best.map(|(key, _)| *key)
 }
--- a/crates/core/src/relay/exchange.rs
+++ b/crates/core/src/relay/exchange.rs
@@ -48,7 +48,7 @@
     pub(crate) has_sent_head: bool,
     /// The unfinished stages and when they were started.
     pub(crate) stage_starts: Vec<(usize, Duration)>,
-    /// Whether its results may have been freed before its call has read them.
+    /// Whether its results were marked as evictable before its answer began, and may be freed.
     pub(crate) has_evictable_results: bool,
     /// How many times its stages have been restarted.
     pub(crate) rounds: u8,
@@ -59,7 +59,7 @@
 /// A call to an endpoint.
 #[derive(Debug)]
 pub(crate) struct CallState {
-    pub(crate) exchange: CallPurpose,
+    pub(crate) purpose: CallPurpose,
     pub(crate) endpoint: EndpointKey,
     pub(crate) started_at: Duration,
     /// Prompt tokens that the engine probably had to prefill.
--- a/crates/core/src/relay/graph.rs
+++ b/crates/core/src/relay/graph.rs
@@ -64,14 +64,14 @@
     }
 
     /// Starts the stages whose inputs are complete and returns them. Results of at least
-    /// `large_bytes` that only the call itself reads are deferred until the last of the inner
-    /// stages has started: earlier they would only take up memory.
+    /// `large_bytes` that only the call itself reads are deferred until all inner stages, those
+    /// that others depend on, have started: earlier they would only take up memory.
     pub fn start_ready(&mut self, route: &Route, large_bytes: u64) -> Vec<usize> {
         let is_ready = |graph: &StageGraph, idx: usize| {
             let after = &route.stages[idx].after;
             let has_inputs = after.iter().all(|stage| graph.stages[*stage].is_complete());
-            let is_last = graph.successors(route, idx).next().is_none();
-            let is_deferrable = is_last && route.stages[idx].bytes >= large_bytes;
+            let is_final = graph.successors(route, idx).next().is_none();
+            let is_deferrable = is_final && route.stages[idx].bytes >= large_bytes;
             has_inputs && (!is_deferrable || graph.has_started_inner_stages(route, idx))
         };
         let waiting = (0..self.stages.len()).filter(|idx| !self.stages[*idx].is_started);
@@ -107,8 +107,8 @@
 
     /// The number of results, and of pieces.
     pub fn progress(&self) -> (usize, usize) {
-        let made = self.stages.iter().flat_map(|stage| &stage.results).flatten().count();
-        (made, self.stages.iter().map(|stage| stage.results.len()).sum())
+        let done = self.stages.iter().flat_map(|stage| &stage.results).flatten().count();
+        (done, self.stages.iter().map(|stage| stage.results.len()).sum())
     }
 
     /// The number of pieces of a stage.
@@ -167,22 +167,22 @@
     }
 
     /// Records the result of a piece. An earlier one is kept.
-    pub fn record_result(&mut self, stage: usize, number: usize, made: LocatedResult) {
+    pub fn record_result(&mut self, stage: usize, number: usize, result: LocatedResult) {
         let Some(state) = self.stages.get_mut(stage) else { return };
         let Some(slot) = state.results.get_mut(number) else { return };
         if slot.is_none() {
-            *slot = Some(StoredResult { handle: made.handle, data_centre: made.data_centre });
+            *slot = Some(StoredResult { handle: result.handle, data_centre: result.data_centre });
         }
     }
 
     /// Returns, once, the results that are no longer needed, with their stages: those of stages
-    /// whose dependents are all complete.
+    /// whose successors are all complete.
     pub fn take_unneeded(&mut self, route: &Route) -> Vec<(usize, Handle)> {
         let mut unneeded = Vec::new();
         for idx in 0..self.stages.len() {
             let successors: Vec<_> = self.successors(route, idx).collect();
-            let is_made = |next: &usize| self.stages[*next].is_complete();
-            let is_unneeded = !successors.is_empty() && successors.iter().all(is_made);
+            let is_complete = |next: &usize| self.stages[*next].is_complete();
+            let is_unneeded = !successors.is_empty() && successors.iter().all(is_complete);
             if is_unneeded && !self.stages[idx].is_freed {
                 self.stages[idx].is_freed = true;
                 unneeded.extend(self.stages[idx].handles().map(|handle| (idx, handle.clone())));
@@ -206,9 +206,9 @@
     /// Results of at least this size that have not been freed, with their stages.
     pub fn unfreed(&self, route: &Route, bytes: u64) -> Vec<(usize, Handle)> {
         let stages = self.stages.iter().enumerate();
-        let held =
+        let unfreed =
             stages.filter(|(idx, stage)| !stage.is_freed && route.stages[*idx].bytes >= bytes);
-        held.flat_map(|(idx, stage)| stage.handles().map(move |it| (idx, it.clone()))).collect()
+        unfreed.flat_map(|(idx, stage)| stage.handles().map(move |it| (idx, it.clone()))).collect()
     }
 
     fn final_stages<'a>(&'a self, route: &'a Route) -> impl Iterator<Item = usize> + 'a {
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -188,7 +188,7 @@
         let run = self.note_sent(now, key, &chosen);
         let basis = self.basis(now, key, endpoint, tokens);
         let call = self.calls.insert(CallState {
-            exchange: CallPurpose::Exchange(key),
+            purpose: CallPurpose::Exchange(key),
             endpoint,
             started_at: now,
             tokens,
@@ -324,7 +324,7 @@
     }
 
     pub(super) fn exchange_of(&self, call: CallKey) -> Option<ExchangeKey> {
-        match self.calls.get(call)?.exchange {
+        match self.calls.get(call)?.purpose {
             CallPurpose::Exchange(key) if self.exchanges.contains_key(key) => Some(key),
             _ => None,
         }
@@ -342,7 +342,7 @@
             return;
         }
         let took = now.saturating_sub(state.started_at);
-        let (tokens, exchange) = (state.tokens, state.exchange);
+        let (tokens, exchange) = (state.tokens, state.purpose);
         if let CallPurpose::Exchange(key) = exchange
             && let Some(Exchange { service, arrival, .. }) = self.exchanges.get(key)
             && arrival.prompt.is_some()
@@ -384,7 +384,7 @@
         if let Some(endpoint) = self.directory.get_mut(state.endpoint) {
             endpoint.ended();
         }
-        if let CallPurpose::Exchange(key) = state.exchange
+        if let CallPurpose::Exchange(key) = state.purpose
             && let Some(exchange) = self.exchanges.get_mut(key)
         {
             exchange.call = None;
--- a/crates/core/src/relay/machine/moves.rs
+++ b/crates/core/src/relay/machine/moves.rs
@@ -28,7 +28,7 @@
             self.note_end(now, endpoint, Vec::new());
         }
         let open = self.calls.iter().filter(|(_, state)| state.endpoint == endpoint);
-        let open: Vec<_> = open.map(|(call, state)| (call, state.exchange)).collect();
+        let open: Vec<_> = open.map(|(call, state)| (call, state.purpose)).collect();
         for (call, exchange) in open {
             self.actions.push(Action::Cancel(call));
             match exchange {
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -69,7 +69,7 @@
         let Some(state) = self.calls.get(call) else { return Vec::new() };
         let is_late = state.answered_at.is_some_and(|at| now >= at + quarantine::BEGINNING);
         let run = |content| Run { content, is_late };
-        match state.exchange {
+        match state.purpose {
             CallPurpose::Pieces => self.batches.contents_of(call).into_iter().map(run).collect(),
             CallPurpose::Exchange(key) => {
                 self.exchanges.get(key).map(|it| run(it.content)).into_iter().collect()
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -274,7 +274,7 @@
         for order in self.batches.plan(now, service, &shape, &self.directory) {
             let endpoint = order.endpoint;
             let call = self.calls.insert(CallState {
-                exchange: CallPurpose::Pieces,
+                purpose: CallPurpose::Pieces,
                 endpoint,
                 started_at: now,
                 tokens: 0,
--- a/crates/core/src/relay/reading.rs
+++ b/crates/core/src/relay/reading.rs
@@ -15,7 +15,7 @@
 const DEFAULT_OVERHEAD: Duration = Duration::from_millis(100);
 /// Calls with fewer tokens are not used to measure the speed, since setting them up takes as long
 /// as their prefill.
-const MIN_TOKENS: u64 = 1000;
+const MIN_SAMPLE_TOKENS: u64 = 1000;
 /// The quantile of times for a thousand tokens that counts as an engine's own speed: most calls
 /// also wait for others.
 const SPEED_QUANTILE: f64 = 0.1;
@@ -36,7 +36,7 @@
 impl PrefillSpeed {
     /// Records how long a call that had `tokens` prefilled took until its first token.
     pub fn record(&mut self, now: Duration, tokens: u64, took: Duration) {
-        if tokens >= MIN_TOKENS {
+        if tokens >= MIN_SAMPLE_TOKENS {
             self.time_per_1000.record(now, took.mul_f64(1000.0 / tokens as f64));
         }
         self.overhead.record(now, took.saturating_sub(self.prefill_time(tokens)));
