--- a/crates/core/src/claims/outbox.rs
+++ b/crates/core/src/claims/outbox.rs
@@ -1,23 +1,23 @@
-//! The facts that this instance still has to get into the claims stream.
+//! The facts that this instance still has to append to the claims stream.
 //!
-//! A fact stays until it is read back. One append is under way at a time, and
-//! facts go out in the order in which they arose: a claim never overtakes the
-//! void of an earlier attempt at the same key.
+//! A fact is kept until it is read back. Only one append is in progress at a time, and facts are
+//! appended in the order in which they arose: a claim never precedes the void of an earlier attempt
+//! with the same key.
 
 use std::time::Duration;
 
 use crate::{claims::Settings, model::RequestId, record::ClaimFact};
 
-/// Failed appends in a row from which on the log counts as out.
+/// Consecutive failed appends after which the log counts as unavailable.
 const FAILING_APPENDS: u32 = 2;
 
 /// Facts that wait to be appended or to be read back.
 pub struct Outbox {
     facts: Vec<Pending>,
-    in_flight: bool,
-    /// No append starts earlier.
+    is_in_flight: bool,
+    /// The next append does not start before this time.
     not_before: Duration,
-    failed: u32,
+    failures: u32,
     linger: Duration,
     interval: Duration,
     max_facts: usize,
@@ -28,10 +28,10 @@
 
 struct Pending {
     fact: ClaimFact,
-    /// When it should go out, for the first time or again.
+    /// When the fact should be appended, for the first time or again.
     due: Duration,
     was_sent: bool,
-    in_flight: bool,
+    is_in_flight: bool,
 }
 
 impl Outbox {
@@ -39,9 +39,9 @@
     pub fn new(settings: &Settings) -> Outbox {
         Outbox {
             facts: Vec::new(),
-            in_flight: false,
+            is_in_flight: false,
             not_before: Duration::ZERO,
-            failed: 0,
+            failures: 0,
             linger: settings.linger,
             interval: settings.interval,
             max_facts: settings.max_facts,
@@ -56,21 +56,21 @@
         self.facts.is_empty()
     }
 
-    /// Whether appends fail.
+    /// Whether appends fail at present.
     pub fn is_failing(&self) -> bool {
-        self.failed >= FAILING_APPENDS
+        self.failures >= FAILING_APPENDS
     }
 
-    /// Adds a fact, unless it waits already.
+    /// Adds a fact, unless it is pending already.
     pub fn push(&mut self, now: Duration, fact: ClaimFact) {
         if self.facts.iter().any(|pending| pending.fact == fact) {
             return;
         }
         let due = now + self.linger;
-        self.facts.push(Pending { fact, due, was_sent: false, in_flight: false });
+        self.facts.push(Pending { fact, due, was_sent: false, is_in_flight: false });
     }
 
-    /// Takes a claim back, so that it is not sent again. `true` if it never was.
+    /// Removes a claim, so that it is not appended again. Returns `true` if it was never sent.
     pub fn withdraw_claim(&mut self, key: &RequestId, nonce: u64) -> bool {
         let found = self.facts.iter().position(|pending| is_claim(&pending.fact, key, nonce));
         let Some(idx) = found else { return false };
@@ -78,13 +78,13 @@
         !pending.was_sent
     }
 
-    /// A fact of this instance was read back.
+    /// Removes a fact of this instance that was read back.
     pub fn confirm(&mut self, fact: &ClaimFact) {
         self.facts.retain(|pending| pending.fact != *fact);
-        self.failed = 0;
+        self.failures = 0;
     }
 
-    /// The facts to append now, if it is time and no append is under way.
+    /// The facts to append now, if an append is due and none is in progress.
     pub fn flush(&mut self, now: Duration) -> Option<Vec<ClaimFact>> {
         if self.next_wake()? > now {
             return None;
@@ -94,21 +94,21 @@
         let mut facts = Vec::new();
         for pending in waiting.take(self.max_facts) {
             pending.was_sent = true;
-            pending.in_flight = true;
+            pending.is_in_flight = true;
             facts.push(pending.fact.clone());
         }
-        self.in_flight = true;
+        self.is_in_flight = true;
         self.not_before = now + self.interval;
         Some(facts)
     }
 
-    /// The append under way was acknowledged or failed.
+    /// Records whether the append in progress was acknowledged or failed.
     pub fn append_ended(&mut self, now: Duration, ok: bool) {
-        self.in_flight = false;
-        self.failed = if ok { 0 } else { self.failed.saturating_add(1) };
+        self.is_in_flight = false;
+        self.failures = if ok { 0 } else { self.failures.saturating_add(1) };
         let pause = if ok { self.confirm } else { self.backoff() };
-        for pending in self.facts.iter_mut().filter(|pending| pending.in_flight) {
-            pending.in_flight = false;
+        for pending in self.facts.iter_mut().filter(|pending| pending.is_in_flight) {
+            pending.is_in_flight = false;
             pending.due = now + pause;
         }
         if !ok {
@@ -116,9 +116,9 @@
         }
     }
 
-    /// When the next append should start; `None` while one is under way.
+    /// When the next append should start; `None` while one is in progress.
     pub fn next_wake(&self) -> Option<Duration> {
-        if self.in_flight {
+        if self.is_in_flight {
             return None;
         }
         let due = self.facts.iter().map(|pending| pending.due).min()?;
@@ -126,7 +126,7 @@
     }
 
     fn backoff(&self) -> Duration {
-        let doublings = self.failed.saturating_sub(1).min(16);
+        let doublings = self.failures.saturating_sub(1).min(16);
         self.retry.saturating_mul(1 << doublings).min(self.max_retry)
     }
 }
--- a/crates/core/src/config_log/chain.rs
+++ b/crates/core/src/config_log/chain.rs
@@ -1,4 +1,4 @@
-//! The pure step from one state of the configuration to the next.
+//! The pure function that applies one record of the stream to a state of the configuration.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
     },
 };
 
-/// Drains kept at the most. The oldest ones give way.
+/// The most drains that a state holds. When it is full, the oldest one is dropped.
 pub const MAX_DRAINS: usize = 4096;
 
-/// Evacuated data centres kept at the most. A further one is not taken in: an order that
-/// gave way would be undone unsaid.
+/// The most evacuated data centres that a state holds. Further ones are ignored: dropping an older
+/// order instead would end that evacuation without notice.
 pub const MAX_EVACUATED: usize = 1024;
 
 /// The state before the first record.
-pub fn empty() -> Snapshot {
+pub fn empty_state() -> Snapshot {
     Snapshot {
         as_of: None,
         version: 0,
@@ -31,47 +31,49 @@
 }
 
 /// The first offset that a state does not cover.
-pub fn next_of(state: &Snapshot) -> Offset {
+pub fn first_uncovered(state: &Snapshot) -> Offset {
     state.as_of.map_or(0, |offset| offset + 1)
 }
 
-/// The snapshot in a record; one that claims to cover its own place is none.
+/// The snapshot in a record; `None` if it claims to cover its own offset.
 pub fn snapshot_in(entry: &Entry<ConfigRecord>) -> Option<&Snapshot> {
     match &entry.record {
-        ConfigRecord::Snapshot(snapshot) if next_of(snapshot) <= entry.offset => Some(snapshot),
+        ConfigRecord::Snapshot(snapshot) if first_uncovered(snapshot) <= entry.offset => {
+            Some(snapshot)
+        }
         _ => None,
     }
 }
 
-/// Whether two drains hold for the same life of the same endpoint.
-pub fn same_life(a: &Drain, b: &Drain) -> bool {
+/// Whether two drains apply to the same incarnation of the same endpoint.
+pub fn is_same_incarnation(a: &Drain, b: &Drain) -> bool {
     a.endpoint == b.endpoint && a.incarnation == b.incarnation
 }
 
-/// A publish that a step has decided.
-pub struct Decided {
-    /// The publish's own id.
+/// A publish and the verdict on it.
+pub struct DecidedPublish {
+    /// The id of the publish.
     pub id: Arc<str>,
     /// The version it was made from.
     pub base: Version,
-    /// What became of it.
+    /// Whether it was accepted.
     pub verdict: Verdict,
 }
 
-/// Folds one record into the state. Gives the publish it decided, if any.
-pub fn step(state: &mut Snapshot, entry: &Entry<ConfigRecord>) -> Option<Decided> {
+/// Applies one record to the state. Returns the verdict if the record is a publish.
+pub fn apply(state: &mut Snapshot, entry: &Entry<ConfigRecord>) -> Option<DecidedPublish> {
     state.as_of = Some(entry.offset);
     match &entry.record {
         ConfigRecord::Publish(publish) => {
             let verdict = decide(state, publish);
-            Some(Decided { id: publish.id.clone(), base: publish.base, verdict })
+            Some(DecidedPublish { id: publish.id.clone(), base: publish.base, verdict })
         }
         ConfigRecord::Drain(drain) => {
             add_drain(&mut state.drains, drain);
             None
         }
         ConfigRecord::Evacuation(evacuation) => {
-            note_evacuation(&mut state.evacuated, evacuation);
+            apply_evacuation(&mut state.evacuated, evacuation);
             None
         }
         ConfigRecord::Snapshot(_) => None,
@@ -89,18 +91,18 @@
     Verdict::Accepted { version: state.version }
 }
 
-/// The newest order for a data centre counts.
-fn note_evacuation(evacuated: &mut Vec<Evacuated>, order: &Evacuation) {
+/// Applies an order to evacuate or to end an evacuation; the newest order for a data centre counts.
+fn apply_evacuation(evacuated: &mut Vec<Evacuated>, order: &Evacuation) {
     let Evacuation { data_centre, is_over, author } = order;
-    let is_meant = |known: &Evacuated| known.data_centre == *data_centre;
+    let is_same = |known: &Evacuated| known.data_centre == *data_centre;
     if *is_over {
-        evacuated.retain(|known| !is_meant(known));
-    } else if !evacuated.iter().any(is_meant) && evacuated.len() < MAX_EVACUATED {
+        evacuated.retain(|known| !is_same(known));
+    } else if !evacuated.iter().any(is_same) && evacuated.len() < MAX_EVACUATED {
         evacuated.push(Evacuated { data_centre: data_centre.clone(), author: author.clone() });
     }
 }
 
-/// Keeps one drain an endpoint, that of its newest life.
+/// Keeps one drain for each endpoint, that of its newest incarnation.
 fn add_drain(drains: &mut Vec<Drain>, drain: &Drain) {
     let known = drains.iter().position(|known| known.endpoint == drain.endpoint);
     if let Some(idx) = known {
--- a/crates/core/src/content.rs
+++ b/crates/core/src/content.rs
@@ -1,22 +1,20 @@
-//! Callers' texts, and what decisions need to know of them.
+//! Texts of callers, and what decisions need to know of them.
 //!
-//! Decisions never look into a text. They need three things of it: whether two
-//! requests are the same, whether two prompts start alike, and that pieces
-//! joined give the whole. A hashed text keeps all three, so that a recorded
-//! trace may go without the texts themselves and still gives the same
-//! decisions.
+//! Decisions never depend on the content of a text. They need to know only whether two requests are
+//! the same, whether two prompts have the same prefix, and that pieces joined give the whole. A
+//! text hash keeps all three, so that a recorded trace without the texts themselves still replays
+//! to the same decisions.
 //!
-//! A hashed text is a mark, `#HASH.BYTES.PREFIX.DIGEST;`. The hash is a
-//! polynomial, so the marks of pieces in a row stand for the whole text. The
-//! digest is there for requests only.
+//! A text hash has the form `#HASH.BYTES.PREFIX.DIGEST;`. HASH is a polynomial hash, so the hashes
+//! of consecutive pieces stand for the whole text. Only the inputs of requests have a DIGEST.
 //!
-//! The traps:
+//! Pitfalls:
 //!
-//! - A hash hides a text only from those who cannot guess it. Short or known
-//!   texts can be found by trying.
-//! - The start of pieces in a row is that of the first piece. Where an engine
-//!   stage takes another engine stage's text, and its first piece is shorter
-//!   than [`PREFIX_BYTES`], the replayed choice of an engine may differ.
+//! - A hash protects a text only from those who cannot guess it. Short or known texts can be found
+//!   by trying candidates.
+//! - The prefix of consecutive pieces is that of the first piece. Where an engine stage takes the
+//!   output of another engine stage whose first piece is shorter than [`PREFIX_BYTES`], the replay
+//!   may choose another engine.
 
 use std::fmt::Write;
 
@@ -25,47 +23,47 @@
 
 use crate::model::{Request, Text};
 
-/// Bytes of a prompt's start that name its cached prefix.
+/// Length of the prompt prefix by which cached prompts are identified, in bytes.
 pub const PREFIX_BYTES: usize = 64;
 /// Modulus of the polynomial: a Mersenne prime.
 const MODULUS: u64 = (1 << 61) - 1;
-/// Where the polynomial is taken.
+/// The base of the polynomial hash.
 const BASE: u64 = 0x0f3a_91c5_4e27_d86b;
 
-/// How an instance reads the texts that it is given.
+/// How an instance interprets the texts that it is given.
 #[message]
 #[derive(Copy, Eq, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum Content {
-    /// As they are.
+    /// As plain text.
     #[default]
     Keep,
-    /// They are marks.
+    /// As text hashes.
     Hash,
 }
 
 impl Content {
     /// Digest of what must be equal in two requests with the same key.
     pub fn digest(self, request: &Request) -> u64 {
-        let marked = match self {
+        let parsed = match self {
             Content::Keep => None,
-            Content::Hash => Mark::read(&request.input).and_then(|mark| mark.digest),
+            Content::Hash => TextHash::parse(&request.input).and_then(|hash| hash.digest),
         };
-        marked.unwrap_or_else(|| digest(request))
+        parsed.unwrap_or_else(|| digest(request))
     }
 
-    /// Names the prefix that an engine may hold in its cache.
+    /// Identifies the prompt prefix that an engine may have cached.
     pub fn prefix(self, text: &str) -> u64 {
-        let marked = match self {
+        let parsed = match self {
             Content::Keep => None,
-            Content::Hash => Mark::read(text).map(|mark| mark.prefix),
+            Content::Hash => TextHash::parse(text).map(|hash| hash.prefix),
         };
-        marked.unwrap_or_else(|| prefix(text))
+        parsed.unwrap_or_else(|| prefix(text))
     }
 
-    /// Whether two texts are the same, however they are cut into pieces.
+    /// Whether two texts are the same, however they are split into pieces.
     pub fn is_same(self, one: &str, other: &str) -> bool {
-        let whole = |text| Mark::read(text).map(|mark| (mark.hash, mark.bytes));
+        let whole = |text| TextHash::parse(text).map(|hash| (hash.hash, hash.bytes));
         match self {
             Content::Keep => one == other,
             Content::Hash => one == other || whole(one).is_some_and(|w| Some(w) == whole(other)),
@@ -73,14 +71,14 @@
     }
 }
 
-/// The mark of a text.
+/// The hash of a text, as a text.
 pub fn hash_text(text: &str) -> Text {
-    Mark::of(text).write()
+    TextHash::of(text).to_text()
 }
 
-/// The mark of a request's input.
+/// The hash of a request's input, as a text.
 pub fn hash_input(request: &Request) -> Text {
-    Mark { digest: Some(digest(request)), ..Mark::of(&request.input) }.write()
+    TextHash { digest: Some(digest(request)), ..TextHash::of(&request.input) }.to_text()
 }
 
 fn digest(request: &Request) -> u64 {
@@ -96,19 +94,19 @@
     xxh3::xxh3_64(&text.as_bytes()[..end])
 }
 
-/// What stands for a text.
+/// What is kept of a hashed text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Mark {
+struct TextHash {
     hash: u64,
     bytes: u64,
     prefix: u64,
     digest: Option<u64>,
 }
 
-impl Mark {
-    fn of(text: &str) -> Mark {
+impl TextHash {
+    fn of(text: &str) -> TextHash {
         let step = |hash, byte: &u8| add(multiply(hash, BASE), u64::from(*byte) + 1);
-        Mark {
+        TextHash {
             hash: text.as_bytes().iter().fold(0, step),
             bytes: text.len() as u64,
             prefix: prefix(text),
@@ -116,28 +114,28 @@
         }
     }
 
-    /// Reads one mark or several in a row; `None` for any other text.
-    fn read(text: &str) -> Option<Mark> {
-        let marks = text.strip_suffix(';')?.split(';').map(Mark::read_one);
-        marks.reduce(|one, next| Some(one?.join(next?)))?
+    /// Parses one or several consecutive text hashes; `None` for any other text.
+    fn parse(text: &str) -> Option<TextHash> {
+        let hashes = text.strip_suffix(';')?.split(';').map(TextHash::parse_one);
+        hashes.reduce(|one, next| Some(one?.join(next?)))?
     }
 
-    fn read_one(text: &str) -> Option<Mark> {
+    fn parse_one(text: &str) -> Option<TextHash> {
         let mut parts = text.strip_prefix('#')?.split('.');
         let mut hex = || u64::from_str_radix(parts.next()?, 16).ok();
-        Some(Mark { hash: hex()?, bytes: hex()?, prefix: hex()?, digest: hex() })
+        Some(TextHash { hash: hex()?, bytes: hex()?, prefix: hex()?, digest: hex() })
     }
 
-    fn join(self, next: Mark) -> Mark {
+    fn join(self, next: TextHash) -> TextHash {
         let hash = add(multiply(self.hash, power(next.bytes)), next.hash);
         let prefix = if self.bytes == 0 { next.prefix } else { self.prefix };
-        Mark { hash, bytes: self.bytes + next.bytes, prefix, digest: None }
+        TextHash { hash, bytes: self.bytes + next.bytes, prefix, digest: None }
     }
 
-    fn write(self) -> Text {
+    fn to_text(self) -> Text {
         let mut text = format!("#{:x}.{:x}.{:x}", self.hash, self.bytes, self.prefix);
         if let Some(digest) = self.digest {
-            write!(text, ".{digest:x}").expect("a string takes everything");
+            write!(text, ".{digest:x}").expect("writing to a string never fails");
         }
         text.push(';');
         text.into()
@@ -150,7 +148,7 @@
 
 fn multiply(one: u64, other: u64) -> u64 {
     let product = u128::from(one) * u128::from(other) % u128::from(MODULUS);
-    u64::try_from(product).expect("the modulus fits")
+    u64::try_from(product).expect("a value below the modulus fits")
 }
 
 fn power(mut exponent: u64) -> u64 {
--- a/crates/core/src/endpoints/marks.rs
+++ b/crates/core/src/endpoints/marks.rs
@@ -1,8 +1,8 @@
-//! Who is leaving, remembered also for endpoints that aren't listed.
+//! Marks of endpoints that are leaving, including endpoints that aren't listed.
 //!
-//! The list lags, so a mark often comes before the endpoint, or outlives it.
-//! Marks of listed endpoints are always kept. Of the others the newest ones
-//! are, up to a bound.
+//! Since the list lags, a mark often arrives before the endpoint is listed or stays after it has
+//! disappeared. Marks of listed endpoints are always kept; of the others only the newest ones are,
+//! up to a bound.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,65 +11,65 @@
     model::{EndpointName, Incarnation},
 };
 
-/// Marks by endpoint.
+/// The leaving marks by endpoint.
 #[derive(Debug)]
 pub struct Marks {
-    max: usize,
+    max_unlisted: usize,
     marks: BTreeMap<EndpointName, Mark>,
-    /// Endpoints that aren't listed, by the age of their marks.
+    /// Endpoints that aren't listed, oldest mark first.
     unlisted: VecDeque<EndpointName>,
 }
 
 #[derive(Debug)]
 struct Mark {
     incarnation: Incarnation,
-    listed: bool,
+    is_listed: bool,
 }
 
 impl Marks {
-    /// No marks; at most `max` of endpoints that aren't listed.
-    pub fn new(max: usize) -> Marks {
-        Marks { max, marks: BTreeMap::new(), unlisted: VecDeque::new() }
+    /// No marks. `max_unlisted` bounds the marks of endpoints that aren't listed.
+    pub fn new(max_unlisted: usize) -> Marks {
+        Marks { max_unlisted, marks: BTreeMap::new(), unlisted: VecDeque::new() }
     }
 
-    /// Adds a mark; true if it says something new.
-    pub fn add(&mut self, endpoint: &str, incarnation: Incarnation, listed: bool) -> bool {
+    /// Adds a mark. Returns `true` if it is new or covers a larger incarnation.
+    pub fn add(&mut self, endpoint: &str, incarnation: Incarnation, is_listed: bool) -> bool {
         if let Some(mark) = self.marks.get_mut(endpoint) {
             let is_new = incarnation > mark.incarnation;
             mark.incarnation = mark.incarnation.max(incarnation);
             return is_new;
         }
         let name = EndpointName::from(endpoint);
-        self.marks.insert(name.clone(), Mark { incarnation, listed });
-        if !listed {
+        self.marks.insert(name.clone(), Mark { incarnation, is_listed });
+        if !is_listed {
             self.add_unlisted(name);
         }
         true
     }
 
-    /// The newest incarnation of an endpoint that is marked.
+    /// The newest incarnation for which an endpoint is marked.
     pub fn incarnation(&self, endpoint: &str) -> Option<Incarnation> {
         self.marks.get(endpoint).map(|mark| mark.incarnation)
     }
 
-    /// Says whether an endpoint is listed.
-    pub fn set_listed(&mut self, endpoint: &str, listed: bool) {
+    /// Records whether an endpoint is listed.
+    pub fn set_listed(&mut self, endpoint: &str, is_listed: bool) {
         let Some((name, mark)) = self.marks.get_key_value(endpoint) else { return };
-        if mark.listed == listed {
+        if mark.is_listed == is_listed {
             return;
         }
         let name = name.clone();
         if let Some(mark) = self.marks.get_mut(endpoint) {
-            mark.listed = listed;
+            mark.is_listed = is_listed;
         }
-        if listed {
+        if is_listed {
             self.unlisted.retain(|other| *other != name);
         } else {
             self.add_unlisted(name);
         }
     }
 
-    /// All marks, by name.
+    /// All marks, ordered by the endpoint's name.
     pub fn all(&self) -> Vec<LeavingMark> {
         let marks = self.marks.iter();
         let told = marks.map(|(name, mark)| LeavingMark {
@@ -81,7 +81,7 @@
 
     fn add_unlisted(&mut self, name: EndpointName) {
         self.unlisted.push_back(name);
-        if self.unlisted.len() <= self.max {
+        if self.unlisted.len() <= self.max_unlisted {
             return;
         }
         if let Some(oldest) = self.unlisted.pop_front() {
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -1,26 +1,23 @@
-//! One entry instance as a state machine: inputs in, actions out.
+//! One entry instance as a state machine: it turns inputs into actions.
 //!
-//! The event loop round it owns the sockets. It feeds every [`Input`] with its
-//! time to [`Instance::handle`] and carries out the [`Action`]s in order. It
-//! takes no decision of its own.
+//! The event loop owns the sockets. It passes every [`Input`] with its time to [`Instance::handle`]
+//! and carries out the returned [`Action`]s in order. It takes no decisions.
 //!
-//! A request is *held* from its arrival until its one outcome is sent. While
-//! held it waits for its claim (non-idempotent requests only), then goes
-//! through its stages: waiting in a pool's queue, then running as one or more
-//! calls. The traps:
+//! A request is *active* from its arrival until its one outcome is sent. A non-idempotent request
+//! first waits for its claim. Each stage of a request then waits in its pool's queue and runs as
+//! one or more calls. Rules:
 //!
-//! - Timers fire before anything else is looked at, so that a process that
-//!   was paused past a deadline cannot act on a late reply or a late claim.
-//! - A call counts as *written* from the moment it is handed out, until the
-//!   event loop or the endpoint proves that nothing of it ran. "Not run" is
-//!   only said while no call counts as written.
-//! - Nothing here trusts a reply's content further than its echo.
+//! - Timers are handled before the input, so that a process that was paused past a deadline cannot
+//!   act on a late reply or a late claim.
+//! - A call counts as possibly run from the moment it is handed to the event loop until the event
+//!   loop or the endpoint proves that nothing of it ran. The outcome is `NotRun` only while no call
+//!   of the request counts as possibly run.
+//! - A reply is accepted only if its echo matches the call; no other content of it is trusted.
 //!
-//! Map of the submodules, in the order a request meets them: [`admit`],
-//! [`claiming`], [`stages`], [`replies`], [`ending`]; beside them [`platform`]
-//! (log and list), [`peers`], [`plan`], [`policies`], [`estimates`], [`status`];
-//! and the state they work on: [`held`], [`lanes`], [`timers`], [`finished`],
-//! [`counters`], [`settings`].
+//! Submodules in the order in which they handle a request: [`admit`], [`claiming`], [`stages`],
+//! [`replies`], [`ending`]. Others: [`platform`] (log and list), [`peers`], [`plan`], [`policies`],
+//! [`estimates`], [`status`]. State: [`held`], [`lanes`], [`timers`], [`finished`], [`counters`],
+//! [`settings`].
 
 pub mod action;
 pub mod admit;
@@ -55,9 +52,9 @@
     instance::{
         action::Action,
         counters::Counters,
-        estimates::{Latencies, TeamUse},
-        finished::Finished,
-        held::{CallKey, Flight, Held, RequestKey},
+        estimates::{Latencies, TeamUsage},
+        finished::FinishedRequests,
+        held::{ActiveRequest, CallInFlight, CallKey, RequestKey},
         input::{Identity, Input},
         lanes::PoolQueues,
         plan::Plan,
@@ -76,77 +73,77 @@
     content: Content,
     now: Duration,
     rng: SmallRng,
-    fold: config_log::ConfigReader,
+    config_reader: config_log::ConfigReader,
     plan: Option<Rc<Plan>>,
-    broken: Option<Arc<str>>,
+    plan_error: Option<Arc<str>>,
     claims: claims::Claims,
     members: membership::Members,
     table: endpoints::Table,
-    held: SlotMap<RequestKey, Held>,
-    calls: SlotMap<CallKey, Flight>,
+    requests: SlotMap<RequestKey, ActiveRequest>,
+    calls: SlotMap<CallKey, CallInFlight>,
     callers: HashMap<CallerId, RequestKey>,
-    single: HashMap<RequestId, RequestKey>,
+    claimants: HashMap<RequestId, RequestKey>,
     probes: HashMap<PipelineName, ProbePacer>,
-    teams: HashMap<TeamName, TeamUse>,
-    lanes: PoolQueues,
+    teams: HashMap<TeamName, TeamUsage>,
+    queues: PoolQueues,
     latencies: Latencies,
     budget: budget::RetryBudget,
     timers: Timers,
-    finished: Finished,
+    finished: FinishedRequests,
     counters: Counters,
-    appends: HashMap<AppendId, Append>,
+    pending_appends: HashMap<AppendId, AppendKind>,
     last_append: u64,
-    last_read: Option<Duration>,
-    was_listed: bool,
+    last_log_read: Option<Duration>,
+    has_listing: bool,
     stopping: Option<Stopping>,
     actions: Vec<Action>,
 }
 
-/// What an append carried.
+/// What a pending append contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Append {
+enum AppendKind {
     Snapshot,
     Claims,
 }
 
-/// A stop in progress.
+/// A planned stop in progress.
 #[derive(Debug, Clone, Copy)]
 struct Stopping {
     since: Duration,
-    idle: Option<Duration>,
-    exited: bool,
+    idle_since: Option<Duration>,
+    has_exited: bool,
 }
 
 impl Instance {
-    /// An instance that knows nothing yet. `seed` feeds its random choices and
-    /// the numbers of its claims, so it must differ between lives.
+    /// An instance without any state. `seed` seeds its random choices and the nonces of its claims,
+    /// so it must differ between incarnations.
     pub fn new(identity: Identity, settings: Settings, seed: u64) -> Instance {
         Instance {
             rng: SmallRng::seed_from_u64(seed),
             content: Content::Keep,
             now: Duration::ZERO,
-            fold: config_log::ConfigReader::new(),
+            config_reader: config_log::ConfigReader::new(),
             plan: None,
-            broken: None,
+            plan_error: None,
             claims: claims::Claims::new(identity.clone(), settings.claims()),
             members: membership::Members::new(identity.clone(), settings.membership(), seed),
             table: endpoints::Table::new(settings.endpoints()),
-            held: SlotMap::with_key(),
+            requests: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             callers: HashMap::new(),
-            single: HashMap::new(),
+            claimants: HashMap::new(),
             probes: HashMap::new(),
             teams: HashMap::new(),
-            lanes: PoolQueues::new(settings.decisions.fair_queue),
+            queues: PoolQueues::new(settings.decisions.fair_queue),
             latencies: Latencies::new(),
             budget: budget::RetryBudget::new(budget::Settings::default()),
             timers: Timers::default(),
-            finished: Finished::new(settings.finished),
+            finished: FinishedRequests::new(settings.finished),
             counters: Counters::default(),
-            appends: HashMap::new(),
+            pending_appends: HashMap::new(),
             last_append: 0,
-            last_read: None,
-            was_listed: false,
+            last_log_read: None,
+            has_listing: false,
             stopping: None,
             actions: Vec::new(),
             identity,
@@ -154,28 +151,28 @@
         }
     }
 
-    /// As [`Instance::new`], for a replay of texts that may be hashed.
+    /// Sets how texts are treated; a replay may have only their hashes.
     #[must_use]
     pub fn with_content(self, content: Content) -> Instance {
         Instance { content, ..self }
     }
 
-    /// Takes one input and says what is to be done, in order.
+    /// Handles one input and returns the actions to carry out, in order.
     ///
-    /// `now` never goes back; it may jump ahead by any amount.
+    /// `now` is monotonic; it may jump ahead by any amount.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Action> {
         self.now = self.now.max(now);
         self.table.tick(self.now);
         self.fire_timers();
-        self.take(input);
-        self.gossip_round();
-        self.pump_all();
+        self.apply_input(input);
+        self.send_gossip();
+        self.dispatch_all();
         self.flush_claims();
         self.check_stop();
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Input::Tick`] is wanted, on the clock of `handle`.
+    /// When [`Input::Tick`] should be passed at the latest, as a time for [`Instance::handle`].
     pub fn next_wake(&self) -> Option<Duration> {
         [
             self.timers.next(),
@@ -189,64 +186,64 @@
         .min()
     }
 
-    /// Where the next read of the configuration stream starts.
+    /// Offset at which the next read of the configuration stream starts.
     pub fn next_config_offset(&self) -> Offset {
-        self.fold.next_offset()
+        self.config_reader.next_offset()
     }
 
-    /// Where the next read of the claims stream starts.
+    /// Offset at which the next read of the claims stream starts.
     pub fn next_claims_offset(&self) -> Offset {
         self.claims.next_offset()
     }
 
-    /// The configuration in force as it was folded; `None` while it is not known.
+    /// The configuration in force; `None` while it is unknown.
     pub fn in_force(&self) -> Option<&Snapshot> {
-        self.fold.current()
+        self.config_reader.current()
     }
 
-    /// Whether a stream was once read to its end. Until then it should be read
-    /// without waiting for new records: only a read that gives none shows the
-    /// end, and under load a read that waits always gives some.
+    /// Whether a stream has been read to its end at least once. Until then it should be read
+    /// without waiting for new records: only an empty read shows the end, and under load a read
+    /// that waits always returns some.
     pub fn has_reached_end(&self, stream: Stream) -> bool {
         match stream {
-            Stream::Config => self.fold.has_reached_end(),
+            Stream::Config => self.config_reader.has_reached_end(),
             Stream::Claims => self.claims.is_caught_up(),
         }
     }
 
-    /// Events counted so far.
+    /// Counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    fn take(&mut self, input: Input) {
+    fn apply_input(&mut self, input: Input) {
         match input {
-            Input::Submit { caller, request } => self.submit(caller, request),
-            Input::CallerGone(caller) => self.caller_gone(caller),
-            Input::Call { call, event } => self.call_event(call, event),
-            Input::ConfigRead(batch) => self.config_read(&batch),
-            Input::ClaimsRead(batch) => self.claims_read(&batch),
-            Input::ReadFailed(stream) => self.read_failed(stream),
-            Input::Appended { append, .. } => self.append_ended(append, true),
-            Input::AppendFailed(append) => self.append_ended(append, false),
-            Input::Listed(listing) => self.listed(&listing),
+            Input::Submit { caller, request } => self.on_submit(caller, request),
+            Input::CallerGone(caller) => self.on_caller_gone(caller),
+            Input::Call { call, event } => self.on_call_event(call, event),
+            Input::ConfigRead(batch) => self.on_config_read(&batch),
+            Input::ClaimsRead(batch) => self.on_claims_read(&batch),
+            Input::ReadFailed(stream) => self.on_read_failure(stream),
+            Input::Appended { append, .. } => self.on_append_end(append, true),
+            Input::AppendFailed(append) => self.on_append_end(append, false),
+            Input::Listed(listing) => self.on_listing(&listing),
             Input::ListFailed | Input::Tick => {}
-            Input::Gossip(message) => self.gossip(&message),
+            Input::Gossip(message) => self.on_gossip(&message),
             Input::PeerFailed(peer) => self.members.send_failed(self.now, &peer),
-            Input::OutcomeAsked { question, key } => self.outcome_asked(question, &key),
-            Input::OutcomeTold { key, answer, .. } => self.outcome_told(&key, answer),
-            Input::Stop => self.stop(),
+            Input::OutcomeAsked { question, key } => self.on_outcome_query(question, &key),
+            Input::OutcomeTold { key, answer, .. } => self.on_outcome_reply(&key, answer),
+            Input::Stop => self.on_stop(),
         }
     }
 
     fn fire_timers(&mut self) {
-        while let Some(timer) = self.timers.fire(self.now) {
+        while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
-                Timer::Due(key) => self.due(key),
-                Timer::Hedge(call) => self.hedge(call),
-                Timer::Stall(call) => self.stalled(call),
-                Timer::Requeue(key) => self.requeue(key),
-                Timer::Ask(key) => self.ask_expired(key),
+                Timer::Deadline(key) => self.on_deadline(key),
+                Timer::Hedge(call) => self.on_hedge_timer(call),
+                Timer::Stall(call) => self.on_stall_timer(call),
+                Timer::Requeue(key) => self.on_requeue_timer(key),
+                Timer::WinnerReply(key) => self.on_winner_timeout(key),
             }
         }
     }
--- a/crates/core/src/instance/estimates.rs
+++ b/crates/core/src/instance/estimates.rs
@@ -1,4 +1,4 @@
-//! How long things will take: what admission, hedging and callers are told by.
+//! Estimates of wait and work time for admission, hedging and `retry_after`.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,19 +13,20 @@
     timing,
 };
 
-/// Part of a request's time from which on a queue is long: shares are held to.
-const LONG_QUEUE: f64 = 0.5;
+/// Fraction of a request's remaining time above which a queue counts as long, so that team shares
+/// are enforced.
+const LONG_QUEUE_SHARE: f64 = 0.5;
 
-/// Times of each stage of each pipeline.
+/// Run times of each stage of each pipeline.
 pub type Latencies = HashMap<PipelineName, HashMap<StageName, Estimator>>;
 
-/// What a team holds here.
+/// A team's use of this instance.
 #[data]
 #[derive(Copy, Default)]
-pub struct TeamUse {
-    /// Requests held.
-    pub held: u32,
-    /// The team's weight.
+pub struct TeamUsage {
+    /// Number of active requests.
+    pub active: u32,
+    /// The team's weight in its newest request.
     pub weight: u32,
 }
 
@@ -34,41 +35,42 @@
         self.latencies.get(pipeline)?.get(stage)
     }
 
-    /// What is known of a pipeline's stages, from one on.
-    pub(super) fn known(&self, pipeline: &Pipeline, from: usize) -> Vec<&Estimator> {
+    /// The estimators of a pipeline's stages, beginning with stage `from`; stages that never ran
+    /// have none.
+    pub(super) fn estimators(&self, pipeline: &Pipeline, from: usize) -> Vec<&Estimator> {
         let stages = pipeline.stages.iter().skip(from);
         stages.filter_map(|stage| self.estimator(&pipeline.name, &stage.name)).collect()
     }
 
-    /// Time left for the current stage; `None` if it cannot be in time any more.
+    /// Time that the current stage may take; `None` if the deadline can no longer be met.
     pub(super) fn stage_time(&self, key: RequestKey) -> Option<Duration> {
-        let held = &self.held[key];
-        let left = held.due.saturating_sub(self.now);
-        let stage = held.stage();
-        let Some(known) = self.estimator(&held.pipeline.name, &stage.name) else {
+        let active = &self.requests[key];
+        let left = active.deadline.saturating_sub(self.now);
+        let stage = active.stage();
+        let Some(estimator) = self.estimator(&active.pipeline.name, &stage.name) else {
             return Some(left);
         };
-        let later = self.known(&held.pipeline, held.progress.stage + 1);
-        timing::stage_time(left, known, &later)
+        let later = self.estimators(&active.pipeline, active.progress.stage + 1);
+        timing::stage_time(left, estimator, &later)
     }
 
-    /// What admission needs to know of a request.
+    /// The values that the admission decision on a request is based on.
     pub(super) fn estimate(
         &self,
         request: &Request,
         pipeline: &Pipeline,
         weight: u32,
-        max_held: Option<u32>,
+        max_active: Option<u32>,
     ) -> admission::Estimate {
         let left = request.deadline.min(pipeline.max_deadline());
         let stages = pipeline.stages.iter();
         admission::Estimate {
             left,
             wait: stages.map(|stage| self.wait(stage, &request.id.team, self.now + left)).sum(),
-            work: timing::work(&self.known(pipeline, 0)),
-            min_work: timing::min_work(&self.known(pipeline, 0)),
+            work: timing::work(&self.estimators(pipeline, 0)),
+            min_work: timing::min_work(&self.estimators(pipeline, 0)),
             share: admission::Share {
-                max_active: max_held,
+                max_active,
                 is_contended: self.is_contended(pipeline, &request.id.team, left),
                 ..self.share(&request.id.team, weight)
             },
@@ -76,55 +78,55 @@
     }
 
     fn share(&self, team: &TeamName, weight: u32) -> admission::Share {
-        let held = self.teams.get(team).map_or(0, |using| using.held);
-        let others = self.teams.iter().filter(|(name, using)| *name != team && using.held > 0);
-        let others: u32 = others.map(|(_, using)| using.weight).sum();
+        let active = self.teams.get(team).map_or(0, |usage| usage.active);
+        let others = self.teams.iter().filter(|(name, usage)| *name != team && usage.active > 0);
+        let others: u32 = others.map(|(_, usage)| usage.weight).sum();
         admission::Share {
-            active: held,
-            total: u32::try_from(self.held.len()).unwrap_or(u32::MAX),
+            active,
+            total: u32::try_from(self.requests.len()).unwrap_or(u32::MAX),
             weight: f64::from(weight) / f64::from((weight + others).max(1)),
             ..Default::default()
         }
     }
 
-    /// Whether a request would take places that other teams need: they wait in
-    /// a pool of its pipeline, and long. A short queue is the chance of
-    /// arrivals, and all in it are served in time.
+    /// Whether a request would take slots that other teams need: their calls wait long for a pool
+    /// of its pipeline. A short queue arises by chance and all its calls are served in time.
     fn is_contended(&self, pipeline: &Pipeline, team: &TeamName, left: Duration) -> bool {
-        let long = left.mul_f64(LONG_QUEUE);
+        let long = left.mul_f64(LONG_QUEUE_SHARE);
         let mut pools = pipeline.stages.iter().map(|stage| &*stage.pool);
         pools.any(|pool| {
-            let backlog = self.lanes.backlog(self.now, pool).unwrap_or_default();
-            backlog > long && self.lanes.has_other_teams(pool, team)
+            let backlog = self.queues.backlog(self.now, pool).unwrap_or_default();
+            backlog > long && self.queues.has_other_teams(pool, team)
         })
     }
 
-    /// How long a new call would wait for a place in a stage's pool.
+    /// Expected wait of a new call for a slot in a stage's pool.
     fn wait(&self, stage: &Stage, team: &TeamName, deadline: Duration) -> Duration {
         let cost = self.cost(&stage.pool);
-        self.lanes.wait(self.now, &stage.pool, &lanes::NewCall { team, deadline, cost })
+        self.queues.wait(self.now, &stage.pool, &lanes::NewCall { team, deadline, cost })
     }
 
-    /// When to come back: once what waits ahead now has drained.
+    /// When to retry: once the calls that are queued now have drained.
     pub(super) fn retry_after(&self, key: RequestKey) -> Duration {
-        let held = &self.held[key];
-        let stages = held.pipeline.stages.iter().skip(held.progress.stage);
-        let wait = stages.map(|stage| self.wait(stage, &held.request.id.team, held.due)).sum();
+        let active = &self.requests[key];
+        let stages = active.pipeline.stages.iter().skip(active.progress.stage);
+        let wait =
+            stages.map(|stage| self.wait(stage, &active.request.id.team, active.deadline)).sum();
         admission::refusal(RefusalKind::Expired, wait).retry_after
     }
 
-    /// Counts a request of a team in.
-    pub(super) fn team_in(&mut self, team: &TeamName, weight: u32) {
-        let using = self.teams.entry(team.clone()).or_default();
-        using.held += 1;
-        using.weight = weight;
+    /// Counts a new active request of a team.
+    pub(super) fn add_team_request(&mut self, team: &TeamName, weight: u32) {
+        let usage = self.teams.entry(team.clone()).or_default();
+        usage.active += 1;
+        usage.weight = weight;
     }
 
-    /// Counts a request of a team out.
-    pub(super) fn team_out(&mut self, team: &TeamName) {
-        let Some(using) = self.teams.get_mut(team) else { return };
-        using.held -= 1;
-        if using.held == 0 {
+    /// Removes an active request of a team from the count.
+    pub(super) fn remove_team_request(&mut self, team: &TeamName) {
+        let Some(usage) = self.teams.get_mut(team) else { return };
+        usage.active -= 1;
+        if usage.active == 0 {
             self.teams.remove(team);
         }
     }
--- a/crates/core/src/relay/batch/queue.rs
+++ b/crates/core/src/relay/batch/queue.rs
@@ -135,7 +135,7 @@
         let group = self.classes[class].entry(group_key.clone()).or_insert_with(|| Group {
             keys: Vec::new(),
             bytes: piece.bytes,
-            destination: piece.preferred_data_centre.clone(),
+            destination: piece.destination.clone(),
             target: piece.target,
             deadline: piece.deadline,
             is_begun: piece.is_begun,
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -148,7 +148,7 @@
         let time = expected_time(endpoint, now, fastest, interval_factor).as_secs_f64();
         let distance =
             if *endpoint.entry.data_centre == *criteria.data_centre { 1.0 } else { REMOTE_FACTOR };
-        time * distance * (1.0 + endpoint.fullness(now) + f64::from(endpoint.in_flight) * 0.1)
+        time * distance * (1.0 + endpoint.utilisation(now) + f64::from(endpoint.in_flight) * 0.1)
     };
     let candidates = candidates.into_iter().map(|(key, endpoint)| {
         let jitter_factor = 1.0 + 0.1 * jitter();
@@ -176,7 +176,7 @@
     let Some(own) = endpoint.response_time else { return DEFAULT_RESPONSE_TIME };
     let fastest = fastest.unwrap_or(own);
     let is_slow = own > fastest.mul_f64(TRIAL_THRESHOLD);
-    if is_slow && endpoint.is_to_be_tried(now, interval_factor) {
+    if is_slow && endpoint.is_trial_due(now, interval_factor) {
         fastest.mul_f64(TRIAL_FACTOR)
     } else {
         own
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -8,20 +8,20 @@
     model::{Action, ExchangeKey, Refusal},
 };
 
-/// Share of the remaining time that a caller may be told to stay away.
-const AWAY_SHARE: f64 = 0.3;
-/// Shortest time that a caller is told to stay away.
-const SHORTEST_AWAY: Duration = Duration::from_millis(50);
-/// Time until an endpoint that failed is usable again, as callers are told.
-const USUAL_AWAY: Duration = Duration::from_millis(400);
-/// Time until a queue that is too long has got shorter, as callers are told. It
-/// is not worked out from the queue; three tenths of what is left is nearly
-/// always less.
-const LONG_AWAY: Duration = Duration::from_secs(3);
+/// `retry_after` is at most this share of the time that the caller has left.
+const RETRY_AFTER_SHARE: f64 = 0.3;
+/// Shortest `retry_after` that is sent; below this, none is.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// `retry_after` while no endpoint is usable: the usual time until one that failed is usable
+/// again.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// `retry_after` while queues are too long. It is not computed from the queue, since
+/// [`RETRY_AFTER_SHARE`] of the time left is nearly always less.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(3);
 
 impl Relay {
-    /// Ends all exchanges: the instance is about to end. Callers that hold no
-    /// part of an answer are told, instead of being cut off.
+    /// Ends all exchanges before the instance stops. Callers that have received no part of an
+    /// answer get a refusal instead of a broken connection.
     pub fn end_all_exchanges(&mut self, now: Duration) {
         for key in self.exchanges.keys().collect::<Vec<_>>() {
             self.stop_work(now, key);
@@ -29,18 +29,18 @@
         }
     }
 
-    /// Gives up what is under way for an exchange. It may have run.
+    /// Cancels the call of an exchange and records that its work may have run.
     pub(super) fn stop_work(&mut self, now: Duration, key: ExchangeKey) {
         if let Some(call) = self.exchanges[key].call {
             self.cancel(now, call);
-            self.note_run(key);
+            self.mark_may_have_run(key);
         }
         if !self.exchanges[key].graph.is_complete() {
-            self.note_run(key);
+            self.mark_may_have_run(key);
         }
     }
 
-    /// A caller has gone before its answer was whole.
+    /// A caller disconnected before its answer was complete.
     pub fn on_caller_disconnect(&mut self, now: Duration, key: ExchangeKey) {
         if let Some(call) = self.exchanges.get(key).and_then(|exchange| exchange.call) {
             self.cancel(now, call);
@@ -48,19 +48,20 @@
         self.close(key);
     }
 
-    pub(super) fn tick_quietly(&mut self, now: Duration) {
-        while let Some(&(at, key)) = self.due.first()
+    pub(super) fn time_out_due(&mut self, now: Duration) {
+        while let Some(&(at, key)) = self.deadlines.first()
             && at <= now
         {
-            self.due.remove(&(at, key));
+            self.deadlines.remove(&(at, key));
             self.time_out(now, key);
         }
     }
 
     pub(super) fn time_out(&mut self, now: Duration, key: ExchangeKey) {
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let is_making = !exchange.graph.is_complete();
-        let (has_run, call) = (is_making || exchange.has_run || exchange.was_called, exchange.call);
+        let is_incomplete = !exchange.graph.is_complete();
+        let (has_run, call) =
+            (is_incomplete || exchange.has_run || exchange.was_called, exchange.call);
         if let Some(call) = call {
             self.cancel(now, call);
         }
@@ -69,8 +70,8 @@
         self.give_up(now, key, refusal);
     }
 
-    /// Some of an exchange's work may have been done.
-    pub(super) fn note_run(&mut self, key: ExchangeKey) {
+    /// Records that some of an exchange's work may have run.
+    pub(super) fn mark_may_have_run(&mut self, key: ExchangeKey) {
         if let Some(exchange) = self.exchanges.get_mut(key) {
             exchange.has_run = true;
         }
@@ -85,40 +86,40 @@
             return;
         }
         let has_run = exchange.has_run || exchange.was_called || refusal == Refusal::TimedOut;
-        let may_come_back = !has_run || exchange.route.kind.is_repeatable();
-        let away = self.away(now, key, refusal);
+        let may_retry = !has_run || exchange.route.kind.is_repeatable();
+        let pause = self.retry_after(now, key, refusal);
         let refusal = refusal.after(has_run);
-        let retry_after = (may_come_back && away >= SHORTEST_AWAY).then_some(away);
+        let retry_after = (may_retry && pause >= MIN_RETRY_AFTER).then_some(pause);
         self.actions.push(Action::Refuse { exchange: key, refusal, retry_after });
         self.close(key);
     }
 
-    /// How long its caller should stay away. What is held back stays so for longer
-    /// than any caller waits: a sooner time would not be true.
-    fn away(&self, now: Duration, key: ExchangeKey, refusal: Refusal) -> Duration {
+    /// When the caller should retry. Quarantined content is refused for longer than any
+    /// caller waits, so the whole rest of that time is stated.
+    fn retry_after(&self, now: Duration, key: ExchangeKey, refusal: Refusal) -> Duration {
         if refusal == Refusal::Quarantined {
-            return self.held_for(now, key).unwrap_or_default();
+            return self.quarantined_for(now, key).unwrap_or_default();
         }
         let usual = match refusal {
-            // An evacuation ends when the operators say so; no sooner than this.
-            Refusal::Infeasible | Refusal::Evacuated => LONG_AWAY,
-            _ => USUAL_AWAY,
+            // An evacuation ends when the operators end it, so the longest pause is stated.
+            Refusal::Infeasible | Refusal::Evacuated => OVERLOAD_RETRY_AFTER,
+            _ => DEFAULT_RETRY_AFTER,
         };
         let remaining = self.exchanges[key].deadline.saturating_sub(now);
-        self.policy_away(now, key, usual).min(remaining.mul_f64(AWAY_SHARE))
+        self.policy_retry_after(now, key, usual).min(remaining.mul_f64(RETRY_AFTER_SHARE))
     }
 
-    /// Forgets an exchange and gives up all that it holds.
+    /// Removes an exchange and releases all that it holds.
     pub(super) fn close(&mut self, key: ExchangeKey) {
         let Some(mut exchange) = self.exchanges.remove(key) else { return };
-        self.due.remove(&(exchange.deadline, key));
+        self.deadlines.remove(&(exchange.deadline, key));
         self.searching.remove(&key);
-        self.batches.cancel(Requester::Local(key));
+        self.batcher.cancel(Requester::Local(key));
         for handover in exchange.handovers.drain(..) {
             self.handovers.remove(handover);
             self.actions.push(Action::RecallPieces(handover));
         }
-        let held = exchange.graph.take_unfreed();
-        self.free(&exchange.route, held);
+        let unfreed = exchange.graph.take_unfreed();
+        self.free(&exchange.route, unfreed);
     }
 }
--- a/crates/core/src/relay/machine/plan.rs
+++ b/crates/core/src/relay/machine/plan.rs
@@ -1,4 +1,4 @@
-//! When a stage has to be done, and which pieces it has.
+//! Deadlines of the stages, and the pieces that they consist of.
 
 use std::time::Duration;
 
@@ -14,35 +14,36 @@
     },
 };
 
-/// Share of the usual time behind a stage that is needed at the least.
-const LEAST_SHARE: f64 = 0.5;
-/// Share of the objective that a plan leaves for the generation at the most.
-/// Where engines need longer, all would be late from the start, and the order
-/// of the stages would go by nothing any more.
+/// Minimum share of the usual time that the work after a stage takes.
+const MIN_TIME_SHARE: f64 = 0.5;
+/// Share of the objective that a plan reserves for the generation at most. If engines need
+/// longer, all pieces would be late from the start and the target times would give no useful
+/// order.
 const GENERATION_SHARE: f64 = 0.5;
 
 impl Relay {
-    /// The time that is needed behind a stage.
-    pub(super) fn rest(&self, exchange: &Exchange, stage: usize) -> Rest {
-        Rest {
-            usual: self.rest_after(exchange, stage, &|time| time),
-            least: self.rest_after(exchange, stage, &|time| time.mul_f64(LEAST_SHARE)),
+    /// Time that the work after a stage needs.
+    pub(super) fn remaining_time(&self, exchange: &Exchange, stage: usize) -> RemainingTime {
+        RemainingTime {
+            usual: self.remaining_after(exchange, stage, &|time| time),
+            minimum: self.remaining_after(exchange, stage, &|time| time.mul_f64(MIN_TIME_SHARE)),
         }
     }
 
-    /// Time that is needed behind a stage until the first byte of an answer.
-    /// `adapt` turns a stage's usual time into the one that counts.
-    pub(super) fn rest_after(
+    /// Time from the end of a stage until the first byte of the answer. `adapt` scales the
+    /// usual time of each stage.
+    pub(super) fn remaining_after(
         &self,
         exchange: &Exchange,
         stage: usize,
         adapt: &dyn Fn(Duration) -> Duration,
     ) -> Duration {
-        self.rest_after_with(exchange, stage, adapt, &|service| self.stage_time(service))
+        self.remaining_after_with(exchange, stage, adapt, &|service| self.stage_time(service))
     }
 
-    /// The same, where stages take what `stage_time` says for their services.
-    pub(super) fn rest_after_with(
+    /// Like [`Relay::remaining_after`], with the stage times of the services given by
+    /// `stage_time`.
+    pub(super) fn remaining_after_with(
         &self,
         exchange: &Exchange,
         stage: usize,
@@ -55,43 +56,44 @@
         });
         let longest = followers.map(|next| {
             let time = adapt(stage_time(&route.stages[next].service));
-            time + self.rest_after_with(exchange, next, adapt, stage_time)
+            time + self.remaining_after_with(exchange, next, adapt, stage_time)
         });
         longest.max().unwrap_or_else(|| adapt(self.generation_time(exchange)))
     }
 
-    /// The usual time from the last stage to the first token. Shared parts are
-    /// taken for read already.
+    /// Usual time from the end of the last stage to the first token, if the engine has read
+    /// the shared parts already.
     pub(super) fn generation_time(&self, exchange: &Exchange) -> Duration {
         let Some(prompt) = &exchange.arrival.prompt else { return Duration::ZERO };
         let own = prompt.own_tokens();
-        let speed = self.speeds.get(&exchange.service);
+        let speed = self.prefill_speeds.get(&exchange.service);
         let first_token = |speed: &PrefillSpeed| speed.time_to_first_token(own);
         let usual = speed.map_or_else(|| first_token(&PrefillSpeed::default()), first_token);
         usual.min(exchange.route.objective.mul_f64(GENERATION_SHARE))
     }
 
-    /// The usual time of a stage: half a call's wait and a half full call.
+    /// Usual time of a stage: a wait of half a call, and a call with half of the maximum
+    /// batch.
     pub(super) fn stage_time(&self, service: &str) -> Duration {
-        let Some(shape) = self.shape(service) else { return Duration::ZERO };
-        Batcher::call_time(&shape, shape.batch as usize / 2) + shape.call_time / 2
+        let Some(config) = self.piece_config(service) else { return Duration::ZERO };
+        Batcher::call_time(&config, config.batch as usize / 2) + config.call_time / 2
     }
 }
 
-/// Time that is needed behind a stage until the first byte of an answer.
+/// Time from the end of a stage until the first byte of the answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Rest {
+pub(super) struct RemainingTime {
     usual: Duration,
-    least: Duration,
+    minimum: Duration,
 }
 
 impl Exchange {
-    /// The pieces of a stage. `rest` is the time that is needed behind it.
-    pub(super) fn new_pieces(&self, stage: usize, rest: Rest) -> Vec<Piece> {
+    /// Creates the pieces of a stage. `remaining` is the time that the work after it needs.
+    pub(super) fn new_pieces(&self, stage: usize, remaining: RemainingTime) -> Vec<Piece> {
         let Route { stages, .. } = &*self.route;
         let inputs = self.graph.inputs(&self.route, stage);
         let key = if inputs.is_empty() { self.arrival.piece_key.clone() } else { None };
-        let home = self.home_of(stage);
+        let destination = self.destination_of(stage);
         let is_begun = self.has_run || self.graph.progress().0 > 0;
         let is_last_reader = self.graph.is_last_reader(&self.route, stage);
         let piece = |number| Piece {
@@ -102,10 +104,10 @@
             key: key.clone(),
             inputs: inputs.clone(),
             bytes: stages[stage].bytes,
-            deadline: self.deadline.saturating_sub(rest.least),
-            target: self.target.saturating_sub(rest.usual),
+            deadline: self.deadline.saturating_sub(remaining.minimum),
+            target: self.target.saturating_sub(remaining.usual),
             priority: self.priority,
-            preferred_data_centre: home.clone(),
+            destination: destination.clone(),
             round: self.rounds,
             tries: 0,
             is_repeat: self.rounds > 0,
@@ -117,13 +119,14 @@
         (0..self.graph.piece_count(stage) as u16).map(piece).collect()
     }
 
-    /// Where a stage should be done: where most of what it takes in lies, or
-    /// where its results will be taken in, if either is large.
-    fn home_of(&self, stage: usize) -> Option<DataCentre> {
+    /// Data centre where a stage should be made: where most of its inputs lie, or where its
+    /// results will be used, if either is large.
+    fn destination_of(&self, stage: usize) -> Option<DataCentre> {
         let inputs = self.graph.inputs_by_data_centre(&self.route, stage);
-        let most = inputs.into_iter().max_by_key(|(_, bytes)| *bytes);
-        let near_inputs =
-            most.filter(|(_, bytes)| *bytes >= LARGE_RESULT_BYTES).map(|(place, _)| place);
+        let largest = inputs.into_iter().max_by_key(|(_, bytes)| *bytes);
+        let near_inputs = largest
+            .filter(|(_, bytes)| *bytes >= LARGE_RESULT_BYTES)
+            .map(|(data_centre, _)| data_centre);
         let has_large = self.route.stages[stage].bytes >= LARGE_RESULT_BYTES;
         near_inputs.or_else(|| self.destination.clone().filter(|_| has_large))
     }
--- a/crates/core/src/relay/machine/policies.rs
+++ b/crates/core/src/relay/machine/policies.rs
@@ -1,10 +1,10 @@
-//! Operators' programs at the points where they may decide.
+//! The operators' program, at the points where it may decide.
 //!
-//! A program only ever chooses among what the built-in rules allow: whom to
-//! refuse although there is room, who is more urgent, which usable endpoint is
-//! taken, when a refused caller should come back. It cannot make a request run
-//! twice, or on an endpoint that is leaving. What it does not define, or fails
-//! at, is decided by the built-in rules.
+//! A program only chooses among what the built-in rules allow: which requests are refused
+//! although there is capacity, which are more urgent, which usable endpoint is called, and
+//! when a refused caller should retry. It cannot make a request run twice, or on an endpoint
+//! that is leaving. The built-in rules decide wherever it defines no function or its function
+//! fails.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -20,40 +20,40 @@
     },
 };
 
-/// The least urgent rank of a request; 0 is the most urgent.
-const LAST_RANK: f64 = 9.0;
-/// Endpoints that a program is asked about, the cheapest ones.
-const CHOICES: usize = 4;
+/// Rank of the least urgent requests; 0 is the most urgent.
+const MAX_RANK: f64 = 9.0;
+/// A program chooses among this many of the cheapest endpoints.
+const MAX_CHOICES: usize = 4;
 
 impl Relay {
-    /// Takes in the operators' program, instead of the one before.
+    /// Replaces the operators' program.
     pub fn set_policy(&mut self, policy: Program) {
         self.policy = Some(policy);
     }
 
-    /// Calls of the program's functions that failed.
+    /// Number of calls of the program's functions that failed.
     pub fn policy_failures(&self) -> u64 {
         self.policy.as_ref().map_or(0, Program::failures)
     }
 
-    /// Whether a request is taken in that the built-in rules would take in.
+    /// Whether the program admits a request that the built-in rules admit.
     pub(super) fn policy_admits(&self, now: Duration, key: ExchangeKey) -> bool {
         let Some(program) = self.program(Function::Admit) else { return true };
         program.admit(&self.facts(now, &self.exchanges[key], Duration::ZERO)).or(true)
     }
 
-    /// The rank of a request. A program gives larger numbers to what is more
-    /// urgent; 9 is rank 0.
+    /// The rank of a request. A program returns larger numbers for more urgent requests; 9 is
+    /// rank 0.
     pub(super) fn policy_priority(&self, now: Duration, key: ExchangeKey) -> u8 {
         let exchange = &self.exchanges[key];
         let Some(program) = self.program(Function::Order) else { return exchange.priority };
         let order = program.order(&self.facts(now, exchange, Duration::ZERO)).given();
-        let rank = |order: f64| (LAST_RANK - order).clamp(0.0, LAST_RANK).round() as u8;
+        let rank = |order: f64| (MAX_RANK - order).clamp(0.0, MAX_RANK).round() as u8;
         order.map_or(exchange.priority, rank)
     }
 
-    /// When a refused caller should come back.
-    pub(super) fn policy_away(
+    /// The pause after which a refused caller should retry.
+    pub(super) fn policy_retry_after(
         &self,
         now: Duration,
         key: ExchangeKey,
@@ -63,8 +63,8 @@
         program.refuse(&self.facts(now, &self.exchanges[key], built_in)).or(built_in)
     }
 
-    /// The candidate that the program likes best, of the cheapest ones; `None`
-    /// if it does not say.
+    /// The candidate that the program rates highest among the cheapest ones; `None` if it
+    /// does not decide.
     pub(super) fn policy_choice(
         &self,
         now: Duration,
@@ -75,10 +75,10 @@
         let exchange = &self.exchanges[key];
         let facts = self.facts(now, exchange, Duration::ZERO);
         let mut best: Option<(f64, Candidate)> = None;
-        for candidate in choice::cheapest_few(candidates, CHOICES) {
+        for candidate in choice::cheapest_few(candidates, MAX_CHOICES) {
             let endpoint = self.directory.get(candidate.endpoint)?;
-            let facts_of = self.endpoint_facts(now, endpoint);
-            let score = program.route(&facts, &facts_of).given()?;
+            let candidate_facts = self.endpoint_facts(now, endpoint);
+            let score = program.route(&facts, &candidate_facts).given()?;
             if best.is_none_or(|(highest, _)| score > highest) {
                 best = Some((score, candidate));
             }
@@ -86,7 +86,7 @@
         best.map(|(_, candidate)| candidate)
     }
 
-    /// Whether a program chooses endpoints.
+    /// Whether the program chooses endpoints.
     pub(super) fn has_route_policy(&self) -> bool {
         self.program(Function::Route).is_some()
     }
@@ -104,7 +104,7 @@
             (exchange.deadline.saturating_sub(now), self.expected_wait(now, service));
         let work = self.expected_work(exchange, next);
         let teams: HashSet<_> = self.exchanges.values().map(|other| &other.team).collect();
-        let of_team = self.exchanges.values().filter(|other| other.team == exchange.team);
+        let team_exchanges = self.exchanges.values().filter(|other| other.team == exchange.team);
         Facts {
             team: exchange.team.clone().unwrap_or_else(|| "".into()),
             pipeline: exchange.route.name.clone(),
@@ -114,12 +114,12 @@
             left,
             wait,
             work,
-            // The call itself counts as one piece.
+            // The call counts as one piece.
             cost: (all - made + 1) as f64,
             spent: made as f64,
-            waiting: self.batches.waiting_count(service) as u32,
-            free: self.free_places(now, service),
-            team_held: of_team.count() as u32,
+            waiting: self.batcher.waiting_count(service) as u32,
+            free: self.free_slots(now, service),
+            team_held: team_exchanges.count() as u32,
             team_share: 1.0 / teams.len().max(1) as f64,
             would_admit: wait + work <= left,
             retry_after,
@@ -139,23 +139,23 @@
         }
     }
 
-    /// The wait behind the pieces that wait here.
+    /// Estimated wait for the pieces that are queued here.
     fn expected_wait(&self, now: Duration, service: &str) -> Duration {
-        let Some(shape) = self.shape(service) else { return Duration::ZERO };
+        let Some(config) = self.piece_config(service) else { return Duration::ZERO };
         let endpoints = self.directory.usable(now, service).len().max(1);
-        let batch = shape.batch as usize;
-        let calls = self.batches.waiting_count(service) as f64 / (endpoints * batch) as f64;
-        Batcher::call_time(&shape, batch).mul_f64(calls)
+        let batch = config.batch as usize;
+        let calls = self.batcher.waiting_count(service) as f64 / (endpoints * batch) as f64;
+        Batcher::call_time(&config, batch).mul_f64(calls)
     }
 
-    /// The usual time until the first byte of an answer.
+    /// Usual time until the first byte of the answer.
     fn expected_work(&self, exchange: &Exchange, next: Option<usize>) -> Duration {
         let Some(stage) = next else { return self.generation_time(exchange) };
         let service = &exchange.route.stages[stage].service;
-        self.stage_time(service) + self.rest_after(exchange, stage, &|time| time)
+        self.stage_time(service) + self.remaining_after(exchange, stage, &|time| time)
     }
 
-    fn free_places(&self, now: Duration, service: &str) -> u32 {
+    fn free_slots(&self, now: Duration, service: &str) -> u32 {
         let usable = self.directory.usable(now, service).into_iter();
         let known = usable.filter_map(|key| self.directory.get(key));
         known.map(|endpoint| endpoint.entry.slots.saturating_sub(endpoint.calls(now))).sum()
--- a/crates/core/src/trace/invariants.rs
+++ b/crates/core/src/trace/invariants.rs
@@ -1,14 +1,14 @@
-//! What must hold over any trace, told from inputs and actions alone.
+//! Checks the invariants of a trace, from inputs and actions alone.
 //!
-//! It keeps its own account and asks the instance only for the configuration
-//! in force, so that a fault of the instance's own account shows.
+//! The checker keeps its own records and asks the instance only for the configuration in force, so
+//! that it detects errors in the instance's own records.
 //!
-//! The traps:
+//! Pitfalls:
 //!
-//! - A call names its request, not its caller. Where several idempotent
-//!   requests of one id wait at once, their calls count for none of them.
-//! - Timers fire before an input is taken. Where one was due, what the input
-//!   says of leaving endpoints holds from the next input on.
+//! - A call names its request, not its caller. Where several idempotent requests with the same id
+//!   wait at once, their calls are not attributed to any of them.
+//! - Timers fire before an input is applied. If one was due, what the input states about leaving
+//!   endpoints counts only from the next input on.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -27,102 +27,103 @@
     trace::{OutcomeKind, report::Fault},
 };
 
-/// The account of a trace.
+/// Follows a trace and collects violations of the invariants.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     callers: HashMap<CallerId, CallerRecord>,
     order: Vec<CallerId>,
-    open: HashMap<RequestId, Vec<CallerId>>,
+    waiting: HashMap<RequestId, Vec<CallerId>>,
     stages: HashMap<(RequestId, StageName), Runs>,
-    calls: HashMap<CallId, Sent>,
+    calls: HashMap<CallId, OpenCall>,
     leaving: BTreeMap<EndpointName, Incarnation>,
-    lives: HashMap<EndpointName, Incarnation>,
+    incarnations: HashMap<EndpointName, Incarnation>,
     version: Version,
     faults: Vec<Fault>,
-    count: u64,
+    total_calls: u64,
 }
 
-/// One caller's request.
+/// The request of one caller.
 #[derive(Debug)]
 pub struct CallerRecord {
-    /// The request.
+    /// The id of the request.
     pub key: RequestId,
-    /// What it was told.
-    pub told: Option<OutcomeKind>,
-    /// Calls made for it.
+    /// The kind of the outcome that the caller got; `None` if it got none yet.
+    pub outcome: Option<OutcomeKind>,
+    /// The number of calls that were made for it.
     pub calls: u32,
-    /// Of those, the ones that may have run.
-    written: u32,
+    /// The number of those calls that may have run.
+    possible_runs: u32,
     idempotent: bool,
     pipeline: Option<Pipeline>,
 }
 
-/// Calls of one stage of one request.
+/// Numbers of calls for one stage of one request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Runs {
-    /// All of them.
+    /// All calls.
     pub calls: u32,
-    /// Those of a request that is not idempotent, which may have run.
-    single: u32,
-    /// Those that may have run.
-    pub written: u32,
+    /// Calls that may have run, made while only non-idempotent requests waited.
+    non_idempotent: u32,
+    /// Calls that may have run.
+    pub possible_runs: u32,
 }
 
 #[derive(Debug)]
-struct Sent {
+struct OpenCall {
     key: RequestId,
     stage: StageName,
     endpoint: EndpointName,
     caller: Option<CallerId>,
-    single: bool,
+    is_non_idempotent: bool,
 }
 
 impl InvariantChecker {
-    /// Notes an input that an instance is about to take.
-    pub fn before(&mut self, input: &Input, instance: &Instance) {
+    /// Records an input that the instance is about to handle.
+    pub fn before_input(&mut self, input: &Input, instance: &Instance) {
         match input {
             Input::Submit { caller, request } => self.submitted(*caller, request, instance),
-            Input::CallerGone(caller) => self.gone(*caller),
+            Input::CallerGone(caller) => self.disconnected(*caller),
             Input::Call { call, event } => self.call_event(*call, event),
             _ => {}
         }
     }
 
-    /// Notes what an input says of endpoints.
-    pub fn learn(&mut self, input: &Input) {
+    /// Records what an input states about endpoints.
+    pub fn update_endpoints(&mut self, input: &Input) {
         match input {
             Input::Listed(listing) => {
                 for entry in &listing.endpoints {
-                    let life = self.lives.entry(entry.name.clone()).or_insert(entry.incarnation);
-                    *life = entry.incarnation.max(*life);
+                    let incarnation =
+                        self.incarnations.entry(entry.name.clone()).or_insert(entry.incarnation);
+                    *incarnation = entry.incarnation.max(*incarnation);
                     if entry.presence == Presence::Leaving {
-                        self.leaves(&entry.name, entry.incarnation);
+                        self.mark_leaving(&entry.name, entry.incarnation);
                     }
                 }
             }
             Input::Gossip(message) => {
                 for mark in &message.leaving {
-                    self.leaves(&mark.endpoint, mark.incarnation);
+                    self.mark_leaving(&mark.endpoint, mark.incarnation);
                 }
             }
             _ => {}
         }
     }
 
-    /// Notes what the instance has in force after an input.
-    pub fn in_force(&mut self, snapshot: Option<&Snapshot>) {
+    /// Checks and records the configuration that the instance has in force after an input.
+    pub fn check_version(&mut self, snapshot: Option<&Snapshot>) {
         let version = snapshot.map_or(0, |snapshot| snapshot.version);
         if version < self.version {
             self.faults.push(Fault::Back { from: self.version, to: version });
         }
         self.version = version;
         for drain in snapshot.iter().flat_map(|snapshot| &snapshot.drains) {
-            self.leaves(&drain.endpoint, drain.incarnation);
+            self.mark_leaving(&drain.endpoint, drain.incarnation);
         }
     }
 
-    /// Notes what an instance wants done.
-    pub fn action(&mut self, action: &Action) {
+    /// Checks and records an action of the instance.
+    pub fn apply_action(&mut self, action: &Action) {
         match action {
             Action::Call(call) => self.called(call),
             Action::Cancel(call) => drop(self.calls.remove(call)),
@@ -131,64 +132,65 @@
         }
     }
 
-    /// Takes the faults found since it was last asked.
+    /// Returns the violations that were found since the last call.
     pub fn take_faults(&mut self) -> Vec<Fault> {
         std::mem::take(&mut self.faults)
     }
 
-    /// Every caller, in the order in which they came.
+    /// All callers, in the order in which they arrived.
     pub fn callers(&self) -> impl Iterator<Item = (CallerId, &CallerRecord)> {
         self.order.iter().map(|caller| (*caller, &self.callers[caller]))
     }
 
-    /// A caller's request.
-    pub fn asked(&self, caller: CallerId) -> Option<&CallerRecord> {
+    /// The request of a caller.
+    pub fn caller(&self, caller: CallerId) -> Option<&CallerRecord> {
         self.callers.get(&caller)
     }
 
-    /// Calls of one stage of a request.
-    pub fn runs(&self, key: &RequestId, stage: &StageName) -> Runs {
+    /// The calls for one stage of a request.
+    pub fn stage_runs(&self, key: &RequestId, stage: &StageName) -> Runs {
         self.stages.get(&(key.clone(), stage.clone())).copied().unwrap_or_default()
     }
 
-    /// Calls of all stages of a request.
-    pub fn calls(&self, key: &RequestId) -> u32 {
+    /// The number of calls for all stages of a request.
+    pub fn call_count(&self, key: &RequestId) -> u32 {
         let stages = self.stages.iter().filter(|((of, _), _)| of == key);
         stages.map(|(_, runs)| runs.calls).sum()
     }
 
-    /// Calls of all requests.
-    pub fn count(&self) -> u64 {
-        self.count
+    /// The number of calls for all requests.
+    pub fn total_calls(&self) -> u64 {
+        self.total_calls
     }
 
     fn submitted(&mut self, caller: CallerId, request: &Request, instance: &Instance) {
         let document = instance.in_force().map(|snapshot| &snapshot.document);
         let pipeline = document.and_then(|document| document.pipeline(&request.pipeline));
-        let asked = CallerRecord {
+        let record = CallerRecord {
             key: request.id.clone(),
-            told: None,
+            outcome: None,
             calls: 0,
-            written: 0,
+            possible_runs: 0,
             idempotent: request.idempotent,
             pipeline: pipeline.cloned(),
         };
-        self.open.entry(request.id.clone()).or_default().push(caller);
-        self.callers.insert(caller, asked);
+        self.waiting.entry(request.id.clone()).or_default().push(caller);
+        self.callers.insert(caller, record);
         self.order.push(caller);
     }
 
-    /// A non-idempotent request may run on without its caller.
-    fn gone(&mut self, caller: CallerId) {
-        if self.callers.get(&caller).is_some_and(|asked| asked.idempotent) {
+    /// An idempotent request ends when its caller disconnects. A non-idempotent one may run on
+    /// without its caller.
+    fn disconnected(&mut self, caller: CallerId) {
+        if self.callers.get(&caller).is_some_and(|record| record.idempotent) {
             self.close(caller);
         }
     }
 
     fn close(&mut self, caller: CallerId) {
-        let Some(asked) = self.callers.get(&caller) else { return };
-        if let Some(open) = self.open.get_mut(&asked.key) {
-            open.retain(|other| *other != caller);
+        let Some(record) = self.callers.get(&caller) else { return };
+        if let Some(waiting) = self.waiting.get_mut(&record.key) {
+            waiting.retain(|other| *other != caller);
         }
     }
 
@@ -196,91 +198,92 @@
         if matches!(event, CallEvent::Chunk { .. }) {
             return;
         }
-        let Some(sent) = self.calls.remove(&call) else { return };
+        let Some(open_call) = self.calls.remove(&call) else { return };
         match event {
             CallEvent::Refused { reason, .. } => {
-                self.unwritten(&sent);
+                self.record_not_run(&open_call);
                 if *reason == RefuseReason::Leaving
-                    && let Some(life) = self.lives.get(&sent.endpoint).copied()
+                    && let Some(incarnation) = self.incarnations.get(&open_call.endpoint).copied()
                 {
-                    self.leaves(&sent.endpoint, life);
+                    self.mark_leaving(&open_call.endpoint, incarnation);
                 }
             }
-            CallEvent::Failed(CallFailure::NotSent) => self.unwritten(&sent),
+            CallEvent::Failed(CallFailure::NotSent) => self.record_not_run(&open_call),
             _ => {}
         }
     }
 
-    /// Nothing of a call ran.
-    fn unwritten(&mut self, sent: &Sent) {
-        if let Some(asked) = sent.caller.and_then(|caller| self.callers.get_mut(&caller)) {
-            asked.written -= 1;
+    /// Corrects the counters for a call of which nothing ran.
+    fn record_not_run(&mut self, open_call: &OpenCall) {
+        if let Some(record) = open_call.caller.and_then(|caller| self.callers.get_mut(&caller)) {
+            record.possible_runs -= 1;
         }
-        let runs = self.stages.entry((sent.key.clone(), sent.stage.clone())).or_default();
-        runs.written -= 1;
-        runs.single -= u32::from(sent.single);
+        let runs = self.stages.entry((open_call.key.clone(), open_call.stage.clone())).or_default();
+        runs.possible_runs -= 1;
+        runs.non_idempotent -= u32::from(open_call.is_non_idempotent);
     }
 
-    fn leaves(&mut self, endpoint: &EndpointName, life: Incarnation) {
-        let newest = self.leaving.entry(endpoint.clone()).or_insert(life);
-        *newest = life.max(*newest);
+    fn mark_leaving(&mut self, endpoint: &EndpointName, incarnation: Incarnation) {
+        let newest = self.leaving.entry(endpoint.clone()).or_insert(incarnation);
+        *newest = incarnation.max(*newest);
     }
 
     fn called(&mut self, call: &Call) {
-        self.count += 1;
+        self.total_calls += 1;
         let Call { endpoint, stage, .. } = call;
         let key = &call.echo.request;
-        let life = self.lives.get(endpoint);
-        if life.is_some() && self.leaving.get(endpoint) >= life {
+        let incarnation = self.incarnations.get(endpoint);
+        if incarnation.is_some() && self.leaving.get(endpoint) >= incarnation {
             self.faults.push(Fault::Leaving { endpoint: endpoint.clone() });
         }
-        let open = self.open.get(key).map_or(&[][..], Vec::as_slice);
-        if open.is_empty() {
+        let waiting = self.waiting.get(key).map_or(&[][..], Vec::as_slice);
+        if waiting.is_empty() {
             self.faults.push(Fault::AfterEnd { key: key.clone(), stage: stage.clone() });
         }
-        let single = !open.is_empty() && open.iter().all(|caller| !self.callers[caller].idempotent);
-        let owner = open.first().map(|caller| &self.callers[caller]);
-        let repeatable = owner.is_some_and(|asked| asked.is_repeatable(stage));
-        let caller = <[CallerId; 1]>::try_from(open).ok().map(|[caller]| caller);
+        let is_non_idempotent =
+            !waiting.is_empty() && waiting.iter().all(|caller| !self.callers[caller].idempotent);
+        let owner = waiting.first().map(|caller| &self.callers[caller]);
+        let is_repeatable = owner.is_some_and(|record| record.is_repeatable(stage));
+        let caller = <[CallerId; 1]>::try_from(waiting).ok().map(|[caller]| caller);
         let runs = self.stages.entry((key.clone(), stage.clone())).or_default();
-        if single && !repeatable && runs.single > 0 {
+        if is_non_idempotent && !is_repeatable && runs.non_idempotent > 0 {
             self.faults.push(Fault::SecondRun { key: key.clone(), stage: stage.clone() });
         }
         runs.calls += 1;
-        runs.written += 1;
-        runs.single += u32::from(single);
-        if let Some(asked) = caller.and_then(|caller| self.callers.get_mut(&caller)) {
-            asked.calls += 1;
-            asked.written += 1;
+        runs.possible_runs += 1;
+        runs.non_idempotent += u32::from(is_non_idempotent);
+        if let Some(record) = caller.and_then(|caller| self.callers.get_mut(&caller)) {
+            record.calls += 1;
+            record.possible_runs += 1;
         }
         let (key, stage, endpoint) = (key.clone(), stage.clone(), endpoint.clone());
-        self.calls.insert(call.id, Sent { key, stage, endpoint, caller, single });
+        self.calls.insert(call.id, OpenCall { key, stage, endpoint, caller, is_non_idempotent });
     }
 
     fn answered(&mut self, caller: CallerId, outcome: &Outcome) {
-        let Some(asked) = self.callers.get(&caller) else {
+        let Some(record) = self.callers.get(&caller) else {
             return self.faults.push(Fault::Unasked { caller });
         };
-        if asked.told.is_some() {
+        if record.outcome.is_some() {
             self.faults.push(Fault::SecondOutcome { caller });
         }
-        let key = asked.key.clone();
-        if matches!(outcome, Outcome::NotRun(_)) && self.may_have_run(asked) {
+        let key = record.key.clone();
+        if matches!(outcome, Outcome::NotRun(_)) && self.may_have_run(record) {
             self.faults.push(Fault::Ran { caller, key });
         }
         self.close(caller);
-        if let Some(asked) = self.callers.get_mut(&caller) {
-            asked.told = Some(OutcomeKind::of(outcome));
+        if let Some(record) = self.callers.get_mut(&caller) {
+            record.outcome = Some(OutcomeKind::of(outcome));
         }
     }
 
-    /// "Not run" speaks for the request where it is not idempotent, and for
-    /// this caller's sending of it otherwise.
-    fn may_have_run(&self, asked: &CallerRecord) -> bool {
-        if asked.idempotent {
-            return asked.written > 0;
+    /// Whether "not run" would be wrong for a caller. For a non-idempotent request, all calls with
+    /// its id count; for an idempotent one, only those that were made for this caller.
+    fn may_have_run(&self, record: &CallerRecord) -> bool {
+        if record.idempotent {
+            return record.possible_runs > 0;
         }
-        self.stages.iter().any(|((key, _), runs)| *key == asked.key && runs.single > 0)
+        self.stages.iter().any(|((key, _), runs)| *key == record.key && runs.non_idempotent > 0)
     }
 }
 
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -16,7 +16,7 @@
             Action, Arrival, Call, CallKey, ExchangeKey, Failure, Handle, Part, Piece,
             PieceFailure, PieceResult, Prompt, Refusal, ReplyHead,
         },
-        operator::Act,
+        operator::OperatorCommand,
         terms::Terms,
     },
 };
@@ -193,9 +193,9 @@
         let settings = Settings {
             name: Arc::from(name),
             data_centre: Arc::from("east"),
-            bound,
-            instances: 1,
-            strength: 250,
+            retry_budget: bound,
+            min_instances: 1,
+            millicores: 250,
         };
         let mut relay = Relay::new(settings, 7);
         relay.configure(config);
@@ -222,7 +222,7 @@
     }
 
     /// Operators order something.
-    pub fn obey(&mut self, act: Act) -> bool {
+    pub fn obey(&mut self, act: OperatorCommand) -> bool {
         let taken = self.relay.apply_operator_changes(self.now, vec![act]);
         self.collect();
         taken[0]
--- a/crates/core/tests/testsuite/relay/load/fleet.rs
+++ b/crates/core/tests/testsuite/relay/load/fleet.rs
@@ -392,9 +392,9 @@
                 });
             }
             Action::FreeResults { addr, handles } => self.after_hop(Event::Free { addr, handles }),
-            Action::RequestPlacement { exchange, peer, question } => {
+            Action::RequestPlacement { exchange, peer, request } => {
                 let (to, key) = (number(&peer), exchange);
-                self.after_hop(Event::Ask { to, from: idx, key, question });
+                self.after_hop(Event::Ask { to, from: idx, key, question: request });
             }
             Action::Disconnect(_) => {}
             Action::ListParts { endpoint, .. } => {
@@ -541,9 +541,9 @@
     let settings = Settings {
         name: name(idx),
         data_centre: Arc::from(PLACES[idx % 3]),
-        bound: RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: ms(10_000) },
-        instances: 1,
-        strength: 250,
+        retry_budget: RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: ms(10_000) },
+        min_instances: 1,
+        millicores: 250,
     };
     let mut relay = Relay::new(settings, idx as u64);
     relay.mark_quarantine_read();
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -44,7 +44,7 @@
     for (idx, name) in ["x", "y", "z"].into_iter().enumerate() {
         assert!(consulted(&mut world).is_empty(), "after {idx}");
         let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
-        let crash = Crash { content: held(), life, age: ms(5), is_late: false };
+        let crash = Crash { content: held(), endpoint: life, age: ms(5), is_late: false };
         world.relay.on_crash(world.now, &crash);
         world.relay.on_crash(world.now, &crash);
         world.collect();
@@ -68,7 +68,7 @@
     let mut world = held_world(RequestKind::Once);
     assert_eq!(told(&mut world), 1);
     let life = EndpointId { name: Arc::from("x"), incarnation: Incarnation(1) };
-    let crash = Crash { content: held(), life, age: ms(5), is_late: false };
+    let crash = Crash { content: held(), endpoint: life, age: ms(5), is_late: false };
     world.relay.on_crash(world.now, &crash);
     world.collect();
     assert_eq!(told(&mut world), 1);
@@ -95,7 +95,7 @@
     for name in ["x", "y", "z"] {
         let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
         let content = Fingerprint::UNKNOWN;
-        let crash = Crash { content, life, age: ms(5), is_late: false };
+        let crash = Crash { content, endpoint: life, age: ms(5), is_late: false };
         world.relay.on_crash(world.now, &crash);
     }
     world.collect();
@@ -108,13 +108,13 @@
     let settings = peatdeck_core::relay::Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("east"),
-        bound: peatdeck_core::relay::allowance::RetryBudgetConfig {
+        retry_budget: peatdeck_core::relay::allowance::RetryBudgetConfig {
             ratio: 0.2,
             slack: 10.0,
             window: ms(9000),
         },
-        instances: 1,
-        strength: 250,
+        min_instances: 1,
+        millicores: 250,
     };
     let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
@@ -208,7 +208,7 @@
     world.advance(ms(60_000));
     let crash = |content: u128, name: &str, age| Crash {
         content: Fingerprint(content),
-        life: EndpointId { name: Arc::from(name), incarnation: Incarnation(1) },
+        endpoint: EndpointId { name: Arc::from(name), incarnation: Incarnation(1) },
         age: ms(age),
         is_late: false,
     };
@@ -230,7 +230,8 @@
     for content in 1..=3000 {
         for name in ["x", "y", "z"] {
             let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
-            let crash = Crash { content: Fingerprint(content), life, age: ms(0), is_late: false };
+            let crash =
+                Crash { content: Fingerprint(content), endpoint: life, age: ms(0), is_late: false };
             world.relay.on_crash(world.now, &crash);
         }
         world.collect();
