--- a/crates/core/src/relay/catch_up.rs
+++ b/crates/core/src/relay/catch_up.rs
@@ -151,8 +151,8 @@
         }
         let end = Position { timeline, offset: end };
         if table.is_loaded() && end <= table.position() {
-            // The copy was read in full meanwhile and may lack removals from before that, so
-            // applying the listing could bring back removed keys.
+            // The copy was read in full meanwhile and has no removals from before that, so
+            // applying the listing could restore removed keys.
             return PortionEffect {
                 is_caught_up: end == table.position(),
                 ..PortionEffect::default()
--- a/crates/core/src/relay/model.rs
+++ b/crates/core/src/relay/model.rs
@@ -143,7 +143,7 @@
     pub addr: Arc<str>,
     /// How much longer the caller waits.
     pub remaining: Duration,
-    /// The team that the caller's key belongs to; `None` if the caller needs no key.
+    /// The team that the caller's key belongs to; `None` if there is no such team.
     pub team: Option<TeamName>,
     /// Results of stages that are inputs of the call.
     pub inputs: Vec<Handle>,
@@ -541,17 +541,18 @@
         /// The time.
         since: Duration,
     },
-    /// Log and count that a content is not quarantined, since an endpoint has answered it after the
-    /// first of its crashes.
+    /// Log and count that a content is not quarantined, because an endpoint has answered it
+    /// since the first of its crashes.
     SuspicionCleared(Fingerprint),
-    /// Log that this instance quarantines a content from now on.
+    /// Log that this instance has quarantined a content, and count such contents.
     Quarantined {
         /// The content.
         content: Fingerprint,
         /// The number of endpoints that crashed while they ran it.
         crashes: u32,
     },
-    /// Announce to all peers that a content is quarantined, and record it at the platform.
+    /// Announce to all peers that a content is quarantined, and write the platform's record
+    /// of it.
     AnnounceQuarantine {
         /// The content.
         content: Fingerprint,
@@ -567,7 +568,7 @@
     },
     /// Delete the platform's record of a content.
     DeleteQuarantine(Fingerprint),
-    /// Log that a content is no longer quarantined.
+    /// Log that a content is no longer quarantined, and count those that still are.
     Released(Fingerprint),
     /// Tell a peer that pieces are queued at a service.
     AnnounceQueue {
--- a/crates/core/src/relay/terms.rs
+++ b/crates/core/src/relay/terms.rs
@@ -6,8 +6,8 @@
 
 use crate::relay::model::EndpointId;
 
-/// The longest interval between two calls that a rate results in, also if it is lower or
-/// zero: only a further call shows that the limit no longer applies.
+/// The longest interval between two calls that results from a rate, however low. Only a
+/// further call can show that the limit no longer applies.
 const MAX_INTERVAL: Duration = Duration::from_secs(30);
 const MILLIS_PER_CALL: f64 = 1000.0;
 
