--- a/crates/core/src/instance/finished.rs
+++ b/crates/core/src/instance/finished.rs
@@ -1,7 +1,7 @@
-//! Outcomes of finished non-idempotent requests, kept for repeats.
+//! Keeps the outcomes of finished non-idempotent requests for repeats.
 //!
-//! Bounded: the oldest goes first. What is gone from here is still protected
-//! by its claim in the log; only its answer can no longer be told.
+//! The size is bounded and the oldest outcome is evicted first. After that the claim in the log
+//! still prevents a second run, but the outcome is no longer available.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,43 +9,43 @@
 
 use crate::model::{Outcome, RequestId};
 
-/// A finished request.
+/// A finished request and its outcome.
 #[data]
-pub struct Ended {
-    /// Digest of the request.
+pub struct FinishedRequest {
+    /// Digest of the request, to detect a reused key.
     pub digest: u64,
-    /// How it ended.
+    /// The outcome that its caller got.
     pub outcome: Outcome,
 }
 
-/// The newest finished requests.
+/// The outcomes of the newest finished requests.
 #[derive(Debug)]
-pub struct Finished {
-    by_key: HashMap<RequestId, Ended>,
+pub struct FinishedRequests {
+    outcomes: HashMap<RequestId, FinishedRequest>,
     order: VecDeque<RequestId>,
     capacity: usize,
 }
 
-impl Finished {
-    /// Room for `capacity` outcomes.
-    pub fn new(capacity: usize) -> Finished {
-        Finished { by_key: HashMap::new(), order: VecDeque::new(), capacity }
+impl FinishedRequests {
+    /// An empty store with room for `capacity` outcomes.
+    pub fn new(capacity: usize) -> FinishedRequests {
+        FinishedRequests { outcomes: HashMap::new(), order: VecDeque::new(), capacity }
     }
 
-    /// Keeps an outcome.
-    pub fn insert(&mut self, key: RequestId, ended: Ended) {
-        if self.by_key.insert(key.clone(), ended).is_none() {
+    /// Stores an outcome and evicts the oldest one if the store is full.
+    pub fn insert(&mut self, key: RequestId, ended: FinishedRequest) {
+        if self.outcomes.insert(key.clone(), ended).is_none() {
             self.order.push_back(key);
         }
         if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
-            self.by_key.remove(&oldest);
+            self.outcomes.remove(&oldest);
         }
     }
 
-    /// What became of a request.
-    pub fn find(&self, key: &RequestId) -> Option<&Ended> {
-        self.by_key.get(key)
+    /// The finished request with that key, unless it was evicted.
+    pub fn get(&self, key: &RequestId) -> Option<&FinishedRequest> {
+        self.outcomes.get(key)
     }
 }
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/spread.rs
@@ -1,4 +1,4 @@
-//! What goes into a message, when not everything fits.
+//! Selects what goes into a gossip message when not everything fits.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,42 +9,42 @@
     model::{EndpointName, Incarnation},
 };
 
-/// News is sent on this many times the number of rounds that it takes to
-/// reach everybody in the best case.
+/// Each instance sends an item this many times the number of rounds that the item needs to reach
+/// all instances in the best case.
 const SENDS_FACTOR: u32 = 3;
-/// The oldest load that is worth telling, in milliseconds.
+/// The greatest age of a load report that is still sent, in milliseconds.
 const MAX_LOAD_AGE_MS: u32 = 5_000;
 
-/// How often one instance sends on a piece of news in a group of that size.
+/// How often one instance sends an item in a group of the given size.
 pub fn send_limit(members: usize) -> u32 {
     let doublings = usize::BITS - members.leading_zeros();
     SENDS_FACTOR * doublings.max(1)
 }
 
-/// The pieces of news that were sent least often, at most `max`, ties at random.
+/// The items that were sent least often, at most `max`. Ties are broken at random.
 pub fn least_sent<T>(
     rng: &mut SmallRng,
-    news: impl Iterator<Item = (T, u32)>,
+    items: impl Iterator<Item = (T, u32)>,
     limit: u32,
     max: usize,
 ) -> Vec<T> {
-    let open = news.filter(|&(_, sends)| sends < limit);
-    let mut open: Vec<(u32, u32, T)> =
-        open.map(|(item, sends)| (sends, rng.random(), item)).collect();
-    open.sort_unstable_by_key(|&(sends, tie, _)| (sends, tie));
-    open.into_iter().take(max).map(|(_, _, item)| item).collect()
+    let candidates = items.filter(|&(_, sends)| sends < limit);
+    let mut candidates: Vec<(u32, u32, T)> =
+        candidates.map(|(item, sends)| (sends, rng.random(), item)).collect();
+    candidates.sort_unstable_by_key(|&(sends, tie, _)| (sends, tie));
+    candidates.into_iter().take(max).map(|(_, _, item)| item).collect()
 }
 
-/// Which leaving marks go out next. New ones go first; one old one goes with
-/// each message, so that an instance that starts late learns them too.
+/// Selects the leaving marks to send next. New ones go first; each message also has one old mark,
+/// so that an instance that starts late receives them too.
 #[derive(Default)]
-pub struct LeavingSpread {
+pub struct LeavingSelector {
     sends: HashMap<(EndpointName, Incarnation), u32>,
     cursor: usize,
 }
 
-impl LeavingSpread {
-    /// Chooses marks for a message.
+impl LeavingSelector {
+    /// Selects marks for a message.
     pub fn pick(
         &mut self,
         rng: &mut SmallRng,
@@ -56,8 +56,8 @@
             self.prune(marks);
         }
         let sends = |mark: &LeavingMark| self.sends.get(&key_of(mark)).copied().unwrap_or(0);
-        let news = marks.iter().map(|mark| (mark, sends(mark)));
-        let mut picked = least_sent(rng, news, limit, max.saturating_sub(1));
+        let items = marks.iter().map(|mark| (mark, sends(mark)));
+        let mut picked = least_sent(rng, items, limit, max.saturating_sub(1));
         if let Some(old) = self.next_old(marks)
             && !picked.contains(&old)
         {
@@ -85,16 +85,16 @@
     (mark.endpoint.clone(), mark.incarnation)
 }
 
-/// Which endpoint states go out next: those with calls in flight or a fresh
-/// load, in turn, and for a while those whose calls have just ended.
+/// Selects the endpoint states to send next: those with calls in flight or a recent load report, in
+/// turn, and for a while those whose calls have just ended.
 #[derive(Default)]
-pub struct EndpointSpread {
+pub struct EndpointSelector {
     idle_sends: HashMap<EndpointName, u32>,
     cursor: usize,
 }
 
-impl EndpointSpread {
-    /// Chooses states for a message.
+impl EndpointSelector {
+    /// Selects states for a message.
     pub fn pick(&mut self, states: &[EndpointState], limit: u32, max: usize) -> Vec<EndpointState> {
         let mut picked = Vec::new();
         let start = self.cursor;
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/relay/choice.rs
@@ -1,12 +1,11 @@
-//! Where a call goes.
+//! Chooses the endpoint of a call.
 //!
-//! Plain services: the endpoint with the lowest expected time, its own load
-//! and the distance taken into account. Engines: the lowest cost, made of the
-//! tokens that the engine would have to read because it does not hold them,
-//! those it still has to read for others, the requests that share its steps,
-//! and the wait for memory or a place where these are taken. What an engine
-//! lacks and another one holds is fetched where engines can do that
-//! ([`prompts`]).
+//! A call to a plain service goes to the endpoint with the lowest expected response time, weighted
+//! by its load and distance. A prompt goes to the engine with the lowest cost. The cost counts the
+//! tokens that the engine has to prefill because it does not hold them, those that are still queued
+//! for prefill, the requests that share its decoding steps, and the wait for memory or a slot if
+//! these are exhausted. Where engines can transfer prompt parts, what an engine lacks is fetched
+//! from another one ([`prompts`]).
 
 pub mod prompts;
 
@@ -18,85 +17,88 @@
 use crate::{
     model::DataCentre,
     relay::{
-        choice::prompts::{Holdings, Memory, Rate, Reading},
+        choice::prompts::{PartLocations, PrefillPlan, PrefillRates, SentParts},
         config::{Engine, Transfer},
         directory::{Directory, Endpoint},
         model::{EndpointKey, Prompt},
     },
 };
 
-/// Milliseconds that each request which runs on an engine costs a new one:
-/// longer steps until its first token. Chosen so that ten requests weigh as
-/// much as reading 1,300 tokens.
-const RUNNING_MS: f64 = 4.0;
-/// Milliseconds that a megabyte of inputs from another data centre weighs.
-const INPUT_MS_PER_MB: f64 = 25.0;
-/// Milliseconds that an engine of another placer weighs: about what the prompts
-/// take to read that the other one may have just given it.
-const FOREIGN_MS: f64 = 60.0;
-/// Factor on the expected time of an endpoint in another data centre.
-const DISTANCE: f64 = 1.25;
-/// Expected time of an endpoint that has not answered yet.
-const UNKNOWN_TIME: Duration = Duration::from_millis(20);
-/// An endpoint that is so much slower than the quickest one is passed over for long, and
-/// tried now and then.
-const TRIED_FACTOR: f64 = 1.5;
-/// So many instances may each try an endpoint for themselves; with more each waits longer,
-/// so that all of them together try it as often.
-const TRYING: usize = 8;
-/// Factor on the quickest one's time for an endpoint that is tried: less than distance
-/// and chance make up for.
-const TRY: f64 = 0.7;
-/// An engine that is so much slower than the usual one is passed over.
+/// Cost in milliseconds of each request that runs on an engine: it makes the steps until the first
+/// token longer. Chosen so that ten requests weigh as much as the prefill of 1,300 tokens.
+const RUNNING_COST_MS: f64 = 4.0;
+/// Cost in milliseconds of a megabyte of inputs from another data centre.
+const INPUT_COST_MS_PER_MB: f64 = 25.0;
+/// Cost in milliseconds of an engine that another placer owns: about the prefill time of the
+/// prompts that the other placer may just have sent there.
+const OTHER_PLACER_COST_MS: f64 = 60.0;
+/// Factor on the expected response time of an endpoint in another data centre.
+const REMOTE_FACTOR: f64 = 1.25;
+/// Expected response time of an endpoint that has not answered yet.
+const DEFAULT_RESPONSE_TIME: Duration = Duration::from_millis(20);
+/// An endpoint that is slower than the fastest one by this factor is avoided, but gets a trial call
+/// from time to time.
+const TRIAL_THRESHOLD: f64 = 1.5;
+/// Up to this many instances make trial calls independently. With more, each waits longer between
+/// them, so that the total rate stays the same.
+const INSTANCES_PER_TRIAL: usize = 8;
+/// The expected response time of an endpoint that is due for a trial call, as a factor on the
+/// fastest one's: low enough to outweigh distance and jitter.
+const TRIAL_FACTOR: f64 = 0.7;
+/// An engine that is slower than the median by this factor has its cost multiplied accordingly.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// What a call asks of an endpoint's choice.
+/// What the choice of an endpoint depends on besides the endpoints' state.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
-    /// The caller's own data centre.
-    pub home: &'a str,
-    /// Endpoints that were tried before.
+pub struct Criteria<'a> {
+    /// The data centre of this instance.
+    pub data_centre: &'a str,
+    /// Endpoints that the request was sent to before.
     pub tried: &'a [EndpointKey],
-    /// Endpoints that get no call now, whatever else is left.
+    /// Endpoints that must not be called now, even if there are no others.
     pub withheld: &'a [EndpointKey],
     /// Bytes of inputs by data centre.
     pub inputs: &'a [(DataCentre, u64)],
-    /// Own calls that an endpoint may have at the most.
-    pub limit: u32,
-    /// How engines fetch from each other, if they can.
+    /// The most calls that this instance may have in flight to one endpoint.
+    pub max_in_flight: u32,
+    /// How engines fetch prompt parts from each other; `None` if they can't.
     pub transfer: Option<Transfer>,
-    /// What engines can do, if they generate.
-    pub shape: Option<Engine>,
-    /// Milliseconds that an engine takes to read a token.
+    /// Limits of the service's engines; `None` if it is a plain service.
+    pub engine: Option<Engine>,
+    /// Milliseconds that an engine takes to prefill a token.
     pub token_millis: f64,
-    /// How long a call is at an engine.
+    /// Average duration of a call to an engine.
     pub run_time: Duration,
-    /// How the choice of engines is shared out.
+    /// How the choice is divided among instances.
     pub chooser: Chooser,
-    /// Instances that may be alive.
+    /// The number of instances that may be alive.
     pub instances: usize,
 }
 
-/// Who else chooses for the same engines.
+/// How the choice of engines is divided among instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Chooser {
-    /// Every instance, each for itself.
-    Alone,
-    /// One placer for each share of the prompts; this is the choice of one of
-    /// them.
+    /// Every instance chooses for its own requests.
+    Independent,
+    /// Each share of the prompts has a placer, which chooses for all instances. This is the choice
+    /// of one of them.
     Placer {
-        /// Its share.
+        /// The share of this placer.
         share: u64,
-        /// How many there are.
+        /// The number of shares.
         shares: u64,
     },
 }
 
 impl Chooser {
-    /// The engines that belong to another placer, which may just have given them
-    /// work that is not known here. All placers have as many engines but for one:
-    /// these are sorted by a hash of their names and cut into equal runs.
-    pub fn foreign(self, directory: &Directory, engines: &[EndpointKey]) -> HashSet<EndpointKey> {
+    /// The engines that other placers own, and may just have sent prompts to. The engines are
+    /// sorted by a hash of their names and divided into consecutive runs, one for each placer,
+    /// which differ in length by at most one.
+    pub fn owned_by_others(
+        self,
+        directory: &Directory,
+        engines: &[EndpointKey],
+    ) -> HashSet<EndpointKey> {
         let Chooser::Placer { share, shares } = self else { return HashSet::new() };
         if shares == 1 {
             return HashSet::new();
@@ -118,123 +120,129 @@
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Prompt tokens that it will probably have to read; 0 for plain services.
+    /// Prompt tokens that it probably has to prefill; 0 for plain services.
     pub tokens: u64,
-    /// The engine that it should fetch from first.
+    /// The engine that it should fetch prompt parts from first.
     pub source: Option<EndpointKey>,
-    /// How long it reads what it was given before.
+    /// How long the prefill of earlier prompts takes.
     pub wait: Duration,
-    /// Time to copy what it fetches first.
-    pub copying: Duration,
-    /// What the call costs there; the lowest is the best.
+    /// Time to copy the fetched prompt parts.
+    pub copy_time: Duration,
+    /// Estimated cost of the call; the lowest is the best.
     pub cost: f64,
 }
 
-/// The endpoints of a plain service that may take a call. `jitter` gives
-/// numbers from 0 to 1 that keep instances from all choosing the same one.
-pub fn plain(
+/// The endpoints of a plain service that may take a call. `jitter` returns numbers from 0 to 1,
+/// which keep instances from all choosing the same endpoint.
+pub fn plain_candidates(
     directory: &Directory,
     now: Duration,
     service: &str,
-    wanted: Wanted<'_>,
+    criteria: Criteria<'_>,
     mut jitter: impl FnMut() -> f64,
 ) -> Vec<Candidate> {
-    let candidates = candidates(directory, now, service, wanted);
-    let quickest = candidates.iter().filter_map(|(_, endpoint)| endpoint.response_time).min();
-    let waits = wanted.instances.div_ceil(TRYING) as u32;
+    let candidates = candidates(directory, now, service, criteria);
+    let fastest = candidates.iter().filter_map(|(_, endpoint)| endpoint.response_time).min();
+    let interval_factor = criteria.instances.div_ceil(INSTANCES_PER_TRIAL) as u32;
     let time = |endpoint: &Endpoint| {
-        let time = expected_time(endpoint, now, quickest, waits).as_secs_f64();
-        let distance = if *endpoint.entry.data_centre == *wanted.home { 1.0 } else { DISTANCE };
+        let time = expected_time(endpoint, now, fastest, interval_factor).as_secs_f64();
+        let distance =
+            if *endpoint.entry.data_centre == *criteria.data_centre { 1.0 } else { REMOTE_FACTOR };
         time * distance * (1.0 + endpoint.utilisation(now) + f64::from(endpoint.in_flight) * 0.1)
     };
-    let costs = candidates.into_iter().map(|(key, endpoint)| {
+    let candidates = candidates.into_iter().map(|(key, endpoint)| {
         let spread = 1.0 + 0.1 * jitter();
         Candidate {
             endpoint: key,
             tokens: 0,
             source: None,
             wait: Duration::ZERO,
-            copying: Duration::ZERO,
+            copy_time: Duration::ZERO,
             cost: time(endpoint) * spread,
         }
     });
-    costs.collect()
+    candidates.collect()
 }
 
-/// How long an endpoint's answer is reckoned to take. One that was slow long ago is
-/// reckoned quick for one call, which shows whether it is; `waits` times as long ago as an
-/// instance alone would wait.
+/// The expected response time of an endpoint. One that was slow long ago counts as fast for one
+/// trial call, which shows whether it still is slow. `interval_factor` multiplies the time that a
+/// single instance would wait for that.
 fn expected_time(
     endpoint: &Endpoint,
     now: Duration,
-    quickest: Option<Duration>,
-    waits: u32,
+    fastest: Option<Duration>,
+    interval_factor: u32,
 ) -> Duration {
-    let Some(own) = endpoint.response_time else { return UNKNOWN_TIME };
-    let quickest = quickest.unwrap_or(own);
-    let is_slow = own > quickest.mul_f64(TRIED_FACTOR);
-    if is_slow && endpoint.is_trial_due(now, waits) { quickest.mul_f64(TRY) } else { own }
+    let Some(own) = endpoint.response_time else { return DEFAULT_RESPONSE_TIME };
+    let fastest = fastest.unwrap_or(own);
+    let is_slow = own > fastest.mul_f64(TRIAL_THRESHOLD);
+    if is_slow && endpoint.is_trial_due(now, interval_factor) {
+        fastest.mul_f64(TRIAL_FACTOR)
+    } else {
+        own
+    }
 }
 
 /// The engines that may take a prompt.
-pub fn engine(
+pub fn engine_candidates(
     directory: &Directory,
-    memory: &Memory,
+    memory: &SentParts,
     now: Duration,
     service: &str,
     prompt: &Prompt,
-    wanted: Wanted<'_>,
+    criteria: Criteria<'_>,
 ) -> Vec<Candidate> {
-    let candidates = candidates(directory, now, service, wanted);
-    let usual = usual_time(&candidates);
-    let is_alone = wanted.chooser == Chooser::Alone;
-    let owners = if is_alone { &candidates[..] } else { &[] };
+    let candidates = candidates(directory, now, service, criteria);
+    let median = median_response_time(&candidates);
+    let is_independent = criteria.chooser == Chooser::Independent;
+    let owners = if is_independent { &candidates[..] } else { &[] };
     let engines = directory.usable(now, service);
-    let foreign = wanted.chooser.foreign(directory, &engines);
-    let holders = prompts::holders(directory, now, &engines);
-    let rate = Rate { transfer: wanted.transfer, token_millis: wanted.token_millis };
-    let holdings = Holdings::new(memory, prompt, owners, &holders, rate);
-    let costs = candidates.iter().map(|&(key, endpoint)| {
-        let Reading { tokens, fetched, source, source_wait } = holdings.reading(key);
-        let wait = endpoint.engine.wait(now);
-        let copying = wanted.transfer.map_or(0.0, |transfer| transfer.millis(fetched));
+    let others = criteria.chooser.owned_by_others(directory, &engines);
+    let sources = prompts::fetch_sources(directory, now, &engines);
+    let rates = PrefillRates { transfer: criteria.transfer, token_millis: criteria.token_millis };
+    let locations = PartLocations::new(memory, prompt, owners, &sources, rates);
+    let candidates = candidates.iter().map(|&(key, endpoint)| {
+        let PrefillPlan { tokens, fetched, source, source_wait } = locations.plan(key);
+        let wait = endpoint.engine.prefill_wait(now);
+        let copy_millis = criteria.transfer.map_or(0.0, |transfer| transfer.millis(fetched));
         let copy_wait = match fetched {
             0 => 0.0,
             _ => millis(endpoint.engine.copy_wait(now).max(source_wait)),
         };
-        let reading = tokens as f64 * wanted.token_millis;
-        let ready = millis(wait).max(copy_wait + copying) + reading;
-        let running = f64::from(endpoint.calls(now)) * RUNNING_MS;
-        let crowding = crowding(endpoint, prompt, wanted) * millis(wanted.run_time);
-        let halting = halting(endpoint, millis(wait) + reading, wanted);
-        let far = far_megabytes(wanted.inputs, &endpoint.entry.data_centre) * INPUT_MS_PER_MB;
-        let cost = (ready + running + crowding + halting) * slowness(endpoint, usual) + far;
-        let cost = if foreign.contains(&key) { cost + FOREIGN_MS } else { cost };
-        let copying = Duration::from_secs_f64(copying / 1000.0);
-        Candidate { endpoint: key, tokens, source, wait, copying, cost }
+        let prefill = tokens as f64 * criteria.token_millis;
+        let ready = millis(wait).max(copy_wait + copy_millis) + prefill;
+        let running = f64::from(endpoint.calls(now)) * RUNNING_COST_MS;
+        let overload = overload(endpoint, prompt, criteria) * millis(criteria.run_time);
+        let stall_cost = stall_cost(endpoint, millis(wait) + prefill, criteria);
+        let remote =
+            remote_megabytes(criteria.inputs, &endpoint.entry.data_centre) * INPUT_COST_MS_PER_MB;
+        let cost = (ready + running + overload + stall_cost) * slowdown(endpoint, median) + remote;
+        let cost = if others.contains(&key) { cost + OTHER_PLACER_COST_MS } else { cost };
+        let copy_time = Duration::from_secs_f64(copy_millis / 1000.0);
+        Candidate { endpoint: key, tokens, source, wait, copy_time, cost }
     });
-    costs.collect()
+    candidates.collect()
 }
 
-/// What a prompt does to the streams that run at an engine: while it reads, their
-/// tokens come some twenty times slower, and what it has to read longer than a
-/// pause may last makes each of them late by that.
-fn halting(endpoint: &Endpoint, reading: f64, wanted: Wanted<'_>) -> f64 {
-    let pause = wanted.shape.and_then(|shape| shape.max_gap);
-    let beyond = pause.map_or(0.0, |pause| (reading - millis(pause)).max(0.0));
-    f64::from(endpoint.engine.streams()) * beyond
+/// Cost of a prefill to the streams that run on an engine. Meanwhile their tokens come some twenty
+/// times slower, so each of them is late by the time by which the prefill exceeds the allowed gap
+/// between tokens.
+fn stall_cost(endpoint: &Endpoint, prefill: f64, criteria: Criteria<'_>) -> f64 {
+    let pause = criteria.engine.and_then(|engine| engine.max_gap);
+    let excess = pause.map_or(0.0, |pause| (prefill - millis(pause)).max(0.0));
+    f64::from(endpoint.engine.stream_count()) * excess
 }
 
-/// The share of its calls that an engine has to end before it has memory and a
-/// place for one more.
-fn crowding(endpoint: &Endpoint, prompt: &Prompt, wanted: Wanted<'_>) -> f64 {
-    let Some(shape) = wanted.shape else { return 0.0 };
+/// The share of its calls that an engine must finish before it has the memory and a slot for one
+/// more.
+fn overload(endpoint: &Endpoint, prompt: &Prompt, criteria: Criteria<'_>) -> f64 {
+    let Some(limits) = criteria.engine else { return 0.0 };
     let engine = &endpoint.engine;
-    let needed = engine.memory() + engine.memory_for(prompt);
-    let places = engine.runs() + 1;
-    let excess = |needed: f64, most: f64| ((needed - most) / most.max(1.0)).max(0.0);
-    let memory = excess(needed as f64, shape.memory as f64);
-    memory.max(excess(f64::from(places), f64::from(shape.slots)))
+    let needed = engine.memory_in_use() + engine.additional_memory(prompt);
+    let slots = engine.run_count() + 1;
+    let excess = |needed: f64, limit: f64| ((needed - limit) / limit.max(1.0)).max(0.0);
+    let memory = excess(needed as f64, limits.memory as f64);
+    memory.max(excess(f64::from(slots), f64::from(limits.slots)))
 }
 
 fn millis(time: Duration) -> f64 {
@@ -246,46 +254,47 @@
     candidates.iter().min_by(|a, b| a.cost.total_cmp(&b.cost)).copied()
 }
 
-/// The candidates with the lowest costs, at most so many.
-pub fn cheapest_few(candidates: &[Candidate], most: usize) -> Vec<Candidate> {
+/// At most `limit` candidates, those with the lowest costs.
+pub fn cheapest_few(candidates: &[Candidate], limit: usize) -> Vec<Candidate> {
     let mut sorted = candidates.to_vec();
     sorted.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-    sorted.truncate(most);
+    sorted.truncate(limit);
     sorted
 }
 
-/// Candidates that may take a call now: those that are not paused, or else
-/// those that are.
+/// The endpoints that may take a call now: those that are not paused, or if there are none, the
+/// paused ones.
 fn candidates<'a>(
     directory: &'a Directory,
     now: Duration,
     service: &str,
-    wanted: Wanted<'_>,
+    criteria: Criteria<'_>,
 ) -> Vec<(EndpointKey, &'a Endpoint)> {
     let usable = directory.usable(now, service).into_iter();
-    let open = usable.filter(|key| !wanted.withheld.contains(key));
-    let untried = open.filter(|key| !wanted.tried.contains(key));
+    let open = usable.filter(|key| !criteria.withheld.contains(key));
+    let untried = open.filter(|key| !criteria.tried.contains(key));
     let known = untried.filter_map(|key| Some((key, directory.get(key)?)));
-    let free = known.filter(|(_, endpoint)| endpoint.in_flight < wanted.limit);
-    let (paused, sound): (Vec<_>, Vec<_>) = free.partition(|(_, endpoint)| endpoint.is_paused(now));
-    if sound.is_empty() { paused } else { sound }
+    let free = known.filter(|(_, endpoint)| endpoint.in_flight < criteria.max_in_flight);
+    let (paused, available): (Vec<_>, Vec<_>) =
+        free.partition(|(_, endpoint)| endpoint.is_paused(now));
+    if available.is_empty() { paused } else { available }
 }
 
-fn far_megabytes(inputs: &[(DataCentre, u64)], data_centre: &str) -> f64 {
-    let far = inputs.iter().filter(|(place, _)| **place != *data_centre);
-    far.map(|(_, bytes)| *bytes as f64 / 1e6).sum()
+fn remote_megabytes(inputs: &[(DataCentre, u64)], data_centre: &str) -> f64 {
+    let remote = inputs.iter().filter(|(location, _)| **location != *data_centre);
+    remote.map(|(_, bytes)| *bytes as f64 / 1e6).sum()
 }
 
-/// The median time of the candidates that have answered.
-fn usual_time(candidates: &[(EndpointKey, &Endpoint)]) -> Option<Duration> {
+/// The median response time of the candidates that have answered; `None` if none has.
+fn median_response_time(candidates: &[(EndpointKey, &Endpoint)]) -> Option<Duration> {
     let times = candidates.iter().filter_map(|(_, endpoint)| endpoint.response_time);
     let mut times: Vec<_> = times.collect();
     times.sort_unstable();
     times.get(times.len() / 2).copied()
 }
 
-fn slowness(endpoint: &Endpoint, usual: Option<Duration>) -> f64 {
-    let (Some(time), Some(usual)) = (endpoint.response_time, usual) else { return 1.0 };
-    let factor = time.as_secs_f64() / usual.as_secs_f64().max(1e-3);
+fn slowdown(endpoint: &Endpoint, median: Option<Duration>) -> f64 {
+    let (Some(time), Some(median)) = (endpoint.response_time, median) else { return 1.0 };
+    let factor = time.as_secs_f64() / median.as_secs_f64().max(1e-3);
     if factor > SLOW_FACTOR { factor } else { 1.0 }
 }
--- a/crates/core/src/relay/directory/endpoint.rs
+++ b/crates/core/src/relay/directory/endpoint.rs
@@ -7,9 +7,9 @@
 use crate::{
     model::Load,
     relay::{
-        backoff::{self, Backoff, Pauses},
+        backoff::{self, Backoff, Delays},
         directory::Entry,
-        engine::Engine,
+        engine::EngineModel,
         model::{EndpointId, Failure, Step},
         terms::{LimitReport, Notice, Rate},
     },
@@ -20,8 +20,7 @@
 /// about two seconds after it, and it takes half a second until their loss is noticed.
 const MISSING_GRACE: Duration = Duration::from_millis(1500);
 /// How long an endpoint receives no calls after its calls failed.
-const FAILURE_DELAYS: Pauses =
-    Pauses { first: Duration::from_millis(400), longest: Duration::from_secs(4) };
+const FAILURE_DELAYS: Delays = Delays { initial: Duration::from_millis(400), max: Duration::from_secs(4) };
 /// The weight of a new response time in the moving average.
 const NEW_TIME_WEIGHT: f64 = 0.2;
 /// The time without an answer after which a slow endpoint receives a trial call. Slow
@@ -55,7 +54,7 @@
     pub in_flight: u32,
     /// The model of its load, if it generates, from the calls that this instance placed
     /// there for itself and for peers.
-    pub engine: Engine,
+    pub engine: EngineModel,
     /// Moving average of the time to the first byte of an answer; `None` before the first
     /// answer.
     pub response_time: Option<Duration>,
@@ -89,7 +88,7 @@
             last_slot: None,
             entry,
             in_flight: 0,
-            engine: Engine::default(),
+            engine: EngineModel::default(),
             response_time: None,
             answered_at: Duration::ZERO,
             trial_interval: TRIAL_INTERVAL,
@@ -200,7 +199,8 @@
     /// Whether it receives no calls because its last calls failed or were refused. After
     /// failures, one call at a time probes whether it works again.
     pub fn is_paused(&self, now: Duration) -> bool {
-        let is_probed = || self.in_flight > 0 || self.engine.is_probed(now, self.failures.until());
+        let is_probed =
+            || self.in_flight > 0 || self.engine.has_pending_probe(now, self.failures.until());
         let is_failing =
             self.failures.is_paused(now) || (self.failures.has_failed() && is_probed());
         is_failing || self.refusals.is_paused(now)
@@ -208,7 +208,7 @@
 
     /// The estimated number of calls that it runs or queues.
     pub fn calls(&self, now: Duration) -> u32 {
-        let placed = self.in_flight.max(self.engine.runs());
+        let placed = self.in_flight.max(self.engine.run_count());
         let Some((at, load)) = self.load else { return placed };
         if now > at + MAX_LOAD_AGE {
             return placed;
@@ -245,8 +245,8 @@
 
     /// Records the first byte of an answer, `took` after the call was sent.
     pub fn record_answer(&mut self, now: Duration, took: Duration, load: Option<Load>) {
-        self.failures.succeeded();
-        self.refusals.succeeded();
+        self.failures.record_success();
+        self.refusals.record_success();
         if let Some(load) = load {
             self.record_load(now, load);
         }
@@ -283,7 +283,7 @@
     /// Records that it refused a call. Without a pause it would be chosen again at once,
     /// because the refusal lowers its load.
     fn refused(&mut self, now: Duration, load: Option<Load>) {
-        self.refusals.failed(now, backoff::REFUSED);
+        self.refusals.record_failure(now, backoff::REFUSAL_DELAYS);
         if let Some(load) = load {
             self.record_load(now, load);
         }
@@ -299,7 +299,7 @@
         if self.failures.is_paused(now) && failure != Failure::Unsent {
             return false;
         }
-        self.failures.failed(now, FAILURE_DELAYS);
+        self.failures.record_failure(now, FAILURE_DELAYS);
         true
     }
 }
