--- a/crates/core/src/relay/config.rs
+++ b/crates/core/src/relay/config.rs
@@ -302,8 +302,8 @@
 
 impl Service {
     fn check(&self, name: &ServiceName) -> Result<(), ConfigError> {
-        let pause = self.engine.and_then(|engine| engine.max_gap).unwrap_or_default();
-        check_time(name, &[pause, self.cold_interval.unwrap_or_default()])?;
+        let max_gap = self.engine.and_then(|engine| engine.max_gap).unwrap_or_default();
+        check_time(name, &[max_gap, self.cold_interval.unwrap_or_default()])?;
         let Some(pieces) = &self.pieces else { return Ok(()) };
         if pieces.batch == 0 {
             return Err(ConfigError::Batch { service: name.clone() });
--- a/crates/core/src/relay/directory.rs
+++ b/crates/core/src/relay/directory.rs
@@ -104,7 +104,7 @@
 
 impl Directory {
     /// Applies a change.
-    pub fn change(&mut self, now: Duration, change: Change) -> ChangeEffect {
+    pub fn apply_change(&mut self, now: Duration, change: Change) -> ChangeEffect {
         match change {
             Change::Put(entry) => self.put(now, entry),
             Change::Removed(name) => self.mark_lost(&name, State::Missing(now)),
--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -296,7 +296,7 @@
     /// Takes in a change of the directory.
     pub fn apply_change(&mut self, now: Duration, change: Change) -> ChangeEffect {
         let change = self.unless_strange(change);
-        let changed = self.directory.change(now, change);
+        let changed = self.directory.apply_change(now, change);
         if let Some(EndedEndpoint { endpoint, is_planned }) = changed.ended {
             self.end_life(now, endpoint, is_planned);
         }
--- a/crates/core/tests/testsuite/relay/directory.rs
+++ b/crates/core/tests/testsuite/relay/directory.rs
@@ -22,7 +22,7 @@
 fn directory(names: &[&str]) -> Directory {
     let mut directory = Directory::default();
     for name in names {
-        directory.change(ms(0), Change::Put(entry(name, "desk")));
+        directory.apply_change(ms(0), Change::Put(entry(name, "desk")));
     }
     directory
 }
@@ -38,17 +38,17 @@
 #[test]
 fn leaving_is_sticky() {
     let mut directory = directory(&["a", "b"]);
-    directory.change(ms(10), leaving("a"));
-    directory.change(ms(20), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(10), leaving("a"));
+    directory.apply_change(ms(20), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 30), ["b"]);
 }
 
 #[test]
 fn an_entry_that_lapsed_is_a_last_resort_for_a_moment() {
     let mut directory = directory(&["a", "b"]);
-    directory.change(ms(100), Change::Removed(Arc::from("a")));
+    directory.apply_change(ms(100), Change::Removed(Arc::from("a")));
     assert_eq!(usable(&directory, 200), ["b"]);
-    directory.change(ms(100), Change::Removed(Arc::from("b")));
+    directory.apply_change(ms(100), Change::Removed(Arc::from("b")));
     assert_eq!(usable(&directory, 1500), ["a", "b"]);
     assert_eq!(usable(&directory, 1700), Vec::<String>::new());
 }
@@ -56,16 +56,16 @@
 #[test]
 fn an_entry_that_lapsed_comes_back() {
     let mut directory = directory(&["a"]);
-    directory.change(ms(100), Change::Removed(Arc::from("a")));
-    directory.change(ms(3000), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(100), Change::Removed(Arc::from("a")));
+    directory.apply_change(ms(3000), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 3000), ["a"]);
 }
 
 #[test]
 fn an_entry_that_left_does_not_come_back_by_being_removed() {
     let mut directory = directory(&["a"]);
-    directory.change(ms(10), leaving("a"));
-    directory.change(ms(20), Change::Removed(Arc::from("a")));
+    directory.apply_change(ms(10), leaving("a"));
+    directory.apply_change(ms(20), Change::Removed(Arc::from("a")));
     assert_eq!(usable(&directory, 30), Vec::<String>::new());
 }
 
@@ -110,7 +110,7 @@
         Some(Load { running: 3, queued: 9, places: 4, age_ms: 0 }),
     );
     endpoint.record_failure(ms(0), Failure::Cut);
-    let changed = directory.change(ms(10), Change::Put(life("a", 2)));
+    let changed = directory.apply_change(ms(10), Change::Put(life("a", 2)));
     let ended = EndedEndpoint { endpoint: old, is_planned: false };
     assert_eq!((changed.is_new, changed.ended), (true, Some(ended)));
     let key = directory.by_name("a").unwrap();
@@ -127,10 +127,10 @@
 #[test]
 fn news_of_an_earlier_life_that_come_late_change_nothing() {
     let mut directory = directory(&["b"]);
-    directory.change(ms(0), Change::Put(life("a", 2)));
+    directory.apply_change(ms(0), Change::Put(life("a", 2)));
     let key = directory.by_name("a");
     let late = Entry { is_leaving: true, ..life("a", 1) };
-    assert_eq!(directory.change(ms(10), Change::Put(late)), Default::default());
+    assert_eq!(directory.apply_change(ms(10), Change::Put(late)), Default::default());
     assert_eq!(directory.by_name("a"), key);
     assert_eq!(usable(&directory, 20), ["b", "a"]);
 }
@@ -138,8 +138,8 @@
 #[test]
 fn an_endpoint_that_left_is_used_again_once_it_has_started_again() {
     let mut directory = directory(&["a"]);
-    directory.change(ms(10), leaving("a"));
-    directory.change(ms(20), Change::Put(life("a", 2)));
+    directory.apply_change(ms(10), leaving("a"));
+    directory.apply_change(ms(20), Change::Put(life("a", 2)));
     assert_eq!(usable(&directory, 30), ["a"]);
     // The life that is over is forgotten; its name belongs to the other one.
     directory.forget(ms(100_000));
@@ -150,10 +150,10 @@
 #[test]
 fn what_is_no_entry_names_no_endpoint_until_it_writes_again() {
     let mut directory = directory(&["a"]);
-    directory.change(ms(100), Change::Unreadable(Arc::from("a")));
-    directory.change(ms(100), Change::Unreadable(Arc::from("stranger")));
+    directory.apply_change(ms(100), Change::Unreadable(Arc::from("a")));
+    directory.apply_change(ms(100), Change::Unreadable(Arc::from("stranger")));
     assert_eq!(usable(&directory, 110), Vec::<String>::new(), "not even as a last resort");
-    directory.change(ms(300), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(300), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 310), ["a"]);
 }
 
@@ -163,9 +163,9 @@
 fn a_service_most_of_whose_entries_lapsed_is_used_on_for_a_moment() {
     let mut directory = directory(&["a", "b", "c", "d"]);
     for name in ["a", "b", "c", "d"] {
-        directory.change(ms(100), Change::Removed(Arc::from(name)));
+        directory.apply_change(ms(100), Change::Removed(Arc::from(name)));
     }
-    directory.change(ms(400), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(400), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 500), ["a", "b", "c", "d"]);
     assert_eq!(usable(&directory, 1700), ["a"], "what is not back then is gone");
 }
@@ -174,10 +174,10 @@
 fn an_entry_that_moves_a_life_to_another_service_is_somebody_elses() {
     let mut directory = directory(&["a", "b"]);
     let strange = Entry { service: Arc::from("mart"), ..entry("a", "mart") };
-    directory.change(ms(100), Change::Put(strange));
+    directory.apply_change(ms(100), Change::Put(strange));
     assert_eq!(usable(&directory, 110), ["b"]);
     assert!(directory.usable(ms(110), "mart").is_empty());
-    directory.change(ms(300), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(300), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 310), ["a", "b"]);
 }
 
