--- a/crates/cli/tests/testsuite/replay.rs
+++ b/crates/cli/tests/testsuite/replay.rs
@@ -39,7 +39,7 @@
         4294967297   station  paid     0      may have run  may have run
         12884901889  station  other    3      answered      answered
         21474836481  station  read     4      answered      answered
-        line 12: caller 4294967297 was told may have run (TimedOut, stage None); the replay tells 4294967297: may have run (ClaimedElsewhere, stage None)
+        line 12: caller 4294967297 was sent may have run (TimedOut, stage None); the replay sends caller 4294967297 may have run (ClaimedElsewhere, stage None)
         entry-1: 44 inputs, 7 calls, 1 differences
     "#]]).await;
 }
@@ -50,11 +50,11 @@
         "replay-none",
         "{}\n",
         expect![[r#"
-        exit 1
-          x cannot replay entry-1.trace: line 1 is no record of a trace:
-          | missing field `peatdeck_inputs` at line 1 column 2; mend or remove it
-          help: give a file that peatdeck-entry --trace wrote
-    "#]],
+            exit 1
+              x cannot replay entry-1.trace: line 1 is not a valid trace
+              | record: missing field `peatdeck_inputs` at line 1 column 2; correct or remove it
+              help: give a file that peatdeck-entry --trace wrote
+        "#]],
     )
     .await;
 }
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -2,7 +2,7 @@
 //!
 //! A policy is a `rhai` script that defines any of four functions, each with one parameter, the
 //! facts: `admit(ctx)`, `order(ctx)`, `route(ctx)` and `refuse(ctx)`. Whatever it doesn't define,
-//! or answers with `()`, is decided by the built-in rules. A script is bounded in operations, depth
+//! or returns `()` for, is decided by the built-in rules. A script is bounded in operations, depth
 //! and sizes; it can't do I/O, read a clock, load other code or keep state.
 //!
 //! If a function fails or exceeds a bound, the built-in decision is used and the failure is
