--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     decisions,
-    dialect::Order,
+    dialect::PostRequest,
     driver::{self, Driver, Reply},
     pool::{self, Lease},
 };
@@ -42,7 +42,7 @@
     let took = (driver.now() - started).as_millis() as u64;
     decisions::log_failure(&request.id, &call.endpoint, failure, &cause, took);
     driver.metrics.count("relay.calls_failed", 1);
-    driver.failed(call.key, failure);
+    driver.on_call_failure(call.key, failure);
 }
 
 /// Finds out whether an endpoint that cut calls has ended, or only connections have.
@@ -62,7 +62,7 @@
     let sent = driver.pool.send(&call.addr, outgoing(driver, call, request)).await;
     let (response, lease) = sent.map_err(|error| (failure_of(&error), error.to_string()))?;
     let (parts, body) = response.into_parts();
-    let dialect = &driver.surroundings.dialect;
+    let dialect = &driver.platform.dialect;
     let head = dialect.reply_head(&request.id, parts.status, &parts.headers);
     let took = driver.now() - started;
     driver.metrics.time("relay.first_byte", took);
@@ -70,15 +70,15 @@
     if !head.has_request_id {
         return Err((Failure::Foreign, "the reply is to another request".to_owned()));
     }
-    let headers = dialect.told_headers(parts.headers);
+    let headers = dialect.reply_headers(parts.headers);
     let mut reply = Reply { status: parts.status, headers, body: Bytes::new() };
     if driver.feed(|machine, now| machine.on_reply_head(now, call.key, &head)) {
-        driver.hold_head(call.key, reply);
+        driver.store_head(call.key, reply);
         return pump(driver, call, body, lease).await;
     }
     reply.body = read_whole(body, MAX_ANSWER).await.map_err(|cause| (Failure::Cut, cause))?;
-    driver.pool.keep(lease);
-    driver.replied(call.key, &head, reply);
+    driver.pool.put_back(lease);
+    driver.on_reply(call.key, &head, reply);
     Ok(())
 }
 
@@ -103,22 +103,22 @@
     if !splitter.incomplete().is_empty() {
         return Err((Failure::Cut, "the stream ended within an event".to_owned()));
     }
-    driver.pool.keep(lease);
+    driver.pool.put_back(lease);
     driver.forget_call(call.key);
     driver.feed(|machine, now| machine.on_stream_end(now, call.key));
     Ok(())
 }
 
 /// Has pieces made and tells the machine what came of it.
-pub async fn make(
+pub async fn run_pieces(
     driver: Rc<Driver>,
     call: CallKey,
     endpoint: EndpointName,
     addr: Arc<str>,
     pieces: Vec<Piece>,
 ) {
-    let dialect = &driver.surroundings.dialect;
-    let order = (dialect.make)(&pieces, driver.now());
+    let dialect = &driver.platform.dialect;
+    let order = (dialect.encode_pieces)(&pieces, driver.now());
     let started = driver.now();
     let posted = post(&driver, &addr, Some(&endpoint), order);
     let made = match tokio::time::timeout(PIECES_TIMEOUT, posted).await {
@@ -152,7 +152,7 @@
     body: &[u8],
     took_ms: u64,
 ) {
-    let results = (driver.surroundings.dialect.read_made)(body);
+    let results = (driver.platform.dialect.decode_results)(body);
     let results = results.filter(|results| results.len() == pieces.len());
     let Some(results) = results else {
         let status = head.status;
@@ -179,8 +179,8 @@
 }
 
 /// Gives results up. One that cannot be given up ends by itself.
-pub async fn free(driver: Rc<Driver>, addr: Arc<str>, handles: Vec<Handle>) {
-    let order = (driver.surroundings.dialect.free)(&handles);
+pub async fn free_results(driver: Rc<Driver>, addr: Arc<str>, handles: Vec<Handle>) {
+    let order = (driver.platform.dialect.encode_free)(&handles);
     let posted = post(&driver, &addr, None, order);
     if !matches!(tokio::time::timeout(FREE_TIMEOUT, posted).await, Ok(Ok(_))) {
         driver.metrics.count("relay.frees_failed", 1);
@@ -190,14 +190,12 @@
 /// Asks an engine which parts of prompts it holds. One that does not tell is
 /// taken to hold none.
 pub async fn list_parts(driver: Rc<Driver>, endpoint: EndpointKey, addr: Arc<str>) {
-    let path = driver.surroundings.dialect.parts_path;
+    let path = driver.platform.dialect.parts_path;
     let request = Request::get(path).header(header::HOST, &*addr).body(Full::default());
     let request = request.expect("path and address are valid");
     let listed = tokio::time::timeout(LIST_TIMEOUT, fetch(&driver, &addr, request)).await;
     let listed = match listed {
-        Ok(Ok((head, body))) if head.status == 200 => {
-            (driver.surroundings.dialect.read_parts)(&body)
-        }
+        Ok(Ok((head, body))) if head.status == 200 => (driver.platform.dialect.decode_parts)(&body),
         _ => None,
     };
     let count = listed.as_ref().map(|listed| listed.parts.len());
@@ -212,9 +210,9 @@
     driver: &Rc<Driver>,
     addr: &Arc<str>,
     endpoint: Option<&str>,
-    order: Order,
+    order: PostRequest,
 ) -> Result<(ReplyHead, Bytes), (Failure, String)> {
-    let names = &driver.surroundings.dialect.names;
+    let names = &driver.platform.dialect.names;
     let mut request = Request::post(order.path)
         .header(header::HOST, &**addr)
         .header(header::CONTENT_TYPE, "application/json");
@@ -232,12 +230,12 @@
     addr: &Arc<str>,
     request: Request<Full<Bytes>>,
 ) -> Result<(ReplyHead, Bytes), (Failure, String)> {
-    let dialect = &driver.surroundings.dialect;
+    let dialect = &driver.platform.dialect;
     let sent = driver.pool.send(addr, request).await;
     let (response, lease) = sent.map_err(|error| (failure_of(&error), error.to_string()))?;
     let (parts, body) = response.into_parts();
     let body = read_whole(body, MAX_MADE).await.map_err(|cause| (Failure::Cut, cause))?;
-    driver.pool.keep(lease);
+    driver.pool.put_back(lease);
     Ok((dialect.reply_head("", parts.status, &parts.headers), body))
 }
 
@@ -245,7 +243,7 @@
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.target.parse().expect("it was a request's target");
-    *outgoing.headers_mut() = driver.surroundings.dialect.call_headers(call, &request.headers);
+    *outgoing.headers_mut() = driver.platform.dialect.call_headers(call, &request.headers);
     outgoing
 }
 
--- a/crates/relay/src/decisions.rs
+++ b/crates/relay/src/decisions.rs
@@ -15,7 +15,7 @@
 
 /// What an instance believed when it decided.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Belief {
+pub struct ConfigState {
     /// The configuration's version; 0 if none is known.
     pub version: u64,
     /// How long ago configuration and directory were compared with the
@@ -24,7 +24,7 @@
 }
 
 /// Logs that a request was taken in.
-pub fn log_taken(id: &str, taken: &ExchangeSummary, belief: Belief) {
+pub fn log_admitted(id: &str, taken: &ExchangeSummary, belief: ConfigState) {
     tracing::info!(
         event = "arrive",
         id,
@@ -40,7 +40,7 @@
 }
 
 /// Logs an action of the machine. `id` gives the caller's id of an exchange.
-pub fn log_action(action: &Action, id: &str, belief: Belief) {
+pub fn log_action(action: &Action, id: &str, belief: ConfigState) {
     match action {
         Action::Send(call) => log_send(call, id),
         Action::Cancel(call) => tracing::info!(event = "cancel", call = ?call),
@@ -122,7 +122,7 @@
 }
 
 /// Logs a refusal.
-pub fn log_refusal(id: &str, refusal: Refusal, retry_ms: Option<u64>, belief: Belief) {
+pub fn log_refusal(id: &str, refusal: Refusal, retry_ms: Option<u64>, belief: ConfigState) {
     let (reason, status) = (refusal.name(), refusal.status());
     let (version, age_ms) = (belief.version, belief.age.map(millis));
     tracing::warn!(event = "refuse", id, reason, status, retry_ms, version, age_ms);
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -20,7 +20,7 @@
     },
 };
 
-pub use crate::dialect::names::{Names, Row, Setter};
+pub use crate::dialect::names::{HeaderNames, HeaderRule, Setter};
 
 /// Headers that concern one connection only and are never passed on.
 const HOP_HEADERS: [HeaderName; 8] = [
@@ -38,7 +38,7 @@
 
 /// A call's path and body.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct PostRequest {
     /// The path.
     pub path: &'static str,
     /// The body.
@@ -49,17 +49,17 @@
 #[derive(Debug, Clone)]
 pub struct Dialect {
     /// Names of the headers.
-    pub names: Names,
+    pub names: HeaderNames,
     /// Has pieces made. Given the time from now until each has to be done.
-    pub make: fn(&[Piece], Duration) -> Order,
+    pub encode_pieces: fn(&[Piece], Duration) -> PostRequest,
     /// Reads what came of it; `None` if it cannot be read.
-    pub read_made: fn(&[u8]) -> Option<Vec<PieceResult>>,
+    pub decode_results: fn(&[u8]) -> Option<Vec<PieceResult>>,
     /// Gives results up.
-    pub free: fn(&[Handle]) -> Order,
+    pub encode_free: fn(&[Handle]) -> PostRequest,
     /// The path at which an engine tells which parts of prompts it holds.
     pub parts_path: &'static str,
     /// Reads them; `None` if they cannot be read.
-    pub read_parts: fn(&[u8]) -> Option<HeldParts>,
+    pub decode_parts: fn(&[u8]) -> Option<HeldParts>,
 }
 
 /// A request that cannot be passed on as it is.
@@ -109,7 +109,7 @@
         let names = &self.names;
         let mut headers = caller.clone();
         strip_hop_headers(&mut headers);
-        names.keep_callers(&mut headers);
+        names.retain_caller_headers(&mut headers);
         let millis = call.remaining.as_millis().max(1);
         set(&mut headers, &names.deadline, &millis.to_string());
         set(&mut headers, &names.endpoint, &call.endpoint);
@@ -132,9 +132,9 @@
     }
 
     /// The headers of an endpoint's reply that go to the caller.
-    pub fn told_headers(&self, mut reply: HeaderMap) -> HeaderMap {
+    pub fn reply_headers(&self, mut reply: HeaderMap) -> HeaderMap {
         strip_hop_headers(&mut reply);
-        self.names.keep_told(&mut reply);
+        self.names.retain_reply_headers(&mut reply);
         reply
     }
 
@@ -142,7 +142,7 @@
     pub fn reply_head(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> ReplyHead {
         let names = &self.names;
         let echo = text(headers, &names.request);
-        let is_unrun = headers.contains_key(&names.unrun) || status.as_u16() == 421;
+        let is_unrun = headers.contains_key(&names.not_run) || status.as_u16() == 421;
         ReplyHead {
             status: status.as_u16(),
             has_request_id: echo.map_or(is_unrun, |echo| echo == id),
--- a/crates/relay/src/dialect/names.rs
+++ b/crates/relay/src/dialect/names.rs
@@ -4,7 +4,7 @@
 //! relay's, and some steer an endpoint in a way that the relay never asks for:
 //! whose memory it reads, what it keeps and for how long. A caller that could
 //! set one of these would reach into the work of others. Each header that a
-//! dialect knows therefore has a [`Row`], and calls and replies are put together
+//! dialect knows therefore has a [`HeaderRule`], and calls and replies are put together
 //! from the rows.
 
 use http::{HeaderMap, HeaderName};
@@ -22,18 +22,18 @@
 
 /// What becomes of one header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Row<'a> {
+pub struct HeaderRule<'a> {
     /// The header.
     pub name: &'a HeaderName,
     /// Who sets it in calls.
     pub setter: Setter,
     /// Whether callers get to see it in replies.
-    pub is_told: bool,
+    pub is_forwarded: bool,
 }
 
 /// Names of the headers.
 #[derive(Debug, Clone)]
-pub struct Names {
+pub struct HeaderNames {
     /// The caller's id of the request; endpoints echo it.
     pub request: HeaderName,
     /// How long the caller still waits, in milliseconds.
@@ -47,7 +47,7 @@
     /// The last event of a stream that the caller holds.
     pub resume: HeaderName,
     /// States that an endpoint did not run the request.
-    pub unrun: HeaderName,
+    pub not_run: HeaderName,
     /// An endpoint's load: running, waiting, places.
     pub load: HeaderName,
     /// Marks an endpoint's own whole answer.
@@ -73,23 +73,23 @@
     /// States that an endpoint takes no new work any more.
     pub leaving: HeaderName,
     /// Further headers that callers may set for endpoints.
-    pub free: Vec<HeaderName>,
+    pub extra: Vec<HeaderName>,
     /// Further headers that endpoints act on and that are nobody's to set.
     pub reserved: Vec<HeaderName>,
 }
 
-impl Names {
+impl HeaderNames {
     /// What becomes of each header.
-    pub fn rows(&self) -> impl Iterator<Item = Row<'_>> {
+    pub fn rules(&self) -> impl Iterator<Item = HeaderRule<'_>> {
         // Without `..`: a new name does not compile until it has a row.
-        let Names {
+        let HeaderNames {
             request,
             deadline,
             key,
             team,
             endpoint,
             resume,
-            unrun,
+            not_run: unrun,
             load,
             seal,
             rank,
@@ -102,10 +102,10 @@
             cold,
             limit,
             leaving,
-            free,
+            extra: free,
             reserved,
         } = self;
-        let row = |name, setter, is_told| Row { name, setter, is_told };
+        let row = |name, setter, is_told| HeaderRule { name, setter, is_forwarded: is_told };
         let known = [
             row(request, Setter::Caller, true),
             row(deadline, Setter::Relay, false),
@@ -134,15 +134,15 @@
     }
 
     /// Leaves of a caller's headers what the caller may set.
-    pub fn keep_callers(&self, headers: &mut HeaderMap) {
-        for row in self.rows().filter(|row| row.setter != Setter::Caller) {
+    pub fn retain_caller_headers(&self, headers: &mut HeaderMap) {
+        for row in self.rules().filter(|row| row.setter != Setter::Caller) {
             headers.remove(row.name);
         }
     }
 
     /// Leaves of a reply's headers what callers may see.
-    pub fn keep_told(&self, headers: &mut HeaderMap) {
-        for row in self.rows().filter(|row| !row.is_told) {
+    pub fn retain_reply_headers(&self, headers: &mut HeaderMap) {
+        for row in self.rules().filter(|row| !row.is_forwarded) {
             headers.remove(row.name);
         }
     }
--- a/crates/relay/src/driver.rs
+++ b/crates/relay/src/driver.rs
@@ -39,7 +39,7 @@
     pool::Pool,
     records,
     settings::Settings,
-    surroundings::{Surroundings, TableName},
+    surroundings::{Platform, TableName},
 };
 
 /// After being told to stop, an instance takes requests for so long. The
@@ -79,7 +79,7 @@
 
 /// A part of what a caller is sent.
 #[derive(Debug)]
-pub enum Part {
+pub enum ReplyPart {
     /// An endpoint's whole answer.
     Whole(Reply),
     /// The head of a stream.
@@ -112,13 +112,13 @@
 
 struct Caller {
     request: Rc<Request>,
-    parts: mpsc::UnboundedSender<Part>,
+    parts: mpsc::UnboundedSender<ReplyPart>,
     arrived: Duration,
 }
 
 /// What other threads see of the event loop.
 #[derive(Debug, Default)]
-pub struct Shared {
+pub struct SharedState {
     /// Whether the instance takes requests.
     pub is_ready: AtomicBool,
 }
@@ -141,7 +141,7 @@
     /// Connections to endpoints.
     pub pool: Rc<Pool>,
     /// The platform.
-    pub surroundings: Surroundings,
+    pub platform: Platform,
     /// The settings.
     pub settings: Settings,
     /// The other instances.
@@ -149,17 +149,17 @@
     /// Counters and timings.
     pub metrics: Metrics,
     /// What other threads see.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
 }
 
 /// What a driver is made of.
-pub struct Parts {
+pub struct Components {
     /// The machine.
     pub machine: Relay,
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// The platform.
-    pub surroundings: Surroundings,
+    pub platform: Platform,
     /// The settings.
     pub settings: Settings,
     /// Connections.
@@ -167,12 +167,12 @@
     /// Counters and timings.
     pub metrics: Metrics,
     /// What other threads see.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
 }
 
 impl Driver {
     /// A driver whose machine knows nothing yet.
-    pub fn new(parts: Parts) -> Rc<Driver> {
+    pub fn new(parts: Components) -> Rc<Driver> {
         let peers = Peers::new(&parts.settings);
         let turned = Cell::new(parts.clock.now());
         Rc::new(Driver {
@@ -187,7 +187,7 @@
             news: Notify::new(),
             stopping: Cell::new(None),
             pool: parts.pool,
-            surroundings: parts.surroundings,
+            platform: parts.platform,
             settings: parts.settings,
             peers,
             metrics: parts.metrics,
@@ -235,13 +235,13 @@
         self.pool.clear();
         self.resumed.set(Some(now));
         self.machine.borrow_mut().hold_for_tables(now + NEWS_WITHIN);
-        ntex::rt::spawn(follow::look(self.clone()));
+        ntex::rt::spawn(follow::refresh_tables(self.clone()));
         now
     }
 
     /// Tables were read or heard of. Requests go on that wait for that since the
     /// event loop stood still.
-    pub fn note_news(self: &Rc<Self>) {
+    pub fn on_tables_read(self: &Rc<Self>) {
         let Some(resumed) = self.resumed.get() else { return };
         let now = self.now();
         let is_fresh = |age: Duration| age <= now.saturating_sub(resumed);
@@ -254,7 +254,7 @@
 
     /// Waits until requests may be taken in: which route is theirs, and whether their
     /// key is known, is decided once. Returns how long that took.
-    pub async fn settled(self: &Rc<Self>) -> Duration {
+    pub async fn wait_for_tables(self: &Rc<Self>) -> Duration {
         let asked = self.turn();
         while let Some(resumed) = self.resumed.get() {
             let left = (resumed + NEWS_WITHIN).saturating_sub(self.now());
@@ -268,7 +268,7 @@
     }
 
     /// Looks at the machine.
-    pub fn look<T>(&self, look: impl FnOnce(&Relay) -> T) -> T {
+    pub fn inspect<T>(&self, look: impl FnOnce(&Relay) -> T) -> T {
         look(&self.machine.borrow())
     }
 
@@ -276,11 +276,11 @@
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let now = self.now();
-            let wake = self.look(|machine| machine.next_wake(now));
+            let wake = self.inspect(|machine| machine.next_wake(now));
             let pause = tokio::time::sleep(wake.saturating_sub(now).min(LONGEST_SLEEP));
             futures::future::select(Box::pin(pause), Box::pin(self.rearm.notified())).await;
             let now = self.now();
-            if self.look(|machine| machine.next_wake(now)) <= now {
+            if self.inspect(|machine| machine.next_wake(now)) <= now {
                 self.feed(Relay::tick);
             }
         }
@@ -290,7 +290,11 @@
     ///
     /// # Errors
     /// The refusal, if the machine does not take it.
-    pub fn submit(self: &Rc<Self>, arrival: Arrival, request: Request) -> Result<Waiter, Refusal> {
+    pub fn submit(
+        self: &Rc<Self>,
+        arrival: Arrival,
+        request: Request,
+    ) -> Result<ReplyReceiver, Refusal> {
         let id = arrival.id.clone();
         let arrival = Arrival { content: request.content(&arrival.host), ..arrival };
         self.metrics.count("relay.requests", 1);
@@ -302,8 +306,8 @@
         let actions = machine.take_actions();
         drop(machine);
         let key = arrived.inspect_err(|refusal| self.note_refusal(&id, *refusal))?;
-        if let Some(taken) = self.look(|machine| machine.describe(key)) {
-            decisions::log_taken(&id, &taken, self.belief());
+        if let Some(taken) = self.inspect(|machine| machine.describe(key)) {
+            decisions::log_admitted(&id, &taken, self.belief());
         }
         let caller = Caller { request, parts: tx, arrived: now };
         self.callers.borrow_mut().insert(key, caller);
@@ -311,7 +315,7 @@
             self.perform(action);
         }
         self.rearm.notify_one();
-        Ok(Waiter { parts, guard: Guard { driver: self.clone(), key } })
+        Ok(ReplyReceiver { parts, guard: DisconnectGuard { driver: self.clone(), key } })
     }
 
     /// Whether the instance was told to stop.
@@ -321,7 +325,7 @@
 
     /// Whether the balancer has had time to notice that the instance stops. A
     /// request that still comes is told so: it might not be finished in time.
-    pub fn is_closed(&self) -> bool {
+    pub fn is_refusing(&self) -> bool {
         self.stopping.get().is_some_and(|since| self.now() > since + OPEN_AFTER_STOP)
     }
 
@@ -336,9 +340,9 @@
 
     /// Works out whether the instance takes requests.
     pub fn update_ready(&self) {
-        let knows_quarantine = self.peers.tables.is_known(TableName::Quarantine);
+        let knows_quarantine = self.peers.tables.is_loaded(TableName::Quarantine);
         let knows_others = self
-            .look(|machine| machine.config().is_some() && machine.directory().ready_count() > 0);
+            .inspect(|machine| machine.config().is_some() && machine.directory().ready_count() > 0);
         let knows_enough = knows_quarantine && knows_others;
         let is_ready = knows_enough && !self.is_stopping();
         let was_ready = self.shared.is_ready.swap(is_ready, Ordering::Relaxed);
@@ -354,7 +358,7 @@
     }
 
     /// A whole reply came.
-    pub fn replied(self: &Rc<Self>, call: CallKey, head: &ReplyHead, reply: Reply) {
+    pub fn on_reply(self: &Rc<Self>, call: CallKey, head: &ReplyHead, reply: Reply) {
         self.replies.borrow_mut().insert(call, reply);
         self.forget_call(call);
         self.feed(|machine, now| machine.on_reply(now, call, head));
@@ -362,7 +366,7 @@
     }
 
     /// A call failed.
-    pub fn failed(self: &Rc<Self>, call: CallKey, failure: Failure) {
+    pub fn on_call_failure(self: &Rc<Self>, call: CallKey, failure: Failure) {
         self.forget_call(call);
         self.feed(|machine, now| machine.on_call_failure(now, call, failure));
     }
@@ -374,15 +378,15 @@
 
     /// Sends a caller an event.
     pub fn send_event(&self, exchange: ExchangeKey, bytes: Bytes) {
-        self.send(exchange, Part::Event(bytes));
+        self.send(exchange, ReplyPart::Event(bytes));
     }
 
     /// Keeps the head of a stream until the machine begins it.
-    pub fn hold_head(&self, call: CallKey, reply: Reply) {
+    pub fn store_head(&self, call: CallKey, reply: Reply) {
         self.replies.borrow_mut().insert(call, reply);
     }
 
-    fn send(&self, exchange: ExchangeKey, part: Part) {
+    fn send(&self, exchange: ExchangeKey, part: ReplyPart) {
         if let Some(caller) = self.callers.borrow().get(exchange) {
             // A caller that has gone is noticed by its guard.
             caller.parts.unbounded_send(part).ok();
@@ -390,7 +394,7 @@
     }
 
     /// Sends a caller its last part.
-    fn end(&self, exchange: ExchangeKey, part: Part) {
+    fn end(&self, exchange: ExchangeKey, part: ReplyPart) {
         let Some(caller) = self.callers.borrow_mut().remove(exchange) else { return };
         let took = self.now().saturating_sub(caller.arrived);
         self.metrics.time("relay.exchange", took);
@@ -415,32 +419,32 @@
                 let reply = self.replies.borrow_mut().remove(&call);
                 let reply = reply.expect("the machine answers while it is told of the reply");
                 self.metrics.count("relay.answered", 1);
-                self.end(exchange, Part::Whole(reply));
+                self.end(exchange, ReplyPart::Whole(reply));
             }
             Action::BeginStream { exchange, call } => {
                 if let Some(head) = self.replies.borrow_mut().remove(&call) {
-                    self.send(exchange, Part::Head(head));
+                    self.send(exchange, ReplyPart::Head(head));
                 }
             }
             Action::FinishStream(exchange) => {
                 self.metrics.count("relay.answered", 1);
-                self.end(exchange, Part::End);
+                self.end(exchange, ReplyPart::End);
             }
             Action::AbortStream(exchange) => {
                 self.metrics.count("relay.broken", 1);
-                self.end(exchange, Part::Broken);
+                self.end(exchange, ReplyPart::Broken);
             }
             Action::Refuse { exchange, refusal, retry_after } => {
                 self.count_refusal(refusal);
-                self.end(exchange, Part::Refused { refusal, retry_after });
+                self.end(exchange, ReplyPart::Refused { refusal, retry_after });
             }
             Action::MakePieces { call, endpoint, addr, pieces } => {
                 self.metrics.count("relay.piece_calls", 1);
                 self.metrics.count("relay.pieces", pieces.len() as u64);
-                self.spawn(call, calls::make(self.clone(), call, endpoint, addr, pieces));
+                self.spawn(call, calls::run_pieces(self.clone(), call, endpoint, addr, pieces));
             }
             Action::FreeResults { addr, handles } => {
-                ntex::rt::spawn(calls::free(self.clone(), addr, handles));
+                ntex::rt::spawn(calls::free_results(self.clone(), addr, handles));
             }
             Action::Disconnect(addr) => self.pool.disconnect(&addr),
             Action::ListParts { endpoint, addr } => {
@@ -451,15 +455,17 @@
                 self.peers.hand_over(self, key, peer, pieces);
             }
             Action::FreeViaPeer { peer, handles, is_evictable } => {
-                self.peers.free_through(self, peer, handles, is_evictable);
+                self.peers.free_via_peer(self, peer, handles, is_evictable);
             }
             Action::RequestPlacement { exchange, peer, request } => {
                 self.metrics.count("relay.placements_asked", 1);
-                self.peers.ask_place(self, exchange, peer, request);
+                self.peers.request_placement(self, exchange, peer, request);
+            }
+            Action::AnnounceQueue { peer, service } => {
+                self.peers.announce_queue(self, peer, service)
             }
-            Action::AnnounceQueue { peer, service } => self.peers.tell_queue(self, peer, service),
             Action::ReportProgress { peer, progress, notices } => {
-                self.peers.report(self, peer, progress, notices);
+                self.peers.report_progress(self, peer, progress, notices);
             }
             Action::Probe { endpoint, addr } => {
                 ntex::rt::spawn(calls::probe(self.clone(), endpoint, addr));
@@ -467,11 +473,15 @@
             Action::EndpointCrashed { crashes, .. } => {
                 self.metrics.count("relay.crashed_runs", crashes.len() as u64);
             }
-            Action::ReportCrashes { peer, crashes } => self.peers.accuse(self, peer, crashes),
-            Action::QueryAnswered { content, since } => self.peers.consult(self, content, since),
+            Action::ReportCrashes { peer, crashes } => {
+                self.peers.report_crashes(self, peer, crashes)
+            }
+            Action::QueryAnswered { content, since } => {
+                self.peers.query_answered(self, content, since)
+            }
             Action::AnnounceQuarantine { content, crashes } => {
                 self.metrics.count("relay.quarantines_raised", 1);
-                self.peers.quarantine(self, content, crashes);
+                self.peers.announce_quarantine(self, content, crashes);
                 ntex::rt::spawn(records::write(self.clone(), content, Some(crashes)));
             }
             Action::WriteQuarantine { content, crashes } => {
@@ -481,17 +491,17 @@
                 ntex::rt::spawn(records::write(self.clone(), content, None));
             }
             Action::Quarantined { .. } | Action::Released(_) => {
-                let held = self.look(|machine| machine.quarantined().count());
+                let held = self.inspect(|machine| machine.quarantined().count());
                 self.metrics.gauge("relay.quarantined", held as u64);
             }
             Action::SuspicionCleared(_) => self.metrics.count("relay.quarantines_dropped", 1),
             Action::EndpointLeaving { .. } => self.metrics.count("relay.endpoints_leaving", 1),
             Action::EndpointLimit { .. } => {
-                let limited = self.look(Relay::limited_count);
+                let limited = self.inspect(Relay::limited_count);
                 self.metrics.gauge("relay.endpoints_limited", limited as u64);
             }
             Action::RecallPieces(key) => self.peers.recall(key),
-            Action::ReturnResults { ticket, results } => self.peers.give_back(ticket, results),
+            Action::ReturnResults { ticket, results } => self.peers.return_results(ticket, results),
         }
     }
 
@@ -526,9 +536,9 @@
         decisions::log_refusal(id, refusal, None, self.belief());
     }
 
-    fn belief(&self) -> decisions::Belief {
-        decisions::Belief {
-            version: self.look(|machine| machine.config().map_or(0, |config| config.version)),
+    fn belief(&self) -> decisions::ConfigState {
+        decisions::ConfigState {
+            version: self.inspect(|machine| machine.config().map_or(0, |config| config.version)),
             age: self.peers.tables.age(self.now()),
         }
     }
@@ -545,27 +555,31 @@
     }
 
     /// A peer returned pieces, or cannot be reached.
-    pub fn handed_back(self: &Rc<Self>, key: HandoverKey, results: Option<Vec<PieceResult>>) {
+    pub fn on_handover_return(
+        self: &Rc<Self>,
+        key: HandoverKey,
+        results: Option<Vec<PieceResult>>,
+    ) {
         self.feed(|machine, now| machine.on_handover_return(now, key, results));
     }
 }
 
 /// One caller's side: what it is sent. Dropping it before the last part tells
 /// the machine that the caller has gone.
-pub struct Waiter {
+pub struct ReplyReceiver {
     /// The parts as they come.
-    pub parts: mpsc::UnboundedReceiver<Part>,
+    pub parts: mpsc::UnboundedReceiver<ReplyPart>,
     /// Tells the machine when the caller goes.
-    pub guard: Guard,
+    pub guard: DisconnectGuard,
 }
 
 /// Tells the machine when the caller goes.
-pub struct Guard {
+pub struct DisconnectGuard {
     driver: Rc<Driver>,
     key: ExchangeKey,
 }
 
-impl Drop for Guard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         self.driver.caller_gone(self.key);
     }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -100,7 +100,7 @@
 /// If the store does not answer.
 pub async fn read_back(driver: &Rc<Driver>, name: TableName) -> Result<(), StoreError> {
     let tables = &driver.peers.tables;
-    if !tables.is_known(name) || later_timeline(driver, name).is_some() {
+    if !tables.is_loaded(name) || later_timeline(driver, name).is_some() {
         return read_whole(driver, name).await.map(drop);
     }
     read_on(driver, name, tables.position(name), Duration::ZERO).await
@@ -108,7 +108,7 @@
 
 /// The store's timeline, if it is later than that of a table.
 fn later_timeline(driver: &Driver, name: TableName) -> Option<Timeline> {
-    let timeline = (driver.surroundings.store.timeline)();
+    let timeline = (driver.platform.store.timeline)();
     (timeline > driver.peers.tables.position(name).timeline).then_some(timeline)
 }
 
@@ -122,7 +122,7 @@
 /// Gives the readers time to tell of a later timeline, unless this instance is one.
 async fn await_tellers(driver: &Driver, name: TableName) {
     let is_teller = driver.peers.is_reader(driver.now());
-    if is_teller || !driver.peers.tables.is_known(name) || later_timeline(driver, name).is_none() {
+    if is_teller || !driver.peers.tables.is_loaded(name) || later_timeline(driver, name).is_none() {
         return;
     }
     let until = driver.now() + TIMELINE_SPREAD.mul_f64(rand::rng().random());
@@ -133,7 +133,7 @@
 
 /// Looks at all tables that requests go by, at once: whoever follows them may be in a
 /// pause.
-pub async fn look(driver: Rc<Driver>) {
+pub async fn refresh_tables(driver: Rc<Driver>) {
     let urgent = [TableName::Config, TableName::Endpoints, TableName::Quarantine];
     let reads = urgent.map(|name| read_back(&driver, name));
     for (name, read) in urgent.into_iter().zip(future::join_all(reads).await) {
@@ -146,7 +146,7 @@
 /// One call and what it brings.
 async fn step(driver: &Rc<Driver>, name: TableName) -> Result<(), StoreError> {
     let tables = &driver.peers.tables;
-    if !tables.is_known(name) || later_timeline(driver, name).is_some() {
+    if !tables.is_loaded(name) || later_timeline(driver, name).is_some() {
         return read_whole(driver, name).await.map(drop);
     }
     let wait = match name {
@@ -175,7 +175,7 @@
     let tables = &driver.peers.tables;
     driver.metrics.count("relay.store_reads", 1);
     let asked = driver.now();
-    let read = (driver.surroundings.store.read)(name, from.offset, wait);
+    let read = (driver.platform.store.read)(name, from.offset, wait);
     match limited(wait, read).await? {
         Read::Records { records, end, has_more, timeline } => {
             note_read(driver, name, &records, asked);
@@ -187,9 +187,9 @@
                 // The offset that was asked for is another one now.
                 return Ok(());
             }
-            let changed = tables.follow(name, records, end);
+            let changed = tables.apply_changes(name, records, end);
             if !has_more {
-                tables.compare(name, asked);
+                tables.mark_compared(name, asked);
             }
             tables::apply(driver, name, "store", changed);
             Ok(())
@@ -210,14 +210,14 @@
     let asked = driver.now();
     let tables = &driver.peers.tables;
     let first = read_page(driver, name, None).await?;
-    let Page { mut records, more: mut after, end: offset, timeline } = first;
+    let Page { mut records, next_after: mut after, end: offset, timeline } = first;
     while after.is_some() {
         let page = read_page(driver, name, after).await?;
         if page.timeline != timeline {
             return Err(outdated(driver, name, timeline));
         }
         records.extend(page.records);
-        after = page.more;
+        after = page.next_after;
     }
     note_read(driver, name, &records, asked);
     let known = tables.position(name);
@@ -225,10 +225,10 @@
     if end.timeline < known.timeline || later_timeline(driver, name) > Some(end.timeline) {
         return Err(outdated(driver, name, timeline));
     }
-    let before = (tables.is_known(name), known);
-    let changed = tables.list(name, records, end);
-    tables::note_timeline(driver, name, "store", before);
-    tables.compare(name, asked);
+    let before = (tables.is_loaded(name), known);
+    let changed = tables.apply_listing(name, records, end);
+    tables::record_timeline(driver, name, "store", before);
+    tables.mark_compared(name, asked);
     tables::apply(driver, name, "store", changed);
     Ok(end)
 }
@@ -239,14 +239,13 @@
     after: Option<Arc<str>>,
 ) -> Result<Page, StoreError> {
     driver.metrics.count("relay.store_reads", 1);
-    limited(Duration::ZERO, (driver.surroundings.store.newest)(name, after)).await
+    limited(Duration::ZERO, (driver.platform.store.newest)(name, after)).await
 }
 
 /// An answer belongs to an earlier timeline than one that was seen.
 fn outdated(driver: &Driver, name: TableName, told: Option<Timeline>) -> StoreError {
-    let known =
-        (driver.surroundings.store.timeline)().max(driver.peers.tables.position(name).timeline);
-    StoreError::Outdated { told: told.unwrap_or_default().0, known: known.0 }
+    let known = (driver.platform.store.timeline)().max(driver.peers.tables.position(name).timeline);
+    StoreError::Outdated { timeline: told.unwrap_or_default().0, newest: known.0 }
 }
 
 /// Guards against reading the same table whole again and again, without a pause, from
@@ -262,7 +261,7 @@
 fn note_read(driver: &Driver, name: TableName, records: &[Record], asked: Duration) {
     let bytes = records.iter().map(Record::bytes).sum::<usize>() as u64;
     driver.metrics.count("relay.store_bytes", bytes);
-    if bytes >= tables::NOTABLE {
+    if bytes >= tables::MIN_LOGGED_BYTES {
         let took_ms = driver.now().saturating_sub(asked).as_millis() as u64;
         tracing::info!(event = "store_read", table = name.name(), bytes, took_ms);
     }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -11,7 +11,7 @@
 };
 use peatdeck_core::relay::model::{Arrival, Refusal};
 
-use crate::driver::{Driver, Part, Reply, Request, Waiter};
+use crate::driver::{Driver, Reply, ReplyPart, ReplyReceiver, Request};
 
 /// When a caller that an instance which stops cannot serve should come back,
 /// in seconds: at once, to another instance.
@@ -67,7 +67,7 @@
     mut req: server::Request,
 ) -> Result<Response, io::Error> {
     let headers = read_headers(&req);
-    let arrival = match driver.surroundings.dialect.arrival(req.path(), &headers) {
+    let arrival = match driver.platform.dialect.arrival(req.path(), &headers) {
         Ok(arrival) => arrival,
         Err(error) => {
             driver.metrics.count("relay.malformed", 1);
@@ -83,12 +83,12 @@
     let target = req.uri().path_and_query().map_or("/", |target| target.as_str()).to_owned();
     let method = req.method().clone();
     let request = Request { id: arrival.id.clone(), method, target, headers, body };
-    if driver.is_closed() {
+    if driver.is_refusing() {
         driver.metrics.count("relay.refused.closed", 1);
         tracing::info!(event = "refuse", id = &*request.id, reason = "stopping", status = 503);
         return Ok(refuse(&driver, Refusal::Unserved, Some(COME_BACK)));
     }
-    let waited = driver.settled().await;
+    let waited = driver.wait_for_tables().await;
     let deadline = arrival.deadline.map(|deadline| deadline.saturating_sub(waited));
     let arrival = Arrival { deadline, ..arrival };
     let mut waiter = match driver.submit(arrival, request) {
@@ -96,12 +96,12 @@
         Err(refusal) => return Ok(refuse(&driver, refusal, None)),
     };
     let response = match waiter.parts.next().await {
-        Some(Part::Whole(reply)) => whole(&driver, reply),
-        Some(Part::Head(head)) => stream(&driver, head, waiter, req.io().cloned(), held),
-        Some(Part::Refused { refusal, retry_after }) => {
+        Some(ReplyPart::Whole(reply)) => whole(&driver, reply),
+        Some(ReplyPart::Head(head)) => stream(&driver, head, waiter, req.io().cloned(), held),
+        Some(ReplyPart::Refused { refusal, retry_after }) => {
             refuse(&driver, refusal, retry_after.map(|after| after.as_secs_f64()))
         }
-        Some(Part::Event(_) | Part::End | Part::Broken) | None => {
+        Some(ReplyPart::Event(_) | ReplyPart::End | ReplyPart::Broken) | None => {
             refuse(&driver, Refusal::Failed, None)
         }
     };
@@ -124,7 +124,7 @@
     req: &mut server::Request,
     held: &mut Held,
 ) -> Result<Bytes, Rejected> {
-    let limit = driver.look(|machine| machine.config().map(|config| config.limits.max_body));
+    let limit = driver.inspect(|machine| machine.config().map(|config| config.limits.max_body));
     let limit = limit.unwrap_or(driver.settings.body_memory);
     let mut body = BytesMut::new();
     while let Some(chunk) = req.payload().next().await {
@@ -158,13 +158,19 @@
     response.body(ntex::util::Bytes::copy_from_slice(&reply.body))
 }
 
-fn stream(driver: &Driver, head: Reply, waiter: Waiter, io: Option<IoRef>, held: Held) -> Response {
+fn stream(
+    driver: &Driver,
+    head: Reply,
+    waiter: ReplyReceiver,
+    io: Option<IoRef>,
+    held: Held,
+) -> Response {
     begin(driver, &head).streaming(Box::pin(events(waiter, io, held)))
 }
 
 /// A stream's events, until it ends or the caller goes.
 fn events(
-    waiter: Waiter,
+    waiter: ReplyReceiver,
     io: Option<IoRef>,
     held: Held,
 ) -> impl Stream<Item = Result<ntex::util::Bytes, io::Error>> {
@@ -172,11 +178,11 @@
     futures::stream::unfold(state, async |state| {
         let (mut waiter, io, held) = state?;
         match next_part(&mut waiter, io.as_ref()).await {
-            Some(Part::Event(bytes)) => {
+            Some(ReplyPart::Event(bytes)) => {
                 let bytes = ntex::util::Bytes::copy_from_slice(&bytes);
                 Some((Ok(bytes), Some((waiter, io, held))))
             }
-            Some(Part::End) => None,
+            Some(ReplyPart::End) => None,
             _ => Some((Err(break_off(io.as_ref()).await), None)),
         }
     })
@@ -197,7 +203,7 @@
 
 /// The next part; `None` if the caller has gone. The server itself would look
 /// at the connection only when there is something to send.
-async fn next_part(waiter: &mut Waiter, io: Option<&IoRef>) -> Option<Part> {
+async fn next_part(waiter: &mut ReplyReceiver, io: Option<&IoRef>) -> Option<ReplyPart> {
     let Some(io) = io else { return waiter.parts.next().await };
     let gone = io.on_disconnect();
     match futures::future::select(waiter.parts.next(), gone).await {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -6,7 +6,7 @@
 //! happens goes into the machine through [`driver::Driver`], which carries out
 //! the actions that come back. No other place takes a decision.
 //!
-//! The relay is generic over its surroundings: [`surroundings::Surroundings`]
+//! The relay is generic over its surroundings: [`surroundings::Platform`]
 //! holds, as plain functions, all that differs from platform to platform.
 //!
 //! - [`settings`]: what an instance is told at its start.
--- a/crates/relay/src/native.rs
+++ b/crates/relay/src/native.rs
@@ -10,11 +10,11 @@
 };
 use peatdeck_macros::message;
 
-use crate::dialect::{self, Dialect, Names, Order};
+use crate::dialect::{self, Dialect, HeaderNames, PostRequest};
 
 /// A call for pieces.
 #[message]
-pub struct MakeBody {
+pub struct PiecesBody {
     /// The pieces.
     pub pieces: Vec<PieceBody>,
 }
@@ -38,7 +38,7 @@
 
 /// The answer to a call for pieces, in their order.
 #[message]
-pub struct MadeBody {
+pub struct ResultsBody {
     /// The results.
     pub results: Vec<ResultBody>,
 }
@@ -80,14 +80,14 @@
 pub fn dialect() -> Dialect {
     let name = HeaderName::from_static;
     Dialect {
-        names: Names {
+        names: HeaderNames {
             request: name("peatdeck-request"),
             deadline: name("peatdeck-deadline-ms"),
             key: name("peatdeck-key"),
             team: name("peatdeck-team"),
             endpoint: name("peatdeck-endpoint"),
             resume: name("last-event-id"),
-            unrun: name("peatdeck-not-run"),
+            not_run: name("peatdeck-not-run"),
             load: name("peatdeck-load"),
             seal: name("peatdeck-seal"),
             rank: name("peatdeck-rank"),
@@ -100,19 +100,19 @@
             cold: name("peatdeck-cold-ms"),
             limit: name("peatdeck-limit"),
             leaving: name("peatdeck-leaving"),
-            free: Vec::new(),
+            extra: Vec::new(),
             // What an engine keeps free, and whose memory it goes on from.
             reserved: vec![name("peatdeck-hold"), name("peatdeck-from")],
         },
-        make,
-        read_made,
-        free,
+        encode_pieces: encode_pieces,
+        decode_results: decode_results,
+        encode_free: encode_free,
         parts_path: "/v1/parts",
-        read_parts,
+        decode_parts: decode_parts,
     }
 }
 
-fn make(pieces: &[Piece], now: Duration) -> Order {
+fn encode_pieces(pieces: &[Piece], now: Duration) -> PostRequest {
     let pieces = pieces.iter().map(|piece| PieceBody {
         request: piece.request.clone(),
         stage: piece.stage,
@@ -121,19 +121,19 @@
         key: piece.key.clone(),
         inputs: piece.inputs.clone(),
     });
-    Order { path: "/v1/pieces", body: json(&MakeBody { pieces: pieces.collect() }) }
+    PostRequest { path: "/v1/pieces", body: json(&PiecesBody { pieces: pieces.collect() }) }
 }
 
-fn read_made(body: &[u8]) -> Option<Vec<PieceResult>> {
-    let made: MadeBody = serde_json::from_slice(body).ok()?;
+fn decode_results(body: &[u8]) -> Option<Vec<PieceResult>> {
+    let made: ResultsBody = serde_json::from_slice(body).ok()?;
     Some(made.results.into_iter().map(result).collect())
 }
 
-fn free(handles: &[Handle]) -> Order {
-    Order { path: "/v1/pieces/free", body: json(&FreeBody { handles: handles.to_vec() }) }
+fn encode_free(handles: &[Handle]) -> PostRequest {
+    PostRequest { path: "/v1/pieces/free", body: json(&FreeBody { handles: handles.to_vec() }) }
 }
 
-fn read_parts(body: &[u8]) -> Option<HeldParts> {
+fn decode_parts(body: &[u8]) -> Option<HeldParts> {
     let held: PartsBody = serde_json::from_slice(body).ok()?;
     let parts = held.parts.iter().filter_map(|id| dialect::part_id(id)).collect();
     Some(HeldParts { incarnation: held.incarnation.map(Incarnation), parts })
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -27,9 +27,9 @@
 
 /// What an operator asks the event loop.
 #[derive(Debug)]
-pub enum Question {
+pub enum Query {
     /// What is held back?
-    Held(oneshot::Sender<Vec<Held>>),
+    Quarantined(oneshot::Sender<Vec<Held>>),
     /// Which data centres are evacuated?
     Evacuated(oneshot::Sender<Vec<Evacuated>>),
     /// What do endpoints say of themselves?
@@ -44,20 +44,20 @@
 /// None; the type is what the server asks for.
 pub async fn answer(
     metrics: Arc<Registry>,
-    asked: mpsc::UnboundedSender<Question>,
+    asked: mpsc::UnboundedSender<Query>,
     req: Request,
 ) -> Result<Response, io::Error> {
     if req.path() == EVACUATIONS {
-        return Ok(show(&asked, Question::Evacuated).await);
+        return Ok(show(&asked, Query::Evacuated).await);
     }
     if req.path() == TERMS {
-        return Ok(show(&asked, Question::Terms).await);
+        return Ok(show(&asked, Query::Terms).await);
     }
     let Some(rest) = req.path().strip_prefix(QUARANTINE) else {
         return Ok(Response::Ok().body(metrics.render()));
     };
     let response = match (req.method(), rest.strip_prefix('/')) {
-        (&Method::GET, None) => show(&asked, Question::Held).await,
+        (&Method::GET, None) => show(&asked, Query::Quarantined).await,
         (&Method::DELETE, Some(name)) => release(&asked, name).await,
         _ => plain(StatusCode::NOT_FOUND, "ask GET /quarantine, or DELETE /quarantine/FINGERPRINT"),
     };
@@ -66,8 +66,8 @@
 
 /// Answers with what the event loop lists.
 async fn show<T: Serialize>(
-    asked: &mpsc::UnboundedSender<Question>,
-    question: impl Fn(oneshot::Sender<Vec<T>>) -> Question,
+    asked: &mpsc::UnboundedSender<Query>,
+    question: impl Fn(oneshot::Sender<Vec<T>>) -> Query,
 ) -> Response {
     let (tx, rx) = oneshot::channel();
     // Without an event loop there is no answer either.
@@ -81,14 +81,14 @@
     }
 }
 
-async fn release(asked: &mpsc::UnboundedSender<Question>, name: &str) -> Response {
+async fn release(asked: &mpsc::UnboundedSender<Query>, name: &str) -> Response {
     let Some(content) = Fingerprint::parse(name) else {
         let help = "that is no fingerprint; take one from GET /quarantine";
         return plain(StatusCode::BAD_REQUEST, help);
     };
     let (tx, rx) = oneshot::channel();
     // Without an event loop there is no answer either.
-    asked.unbounded_send(Question::Release(content, tx)).ok();
+    asked.unbounded_send(Query::Release(content, tx)).ok();
     match rx.await {
         Ok(true) => plain(StatusCode::ACCEPTED, "released here; the others follow in seconds"),
         Ok(false) => plain(StatusCode::NOT_FOUND, "it is not held back here"),
@@ -105,20 +105,20 @@
 }
 
 /// Answers operators' questions for as long as the process runs.
-pub async fn serve(driver: Rc<Driver>, mut questions: mpsc::UnboundedReceiver<Question>) {
+pub async fn serve(driver: Rc<Driver>, mut questions: mpsc::UnboundedReceiver<Query>) {
     while let Some(question) = questions.next().await {
         // Whoever asked may have gone.
         match question {
-            Question::Held(answer) => {
+            Query::Quarantined(answer) => {
                 answer.send(records::list(&driver)).ok();
             }
-            Question::Evacuated(answer) => {
+            Query::Evacuated(answer) => {
                 answer.send(evacuated(&driver)).ok();
             }
-            Question::Terms(answer) => {
+            Query::Terms(answer) => {
                 answer.send(terms(&driver)).ok();
             }
-            Question::Release(content, answer) => {
+            Query::Release(content, answer) => {
                 let was_held = driver.feed(|machine, _| machine.release_content(content));
                 tracing::warn!(event = "quarantine_lifted", %content, was_held);
                 answer.send(was_held).ok();
@@ -128,7 +128,7 @@
 }
 
 fn evacuated(driver: &Driver) -> Vec<Evacuated> {
-    driver.look(|machine| {
+    driver.inspect(|machine| {
         let directory = machine.directory();
         let listed = directory.evacuated().map(|name| Evacuated {
             data_centre: name.clone(),
@@ -151,5 +151,5 @@
         let says_any = terms.limit.is_some() || terms.rest_ms > 0 || terms.is_leaving;
         says_any.then_some(terms)
     };
-    driver.look(|machine| machine.directory().all().filter_map(says).collect())
+    driver.inspect(|machine| machine.directory().all().filter_map(says).collect())
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -56,7 +56,7 @@
 /// Time for one short exchange, making the connection included.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time between two rounds of gossip.
-const TICK: Duration = Duration::from_millis(400);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(400);
 /// A peer whose counter has not risen for this long is taken for dead.
 const DEAD_AFTER: Duration = Duration::from_millis(2400);
 
@@ -110,7 +110,7 @@
             data_centre: settings.data_centre.clone(),
         };
         let gossip = membership::Settings {
-            tick: TICK,
+            tick: GOSSIP_INTERVAL,
             dead_after: DEAD_AFTER,
             ..membership::Settings::default()
         };
@@ -135,14 +135,14 @@
     }
 
     /// Takes in an instance's record.
-    pub fn apply(&self, now: Duration, record: &Record) {
+    pub fn apply_announcement(&self, now: Duration, record: &Record) {
         let mut listed = self.listed.borrow_mut();
         let value = record.value.as_deref();
         match value.map(serde_json::from_slice::<Announcement>) {
             None => drop(listed.remove(&record.key)),
             Some(Err(error)) => {
                 let (name, error) = (&*record.key, error.to_string());
-                let error = tables::brief(&error);
+                let error = tables::truncate(&error);
                 tracing::warn!(event = "instance_unreadable", name, error);
                 // Nobody can be reached by it, whatever stood there before.
                 listed.remove(&record.key);
@@ -166,7 +166,7 @@
     /// Whether this instance reads the platform's tables itself: it is one of
     /// the readers, or nobody has given it a fresh copy.
     pub fn reads_store(&self, now: Duration) -> bool {
-        if !self.tables.are_known() || self.is_stale(now) {
+        if !self.tables.are_loaded() || self.is_stale(now) {
             return true;
         }
         self.is_reader(now)
@@ -222,7 +222,7 @@
 }
 
 /// Tells the machine which peers may batch pieces.
-pub fn update(driver: &Rc<Driver>) {
+pub fn update_peers(driver: &Rc<Driver>) {
     let now = driver.now();
     let members = driver.peers.members.borrow();
     let versions = members.peer_statuses(now);
@@ -233,7 +233,7 @@
     driver.metrics.gauge("relay.peers", peers.len() as u64);
     driver.peers.log_changes(&peers);
     let announced = driver.peers.listed.borrow().len();
-    let are_known = driver.peers.tables.is_known(TableName::Instances);
+    let are_known = driver.peers.tables.is_loaded(TableName::Instances);
     driver.feed(|machine, now| {
         machine.set_peers(now, peers, announced);
         if are_known {
--- a/crates/relay/src/peers/gossip.rs
+++ b/crates/relay/src/peers/gossip.rs
@@ -15,13 +15,13 @@
 
 use crate::{
     driver::Driver,
-    peers::{self, EXCHANGE_TIMEOUT, TICK, learn, versions},
+    peers::{self, EXCHANGE_TIMEOUT, GOSSIP_INTERVAL, learn, versions},
 };
 
 /// Sends gossip for as long as the process runs.
 pub async fn run(driver: Rc<Driver>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(GOSSIP_INTERVAL).await;
         let now = driver.now();
         let local = local(&driver);
         let envelopes = driver.peers.members.borrow_mut().tick(now, &local);
@@ -31,7 +31,7 @@
         for envelope in envelopes {
             ntex::rt::spawn(send(driver.clone(), envelope));
         }
-        peers::update(&driver);
+        peers::update_peers(&driver);
     }
 }
 
@@ -85,9 +85,9 @@
     match result {
         Ok((reply, positions, age, heard)) => {
             driver.feed(|machine, now| machine.on_peer_notices(now, &to, &heard));
-            learn::compare(&driver, &addr, &positions, asked_at.checked_sub(age));
+            learn::compare_positions(&driver, &addr, &positions, asked_at.checked_sub(age));
             if let Some(reply) = reply {
-                versions::compare(&driver, &addr, &positions, reply.mark.version);
+                versions::note_version(&driver, &addr, &positions, reply.mark.version);
                 let local = local(&driver);
                 driver.peers.members.borrow_mut().receive(driver.now(), &reply, &local);
             }
@@ -104,7 +104,7 @@
 
 /// What this instance tells of itself.
 pub fn local(driver: &Driver) -> LocalState<'static> {
-    let version = driver.look(|machine| machine.config().map_or(0, |config| config.version));
+    let version = driver.inspect(|machine| machine.config().map_or(0, |config| config.version));
     LocalState {
         mark: ConfigMark { version, offset: None },
         snapshot: None,
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -26,7 +26,7 @@
     driver::Driver,
     peers::{EXCHANGE_TIMEOUT, versions},
     surroundings::{TABLES, TableName},
-    tables::{self, NOTABLE},
+    tables::{self, MIN_LOGGED_BYTES},
 };
 
 /// How far learning from peers is.
@@ -87,7 +87,7 @@
 
 /// Takes in how far a peer is, whose copies were compared with the store at
 /// that time. A peer in an earlier timeline says nothing of this one.
-pub fn compare(
+pub fn compare_positions(
     driver: &Driver,
     addr: &Arc<str>,
     positions: &[Position],
@@ -98,7 +98,7 @@
         let own = tables.position(name);
         let is_level = own.timeline == theirs.timeline && own >= *theirs;
         if let Some(at) = compared.filter(|_| is_level) {
-            tables.compare(name, at);
+            tables.mark_compared(name, at);
         }
     }
     if lacks(driver, positions) {
@@ -151,7 +151,7 @@
         }
     };
     let took_ms = driver.now().saturating_sub(begun).as_millis() as u64;
-    if bytes >= NOTABLE {
+    if bytes >= MIN_LOGGED_BYTES {
         tracing::info!(event = "tables_heard", peer = source, bytes, took_ms);
     }
     if let Err(error) = result {
@@ -176,11 +176,11 @@
     driver.metrics.count("relay.heard_bytes", bytes);
     let (tables, mut has_more) = (&driver.peers.tables, false);
     for (name, portion) in TABLES.into_iter().zip(portions) {
-        let before = (tables.is_known(name), tables.position(name));
-        let learned = tables.learn(name, portion);
-        tables::note_timeline(driver, name, source, before);
+        let before = (tables.is_loaded(name), tables.position(name));
+        let learned = tables.apply_portion(name, portion);
+        tables::record_timeline(driver, name, source, before);
         if let Some(at) = asked_at.checked_sub(age).filter(|_| learned.is_caught_up) {
-            tables.compare(name, at);
+            tables.mark_compared(name, at);
         }
         has_more |= learned.has_more;
         tables::apply(driver, name, source, learned.changed);
@@ -193,7 +193,7 @@
 
 /// One question, and its answer with the age of what is told.
 async fn ask(driver: &Driver, addr: &Arc<str>) -> Result<(Vec<Portion>, Duration), Error> {
-    let asks = driver.peers.tables.asks();
+    let asks = driver.peers.tables.next_requests();
     let exchange = async |client: relay::Client| {
         let mut request = client.learn_request();
         let mut list = request.get().init_asks(asks.len() as u32);
--- a/crates/relay/src/peers/service.rs
+++ b/crates/relay/src/peers/service.rs
@@ -74,7 +74,7 @@
     ) -> Result<(), capnp::Error> {
         let driver = &self.driver;
         let asks: Vec<_> = params.get()?.get_asks()?.iter().map(wire::read_ask).collect();
-        let portions = driver.peers.tables.tell(&asks);
+        let portions = driver.peers.tables.read_portions(&asks);
         let bytes = portions.iter().map(Portion::bytes).sum::<usize>() as u64;
         driver.metrics.count("relay.told_bytes", bytes);
         results.get().set_age_ms(age_ms(driver));
@@ -191,7 +191,7 @@
         let content = wire::read_content(params.get_content()?);
         let age = Duration::from_millis(u64::from(params.get_age_ms()));
         let since = self.driver.now().saturating_sub(age);
-        let was_answered = self.driver.look(|machine| machine.was_answered(content, since));
+        let was_answered = self.driver.inspect(|machine| machine.was_answered(content, since));
         results.get().set_was_answered(was_answered);
         Ok(())
     }
@@ -214,7 +214,7 @@
         mut results: relay::ConfigResults,
     ) -> Result<(), capnp::Error> {
         let at = params.get()?.get_at();
-        if let Some(slice) = versions::slice(&self.driver, at) {
+        if let Some(slice) = versions::read_slice(&self.driver, at) {
             let mut results = results.get();
             results.set_version(slice.version);
             results.set_key(&*slice.key);
--- a/crates/relay/src/peers/verdicts.rs
+++ b/crates/relay/src/peers/verdicts.rs
@@ -22,7 +22,7 @@
 impl Peers {
     /// Tells a keeper of contents of their crashes. There is another keeper, so what
     /// does not arrive is not told again.
-    pub fn accuse(&self, driver: &Rc<Driver>, peer: InstanceName, crashes: Vec<Crash>) {
+    pub fn report_crashes(&self, driver: &Rc<Driver>, peer: InstanceName, crashes: Vec<Crash>) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
             if let Err(error) = accuse(&driver, &peer, &crashes).await {
@@ -33,7 +33,7 @@
     }
 
     /// Asks all peers whether they had a content answered since a time.
-    pub fn consult(&self, driver: &Rc<Driver>, content: Fingerprint, since: Duration) {
+    pub fn query_answered(&self, driver: &Rc<Driver>, content: Fingerprint, since: Duration) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
             let age = driver.now().saturating_sub(since);
@@ -47,7 +47,7 @@
 
     /// Tells all peers that a content is held back. Whoever does not hear it reads it
     /// in the platform's table.
-    pub fn quarantine(&self, driver: &Rc<Driver>, content: Fingerprint, crashes: u32) {
+    pub fn announce_quarantine(&self, driver: &Rc<Driver>, content: Fingerprint, crashes: u32) {
         for addr in self.reachable(driver) {
             let driver = driver.clone();
             ntex::rt::spawn(async move {
--- a/crates/relay/src/peers/versions.rs
+++ b/crates/relay/src/peers/versions.rs
@@ -20,7 +20,7 @@
     driver::Driver,
     peers::{EXCHANGE_TIMEOUT, learn},
     surroundings::TableName,
-    tables::{self, PORTION},
+    tables::{self, PORTION_BYTES},
 };
 
 /// Pause before a version that could not be had, or not be used, is asked for again.
@@ -42,7 +42,7 @@
 }
 
 /// A slice of a configuration.
-pub struct Slice {
+pub struct ConfigSlice {
     /// Its version.
     pub version: u64,
     /// The key of its record.
@@ -61,7 +61,7 @@
 }
 
 /// Takes in which version a peer has whose tables are so far.
-pub fn compare(driver: &Driver, addr: &Arc<str>, positions: &[Position], version: u64) {
+pub fn note_version(driver: &Driver, addr: &Arc<str>, positions: &[Position], version: u64) {
     let is_told_by_table = learn::lacks_config(driver, positions);
     if version > own_version(driver) && !is_told_by_table {
         let newer = Newer { addr: addr.clone(), version };
@@ -94,16 +94,16 @@
 }
 
 /// What a peer is told that has this much of the configuration in force.
-pub fn slice(driver: &Driver, at: u64) -> Option<Slice> {
+pub fn read_slice(driver: &Driver, at: u64) -> Option<ConfigSlice> {
     let record = driver.peers.versions.in_force.borrow();
     let (key, value) = record.as_ref().and_then(|it| Some((it.key.clone(), it.value.as_ref()?)))?;
     let at = usize::try_from(at).ok().filter(|at| *at < value.len())?;
-    let bytes = value.slice(at..value.len().min(at + PORTION));
-    Some(Slice { version: own_version(driver), key, size: value.len() as u64, bytes })
+    let bytes = value.slice(at..value.len().min(at + PORTION_BYTES));
+    Some(ConfigSlice { version: own_version(driver), key, size: value.len() as u64, bytes })
 }
 
 fn own_version(driver: &Driver) -> u64 {
-    driver.look(|machine| machine.config().map_or(0, |config| config.version))
+    driver.inspect(|machine| machine.config().map_or(0, |config| config.version))
 }
 
 /// The whole record; `None` if the peer has none, or has got another one meanwhile.
@@ -112,7 +112,7 @@
     let mut first = None;
     loop {
         let slice = ask(driver, addr, value.len()).await?;
-        let Some(Slice { version, key, size, bytes }) = slice else { return Ok(None) };
+        let Some(ConfigSlice { version, key, size, bytes }) = slice else { return Ok(None) };
         if *first.get_or_insert(version) != version || bytes.is_empty() {
             return Ok(None);
         }
@@ -123,13 +123,13 @@
     }
 }
 
-async fn ask(driver: &Driver, addr: &Arc<str>, at: usize) -> Result<Option<Slice>, Error> {
+async fn ask(driver: &Driver, addr: &Arc<str>, at: usize) -> Result<Option<ConfigSlice>, Error> {
     let exchange = async |client: relay::Client| {
         let mut request = client.config_request();
         request.get().set_at(at as u64);
         let response = request.send().promise.await?;
         let response = response.get()?;
-        let slice = Slice {
+        let slice = ConfigSlice {
             version: response.get_version(),
             key: wire::read_name(response.get_key()?)?,
             size: response.get_size(),
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -52,17 +52,17 @@
                     driver.metrics.count("relay.handovers_failed", 1);
                     tracing::warn!(event = "handover_failed", handover = ?key, peer = &*peer, error = %error);
                     driver.peers.members.borrow_mut().send_failed(driver.now(), &peer);
-                    peers::update(&driver);
+                    peers::update_peers(&driver);
                     None
                 }
             };
-            driver.handed_back(key, results);
+            driver.on_handover_return(key, results);
         };
         ntex::rt::spawn(Abortable::new(task, registration));
     }
 
     /// Asks a peer where an exchange's call should go.
-    pub fn ask_place(
+    pub fn request_placement(
         &self,
         driver: &Rc<Driver>,
         key: ExchangeKey,
@@ -88,7 +88,7 @@
 
     /// Tells a placer how the calls go on that it placed. What does not arrive is
     /// not told again: the placer forgets calls of which it hears nothing.
-    pub fn report(
+    pub fn report_progress(
         &self,
         driver: &Rc<Driver>,
         peer: InstanceName,
@@ -106,7 +106,7 @@
 
     /// Tells a peer that pieces wait at a service. What does not arrive is told
     /// anew in a moment.
-    pub fn tell_queue(&self, driver: &Rc<Driver>, peer: InstanceName, service: ServiceName) {
+    pub fn announce_queue(&self, driver: &Rc<Driver>, peer: InstanceName, service: ServiceName) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
             if let Err(error) = tell_queue(&driver, &peer, &service).await {
@@ -125,7 +125,7 @@
 
     /// Has a peer give results up; does it itself if that fails. Those that are
     /// only spare are held until they are given up for good then.
-    pub fn free_through(
+    pub fn free_via_peer(
         &self,
         driver: &Rc<Driver>,
         peer: InstanceName,
@@ -141,7 +141,7 @@
     }
 
     /// Gives a peer its results.
-    pub fn give_back(&self, ticket: u64, results: Vec<PieceResult>) {
+    pub fn return_results(&self, ticket: u64, results: Vec<PieceResult>) {
         if let Some(waiting) = self.tickets.borrow_mut().remove(&ticket) {
             // A peer that has gone does not need them.
             waiting.send(results).ok();
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -153,7 +153,7 @@
             let frame = frame.map_err(|error| cut(addr, error))?;
             bytes.extend_from_slice(&frame.into_data().unwrap_or_default());
         }
-        self.keep(lease);
+        self.put_back(lease);
         Ok(Response::from_parts(parts, bytes.freeze()))
     }
 
@@ -212,12 +212,12 @@
             return again.map_or_else(|error| absence(&error), |_| ProbeResult::There);
         }
         self.count(true);
-        self.keep(Lease { keep: DEFAULT_IDLE, ..lease });
+        self.put_back(Lease { keep: DEFAULT_IDLE, ..lease });
         ProbeResult::There
     }
 
     /// Gives a connection back whose reply was read whole.
-    pub fn keep(&self, lease: Lease) {
+    pub fn put_back(&self, lease: Lease) {
         if lease.keep.is_zero() || lease.connection.sender.is_closed() {
             return;
         }
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -30,7 +30,7 @@
 
 /// A content that is held back, as the platform's table has it.
 #[message]
-pub struct Quarantined {
+pub struct QuarantineRecord {
     /// Endpoints that ended under it.
     pub crashes: u32,
     /// The instance that wrote this.
@@ -50,7 +50,7 @@
         left_ms: millis(hold.until.saturating_sub(now)),
         refused: hold.refused,
     };
-    let mut all: Vec<_> = driver.look(|machine| machine.quarantined().map(listed).collect());
+    let mut all: Vec<_> = driver.inspect(|machine| machine.quarantined().map(listed).collect());
     all.sort_by_key(|listed| Reverse(listed.held_ms));
     all
 }
@@ -60,7 +60,8 @@
 /// that peers hear of it from here.
 pub async fn write(driver: Rc<Driver>, content: Fingerprint, crashes: Option<u32>) {
     let mut pause = FIRST_PAUSE;
-    let is_held = || driver.look(|machine| machine.quarantined().any(|(held, _)| held == content));
+    let is_held =
+        || driver.inspect(|machine| machine.quarantined().any(|(held, _)| held == content));
     let mut removals = 0..MOST_REMOVALS;
     while if crashes.is_some() { is_held() } else { removals.next().is_some() } {
         match try_write(&driver, content, crashes).await {
@@ -86,13 +87,14 @@
     // The store may come back from an older copy before anybody has read it.
     let read = follow::read_back(driver, TableName::Quarantine).await;
     read.map_err(|error| error.to_string())?;
-    let is_there = driver.peers.tables.has(TableName::Quarantine, &key, None) == value.is_none();
+    let is_there =
+        driver.peers.tables.has_value(TableName::Quarantine, &key, None) == value.is_none();
     is_there.then_some(()).ok_or_else(|| "it is not in the table".to_owned())
 }
 
 fn value(driver: &Driver, crashes: u32) -> Bytes {
     let since = driver.wall().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let record = Quarantined {
+    let record = QuarantineRecord {
         crashes,
         by: driver.settings.name.clone(),
         at_ms: u64::try_from(since.as_millis()).unwrap_or(u64::MAX),
@@ -104,11 +106,11 @@
 /// to the platform's tables.
 pub fn apply(driver: &Rc<Driver>, record: &Record) {
     let Some(content) = Fingerprint::parse(&record.key) else {
-        let key = tables::brief(&record.key);
+        let key = tables::truncate(&record.key);
         tracing::warn!(event = "quarantine_unreadable", key, error = "the key is no fingerprint");
         return;
     };
-    let value = record.value.as_deref().map(serde_json::from_slice::<Quarantined>);
+    let value = record.value.as_deref().map(serde_json::from_slice::<QuarantineRecord>);
     match value {
         None => driver.feed(|machine, _| machine.on_quarantine_removal(content)),
         Some(Ok(held)) => {
@@ -116,7 +118,7 @@
         }
         Some(Err(error)) => {
             let error = error.to_string();
-            tracing::warn!(event = "quarantine_unreadable", %content, error = tables::brief(&error));
+            tracing::warn!(event = "quarantine_unreadable", %content, error = tables::truncate(&error));
         }
     }
 }
--- a/crates/relay/src/repair.rs
+++ b/crates/relay/src/repair.rs
@@ -53,20 +53,19 @@
     let announcement = Announcement {
         peers: Arc::from(settings.peers.to_string()),
         place: settings.data_centre.clone(),
-        strength: settings.strength,
+        strength: settings.millicores,
     };
     let value = serde_json::to_vec(&announcement).expect("two names are JSON");
     let value = Bytes::from(value);
     let mut rest = Duration::ZERO;
     loop {
         write_announcement(&driver, &announcement, &value).await;
-        let written =
-            Written { at: driver.now(), timeline: (driver.surroundings.store.timeline)() };
+        let written = Written { at: driver.now(), timeline: (driver.platform.store.timeline)() };
         tokio::time::sleep(rest).await;
         while !has_lost_announcement(&driver, &value, written) {
             tokio::time::sleep(LOOK_PAUSE.mul_f64(rand::rng().random_range(0.8..1.2))).await;
         }
-        let is_missing = driver.peers.tables.has(TableName::Instances, &settings.name, None);
+        let is_missing = driver.peers.tables.has_value(TableName::Instances, &settings.name, None);
         driver.metrics.count("relay.records_rewritten", 1);
         tracing::warn!(event = "announcement_lost", is_missing);
         rest =
@@ -95,12 +94,12 @@
 /// later timeline is read whole after the write; in the same one that takes time to show.
 fn has_lost_announcement(driver: &Driver, value: &Bytes, written: Written) -> bool {
     let (tables, table) = (&driver.peers.tables, TableName::Instances);
-    if driver.is_stopping() || !tables.is_known(table) {
+    if driver.is_stopping() || !tables.is_loaded(table) {
         return false;
     }
     let is_later = tables.position(table).timeline > written.timeline;
-    let was_read = tables.compared(table).is_some_and(|at| at > written.at + KNOWN_AFTER);
-    (is_later || was_read) && !tables.has(table, &driver.settings.name, Some(value))
+    let was_read = tables.compared_at(table).is_some_and(|at| at > written.at + KNOWN_AFTER);
+    (is_later || was_read) && !tables.has_value(table, &driver.settings.name, Some(value))
 }
 
 /// Looks after what an earlier timeline had and this one lacks, for as long as the process
@@ -118,8 +117,8 @@
 /// Writes again what is held back, or was released, and the platform has lost.
 async fn rewrite_lost(driver: &Rc<Driver>) {
     let table = TableName::Quarantine;
-    let Some(since) = driver.peers.tables.renewed(table) else { return };
-    for record in driver.peers.tables.awaited(table) {
+    let Some(since) = driver.peers.tables.renewed_at(table) else { return };
+    for record in driver.peers.tables.carried_over(table) {
         let due = since + FIRST_WRITER + NEXT_WRITER * rank(driver, &record.key);
         if driver.now() < due {
             continue;
@@ -152,13 +151,13 @@
 /// the store could not be read do not count.
 fn give_up(driver: &Rc<Driver>, name: TableName, within: Duration) {
     let tables = &driver.peers.tables;
-    let Some(since) = tables.renewed(name) else { return };
-    let is_over = tables.compared(name).is_some_and(|at| at >= since + within);
+    let Some(since) = tables.renewed_at(name) else { return };
+    let is_over = tables.compared_at(name).is_some_and(|at| at >= since + within);
     let is_fresh = tables.age(driver.now()).is_some_and(|age| age <= readers::STALE_AFTER);
     if !is_over || !is_fresh {
         return;
     }
-    let changed = tables.give_up(name);
+    let changed = tables.drop_carried_over(name);
     if !changed.is_empty() {
         let (table, count) = (name.name(), changed.len());
         driver.metrics.count("relay.records_given_up", count as u64);
@@ -177,7 +176,7 @@
     key: Arc<str>,
     value: Option<&Bytes>,
 ) -> Result<(), String> {
-    let written = (driver.surroundings.store.write)(table, key, value.cloned());
+    let written = (driver.platform.store.write)(table, key, value.cloned());
     match tokio::time::timeout(WRITE_TIMEOUT, written).await {
         Ok(written) => written.map_err(|error: StoreError| error.to_string()),
         Err(_) => Err("timed out".to_owned()),
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -25,15 +25,15 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::{
-    driver::{Driver, Parts, Shared},
+    driver::{Components, Driver, SharedState},
     follow,
     front::{self, BodyMemory},
-    operators::{self, Question},
+    operators::{self, Query},
     peers, policy,
     pool::Pool,
     repair,
     settings::Settings,
-    surroundings::{Surroundings, TABLES},
+    surroundings::{Platform, TABLES},
 };
 
 /// After being told to stop, an instance serves new callers for so long: the
@@ -65,19 +65,19 @@
 /// would be a second life under the first one's incarnation.
 struct Setup {
     settings: Settings,
-    surroundings: Box<dyn FnOnce(Rc<Pool>) -> Surroundings + Send>,
+    surroundings: Box<dyn FnOnce(Rc<Pool>) -> Platform + Send>,
     clock: Box<dyn FnOnce() -> Rc<dyn Clock> + Send>,
     peers: TcpListener,
-    signals: mpsc::UnboundedReceiver<Told>,
-    questions: mpsc::UnboundedReceiver<Question>,
+    signals: mpsc::UnboundedReceiver<Control>,
+    questions: mpsc::UnboundedReceiver<Query>,
     exited: oneshot::Sender<()>,
     metrics: Arc<Registry>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
 }
 
 /// What an instance is told while it runs.
 #[derive(Debug, Clone, Copy)]
-pub enum Told {
+pub enum Control {
     /// Finish what is held, then end.
     Stop,
     /// The settings file has changed.
@@ -123,7 +123,7 @@
 /// If an address cannot be bound or a signal cannot be taken.
 pub async fn run(
     settings: Settings,
-    surroundings: impl FnOnce(Rc<Pool>) -> Surroundings + Send + 'static,
+    surroundings: impl FnOnce(Rc<Pool>) -> Platform + Send + 'static,
 ) -> miette::Result<()> {
     if let Some(path) = &settings.policy {
         // A policy that is wrong should be heard of before anything starts.
@@ -131,9 +131,9 @@
     }
     let listeners = Listeners::bind(&settings)?;
     let (told, signals) = mpsc::unbounded();
-    watch(SignalKind::terminate(), Told::Stop, &told)?;
-    watch(SignalKind::interrupt(), Told::Stop, &told)?;
-    watch(SignalKind::hangup(), Told::Reload, &told)?;
+    watch(SignalKind::terminate(), Control::Stop, &told)?;
+    watch(SignalKind::interrupt(), Control::Stop, &told)?;
+    watch(SignalKind::hangup(), Control::Reload, &told)?;
     log_start(&settings);
     run_on(listeners, settings, signals, surroundings, SystemClock::shared).await
 }
@@ -146,15 +146,15 @@
 pub async fn run_on(
     listeners: Listeners,
     settings: Settings,
-    signals: mpsc::UnboundedReceiver<Told>,
-    surroundings: impl FnOnce(Rc<Pool>) -> Surroundings + Send + 'static,
+    signals: mpsc::UnboundedReceiver<Control>,
+    surroundings: impl FnOnce(Rc<Pool>) -> Platform + Send + 'static,
     clock: impl FnOnce() -> Rc<dyn Clock> + Send + 'static,
 ) -> miette::Result<()> {
     let Listeners { front, ready, metrics: metrics_listener, peers } = listeners;
     let (exited, on_exit) = oneshot::channel();
     let (asked, questions) = mpsc::unbounded();
     let metrics = Registry::new();
-    let shared = Arc::new(Shared::default());
+    let shared = Arc::new(SharedState::default());
     let connections = settings.connections;
     let setup = Setup {
         settings,
@@ -209,7 +209,7 @@
     Ok(())
 }
 
-fn readiness(shared: &Shared, req: &Request) -> ntex::http::StatusCode {
+fn readiness(shared: &SharedState, req: &Request) -> ntex::http::StatusCode {
     use ntex::http::StatusCode;
     match (req.path(), shared.is_ready.load(Ordering::Relaxed)) {
         ("/ready", true) => StatusCode::OK,
@@ -228,16 +228,16 @@
         relay::Settings {
             name: settings.name.clone(),
             data_centre: settings.data_centre.clone(),
-            retry_budget: settings.bound,
-            min_instances: settings.instances,
-            millicores: settings.strength,
+            retry_budget: settings.retry_budget,
+            min_instances: settings.min_instances,
+            millicores: settings.millicores,
         },
         rand::random(),
     );
-    let driver = Driver::new(Parts {
+    let driver = Driver::new(Components {
         machine,
         clock,
-        surroundings: surroundings(pool.clone()),
+        platform: surroundings(pool.clone()),
         settings,
         pool,
         metrics: Metrics::into_registry(&metrics),
@@ -262,19 +262,19 @@
 
 async fn take_signals(
     driver: Rc<Driver>,
-    mut signals: mpsc::UnboundedReceiver<Told>,
+    mut signals: mpsc::UnboundedReceiver<Control>,
     exited: oneshot::Sender<()>,
 ) {
     while let Some(told) = signals.next().await {
         match told {
-            Told::Reload => {
+            Control::Reload => {
                 tracing::info!(event = "reload");
                 take_policy(&driver);
             }
-            Told::Stop => break,
+            Control::Stop => break,
         }
     }
-    let open = driver.look(Relay::open_exchanges);
+    let open = driver.inspect(Relay::open_exchanges);
     tracing::info!(event = "stopping", open);
     driver.stop();
     finish(&driver).await;
@@ -307,7 +307,7 @@
     let last = driver.settings.grace.saturating_sub(EXIT_MARGIN);
     loop {
         let waited = driver.now() - started;
-        let held = driver.look(|machine| machine.open_exchanges() + machine.open_tickets());
+        let held = driver.inspect(|machine| machine.open_exchanges() + machine.open_tickets());
         if waited >= last || (held == 0 && waited >= LINGER) {
             tracing::info!(event = "finished", held, waited_ms = waited.as_millis() as u64);
             break;
@@ -323,18 +323,22 @@
         let counts = driver.pool.counts();
         driver.metrics.gauge("relay.connections_opened", counts.opened);
         driver.metrics.gauge("relay.connections_reused", counts.reused);
-        driver.metrics.gauge("relay.policy_errors", driver.look(Relay::policy_failures));
-        driver.metrics.gauge("relay.log_lines_dropped", (driver.surroundings.lines_dropped)());
+        driver.metrics.gauge("relay.policy_errors", driver.inspect(Relay::policy_failures));
+        driver.metrics.gauge("relay.log_lines_dropped", (driver.platform.dropped_lines)());
     }
 }
 
-fn watch(kind: SignalKind, told: Told, to: &mpsc::UnboundedSender<Told>) -> miette::Result<()> {
+fn watch(
+    kind: SignalKind,
+    told: Control,
+    to: &mpsc::UnboundedSender<Control>,
+) -> miette::Result<()> {
     let signals = signal(kind).into_diagnostic().wrap_err("signals cannot be taken")?;
     ntex::rt::spawn(forward(signals, told, to.clone()));
     Ok(())
 }
 
-async fn forward(mut signals: Signal, told: Told, to: mpsc::UnboundedSender<Told>) {
+async fn forward(mut signals: Signal, told: Control, to: mpsc::UnboundedSender<Control>) {
     while signals.recv().await.is_some() {
         // The event loop takes them for as long as the process runs.
         to.unbounded_send(told).ok();
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -25,15 +25,15 @@
     /// Peers that may be there already, `ip:port`.
     pub seeds: Vec<Arc<str>>,
     /// The bound on repetition.
-    pub bound: RetryBudgetConfig,
+    pub retry_budget: RetryBudgetConfig,
     /// Instances that share that bound while no more are known.
-    pub instances: usize,
+    pub min_instances: usize,
     /// Time from being told to stop until the process is killed.
     pub grace: Duration,
     /// Bytes that callers' bodies may take up together.
     pub body_memory: usize,
     /// Its processor's share, in thousandths of a core.
-    pub strength: u32,
+    pub millicores: u32,
     /// File of the operators' policy; without one the built-in rules decide.
     pub policy: Option<Arc<str>>,
     /// Connections of callers at the most.
--- a/crates/relay/src/surroundings.rs
+++ b/crates/relay/src/surroundings.rs
@@ -3,7 +3,7 @@
 //! The platform keeps four tables for the relay: the operator's configuration, the
 //! directory of endpoints, the instances themselves, and what is held back.
 //! Each is a log of keyed records of which the newest counts. A platform
-//! adapter fills in [`Surroundings`]; tests fill it in with stand-ins.
+//! adapter fills in [`Platform`]; tests fill it in with stand-ins.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -52,7 +52,7 @@
     /// The records.
     pub records: Vec<Record>,
     /// The key to go on behind, if there are more.
-    pub more: Option<Arc<str>>,
+    pub next_after: Option<Arc<str>>,
     /// Where the log ended.
     pub end: u64,
     /// The timeline of the log, if the answer says.
@@ -94,12 +94,14 @@
     #[error("the store's answer cannot be read: {0}; check that the adapter fits its version")]
     Malformed(String),
     /// Its answer belongs to an earlier history than one that was seen.
-    #[error("the store answered from timeline {told}, and {known} was seen; it is asked again")]
+    #[error(
+        "the store answered from timeline {timeline}, and {newest} was seen; it is asked again"
+    )]
     Outdated {
         /// The answer's timeline.
-        told: u64,
+        timeline: u64,
         /// The newest that was seen.
-        known: u64,
+        newest: u64,
     },
     /// Its log is shorter than it was, and no timeline says why.
     #[error(
@@ -142,15 +144,15 @@
 
 /// The platform that a relay runs on.
 #[derive(Clone)]
-pub struct Surroundings {
+pub struct Platform {
     /// How callers and endpoints are spoken to.
     pub dialect: Dialect,
     /// The store.
     pub store: Store,
     /// Reads a record of the operators' table; `Ok(None)` if it is another matter.
-    pub read_act: fn(&Record) -> Result<Option<OperatorCommand>, String>,
+    pub read_command: fn(&Record) -> Result<Option<OperatorCommand>, String>,
     /// Reads a record of the directory.
     pub read_endpoint: fn(&Record) -> Result<Change, String>,
     /// How many log lines were dropped since the start.
-    pub lines_dropped: Rc<dyn Fn() -> u64>,
+    pub dropped_lines: Rc<dyn Fn() -> u64>,
 }
--- a/crates/relay/src/tables.rs
+++ b/crates/relay/src/tables.rs
@@ -25,11 +25,11 @@
 /// links that are planned for carry 10 Mbit/s: that is 26 ms there, and a peer
 /// that batches pieces is asked every 300 ms, with 400 ms to answer, whether it
 /// still lives.
-pub const PORTION: usize = 32 << 10;
+pub const PORTION_BYTES: usize = 32 << 10;
 
 /// Bytes of tables that are worth a log line when they come: the directory's
 /// changes of a few seconds are less, a large configuration is more.
-pub const NOTABLE: u64 = 64 << 10;
+pub const MIN_LOGGED_BYTES: u64 = 64 << 10;
 
 /// Endpoints that join in one answer, from which on one line counts them: with a
 /// line for each, 295 instances that start before 287 endpoints log 85,000 lines.
@@ -62,7 +62,7 @@
     }
 
     /// Whether a copy was ever read whole.
-    pub fn is_known(&self, name: TableName) -> bool {
+    pub fn is_loaded(&self, name: TableName) -> bool {
         self.copy(name).table.borrow().is_loaded()
     }
 
@@ -77,27 +77,27 @@
     }
 
     /// Whether the platform has this value of a key.
-    pub fn has(&self, name: TableName, key: &str, value: Option<&Bytes>) -> bool {
+    pub fn has_value(&self, name: TableName, key: &str, value: Option<&Bytes>) -> bool {
         self.copy(name).table.borrow().has_value(key, value)
     }
 
     /// When a copy was last compared with the store.
-    pub fn compared(&self, name: TableName) -> Option<Duration> {
+    pub fn compared_at(&self, name: TableName) -> Option<Duration> {
         self.copy(name).compared.get()
     }
 
     /// When the timeline of a copy began here, unless it has been the same since the start.
-    pub fn renewed(&self, name: TableName) -> Option<Duration> {
+    pub fn renewed_at(&self, name: TableName) -> Option<Duration> {
         self.copy(name).renewed.get()
     }
 
     /// What was in force in an earlier timeline and is not written again yet.
-    pub fn awaited(&self, name: TableName) -> Vec<Record> {
+    pub fn carried_over(&self, name: TableName) -> Vec<Record> {
         self.copy(name).table.borrow().carried_over().cloned().collect()
     }
 
     /// What nobody has written again is not in force any more. Returns what changes.
-    pub fn give_up(&self, name: TableName) -> Vec<Record> {
+    pub fn drop_carried_over(&self, name: TableName) -> Vec<Record> {
         self.copy(name).table.borrow_mut().drop_carried_over()
     }
 
@@ -111,49 +111,54 @@
     }
 
     /// Whether all tables were read whole.
-    pub fn are_known(&self) -> bool {
-        TABLES.into_iter().all(|name| self.is_known(name))
+    pub fn are_loaded(&self) -> bool {
+        TABLES.into_iter().all(|name| self.is_loaded(name))
     }
 
     /// A copy held what the store held at that time.
-    pub fn compare(&self, name: TableName, at: Duration) {
+    pub fn mark_compared(&self, name: TableName, at: Duration) {
         let known = &self.copy(name).compared;
         known.set(known.get().max(Some(at)));
     }
 
     /// Takes in records of the store that follow each other up to `end`.
     /// Returns what changed.
-    pub fn follow(&self, name: TableName, records: Vec<Record>, end: u64) -> Vec<Record> {
+    pub fn apply_changes(&self, name: TableName, records: Vec<Record>, end: u64) -> Vec<Record> {
         self.copy(name).table.borrow_mut().apply_changes(records, end)
     }
 
     /// Takes in the newest records of all keys, read while the store's log
     /// ended there or behind it. Returns what changed.
-    pub fn list(&self, name: TableName, records: Vec<Record>, end: Position) -> Vec<Record> {
+    pub fn apply_listing(
+        &self,
+        name: TableName,
+        records: Vec<Record>,
+        end: Position,
+    ) -> Vec<Record> {
         self.copy(name).table.borrow_mut().apply_listing(records, end)
     }
 
     /// What a peer is told that asks this, in the order of [`TABLES`].
-    pub fn tell(&self, asks: &[PortionRequest]) -> Vec<Portion> {
+    pub fn read_portions(&self, asks: &[PortionRequest]) -> Vec<Portion> {
         let pairs = self.copies.iter().zip(asks);
-        pairs.map(|(copy, ask)| copy.table.borrow().read_portion(ask, PORTION)).collect()
+        pairs.map(|(copy, ask)| copy.table.borrow().read_portion(ask, PORTION_BYTES)).collect()
     }
 
     /// What to ask a peer, in the order of [`TABLES`].
-    pub fn asks(&self) -> Vec<PortionRequest> {
+    pub fn next_requests(&self) -> Vec<PortionRequest> {
         let ask = |copy: &Copy| copy.catch_up.borrow().next_request(&copy.table.borrow());
         self.copies.iter().map(ask).collect()
     }
 
     /// Takes in what a peer told of a table.
-    pub fn learn(&self, name: TableName, portion: Portion) -> PortionEffect {
+    pub fn apply_portion(&self, name: TableName, portion: Portion) -> PortionEffect {
         let copy = self.copy(name);
         copy.catch_up.borrow_mut().apply(&mut copy.table.borrow_mut(), portion)
     }
 }
 
 /// Notes that a copy may be of another timeline than it was.
-pub fn note_timeline(driver: &Driver, name: TableName, source: &str, before: (bool, Position)) {
+pub fn record_timeline(driver: &Driver, name: TableName, source: &str, before: (bool, Position)) {
     let (was_known, before) = before;
     let now = driver.peers.tables.position(name);
     if !was_known || now.timeline == before.timeline {
@@ -176,17 +181,17 @@
         TableName::Config => apply_acts(driver, source, &changed),
         TableName::Endpoints => apply_endpoints(driver, source, &changed),
         TableName::Instances => {
-            changed.iter().for_each(|record| driver.peers.apply(driver.now(), record));
+            changed.iter().for_each(|record| driver.peers.apply_announcement(driver.now(), record));
         }
         TableName::Quarantine => changed.iter().for_each(|record| records::apply(driver, record)),
     }
-    if name == TableName::Quarantine && driver.peers.tables.is_known(name) {
+    if name == TableName::Quarantine && driver.peers.tables.is_loaded(name) {
         driver.feed(|machine, _| machine.mark_quarantine_read());
     }
     if is_told && name == TableName::Instances {
-        peers::update(driver);
+        peers::update_peers(driver);
     }
-    driver.note_news();
+    driver.on_tables_read();
     driver.update_ready();
 }
 
@@ -200,7 +205,7 @@
             Ok(None) => {}
             Err(error) => {
                 driver.metrics.count("relay.config_unreadable", 1);
-                let (key, offset, error) = (brief(&record.key), record.offset, brief(&error));
+                let (key, offset, error) = (truncate(&record.key), record.offset, truncate(&error));
                 tracing::error!(event = "config_unreadable", key, offset, source, error);
             }
         }
@@ -216,12 +221,12 @@
         }
         log_act(driver, act, record.offset, source, taken);
     }
-    let evacuated = driver.look(|machine| machine.directory().evacuated().count());
+    let evacuated = driver.inspect(|machine| machine.directory().evacuated().count());
     driver.metrics.gauge("relay.evacuated", evacuated as u64);
 }
 
 fn read_act(driver: &Driver, record: &Record) -> Result<Option<OperatorCommand>, String> {
-    let act = (driver.surroundings.read_act)(record)?;
+    let act = (driver.platform.read_command)(record)?;
     if let Some(OperatorCommand::Configure(config)) = &act {
         config.check().map_err(|flaw| flaw.to_string())?;
     }
@@ -229,8 +234,9 @@
 }
 
 fn log_act(driver: &Driver, act: &OperatorCommand, offset: u64, source: &str, taken: bool) {
-    let ready =
-        |data_centre: &str| driver.look(|machine| machine.directory().ready_count_in(data_centre));
+    let ready = |data_centre: &str| {
+        driver.inspect(|machine| machine.directory().ready_count_in(data_centre))
+    };
     match act {
         OperatorCommand::Configure(config) => {
             let (version, routes) = (config.version, config.routes.len());
@@ -239,19 +245,19 @@
         }
         OperatorCommand::Evacuate(name) => {
             let endpoints = ready(name);
-            let data_centre = brief(name);
+            let data_centre = truncate(name);
             tracing::warn!(event = "evacuated", data_centre, offset, source, endpoints, taken);
         }
         OperatorCommand::Restore(name) => {
             let endpoints = ready(name);
-            let data_centre = brief(name);
+            let data_centre = truncate(name);
             tracing::warn!(event = "restored", data_centre, offset, source, endpoints, taken);
         }
     }
 }
 
 /// The beginning of a message that may quote what somebody else wrote.
-pub fn brief(message: &str) -> &str {
+pub fn truncate(message: &str) -> &str {
     &message[..message.floor_char_boundary(LONGEST_QUOTE)]
 }
 
@@ -282,11 +288,11 @@
 /// Takes in an endpoint's record.
 fn apply_endpoint(driver: &Rc<Driver>, source: &str, record: &Record, bulk: Option<&mut Bulk>) {
     let (name, offset) = (&*record.key, record.offset);
-    let change = match (driver.surroundings.read_endpoint)(record) {
+    let change = match (driver.platform.read_endpoint)(record) {
         Ok(change) => change,
         Err(error) => {
             driver.metrics.count("relay.endpoints_unreadable", 1);
-            let error = brief(&error);
+            let error = truncate(&error);
             tracing::warn!(event = "endpoint_unreadable", name, offset, source, error);
             let change = Change::Unreadable(record.key.clone());
             driver.feed(|machine, now| machine.apply_change(now, change));
--- a/crates/relay/tests/relay/crashes.rs
+++ b/crates/relay/tests/relay/crashes.rs
@@ -15,7 +15,7 @@
 
 use std::net::SocketAddr;
 
-use peatdeck_relay::{server::Told, surroundings::TableName};
+use peatdeck_relay::{server::Control, surroundings::TableName};
 use peatdeck_wire::operators::Held;
 
 use crate::standins::{Desk, MemoryStore, Relay, ask, get, send, wait_for};
@@ -76,7 +76,7 @@
     hold_back(&relays[0]);
     wait_for("it is recorded", || store.len(TableName::Quarantine) > 0);
     for relay in relays {
-        relay.tell(Told::Stop);
+        relay.tell(Control::Stop);
         relay.join();
     }
     let before = ended(&desks, "/poison");
--- a/crates/relay/tests/relay/peers.rs
+++ b/crates/relay/tests/relay/peers.rs
@@ -1,7 +1,7 @@
 //! Two or more instances.
 
 use peatdeck_relay::{
-    native::{MadeBody, MakeBody, ResultBody},
+    native::{PiecesBody, ResultBody, ResultsBody},
     surroundings::TableName,
 };
 
@@ -22,10 +22,10 @@
 }
 
 fn made(body: &str) -> String {
-    let body: MakeBody = serde_json::from_str(body).unwrap();
+    let body: PiecesBody = serde_json::from_str(body).unwrap();
     let handle = |number| format!("127.0.0.1:1/result-{number}").into();
     let results = body.pieces.iter().map(|piece| ResultBody::Made(handle(piece.number)));
-    serde_json::to_string(&MadeBody { results: results.collect() }).unwrap()
+    serde_json::to_string(&ResultsBody { results: results.collect() }).unwrap()
 }
 
 fn store(desk: &Desk, maker: &Desk) -> MemoryStore {
--- a/crates/relay/tests/relay/policy.rs
+++ b/crates/relay/tests/relay/policy.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, sync::Arc};
 
-use peatdeck_relay::{policy, server::Told, surroundings::TableName};
+use peatdeck_relay::{policy, server::Control, surroundings::TableName};
 
 use crate::standins::{Desk, MemoryStore, Relay, ask, wait_for};
 
@@ -58,11 +58,11 @@
     assert_eq!(ask(relay.front, "/once/x", "").status, 200);
 
     file.write("fn admit(ctx) { false }");
-    relay.tell(Told::Reload);
+    relay.tell(Control::Reload);
     wait_for("the new policy is in force", || ask(relay.front, "/once/x", "").status == 503);
 
     file.write("no policy");
-    relay.tell(Told::Reload);
+    relay.tell(Control::Reload);
     wait_for("the reload was counted", || relay.counter("peatdeck.relay.policy_unusable") == 1);
     assert_eq!(ask(relay.front, "/once/x", "").status, 503, "the one before stays in force");
 }
--- a/crates/relay/tests/relay/standins.rs
+++ b/crates/relay/tests/relay/standins.rs
@@ -27,9 +27,9 @@
 };
 use peatdeck_relay::{
     native,
-    server::{self, Listeners, Told},
+    server::{self, Control, Listeners},
     settings::Settings,
-    surroundings::{Surroundings, TableName},
+    surroundings::{Platform, TableName},
 };
 use peatdeck_util::clock::Clock;
 
@@ -134,7 +134,7 @@
     pub ready: SocketAddr,
     pub metrics: SocketAddr,
     pub peers: SocketAddr,
-    told: UnboundedSender<Told>,
+    told: UnboundedSender<Control>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
@@ -186,11 +186,15 @@
             metrics: any,
             peers: any,
             seeds: self.seeds.iter().map(|seed| Arc::from(seed.to_string())).collect(),
-            bound: RetryBudgetConfig { ratio: 0.2, slack: 1000.0, window: Duration::from_secs(10) },
-            instances: 1,
+            retry_budget: RetryBudgetConfig {
+                ratio: 0.2,
+                slack: 1000.0,
+                window: Duration::from_secs(10),
+            },
+            min_instances: 1,
             grace: Duration::from_secs(60),
             body_memory: 1 << 24,
-            strength: self.strength,
+            millicores: self.strength,
             policy: self.policy,
             connections: 200,
         };
@@ -206,12 +210,12 @@
         let (told, signals) = unbounded();
         let (store, clock) = (self.store, self.clock);
         let thread = thread::spawn(move || {
-            let surroundings = move |_pool| Surroundings {
+            let surroundings = move |_pool| Platform {
                 dialect: native::dialect(),
                 store: store.client(),
-                read_act,
+                read_command: read_act,
                 read_endpoint,
-                lines_dropped: Rc::new(|| 0),
+                dropped_lines: Rc::new(|| 0),
             };
             let system = ntex::rt::System::new("relay", ntex::rt::DefaultRuntime);
             let clock = move || -> Rc<dyn Clock> { Rc::new(clock) };
@@ -240,7 +244,7 @@
         }
     }
 
-    pub fn tell(&self, told: Told) {
+    pub fn tell(&self, told: Control) {
         self.told.unbounded_send(told).unwrap();
     }
 
--- a/crates/relay/tests/relay/standins/store.rs
+++ b/crates/relay/tests/relay/standins/store.rs
@@ -103,7 +103,7 @@
         }
         newest.retain(|_, record| record.value.is_some());
         let timeline = inner.named();
-        Ok(Page { records: newest.into_values().collect(), more: None, end, timeline })
+        Ok(Page { records: newest.into_values().collect(), next_after: None, end, timeline })
     }
 
     fn read(&self, table: TableName, from: u64) -> Result<surroundings::Read, StoreError> {
--- a/crates/relay/tests/relay/stop.rs
+++ b/crates/relay/tests/relay/stop.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, mpsc};
 
-use peatdeck_relay::server::Told;
+use peatdeck_relay::server::Control;
 
 use crate::standins::{Conn, Desk, Site, read_reply, request, wait_for, whole};
 
@@ -20,7 +20,7 @@
     let mut conn = Conn::open(site.relay.front);
     conn.write(&request("/once/x", ""));
     on_asked.recv().unwrap();
-    site.relay.tell(Told::Stop);
+    site.relay.tell(Control::Stop);
     wait_for("the balancer is told", || site.relay.ready_status() == 503);
     go.send(()).unwrap();
     let reply = read_reply(&mut conn);
@@ -32,7 +32,7 @@
 fn a_caller_on_an_open_connection_is_served_and_told_to_close_it() {
     let site = Site::start(&[Desk::answering("x")]);
     let mut conn = Conn::open(site.relay.front);
-    site.relay.tell(Told::Stop);
+    site.relay.tell(Control::Stop);
     wait_for("the balancer is told", || site.relay.ready_status() == 503);
     conn.write(&request("/once/x", ""));
     let reply = read_reply(&mut conn);
@@ -44,7 +44,7 @@
 #[test]
 fn a_reload_cuts_nothing() {
     let site = Site::start(&[Desk::answering("x")]);
-    site.relay.tell(Told::Reload);
+    site.relay.tell(Control::Reload);
     assert_eq!(site.ask("/once/x").status, 200);
     assert_eq!(site.relay.ready_status(), 200);
 }
