--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints, and what came of them.
+//! Calls to endpoints and their results.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -21,23 +21,23 @@
     pool::{self, Lease},
 };
 
-/// Largest whole answer that is passed on, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
-/// Largest answer to a call for pieces, in bytes.
-const MAX_MADE: usize = 1 << 20;
-/// How much longer than usual a call for pieces may take. An endpoint that is
-/// five times slower than usual is still worth waiting for.
+/// Largest whole reply that is forwarded to a caller, in bytes.
+const MAX_REPLY_BYTES: usize = 16 << 20;
+/// Largest reply to a call that the relay makes itself, as for pieces, in bytes.
+const MAX_OWN_REPLY_BYTES: usize = 1 << 20;
+/// Time limit of a call for pieces. An endpoint that is five times slower than usual
+/// is still worth waiting for.
 const PIECES_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time to tell which parts are held. Later it helps little.
+/// Time limit for an engine to list its prompt parts. A later list is of little use.
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time to give results up.
+/// Time limit of a call that frees results.
 const FREE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Makes a call and tells the machine what came of it.
+/// Makes a call for an exchange and reports the outcome to the machine.
 pub async fn run(driver: Rc<Driver>, call: Call) {
     let Some(request) = driver.request_of(call.exchange) else { return };
     let started = driver.now();
-    let outcome = exchange(&driver, &call, &request).await;
+    let outcome = call_endpoint(&driver, &call, &request).await;
     let Err((failure, cause)) = outcome else { return };
     let took = (driver.now() - started).as_millis() as u64;
     decisions::log_failure(&request.id, &call.endpoint, failure, &cause, took);
@@ -45,7 +45,7 @@
     driver.on_call_failure(call.key, failure);
 }
 
-/// Finds out whether an endpoint that cut calls has ended, or only connections have.
+/// Probes whether an endpoint that cut calls has crashed or only its connections broke.
 pub async fn probe(driver: Rc<Driver>, endpoint: EndpointKey, addr: Arc<str>) {
     let probed = driver.pool.probe(&addr).await;
     driver.metrics.count("relay.endpoints_probed", 1);
@@ -53,13 +53,13 @@
     driver.feed(|machine, now| machine.on_probe(now, endpoint, probed));
 }
 
-async fn exchange(
+async fn call_endpoint(
     driver: &Rc<Driver>,
     call: &Call,
     request: &driver::Request,
 ) -> Result<(), (Failure, String)> {
     let started = driver.now();
-    let sent = driver.pool.send(&call.addr, outgoing(driver, call, request)).await;
+    let sent = driver.pool.send(&call.addr, outgoing_request(driver, call, request)).await;
     let (response, lease) = sent.map_err(|error| (failure_of(&error), error.to_string()))?;
     let (parts, body) = response.into_parts();
     let dialect = &driver.platform.dialect;
@@ -68,22 +68,22 @@
     driver.metrics.time("relay.first_byte", took);
     decisions::log_reply(&request.id, &call.endpoint, &head, took.as_millis() as u64);
     if !head.has_request_id {
-        return Err((Failure::Foreign, "the reply is to another request".to_owned()));
+        return Err((Failure::Foreign, "the reply belongs to another request".to_owned()));
     }
     let headers = dialect.reply_headers(parts.headers);
     let mut reply = Reply { status: parts.status, headers, body: Bytes::new() };
     if driver.feed(|machine, now| machine.on_reply_head(now, call.key, &head)) {
         driver.store_head(call.key, reply);
-        return pump(driver, call, body, lease).await;
+        return forward_stream(driver, call, body, lease).await;
     }
-    reply.body = read_whole(body, MAX_ANSWER).await.map_err(|cause| (Failure::Cut, cause))?;
+    reply.body = read_whole(body, MAX_REPLY_BYTES).await.map_err(|cause| (Failure::Cut, cause))?;
     driver.pool.put_back(lease);
     driver.on_reply(call.key, &head, reply);
     Ok(())
 }
 
-/// Passes a stream's events on, one by one.
-async fn pump(
+/// Forwards a stream's events to the caller, one by one.
+async fn forward_stream(
     driver: &Rc<Driver>,
     call: &Call,
     mut body: Incoming,
@@ -101,7 +101,7 @@
         }
     }
     if !splitter.incomplete().is_empty() {
-        return Err((Failure::Cut, "the stream ended within an event".to_owned()));
+        return Err((Failure::Cut, "the stream ended in the middle of an event".to_owned()));
     }
     driver.pool.put_back(lease);
     driver.forget_call(call.key);
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-/// Has pieces made and tells the machine what came of it.
+/// Calls an endpoint to run pieces and reports the outcome to the machine.
 pub async fn run_pieces(
     driver: Rc<Driver>,
     call: CallKey,
@@ -118,19 +118,19 @@
     pieces: Vec<Piece>,
 ) {
     let dialect = &driver.platform.dialect;
-    let order = (dialect.encode_pieces)(&pieces, driver.now());
+    let request = (dialect.encode_pieces)(&pieces, driver.now());
     let started = driver.now();
-    let posted = post(&driver, &addr, Some(&endpoint), order);
-    let made = match tokio::time::timeout(PIECES_TIMEOUT, posted).await {
-        Ok(made) => made,
-        Err(_) => Err((Failure::Cut, "no answer in time".to_owned())),
+    let posted = post(&driver, &addr, Some(&endpoint), request);
+    let reply = match tokio::time::timeout(PIECES_TIMEOUT, posted).await {
+        Ok(reply) => reply,
+        Err(_) => Err((Failure::Cut, "no reply in time".to_owned())),
     };
     let took = (driver.now() - started).as_millis() as u64;
     driver.forget_call(call);
-    if let Ok((head, _)) = &made {
+    if let Ok((head, _)) = &reply {
         driver.feed(|machine, now| machine.on_reply_terms(now, call, head));
     }
-    match made {
+    match reply {
         Err((failure, cause)) => {
             tracing::warn!(event = "make_failed", call = ?call, endpoint = &*endpoint, failure = ?failure, cause, took_ms = took);
             driver.feed(|machine, now| machine.on_pieces_failure(now, call, failure, false));
@@ -139,11 +139,11 @@
             tracing::info!(event = "make_refused", call = ?call, endpoint = &*endpoint, status = head.status, took_ms = took);
             driver.feed(|machine, now| machine.on_pieces_failure(now, call, Failure::Cut, true));
         }
-        Ok((head, body)) => take_made(&driver, call, &endpoint, &pieces, head, &body, took),
+        Ok((head, body)) => handle_results(&driver, call, &endpoint, &pieces, head, &body, took),
     }
 }
 
-fn take_made(
+fn handle_results(
     driver: &Rc<Driver>,
     call: CallKey,
     endpoint: &str,
@@ -160,12 +160,12 @@
         driver.feed(|machine, now| machine.on_pieces_failure(now, call, Failure::Foreign, false));
         return;
     };
-    log_made(call, endpoint, &results, head.load, took_ms);
+    log_results(call, endpoint, &results, head.load, took_ms);
     driver.metrics.time("relay.piece_call", Duration::from_millis(took_ms));
     driver.feed(|machine, now| machine.on_pieces_made(now, call, results, head.load));
 }
 
-fn log_made(
+fn log_results(
     call: CallKey,
     endpoint: &str,
     results: &[PieceResult],
@@ -178,17 +178,17 @@
     tracing::info!(event = "made", call = ?call, endpoint, count, failures = ?failures, load, took_ms);
 }
 
-/// Gives results up. One that cannot be given up ends by itself.
+/// Frees results at an endpoint. A failure is not retried, since results expire.
 pub async fn free_results(driver: Rc<Driver>, addr: Arc<str>, handles: Vec<Handle>) {
-    let order = (driver.platform.dialect.encode_free)(&handles);
-    let posted = post(&driver, &addr, None, order);
+    let request = (driver.platform.dialect.encode_free)(&handles);
+    let posted = post(&driver, &addr, None, request);
     if !matches!(tokio::time::timeout(FREE_TIMEOUT, posted).await, Ok(Ok(_))) {
         driver.metrics.count("relay.frees_failed", 1);
     }
 }
 
-/// Asks an engine which parts of prompts it holds. One that does not tell is
-/// taken to hold none.
+/// Asks an engine which parts of prompts it holds. An engine that does not answer is
+/// assumed to hold none.
 pub async fn list_parts(driver: Rc<Driver>, endpoint: EndpointKey, addr: Arc<str>) {
     let path = driver.platform.dialect.parts_path;
     let request = Request::get(path).header(header::HOST, &*addr).body(Full::default());
@@ -210,21 +210,21 @@
     driver: &Rc<Driver>,
     addr: &Arc<str>,
     endpoint: Option<&str>,
-    order: PostRequest,
+    post_request: PostRequest,
 ) -> Result<(ReplyHead, Bytes), (Failure, String)> {
     let names = &driver.platform.dialect.names;
-    let mut request = Request::post(order.path)
+    let mut request = Request::post(post_request.path)
         .header(header::HOST, &**addr)
         .header(header::CONTENT_TYPE, "application/json");
     if let Some(endpoint) = endpoint {
         request = request.header(&names.endpoint, endpoint);
     }
-    let request = request.body(Full::new(order.body));
+    let request = request.body(Full::new(post_request.body));
     let request = request.map_err(|error| (Failure::Unsent, error.to_string()))?;
     fetch(driver, addr, request).await
 }
 
-/// Makes a call that is no caller's, and reads its whole answer.
+/// Makes a call of the relay's own, for no caller, and reads its whole reply.
 async fn fetch(
     driver: &Rc<Driver>,
     addr: &Arc<str>,
@@ -234,12 +234,17 @@
     let sent = driver.pool.send(addr, request).await;
     let (response, lease) = sent.map_err(|error| (failure_of(&error), error.to_string()))?;
     let (parts, body) = response.into_parts();
-    let body = read_whole(body, MAX_MADE).await.map_err(|cause| (Failure::Cut, cause))?;
+    let body =
+        read_whole(body, MAX_OWN_REPLY_BYTES).await.map_err(|cause| (Failure::Cut, cause))?;
     driver.pool.put_back(lease);
     Ok((dialect.reply_head("", parts.status, &parts.headers), body))
 }
 
-fn outgoing(driver: &Driver, call: &Call, request: &driver::Request) -> Request<Full<Bytes>> {
+fn outgoing_request(
+    driver: &Driver,
+    call: &Call,
+    request: &driver::Request,
+) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.target.parse().expect("it was a request's target");
--- a/crates/relay/src/decisions.rs
+++ b/crates/relay/src/decisions.rs
@@ -1,5 +1,5 @@
-//! One log line for each decision that touches a request or changes what this
-//! instance believes.
+//! One log line for each decision that concerns a request or changes this
+//! instance's view of endpoints and contents.
 
 use std::time::Duration;
 
@@ -10,37 +10,38 @@
     terms::Rate,
 };
 
-/// Runs that a log line names: a busy endpoint has dozens.
-const MOST_NAMED: usize = 12;
+/// Crashed runs that a log line names; a busy endpoint has dozens.
+const MAX_NAMED: usize = 12;
 
-/// What an instance believed when it decided.
+/// Version and age of the configuration that an instance decided by.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConfigState {
-    /// The configuration's version; 0 if none is known.
+    /// Version of the configuration; 0 if the instance has none.
     pub version: u64,
-    /// How long ago configuration and directory were compared with the
-    /// platform's store; `None` if never.
+    /// Time since the copies of configuration and directory were last compared with
+    /// the platform's store; `None` if they never were.
     pub age: Option<Duration>,
 }
 
-/// Logs that a request was taken in.
-pub fn log_admitted(id: &str, taken: &ExchangeSummary, belief: ConfigState) {
+/// Logs that a request was admitted.
+pub fn log_admitted(id: &str, summary: &ExchangeSummary, config: ConfigState) {
     tracing::info!(
         event = "arrive",
         id,
-        route = &*taken.route,
-        service = &*taken.service,
-        team = taken.team.as_deref(),
-        content = %taken.content,
-        wait_ms = millis(taken.wait),
-        pieces = ?taken.pieces,
-        version = belief.version,
-        age_ms = belief.age.map(millis),
+        route = &*summary.route,
+        service = &*summary.service,
+        team = summary.team.as_deref(),
+        content = %summary.content,
+        wait_ms = millis(summary.wait),
+        pieces = ?summary.pieces,
+        version = config.version,
+        age_ms = config.age.map(millis),
     );
 }
 
-/// Logs an action of the machine. `id` gives the caller's id of an exchange.
-pub fn log_action(action: &Action, id: &str, belief: ConfigState) {
+/// Logs an action of the machine. `id` is the id that the caller gave its request,
+/// empty if the action concerns none.
+pub fn log_action(action: &Action, id: &str, config: ConfigState) {
     match action {
         Action::Send(call) => log_send(call, id),
         Action::Cancel(call) => tracing::info!(event = "cancel", call = ?call),
@@ -50,7 +51,7 @@
         Action::AbortStream(_) => tracing::warn!(event = "break", id),
         Action::Refuse { refusal, retry_after, .. } => {
             let retry_ms = retry_after.map(|after| after.as_millis() as u64);
-            log_refusal(id, *refusal, retry_ms, belief);
+            log_refusal(id, *refusal, retry_ms, config);
         }
         Action::MakePieces { call, endpoint, pieces, .. } => {
             let requests: Vec<_> = pieces
@@ -121,14 +122,14 @@
     }
 }
 
-/// Logs a refusal.
-pub fn log_refusal(id: &str, refusal: Refusal, retry_ms: Option<u64>, belief: ConfigState) {
+/// Logs that a request was refused. `retry_ms` is the delay that the caller is given.
+pub fn log_refusal(id: &str, refusal: Refusal, retry_ms: Option<u64>, config: ConfigState) {
     let (reason, status) = (refusal.name(), refusal.status());
-    let (version, age_ms) = (belief.version, belief.age.map(millis));
+    let (version, age_ms) = (config.version, config.age.map(millis));
     tracing::warn!(event = "refuse", id, reason, status, retry_ms, version, age_ms);
 }
 
-/// Logs an endpoint's reply.
+/// Logs the head of an endpoint's reply; `took_ms` is the time since the call was sent.
 pub fn log_reply(id: &str, endpoint: &str, head: &ReplyHead, took_ms: u64) {
     let load = head.load.map(|load| format!("{},{},{}", load.running, load.queued, load.places));
     let terms = &head.terms;
@@ -147,19 +148,19 @@
     );
 }
 
-/// Logs a call that brought no whole reply.
+/// Logs a call that failed before its reply was complete.
 pub fn log_failure(id: &str, endpoint: &str, failure: Failure, cause: &str, took_ms: u64) {
     tracing::warn!(event = "call_failed", id, endpoint, failure = ?failure, cause, took_ms);
 }
 
-/// Logs that an endpoint ended, and what it ran; of many runs only the first.
-fn log_crash(life: &EndpointId, crashes: &[Crash]) {
+/// Logs that an endpoint crashed, with the first [`MAX_NAMED`] contents that it ran.
+fn log_crash(endpoint_id: &EndpointId, crashes: &[Crash]) {
     let run = |crash: &Crash| match crash.is_late {
         true => format!("{} (late)", crash.content),
         false => crash.content.to_string(),
     };
-    let named: Vec<_> = crashes.iter().take(MOST_NAMED).map(run).collect();
-    let (endpoint, incarnation) = (&*life.name, life.incarnation.0);
+    let named: Vec<_> = crashes.iter().take(MAX_NAMED).map(run).collect();
+    let (endpoint, incarnation) = (&*endpoint_id.name, endpoint_id.incarnation.0);
     let (count, runs) = (crashes.len(), named.join(" "));
     tracing::warn!(event = "endpoint_crashed", endpoint, incarnation, count, runs);
 }
--- a/crates/relay/src/driver.rs
+++ b/crates/relay/src/driver.rs
@@ -1,8 +1,8 @@
-//! The machine and everything it holds, on one thread.
+//! Runs the state machine of an instance on one thread.
 //!
-//! Each entry point takes the time, tells the machine what happened and carries
-//! out the actions that come back. Carrying out an action never calls the
-//! machine again by itself; it starts a task, which does so later.
+//! Each entry point reads the clock, passes an event to the machine and carries
+//! out the actions that the machine returns. Carrying out an action never calls
+//! the machine directly; it starts a task, which does so later.
 
 use std::{
     cell::{Cell, RefCell},
@@ -42,26 +42,27 @@
     surroundings::{Platform, TableName},
 };
 
-/// After being told to stop, an instance takes requests for so long. The
-/// balancer needs two questions a second apart to notice, and a moment more.
-const OPEN_AFTER_STOP: Duration = Duration::from_millis(2900);
-
-/// Gossip turns the event loop every 400 ms, so one that did nothing for five times
-/// as long was stopped, or its machine was suspended.
-const STANDSTILL: Duration = Duration::from_secs(2);
-/// What is in force is known so long after that at the most, if anybody tells it:
-/// two readings of the tables.
-const NEWS_WITHIN: Duration = Duration::from_secs(1);
-/// The longest sleep until the machine's next wake. The operating system's timers do
-/// not count a suspension, so this is how late a deadline is noticed after one.
-const LONGEST_SLEEP: Duration = Duration::from_millis(250);
-
-/// A caller's request, as it is passed on.
+/// How long an instance still accepts requests after it was told to stop. The
+/// balancer notices by two readiness checks a second apart; the rest is margin.
+const SERVE_AFTER_STOP: Duration = Duration::from_millis(2900);
+
+/// Gossip wakes the event loop every 400 ms. If it was idle for five times as long,
+/// the process was stopped or its machine suspended.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_secs(2);
+/// How long requests wait for the tables to be read after a suspension: the time of
+/// two reads.
+const TABLES_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest sleep before the timer checks the machine's next wake time. The operating
+/// system's timers do not count a suspension, so a deadline that passed during one is
+/// noticed this late.
+const MAX_SLEEP: Duration = Duration::from_millis(250);
+
+/// A caller's request, as it is forwarded to endpoints.
 #[derive(Debug)]
 pub struct Request {
-    /// The caller's id of it.
+    /// The id that the caller gave it.
     pub id: Arc<str>,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: String,
@@ -77,36 +78,36 @@
     }
 }
 
-/// A part of what a caller is sent.
+/// A part of the response to a caller.
 #[derive(Debug)]
 pub enum ReplyPart {
-    /// An endpoint's whole answer.
+    /// An endpoint's complete reply.
     Whole(Reply),
     /// The head of a stream.
     Head(Reply),
-    /// A whole event of it.
+    /// One complete event of a stream.
     Event(Bytes),
-    /// The stream has ended whole.
+    /// The stream ended after its last event.
     End,
-    /// The stream has ended without being whole.
+    /// The stream ended early.
     Broken,
-    /// No endpoint's answer comes.
+    /// The request is refused; no reply of an endpoint follows.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Option<Duration>,
     },
 }
 
-/// An endpoint's reply; without a body if that follows as events.
+/// An endpoint's reply. The body is empty if the reply is a stream, whose events follow.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// The headers that the caller may see.
     pub headers: HeaderMap,
-    /// The body.
+    /// The whole body.
     pub body: Bytes,
 }
 
@@ -116,14 +117,14 @@
     arrived: Duration,
 }
 
-/// What other threads see of the event loop.
+/// State of the event loop that other threads read.
 #[derive(Debug, Default)]
 pub struct SharedState {
-    /// Whether the instance takes requests.
+    /// Whether the instance accepts requests.
     pub is_ready: AtomicBool,
 }
 
-/// The machine and everything it holds.
+/// The state machine with the connections, tasks and callers that its actions refer to.
 pub struct Driver {
     machine: RefCell<Relay>,
     clock: Rc<dyn Clock>,
@@ -131,50 +132,52 @@
     calls: RefCell<SecondaryMap<CallKey, AbortHandle>>,
     replies: RefCell<HashMap<CallKey, Reply>>,
     rearm: Notify,
-    /// When the event loop last dealt with something.
-    turned: Cell<Duration>,
-    /// When it went on after it had stood still, until the tables were looked at.
-    resumed: Cell<Option<Duration>>,
-    /// Whoever waits for that.
-    news: Notify,
-    stopping: Cell<Option<Duration>>,
+    /// When the event loop last handled an event.
+    last_active: Cell<Duration>,
+    /// When the event loop resumed after a suspension; `None` once the tables were
+    /// read after it.
+    resumed_at: Cell<Option<Duration>>,
+    /// Wakes the requests that wait for the tables to be read.
+    tables_read: Notify,
+    /// When the instance was told to stop.
+    stopping_since: Cell<Option<Duration>>,
     /// Connections to endpoints.
     pub pool: Rc<Pool>,
-    /// The platform.
+    /// The platform that the instance runs on.
     pub platform: Platform,
-    /// The settings.
+    /// The instance's settings.
     pub settings: Settings,
     /// The other instances.
     pub peers: Peers,
     /// Counters and timings.
     pub metrics: Metrics,
-    /// What other threads see.
+    /// State that other threads read.
     pub shared: Arc<SharedState>,
 }
 
-/// What a driver is made of.
+/// What a [`Driver`] is built from.
 pub struct Components {
-    /// The machine.
+    /// The state machine.
     pub machine: Relay,
-    /// The clock.
+    /// The source of all times.
     pub clock: Rc<dyn Clock>,
-    /// The platform.
+    /// The platform that the instance runs on.
     pub platform: Platform,
-    /// The settings.
+    /// The instance's settings.
     pub settings: Settings,
-    /// Connections.
+    /// Connections to endpoints and the platform.
     pub pool: Rc<Pool>,
     /// Counters and timings.
     pub metrics: Metrics,
-    /// What other threads see.
+    /// State that other threads read.
     pub shared: Arc<SharedState>,
 }
 
 impl Driver {
-    /// A driver whose machine knows nothing yet.
+    /// Creates a driver without peers, callers or calls.
     pub fn new(parts: Components) -> Rc<Driver> {
         let peers = Peers::new(&parts.settings);
-        let turned = Cell::new(parts.clock.now());
+        let last_active = Cell::new(parts.clock.now());
         Rc::new(Driver {
             machine: RefCell::new(parts.machine),
             clock: parts.clock,
@@ -182,10 +185,10 @@
             calls: RefCell::default(),
             replies: RefCell::default(),
             rearm: Notify::new(),
-            turned,
-            resumed: Cell::new(None),
-            news: Notify::new(),
-            stopping: Cell::new(None),
+            last_active,
+            resumed_at: Cell::new(None),
+            tables_read: Notify::new(),
+            stopping_since: Cell::new(None),
             pool: parts.pool,
             platform: parts.platform,
             settings: parts.settings,
@@ -195,89 +198,89 @@
         })
     }
 
-    /// The time since the start.
+    /// Time since the start of the clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// The time of day. Only for records that people read.
+    /// The time of day; used only in records that people read.
     pub fn wall(&self) -> SystemTime {
         self.clock.wall()
     }
 
-    /// Tells the machine something and carries out what it wants done.
-    pub fn feed<T>(self: &Rc<Self>, tell: impl FnOnce(&mut Relay, Duration) -> T) -> T {
-        let now = self.turn();
+    /// Passes an event to the machine and carries out the actions that it returns.
+    pub fn feed<T>(self: &Rc<Self>, event: impl FnOnce(&mut Relay, Duration) -> T) -> T {
+        let now = self.check_suspension();
         let mut machine = self.machine.borrow_mut();
-        let told = tell(&mut machine, now);
+        let output = event(&mut machine, now);
         let actions = machine.take_actions();
         drop(machine);
         for action in actions {
             self.perform(action);
         }
         self.rearm.notify_one();
-        told
+        output
     }
 
-    /// The time at which the event loop deals with something. Where it stood still
-    /// for long before, nothing is sent until it has looked at what is in force:
-    /// routes may have moved, keys been revoked and endpoints gone meanwhile, and
-    /// whatever comes first may be an old request.
-    fn turn(self: &Rc<Self>) -> Duration {
+    /// Returns the current time, and checks how long the event loop was idle before.
+    /// After a suspension it sends nothing until the tables have been read: meanwhile
+    /// routes may have moved, keys been revoked and endpoints removed, and the first
+    /// event may be an old request.
+    fn check_suspension(self: &Rc<Self>) -> Duration {
         let now = self.now();
-        let stood = now.saturating_sub(self.turned.replace(now));
-        if stood < STANDSTILL {
+        let idle = now.saturating_sub(self.last_active.replace(now));
+        if idle < SUSPENSION_THRESHOLD {
             return now;
         }
-        let stood_ms = u64::try_from(stood.as_millis()).unwrap_or(u64::MAX);
+        let stood_ms = u64::try_from(idle.as_millis()).unwrap_or(u64::MAX);
         tracing::warn!(event = "resumed", stood_ms);
         self.metrics.count("relay.resumed", 1);
         self.pool.clear();
-        self.resumed.set(Some(now));
-        self.machine.borrow_mut().hold_for_tables(now + NEWS_WITHIN);
+        self.resumed_at.set(Some(now));
+        self.machine.borrow_mut().hold_for_tables(now + TABLES_TIMEOUT);
         ntex::rt::spawn(follow::refresh_tables(self.clone()));
         now
     }
 
-    /// Tables were read or heard of. Requests go on that wait for that since the
-    /// event loop stood still.
+    /// The copies of the tables have been compared with the store. If that was after the
+    /// last suspension, the requests that wait for it continue.
     pub fn on_tables_read(self: &Rc<Self>) {
-        let Some(resumed) = self.resumed.get() else { return };
+        let Some(resumed) = self.resumed_at.get() else { return };
         let now = self.now();
         let is_fresh = |age: Duration| age <= now.saturating_sub(resumed);
         if self.peers.tables.age(now).is_some_and(is_fresh) {
-            self.resumed.set(None);
+            self.resumed_at.set(None);
             self.feed(Relay::mark_tables_read);
-            self.news.notify_waiters();
+            self.tables_read.notify_waiters();
         }
     }
 
-    /// Waits until requests may be taken in: which route is theirs, and whether their
-    /// key is known, is decided once. Returns how long that took.
+    /// Waits until requests may be admitted after a suspension, since a request's route
+    /// and key are looked up only once. Returns how long it waited.
     pub async fn wait_for_tables(self: &Rc<Self>) -> Duration {
-        let asked = self.turn();
-        while let Some(resumed) = self.resumed.get() {
-            let left = (resumed + NEWS_WITHIN).saturating_sub(self.now());
+        let started = self.check_suspension();
+        while let Some(resumed) = self.resumed_at.get() {
+            let left = (resumed + TABLES_TIMEOUT).saturating_sub(self.now());
             if left.is_zero() {
                 break;
             }
-            // Either ends the wait.
-            tokio::time::timeout(left, self.news.notified()).await.ok();
+            // Whether notified or timed out, the loop checks again.
+            tokio::time::timeout(left, self.tables_read.notified()).await.ok();
         }
-        self.now().saturating_sub(asked)
+        self.now().saturating_sub(started)
     }
 
-    /// Looks at the machine.
-    pub fn inspect<T>(&self, look: impl FnOnce(&Relay) -> T) -> T {
-        look(&self.machine.borrow())
+    /// Reads state of the machine.
+    pub fn inspect<T>(&self, read: impl FnOnce(&Relay) -> T) -> T {
+        read(&self.machine.borrow())
     }
 
-    /// Wakes the machine whenever it asked to be.
+    /// Ticks the machine at the times that it asks for.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let now = self.now();
             let wake = self.inspect(|machine| machine.next_wake(now));
-            let pause = tokio::time::sleep(wake.saturating_sub(now).min(LONGEST_SLEEP));
+            let pause = tokio::time::sleep(wake.saturating_sub(now).min(MAX_SLEEP));
             futures::future::select(Box::pin(pause), Box::pin(self.rearm.notified())).await;
             let now = self.now();
             if self.inspect(|machine| machine.next_wake(now)) <= now {
@@ -286,10 +289,10 @@
         }
     }
 
-    /// Hands a caller's request to the machine.
+    /// Passes a caller's request to the machine.
     ///
     /// # Errors
-    /// The refusal, if the machine does not take it.
+    /// The refusal, if the machine does not admit the request.
     pub fn submit(
         self: &Rc<Self>,
         arrival: Arrival,
@@ -300,14 +303,14 @@
         self.metrics.count("relay.requests", 1);
         let (tx, parts) = mpsc::unbounded();
         let request = Rc::new(request);
-        let now = self.turn();
+        let now = self.check_suspension();
         let mut machine = self.machine.borrow_mut();
-        let arrived = machine.on_request(now, arrival);
+        let admitted = machine.on_request(now, arrival);
         let actions = machine.take_actions();
         drop(machine);
-        let key = arrived.inspect_err(|refusal| self.note_refusal(&id, *refusal))?;
-        if let Some(taken) = self.inspect(|machine| machine.describe(key)) {
-            decisions::log_admitted(&id, &taken, self.belief());
+        let key = admitted.inspect_err(|refusal| self.note_refusal(&id, *refusal))?;
+        if let Some(summary) = self.inspect(|machine| machine.describe(key)) {
+            decisions::log_admitted(&id, &summary, self.config_state());
         }
         let caller = Caller { request, parts: tx, arrived: now };
         self.callers.borrow_mut().insert(key, caller);
@@ -320,30 +323,31 @@
 
     /// Whether the instance was told to stop.
     pub fn is_stopping(&self) -> bool {
-        self.stopping.get().is_some()
+        self.stopping_since.get().is_some()
     }
 
-    /// Whether the balancer has had time to notice that the instance stops. A
-    /// request that still comes is told so: it might not be finished in time.
+    /// Whether the balancer has had time to notice that the instance is stopping. Requests
+    /// that still arrive are refused, since they might not finish before the process ends.
     pub fn is_refusing(&self) -> bool {
-        self.stopping.get().is_some_and(|since| self.now() > since + OPEN_AFTER_STOP)
+        self.stopping_since.get().is_some_and(|since| self.now() > since + SERVE_AFTER_STOP)
     }
 
-    /// Takes no new callers from the balancer from now on.
+    /// Reports itself as not ready to the balancer and stops batching for other instances.
     pub fn stop(self: &Rc<Self>) {
-        if self.stopping.get().is_none() {
-            self.stopping.set(Some(self.now()));
+        if self.stopping_since.get().is_none() {
+            self.stopping_since.set(Some(self.now()));
             self.feed(|machine, _| machine.stop_batching());
             self.update_ready();
         }
     }
 
-    /// Works out whether the instance takes requests.
+    /// Updates whether the instance accepts requests: it has read the quarantine table,
+    /// has a configuration and at least one ready endpoint, and is not stopping.
     pub fn update_ready(&self) {
         let knows_quarantine = self.peers.tables.is_loaded(TableName::Quarantine);
-        let knows_others = self
+        let has_endpoints = self
             .inspect(|machine| machine.config().is_some() && machine.directory().ready_count() > 0);
-        let knows_enough = knows_quarantine && knows_others;
+        let knows_enough = knows_quarantine && has_endpoints;
         let is_ready = knows_enough && !self.is_stopping();
         let was_ready = self.shared.is_ready.swap(is_ready, Ordering::Relaxed);
         if was_ready != is_ready {
@@ -352,12 +356,12 @@
         }
     }
 
-    /// The request of a running call.
+    /// The request of an exchange; `None` if its caller has disconnected or been answered.
     pub fn request_of(&self, exchange: ExchangeKey) -> Option<Rc<Request>> {
         self.callers.borrow().get(exchange).map(|caller| caller.request.clone())
     }
 
-    /// A whole reply came.
+    /// A call's reply has been read whole.
     pub fn on_reply(self: &Rc<Self>, call: CallKey, head: &ReplyHead, reply: Reply) {
         self.replies.borrow_mut().insert(call, reply);
         self.forget_call(call);
@@ -365,35 +369,35 @@
         self.replies.borrow_mut().remove(&call);
     }
 
-    /// A call failed.
+    /// A call failed before its reply was complete.
     pub fn on_call_failure(self: &Rc<Self>, call: CallKey, failure: Failure) {
         self.forget_call(call);
         self.feed(|machine, now| machine.on_call_failure(now, call, failure));
     }
 
-    /// A call's task has ended by itself.
+    /// A call's task has finished and need not be aborted any more.
     pub fn forget_call(&self, call: CallKey) {
         self.calls.borrow_mut().remove(call);
     }
 
-    /// Sends a caller an event.
+    /// Sends the caller of an exchange one event of its stream.
     pub fn send_event(&self, exchange: ExchangeKey, bytes: Bytes) {
         self.send(exchange, ReplyPart::Event(bytes));
     }
 
-    /// Keeps the head of a stream until the machine begins it.
+    /// Stores the head of a stream until the machine returns [`Action::BeginStream`].
     pub fn store_head(&self, call: CallKey, reply: Reply) {
         self.replies.borrow_mut().insert(call, reply);
     }
 
     fn send(&self, exchange: ExchangeKey, part: ReplyPart) {
         if let Some(caller) = self.callers.borrow().get(exchange) {
-            // A caller that has gone is noticed by its guard.
+            // The caller's guard notices a disconnect.
             caller.parts.unbounded_send(part).ok();
         }
     }
 
-    /// Sends a caller its last part.
+    /// Sends the last part of a response and removes the caller.
     fn end(&self, exchange: ExchangeKey, part: ReplyPart) {
         let Some(caller) = self.callers.borrow_mut().remove(exchange) else { return };
         let took = self.now().saturating_sub(caller.arrived);
@@ -417,7 +421,7 @@
             }
             Action::Answer { exchange, call } => {
                 let reply = self.replies.borrow_mut().remove(&call);
-                let reply = reply.expect("the machine answers while it is told of the reply");
+                let reply = reply.expect("the machine answers while it handles the reply");
                 self.metrics.count("relay.answered", 1);
                 self.end(exchange, ReplyPart::Whole(reply));
             }
@@ -491,8 +495,8 @@
                 ntex::rt::spawn(records::write(self.clone(), content, None));
             }
             Action::Quarantined { .. } | Action::Released(_) => {
-                let held = self.inspect(|machine| machine.quarantined().count());
-                self.metrics.gauge("relay.quarantined", held as u64);
+                let count = self.inspect(|machine| machine.quarantined().count());
+                self.metrics.gauge("relay.quarantined", count as u64);
             }
             Action::SuspicionCleared(_) => self.metrics.count("relay.quarantines_dropped", 1),
             Action::EndpointLeaving { .. } => self.metrics.count("relay.endpoints_leaving", 1),
@@ -528,15 +532,15 @@
             }
             _ => request.map(|request| request.id.clone()),
         };
-        decisions::log_action(action, id.as_deref().unwrap_or_default(), self.belief());
+        decisions::log_action(action, id.as_deref().unwrap_or_default(), self.config_state());
     }
 
     fn note_refusal(&self, id: &str, refusal: Refusal) {
         self.count_refusal(refusal);
-        decisions::log_refusal(id, refusal, None, self.belief());
+        decisions::log_refusal(id, refusal, None, self.config_state());
     }
 
-    fn belief(&self) -> decisions::ConfigState {
+    fn config_state(&self) -> decisions::ConfigState {
         decisions::ConfigState {
             version: self.inspect(|machine| machine.config().map_or(0, |config| config.version)),
             age: self.peers.tables.age(self.now()),
@@ -547,14 +551,15 @@
         self.metrics.count(&format!("relay.refused.{}", refusal.name()), 1);
     }
 
-    fn caller_gone(self: &Rc<Self>, key: ExchangeKey) {
+    fn on_caller_gone(self: &Rc<Self>, key: ExchangeKey) {
         let Some(caller) = self.callers.borrow_mut().remove(key) else { return };
         self.metrics.count("relay.callers_gone", 1);
         tracing::info!(event = "caller_gone", id = &*caller.request.id);
         self.feed(|machine, now| machine.on_caller_disconnect(now, key));
     }
 
-    /// A peer returned pieces, or cannot be reached.
+    /// A peer returned the results of pieces that were handed over to it; `None` if it
+    /// failed or could not be reached.
     pub fn on_handover_return(
         self: &Rc<Self>,
         key: HandoverKey,
@@ -564,16 +569,16 @@
     }
 }
 
-/// One caller's side: what it is sent. Dropping it before the last part tells
-/// the machine that the caller has gone.
+/// Receives the parts of the response to one caller. Dropping it before the last
+/// part reports to the machine that the caller has disconnected.
 pub struct ReplyReceiver {
-    /// The parts as they come.
+    /// The parts, in order; closed after the last one.
     pub parts: mpsc::UnboundedReceiver<ReplyPart>,
-    /// Tells the machine when the caller goes.
+    /// Reports the disconnect when it is dropped.
     pub guard: DisconnectGuard,
 }
 
-/// Tells the machine when the caller goes.
+/// Reports to the machine, when it is dropped, that the caller has disconnected.
 pub struct DisconnectGuard {
     driver: Rc<Driver>,
     key: ExchangeKey,
@@ -581,6 +586,6 @@
 
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        self.driver.caller_gone(self.key);
+        self.driver.on_caller_gone(self.key);
     }
 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,13 +1,13 @@
 //! Keeps the copies of the platform's tables up to date.
 //!
-//! Each table is read whole once and followed from there. The store is scarce:
-//! only the readers ([`readers`]) call it, one call at a time for each table,
-//! with a pause that grows while it fails, and a counter. The other instances
-//! ask a reader ([`crate::peers`]); one that gets no fresh answer calls the
-//! store itself.
+//! Each table is read whole once, and its log is followed from there. The store's
+//! capacity is scarce: only the readers ([`readers`]) call it, one call at a time for
+//! each table, with a backoff after failures, and a counter. The other instances ask
+//! a reader ([`crate::peers`]); an instance that gets no fresh answer calls the store
+//! itself.
 //!
-//! Once any answer of the store names a later timeline, each table is read whole, and
-//! answers of earlier timelines that still come are dropped.
+//! Once any answer of the store names a later timeline, each table is read whole
+//! again, and late answers of earlier timelines are dropped.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -25,22 +25,22 @@
     tables,
 };
 
-/// Longest time of a call beyond its wait. Only a guard against a store that
-/// never ends its answer: one that says nothing any more is noticed sooner
-/// ([`crate::pool::Pool::fetch`]), and one that goes on sending is heard out,
-/// since whatever is cut off has to be sent again from its beginning.
-const LONGEST_CALL: Duration = Duration::from_secs(30);
-/// First pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause after failed calls in a row.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1200);
-/// Pause before an instance looks again whether it has to read the store.
-const LOOK_PAUSE: Duration = Duration::from_millis(150);
-/// Instances that do not read for others give the readers so long to tell them of a
-/// later timeline: were all to read all tables whole at once, the store would turn some
-/// away, and the operators with them.
-const TIMELINE_SPREAD: Duration = Duration::from_millis(800);
-/// Instances of a platform begin together; their first calls do not.
+/// Time limit of a call beyond its wait. It guards only against a store that never
+/// ends its answer: a silent store is noticed sooner ([`crate::pool::Pool::fetch`]),
+/// and a slow answer is read to its end, since an aborted one would have to be sent
+/// again from its beginning.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay after the first failed call.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
+/// Longest delay after consecutive failed calls.
+const MAX_BACKOFF: Duration = Duration::from_millis(1200);
+/// Interval at which an instance checks whether it has to read the store.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
+/// After the timeline has changed, instances that are no readers wait for up to this
+/// time for a reader to send the new one: if all instances read all tables whole at
+/// once, the store would refuse some calls, those of operators among them.
+const TIMELINE_JITTER: Duration = Duration::from_millis(800);
+/// Instances of a platform start at the same time; this spreads their first calls.
 const START_JITTER: Duration = Duration::from_millis(60);
 
 /// Follows a table for as long as the process runs.
@@ -49,10 +49,10 @@
     tokio::time::sleep(START_JITTER.mul_f64(rand::rng().random())).await;
     loop {
         if !driver.peers.reads_store(driver.now()) {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             continue;
         }
-        await_tellers(&driver, name).await;
+        wait_for_readers(&driver, name).await;
         let asked = driver.now();
         match step(&driver, name).await {
             Ok(()) => {
@@ -76,15 +76,16 @@
                     }
                 }
                 failures += 1;
-                let pause = FIRST_PAUSE * 2_u32.saturating_pow(failures.min(8) - 1);
-                tokio::time::sleep(jittered(pause.min(LONGEST_PAUSE))).await;
+                let pause = INITIAL_BACKOFF * 2_u32.saturating_pow(failures.min(8) - 1);
+                tokio::time::sleep(jittered(pause.min(MAX_BACKOFF))).await;
             }
         }
     }
 }
 
-/// The configuration and what is held back are waited for at the store; the other
-/// tables change all the time, so each answer would come at once.
+/// How long to wait between two reads of a table. Changes of the configuration and the
+/// quarantine table are awaited by long polling; the other tables change all the time,
+/// so a long poll would return at once.
 fn pause_after(name: TableName) -> Option<Duration> {
     match name {
         TableName::Config => None,
@@ -94,7 +95,7 @@
     }
 }
 
-/// Takes in at once what was just written to a table.
+/// Reads a table right after this instance has written to it.
 ///
 /// # Errors
 /// If the store does not answer.
@@ -106,33 +107,33 @@
     read_on(driver, name, tables.position(name), Duration::ZERO).await
 }
 
-/// The store's timeline, if it is later than that of a table.
+/// The store's timeline, if it is later than that of the table's copy.
 fn later_timeline(driver: &Driver, name: TableName) -> Option<Timeline> {
     let timeline = (driver.platform.store.timeline)();
     (timeline > driver.peers.tables.position(name).timeline).then_some(timeline)
 }
 
-/// Ends once the store's timeline is later than that of a table.
+/// Returns once the store's timeline is later than that of the table's copy.
 async fn wait_for_timeline(driver: &Driver, name: TableName) {
     while later_timeline(driver, name).is_none() {
         tokio::time::sleep(readers::READ_INTERVAL).await;
     }
 }
 
-/// Gives the readers time to tell of a later timeline, unless this instance is one.
-async fn await_tellers(driver: &Driver, name: TableName) {
-    let is_teller = driver.peers.is_reader(driver.now());
-    if is_teller || !driver.peers.tables.is_loaded(name) || later_timeline(driver, name).is_none() {
+/// Gives the readers time to send the tables of a later timeline, unless this instance is
+/// a reader.
+async fn wait_for_readers(driver: &Driver, name: TableName) {
+    let is_reader = driver.peers.is_reader(driver.now());
+    if is_reader || !driver.peers.tables.is_loaded(name) || later_timeline(driver, name).is_none() {
         return;
     }
-    let until = driver.now() + TIMELINE_SPREAD.mul_f64(rand::rng().random());
+    let until = driver.now() + TIMELINE_JITTER.mul_f64(rand::rng().random());
     while driver.now() < until && later_timeline(driver, name).is_some() {
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Looks at all tables that requests go by, at once: whoever follows them may be in a
-/// pause.
+/// Reads all tables that requests depend on, without waiting for the next regular read.
 pub async fn refresh_tables(driver: Rc<Driver>) {
     let urgent = [TableName::Config, TableName::Endpoints, TableName::Quarantine];
     let reads = urgent.map(|name| read_back(&driver, name));
@@ -143,7 +144,7 @@
     }
 }
 
-/// One call and what it brings.
+/// Makes one call to the store and applies its result.
 async fn step(driver: &Rc<Driver>, name: TableName) -> Result<(), StoreError> {
     let tables = &driver.peers.tables;
     if !tables.is_loaded(name) || later_timeline(driver, name).is_some() {
@@ -158,14 +159,14 @@
     if wait <= readers::READ_INTERVAL {
         return read.await;
     }
-    // What waits for longer may wait for something that an earlier timeline had.
+    // A long poll may wait at an offset of an earlier timeline.
     match future::select(read, Box::pin(wait_for_timeline(driver, name))).await {
         Either::Left((read, _)) => read,
         Either::Right(_) => Ok(()),
     }
 }
 
-/// Reads what a table's log has behind that position.
+/// Reads a table's log from a position on.
 async fn read_on(
     driver: &Rc<Driver>,
     name: TableName,
@@ -176,15 +177,15 @@
     driver.metrics.count("relay.store_reads", 1);
     let asked = driver.now();
     let read = (driver.platform.store.read)(name, from.offset, wait);
-    match limited(wait, read).await? {
+    match with_timeout(wait, read).await? {
         Read::Records { records, end, has_more, timeline } => {
-            note_read(driver, name, &records, asked);
+            record_read(driver, name, &records, asked);
             if timeline.is_some_and(|timeline| timeline < from.timeline) {
                 return Err(outdated(driver, name, timeline));
             }
             let is_same = timeline.is_none_or(|timeline| timeline == from.timeline);
             if !is_same || tables.position(name).timeline != from.timeline {
-                // The offset that was asked for is another one now.
+                // The timeline changed, so the requested offset names another record now.
                 return Ok(());
             }
             let changed = tables.apply_changes(name, records, end);
@@ -203,8 +204,8 @@
     }
 }
 
-/// Reads the newest record of every key. The pages are no snapshot: whatever
-/// is written meanwhile is read again from where the log ended at first, which is
+/// Reads the newest record of every key. The pages are no consistent snapshot, so the
+/// log is then followed from where it ended at the first page; that position is
 /// returned.
 async fn read_whole(driver: &Rc<Driver>, name: TableName) -> Result<Position, StoreError> {
     let asked = driver.now();
@@ -219,7 +220,7 @@
         records.extend(page.records);
         after = page.next_after;
     }
-    note_read(driver, name, &records, asked);
+    record_read(driver, name, &records, asked);
     let known = tables.position(name);
     let end = Position { timeline: timeline.unwrap_or(known.timeline), offset };
     if end.timeline < known.timeline || later_timeline(driver, name) > Some(end.timeline) {
@@ -239,17 +240,18 @@
     after: Option<Arc<str>>,
 ) -> Result<Page, StoreError> {
     driver.metrics.count("relay.store_reads", 1);
-    limited(Duration::ZERO, (driver.platform.store.newest)(name, after)).await
+    with_timeout(Duration::ZERO, (driver.platform.store.newest)(name, after)).await
 }
 
-/// An answer belongs to an earlier timeline than one that was seen.
-fn outdated(driver: &Driver, name: TableName, told: Option<Timeline>) -> StoreError {
-    let known = (driver.platform.store.timeline)().max(driver.peers.tables.position(name).timeline);
-    StoreError::Outdated { timeline: told.unwrap_or_default().0, newest: known.0 }
+/// The error for an answer from an earlier timeline than the newest one seen.
+fn outdated(driver: &Driver, name: TableName, timeline: Option<Timeline>) -> StoreError {
+    let newest =
+        (driver.platform.store.timeline)().max(driver.peers.tables.position(name).timeline);
+    StoreError::Outdated { timeline: timeline.unwrap_or_default().0, newest: newest.0 }
 }
 
-/// Guards against reading the same table whole again and again, without a pause, from
-/// a store whose log is shorter than it was and that names no timeline.
+/// Fails if the log is shorter than before in the same timeline. Without this error, and
+/// the backoff after it, the table would be read whole in a loop.
 fn check_length(read: Position, end: Position) -> Result<(), StoreError> {
     if end.timeline == read.timeline && end.offset < read.offset {
         return Err(StoreError::Shortened { end: end.offset, read: read.offset });
@@ -257,8 +259,8 @@
     Ok(())
 }
 
-/// Counts what the store sent, and logs it if that was much.
-fn note_read(driver: &Driver, name: TableName, records: &[Record], asked: Duration) {
+/// Counts the bytes that the store sent, and logs them if they are many.
+fn record_read(driver: &Driver, name: TableName, records: &[Record], asked: Duration) {
     let bytes = records.iter().map(Record::bytes).sum::<usize>() as u64;
     driver.metrics.count("relay.store_bytes", bytes);
     if bytes >= tables::MIN_LOGGED_BYTES {
@@ -267,8 +269,8 @@
     }
 }
 
-async fn limited<T>(wait: Duration, call: StoreCall<T>) -> Result<T, StoreError> {
-    match tokio::time::timeout(wait + LONGEST_CALL, call).await {
+async fn with_timeout<T>(wait: Duration, call: StoreCall<T>) -> Result<T, StoreError> {
+    match tokio::time::timeout(wait + CALL_TIMEOUT, call).await {
         Ok(result) => result,
         Err(_) => Err(StoreError::TimedOut),
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,31 +1,32 @@
-//! A relay instance as a process: passes callers' requests on to endpoints.
+//! The process of a relay instance: forwards callers' requests to endpoints.
 //!
-//! One thread with one event loop owns everything: the decision machine
+//! One thread with one event loop owns all state: the state machine
 //! [`peatdeck_core::relay::Relay`], the callers' connections, the calls to
-//! endpoints, the copies of the platform's tables, and the peers. Whatever
-//! happens goes into the machine through [`driver::Driver`], which carries out
-//! the actions that come back. No other place takes a decision.
+//! endpoints, the copies of the platform's tables, and the peers. Each event
+//! goes into the machine through [`driver::Driver`], which carries out the
+//! actions that the machine returns. Only the machine takes decisions.
 //!
-//! The relay is generic over its surroundings: [`surroundings::Platform`]
-//! holds, as plain functions, all that differs from platform to platform.
+//! The relay is independent of the platform that it runs on:
+//! [`surroundings::Platform`] holds, as plain functions, everything that differs
+//! between platforms.
 //!
-//! - [`settings`]: what an instance is told at its start.
-//! - [`server`]: binds, starts the event loop, stops it whole.
-//! - [`front`]: callers' requests and their answers.
-//! - [`driver`]: the machine and what it holds.
-//! - [`calls`]: calls to endpoints, and what came of them.
+//! - [`settings`]: settings of an instance, read at its start.
+//! - [`server`]: binds the sockets, starts the event loop, shuts it down.
+//! - [`front`]: callers' requests and the responses to them.
+//! - [`driver`]: the state machine and the resources that its actions use.
+//! - [`calls`]: calls to endpoints and their results.
 //! - [`pool`]: connections to endpoints and the platform.
-//! - [`dialect`]: names of the headers that endpoints and callers speak.
+//! - [`dialect`]: headers and bodies exchanged with callers and endpoints.
 //! - [`native`]: the product's own dialect.
-//! - [`surroundings`]: the platform, as functions.
+//! - [`surroundings`]: the interface to the platform.
 //! - [`tables`]: the copies of the platform's tables.
-//! - [`follow`]: keeps them up to date from the platform's store.
-//! - [`operators`]: what operators can ask an instance.
-//! - [`peers`]: the other instances, over Cap'n Proto.
-//! - [`records`]: what is held back, as the platform's table has it.
-//! - [`repair`]: writes again what the platform's store has lost.
-//! - [`policy`]: the operators' policy, read from a file.
-//! - [`decisions`]: one log line a decision.
+//! - [`follow`]: keeps the copies up to date from the platform's store.
+//! - [`operators`]: the operators' HTTP interface of an instance.
+//! - [`peers`]: communication with the other instances, over Cap'n Proto.
+//! - [`records`]: records of the platform's quarantine table.
+//! - [`repair`]: writes records again that the platform's store has lost.
+//! - [`policy`]: loads the operators' policy from a file.
+//! - [`decisions`]: one log line for each decision.
 
 pub mod calls;
 pub mod decisions;
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -1,4 +1,4 @@
-//! Binds, starts the event loop, and stops it whole.
+//! Binds the sockets, starts the event loop, and shuts it down.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -36,64 +36,64 @@
     surroundings::{Platform, TABLES},
 };
 
-/// After being told to stop, an instance serves new callers for so long: the
-/// balancer needs three questions to notice, and a moment more.
-const LINGER: Duration = Duration::from_millis(3500);
-/// An instance has ended so long before it would be killed.
+/// Minimum time that an instance keeps running after it was told to stop: the
+/// balancer needs three readiness checks to notice; the rest is margin.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(3500);
+/// An instance exits this long before it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(600);
-/// Pause between two looks at whether all is finished.
-const FINISH_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which a stopping instance checks whether all requests have finished.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for the last responses to leave the process.
-const FLUSH: Duration = Duration::from_millis(100);
-/// Time for the server to end its threads.
-const SHUTDOWN: Duration = Duration::from_millis(200);
-/// Largest head of a request, in bytes. Above what the operators allow.
-const MAX_HEAD: usize = 64 << 10;
-/// How long a caller's connection may be idle. Above what the operators state,
-/// so that a connection which they call reusable is there.
-const IDLE: u16 = 75;
-/// Time for a head or a stalled body.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
+/// Time limit for the HTTP server to stop its threads.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
+/// Largest head of a request, in bytes. Above the limit that operators set.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// How long a caller's connection may be idle, in seconds. Longer than operators
+/// state, so that a connection which callers may still reuse is open.
+const KEEP_ALIVE: u16 = 75;
+/// Time limit for a request's head, and for a body that has stalled.
 const READ_TIMEOUT: Seconds = Seconds(10);
-/// Time for a whole body.
+/// Time limit for a whole body.
 const BODY_TIMEOUT: Seconds = Seconds(60);
-/// Bytes a second below which a head or a body counts as stalled.
+/// Bytes per second below which a head or a body counts as stalled.
 const MIN_RATE: u32 = 64;
-/// Pause between two clean-ups of idle connections.
-const PRUNE_PAUSE: Duration = Duration::from_secs(2);
+/// Interval at which idle connections are pruned.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the event loop's thread starts with. It is taken once: a second start
-/// would be a second life under the first one's incarnation.
+/// What the event loop's thread starts with. It is taken only once: a second start
+/// would run under the same incarnation as the first.
 struct Setup {
     settings: Settings,
-    surroundings: Box<dyn FnOnce(Rc<Pool>) -> Platform + Send>,
+    platform: Box<dyn FnOnce(Rc<Pool>) -> Platform + Send>,
     clock: Box<dyn FnOnce() -> Rc<dyn Clock> + Send>,
     peers: TcpListener,
     signals: mpsc::UnboundedReceiver<Control>,
-    questions: mpsc::UnboundedReceiver<Query>,
+    queries: mpsc::UnboundedReceiver<Query>,
     exited: oneshot::Sender<()>,
     metrics: Arc<Registry>,
     shared: Arc<SharedState>,
 }
 
-/// What an instance is told while it runs.
+/// A control message to a running instance.
 #[derive(Debug, Clone, Copy)]
 pub enum Control {
-    /// Finish what is held, then end.
+    /// Finish the active requests, then exit.
     Stop,
-    /// The settings file has changed.
+    /// Read the operators' policy again.
     Reload,
 }
 
 /// The sockets that an instance listens on.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers.
+    /// Accepts callers' requests.
     pub front: TcpListener,
-    /// For the balancer's question whether it takes requests.
+    /// Accepts the balancer's readiness checks.
     pub ready: TcpListener,
-    /// For its metrics.
+    /// Accepts requests for metrics and those of operators.
     pub metrics: TcpListener,
-    /// For its peers.
+    /// Accepts connections of peers.
     pub peers: TcpListener,
 }
 
@@ -101,7 +101,7 @@
     /// Listens on the addresses of the settings.
     ///
     /// # Errors
-    /// The address that cannot be had.
+    /// The first address that cannot be bound.
     pub fn bind(settings: &Settings) -> miette::Result<Listeners> {
         Ok(Listeners {
             front: bind("callers", settings.front)?,
@@ -112,21 +112,22 @@
     }
 }
 
-/// An instance that has just started knows its peers after so long at the most,
-/// if anybody does: one reading of the table, or some rounds of gossip.
-const PEERS_WITHIN: Duration = Duration::from_millis(1500);
+/// How long an instance that has just started waits for its list of peers: the time
+/// of one read of the table, or of a few rounds of gossip.
+const PEERS_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Runs a relay instance until a signal told it to stop and it has finished
-/// what it held. `surroundings` is called on the event loop's thread.
+/// Runs a relay instance until a signal tells it to stop and its active requests have
+/// finished. `platform` is called on the event loop's thread.
 ///
 /// # Errors
-/// If an address cannot be bound or a signal cannot be taken.
+/// If the policy is unusable, an address cannot be bound, or a signal handler cannot
+/// be installed.
 pub async fn run(
     settings: Settings,
-    surroundings: impl FnOnce(Rc<Pool>) -> Platform + Send + 'static,
+    platform: impl FnOnce(Rc<Pool>) -> Platform + Send + 'static,
 ) -> miette::Result<()> {
     if let Some(path) = &settings.policy {
-        // A policy that is wrong should be heard of before anything starts.
+        // Reports an invalid policy before anything starts.
         policy::load(path)?;
     }
     let listeners = Listeners::bind(&settings)?;
@@ -135,11 +136,11 @@
     watch(SignalKind::interrupt(), Control::Stop, &told)?;
     watch(SignalKind::hangup(), Control::Reload, &told)?;
     log_start(&settings);
-    run_on(listeners, settings, signals, surroundings, SystemClock::shared).await
+    run_on(listeners, settings, signals, platform, SystemClock::shared).await
 }
 
-/// The same on sockets that listen already, told by a channel. `clock` is called on
-/// the event loop's thread.
+/// Runs a relay instance on sockets that are already listening, with control messages
+/// from a channel. `platform` and `clock` are called on the event loop's thread.
 ///
 /// # Errors
 /// If the server cannot be started.
@@ -147,22 +148,22 @@
     listeners: Listeners,
     settings: Settings,
     signals: mpsc::UnboundedReceiver<Control>,
-    surroundings: impl FnOnce(Rc<Pool>) -> Platform + Send + 'static,
+    platform: impl FnOnce(Rc<Pool>) -> Platform + Send + 'static,
     clock: impl FnOnce() -> Rc<dyn Clock> + Send + 'static,
 ) -> miette::Result<()> {
     let Listeners { front, ready, metrics: metrics_listener, peers } = listeners;
     let (exited, on_exit) = oneshot::channel();
-    let (asked, questions) = mpsc::unbounded();
+    let (query_sender, queries) = mpsc::unbounded();
     let metrics = Registry::new();
     let shared = Arc::new(SharedState::default());
     let connections = settings.connections;
     let setup = Setup {
         settings,
-        surroundings: Box::new(surroundings),
+        platform: Box::new(platform),
         clock: Box::new(clock),
         peers,
         signals,
-        questions,
+        queries,
         exited,
         metrics: metrics.clone(),
         shared: shared.clone(),
@@ -190,9 +191,9 @@
         })
         .into_diagnostic()?
         .listen("metrics", metrics_listener, async move |_| {
-            let (metrics, asked) = (metrics.clone(), asked.clone());
+            let (metrics, query_sender) = (metrics.clone(), query_sender.clone());
             HttpService::h1(move |req: Request| {
-                operators::answer(metrics.clone(), asked.clone(), req)
+                operators::answer(metrics.clone(), query_sender.clone(), req)
             })
         })
         .into_diagnostic()?
@@ -202,8 +203,8 @@
         .run();
 
     on_exit.await.map_err(|_| miette!("the event loop ended before it was told to stop"))?;
-    if tokio::time::timeout(SHUTDOWN, server.stop(false)).await.is_err() {
-        tracing::warn!(event = "shutdown_cut", limit_ms = SHUTDOWN.as_millis() as u64);
+    if tokio::time::timeout(SHUTDOWN_TIMEOUT, server.stop(false)).await.is_err() {
+        tracing::warn!(event = "shutdown_cut", limit_ms = SHUTDOWN_TIMEOUT.as_millis() as u64);
     }
     tracing::info!(event = "stopped");
     Ok(())
@@ -220,7 +221,7 @@
 
 /// Starts the event loop on the current thread.
 fn start(setup: Setup) -> Rc<Driver> {
-    let Setup { settings, surroundings, clock, peers, signals, questions, exited, metrics, shared } =
+    let Setup { settings, platform, clock, peers, signals, queries, exited, metrics, shared } =
         setup;
     let clock = clock();
     let pool = Pool::new(clock.clone());
@@ -237,30 +238,30 @@
     let driver = Driver::new(Components {
         machine,
         clock,
-        platform: surroundings(pool.clone()),
+        platform: platform(pool.clone()),
         settings,
         pool,
         metrics: Metrics::into_registry(&metrics),
         shared,
     });
-    take_policy(&driver);
+    load_policy(&driver);
     for table in TABLES {
         ntex::rt::spawn(follow::run(driver.clone(), table));
     }
     ntex::rt::spawn(driver.clone().run_timer());
-    driver.feed(|machine, now| machine.hold_for_peers(now + PEERS_WITHIN));
+    driver.feed(|machine, now| machine.hold_for_peers(now + PEERS_TIMEOUT));
     ntex::rt::spawn(repair::announce(driver.clone()));
     ntex::rt::spawn(repair::run(driver.clone()));
     ntex::rt::spawn(peers::gossip::run(driver.clone()));
     ntex::rt::spawn(peers::learn::run(driver.clone()));
     ntex::rt::spawn(peers::serve(driver.clone(), into_tokio(peers)));
     ntex::rt::spawn(prune(driver.clone()));
-    ntex::rt::spawn(operators::serve(driver.clone(), questions));
-    ntex::rt::spawn(take_signals(driver.clone(), signals, exited));
+    ntex::rt::spawn(operators::serve(driver.clone(), queries));
+    ntex::rt::spawn(handle_signals(driver.clone(), signals, exited));
     driver
 }
 
-async fn take_signals(
+async fn handle_signals(
     driver: Rc<Driver>,
     mut signals: mpsc::UnboundedReceiver<Control>,
     exited: oneshot::Sender<()>,
@@ -269,7 +270,7 @@
         match told {
             Control::Reload => {
                 tracing::info!(event = "reload");
-                take_policy(&driver);
+                load_policy(&driver);
             }
             Control::Stop => break,
         }
@@ -277,16 +278,16 @@
     let open = driver.inspect(Relay::open_exchanges);
     tracing::info!(event = "stopping", open);
     driver.stop();
-    finish(&driver).await;
+    drain(&driver).await;
     driver.feed(Relay::end_all_exchanges);
-    tokio::time::sleep(FLUSH).await;
-    // The receiver waits for as long as the process runs.
+    tokio::time::sleep(FLUSH_TIME).await;
+    // The receiver lives for as long as the process runs.
     exited.send(()).ok();
 }
 
-/// Reads the operators' policy. One that cannot be used leaves the one before
-/// in force.
-fn take_policy(driver: &Rc<Driver>) {
+/// Loads the operators' policy. If the file is unusable, the previous policy stays in
+/// force.
+fn load_policy(driver: &Rc<Driver>) {
     let Some(path) = &driver.settings.policy else { return };
     match policy::load(path) {
         Ok(program) => {
@@ -301,24 +302,25 @@
     }
 }
 
-/// Waits until nothing is held any more, or until the grace is nearly over.
-async fn finish(driver: &Driver) {
+/// Waits until no request is active any more, or until shortly before the process
+/// would be killed.
+async fn drain(driver: &Driver) {
     let started = driver.now();
-    let last = driver.settings.grace.saturating_sub(EXIT_MARGIN);
+    let limit = driver.settings.grace.saturating_sub(EXIT_MARGIN);
     loop {
         let waited = driver.now() - started;
         let held = driver.inspect(|machine| machine.open_exchanges() + machine.open_tickets());
-        if waited >= last || (held == 0 && waited >= LINGER) {
+        if waited >= limit || (held == 0 && waited >= MIN_DRAIN_TIME) {
             tracing::info!(event = "finished", held, waited_ms = waited.as_millis() as u64);
             break;
         }
-        tokio::time::sleep(FINISH_PAUSE).await;
+        tokio::time::sleep(DRAIN_INTERVAL).await;
     }
 }
 
 async fn prune(driver: Rc<Driver>) {
     loop {
-        tokio::time::sleep(PRUNE_PAUSE).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         driver.pool.prune();
         let counts = driver.pool.counts();
         driver.metrics.gauge("relay.connections_opened", counts.opened);
@@ -333,14 +335,14 @@
     told: Control,
     to: &mpsc::UnboundedSender<Control>,
 ) -> miette::Result<()> {
-    let signals = signal(kind).into_diagnostic().wrap_err("signals cannot be taken")?;
+    let signals = signal(kind).into_diagnostic().wrap_err("cannot install a signal handler")?;
     ntex::rt::spawn(forward(signals, told, to.clone()));
     Ok(())
 }
 
 async fn forward(mut signals: Signal, told: Control, to: mpsc::UnboundedSender<Control>) {
     while signals.recv().await.is_some() {
-        // The event loop takes them for as long as the process runs.
+        // The event loop receives them for as long as the process runs.
         to.unbounded_send(told).ok();
     }
 }
@@ -348,14 +350,14 @@
 fn bind(what: &str, addr: SocketAddr) -> miette::Result<TcpListener> {
     TcpListener::bind(addr).map_err(|error| {
         miette!(
-            help = "stop what listens there, or give another address",
+            help = "stop the process that listens there, or set another address",
             "cannot listen for {what} on {addr}: {error}"
         )
     })
 }
 
 fn into_tokio(listener: TcpListener) -> tokio::net::TcpListener {
-    listener.set_nonblocking(true).expect("a listening socket takes the flag");
+    listener.set_nonblocking(true).expect("a listening socket can be made non-blocking");
     tokio::net::TcpListener::from_std(listener).expect("the event loop runs on this thread")
 }
 
@@ -373,8 +375,8 @@
 
 fn http_config() -> SharedCfg {
     let config = HttpServiceConfig::new()
-        .set_max_buf_size(MAX_HEAD)
-        .set_keepalive(Seconds(IDLE))
+        .set_max_buf_size(MAX_HEAD_BYTES)
+        .set_keepalive(Seconds(KEEP_ALIVE))
         .set_client_timeout(READ_TIMEOUT)
         .set_payload_read_rate(READ_TIMEOUT, BODY_TIMEOUT, MIN_RATE);
     SharedCfg::new("peatdeck-relay").add(config).build()
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,41 +1,41 @@
-//! What a relay instance is told at its start.
+//! Settings of a relay instance.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use peatdeck_core::{model::Incarnation, relay::allowance::RetryBudgetConfig};
 use peatdeck_macros::data;
 
-/// What a relay instance is told at its start.
+/// The settings that a relay instance reads at its start.
 #[data]
 pub struct Settings {
-    /// Its name.
+    /// Name of the instance, unique among all instances.
     pub name: Arc<str>,
-    /// Its life; larger than that of the one before.
+    /// Incarnation of the process; larger than that of any earlier one of this name.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// Data centre that the instance runs in.
     pub data_centre: Arc<str>,
-    /// Where callers reach it.
+    /// Address that callers connect to.
     pub front: SocketAddr,
-    /// Where the balancer asks whether it takes requests.
+    /// Address of the balancer's readiness checks.
     pub ready: SocketAddr,
-    /// Where its metrics can be read.
+    /// Address that serves metrics and operators' requests.
     pub metrics: SocketAddr,
-    /// Where its peers reach it.
+    /// Address that peers connect to.
     pub peers: SocketAddr,
-    /// Peers that may be there already, `ip:port`.
+    /// Addresses of peers to contact while none is known, `ip:port`.
     pub seeds: Vec<Arc<str>>,
-    /// The bound on repetition.
+    /// Limits of the retry budget, shared by all instances.
     pub retry_budget: RetryBudgetConfig,
-    /// Instances that share that bound while no more are known.
+    /// Number of instances assumed to share the retry budget while fewer are known.
     pub min_instances: usize,
-    /// Time from being told to stop until the process is killed.
+    /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
-    /// Bytes that callers' bodies may take up together.
+    /// Most bytes that the bodies of all active requests may occupy together.
     pub body_memory: usize,
-    /// Its processor's share, in thousandths of a core.
+    /// CPU share of the instance, in thousandths of a core.
     pub millicores: u32,
-    /// File of the operators' policy; without one the built-in rules decide.
+    /// Path of the operators' policy; without one the built-in rules apply.
     pub policy: Option<Arc<str>>,
-    /// Connections of callers at the most.
+    /// Most simultaneous connections of callers.
     pub connections: usize,
 }
--- a/crates/relay/src/surroundings.rs
+++ b/crates/relay/src/surroundings.rs
@@ -1,9 +1,9 @@
-//! The platform that a relay runs on, as functions.
+//! The interface to the platform that a relay runs on.
 //!
-//! The platform keeps four tables for the relay: the operator's configuration, the
-//! directory of endpoints, the instances themselves, and what is held back.
-//! Each is a log of keyed records of which the newest counts. A platform
-//! adapter fills in [`Platform`]; tests fill it in with stand-ins.
+//! The platform keeps four tables for the relay: the operators' configuration, the
+//! directory of endpoints, the instances of the relay, and the quarantined contents.
+//! Each is a log of keyed records; the newest record of a key is in force. A platform
+//! adapter provides a [`Platform`]; tests provide one with stand-ins.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -20,22 +20,22 @@
 #[id]
 #[derive(Copy)]
 pub enum TableName {
-    /// The operators' orders: the configuration, and what is evacuated.
+    /// The operators' commands: the configuration and the evacuated data centres.
     Config,
     /// The directory of endpoints.
     Endpoints,
     /// The instances of the relay.
     Instances,
-    /// Contents that are held back, since they crash what runs them.
+    /// Quarantined contents: those that crash the endpoints that run them.
     Quarantine,
 }
 
-/// All tables, in the order in which instances tell each other of them.
+/// All tables, in the order in which they stand in messages between instances.
 pub const TABLES: [TableName; 4] =
     [TableName::Config, TableName::Endpoints, TableName::Instances, TableName::Quarantine];
 
 impl TableName {
-    /// A word for logs and counters.
+    /// The table's name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             TableName::Config => "config",
@@ -46,113 +46,112 @@
     }
 }
 
-/// The newest record of some keys.
+/// A page of a listing: the newest records of some keys.
 #[data]
 pub struct Page {
-    /// The records.
+    /// One record for each key.
     pub records: Vec<Record>,
-    /// The key to go on behind, if there are more.
+    /// The key after which the next page starts; `None` on the last page.
     pub next_after: Option<Arc<str>>,
-    /// Where the log ended.
+    /// Offset at which the log ended.
     pub end: u64,
-    /// The timeline of the log, if the answer says.
+    /// The timeline of the log, if the store states it.
     pub timeline: Option<Timeline>,
 }
 
-/// What a read of a table's log brought.
+/// Result of reading a table's log from an offset.
 #[data]
 pub enum Read {
-    /// The records from the asked offset up to `end`.
+    /// The records from the requested offset up to `end`.
     Records {
-        /// The records.
+        /// Records in the order of the log.
         records: Vec<Record>,
-        /// The offset behind the last of them.
+        /// The offset after the last of them.
         end: u64,
-        /// Whether the log goes on behind it.
+        /// Whether the log has records after `end`.
         has_more: bool,
-        /// The timeline of the log, if the answer says.
+        /// The timeline of the log, if the store states it.
         timeline: Option<Timeline>,
     },
-    /// The log does not have the asked offset: it is not kept any more, or the log
-    /// came back shorter.
+    /// The log does not have the requested offset: its record has expired, or the log
+    /// was restored from an older copy and is shorter.
     Expired,
 }
 
-/// Why the platform's store did not answer.
+/// A failed call to the platform's store.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum StoreError {
-    /// It cannot be reached, or the answer was lost.
+    /// The store cannot be reached, or its answer was lost.
     #[error("the store cannot be reached: {0}; check its address and that it runs")]
     Unreachable(String),
-    /// It gave no answer in time.
-    #[error("the store gave no answer in time; it is asked again")]
+    /// The store did not answer in time.
+    #[error("the store did not answer in time; the call will be retried")]
     TimedOut,
-    /// It refused.
-    #[error("the store refused with status {0}; it is asked again later")]
+    /// The store refused the call with this HTTP status.
+    #[error("the store refused with status {0}; the call will be retried later")]
     Refused(u16),
-    /// Its answer cannot be read.
+    /// The store's answer cannot be parsed.
     #[error("the store's answer cannot be read: {0}; check that the adapter fits its version")]
     Malformed(String),
-    /// Its answer belongs to an earlier history than one that was seen.
+    /// The answer belongs to an earlier timeline than the newest one seen.
     #[error(
-        "the store answered from timeline {timeline}, and {newest} was seen; it is asked again"
+        "the store answered from timeline {timeline}, but {newest} is the newest seen; the call \
+         will be retried"
     )]
     Outdated {
         /// The answer's timeline.
         timeline: u64,
-        /// The newest that was seen.
+        /// The newest timeline that any answer named.
         newest: u64,
     },
-    /// Its log is shorter than it was, and no timeline says why.
+    /// The log is shorter than before within the same timeline.
     #[error(
-        "the store's log ends at {end}, and {read} was read; if it came back from an older copy, \
-         it has to name its timeline"
+        "the store's log ends at {end}, but it was read up to {read}; if the store was restored \
+         from an older copy, it has to name a new timeline"
     )]
     Shortened {
-        /// Where its log ends.
+        /// Offset at which the log ends.
         end: u64,
-        /// Where it ended before.
+        /// Offset up to which it was read before.
         read: u64,
     },
 }
 
-/// A store call under way. It ends by itself, with an error, when the store
-/// says nothing any more.
+/// A call to the store in flight. It fails by itself if the store stops sending.
 pub type StoreCall<T> = LocalBoxFuture<'static, Result<T, StoreError>>;
 
-/// Reads the newest records of a table behind a key.
+/// Reads one page of the newest records of a table, after a key if one is given.
 pub type ReadNewest = Rc<dyn Fn(TableName, Option<Arc<str>>) -> StoreCall<Page>>;
-/// Reads records of a table from an offset on; waits for so long if there are
-/// none.
+/// Reads records of a table from an offset on; if there are none, waits for up to the
+/// given time.
 pub type ReadFrom = Rc<dyn Fn(TableName, u64, Duration) -> StoreCall<Read>>;
-/// Writes a record of a table that is the relay's own; without a value the key is
-/// removed.
+/// Writes a record of one of the relay's own tables; without a value it removes the key.
 pub type Write = Rc<dyn Fn(TableName, Arc<str>, Option<Bytes>) -> StoreCall<()>>;
 
 /// The platform's store.
 #[derive(Clone)]
 pub struct Store {
-    /// Reads the newest records behind a key.
+    /// Lists the newest records of a table, page by page.
     pub newest: ReadNewest,
-    /// Reads records from an offset on; waits for so long if there are none.
+    /// Reads a table's log from an offset on.
     pub read: ReadFrom,
-    /// Writes a record of a table that is the relay's own.
+    /// Writes to one of the relay's own tables.
     pub write: Write,
-    /// The newest timeline that any answer named, also a refusal.
+    /// The newest timeline that any answer named, refusals included.
     pub timeline: Rc<dyn Fn() -> Timeline>,
 }
 
 /// The platform that a relay runs on.
 #[derive(Clone)]
 pub struct Platform {
-    /// How callers and endpoints are spoken to.
+    /// Headers and bodies exchanged with callers and endpoints.
     pub dialect: Dialect,
-    /// The store.
+    /// Client of the platform's store.
     pub store: Store,
-    /// Reads a record of the operators' table; `Ok(None)` if it is another matter.
+    /// Parses a record of the operators' table; `Ok(None)` if it does not concern the relay.
     pub read_command: fn(&Record) -> Result<Option<OperatorCommand>, String>,
-    /// Reads a record of the directory.
+    /// Parses a record of the endpoints' table.
     pub read_endpoint: fn(&Record) -> Result<Change, String>,
-    /// How many log lines were dropped since the start.
+    /// Number of log lines dropped since the start.
     pub dropped_lines: Rc<dyn Fn() -> u64>,
 }
--- a/crates/relay/src/tables.rs
+++ b/crates/relay/src/tables.rs
@@ -21,33 +21,33 @@
     surroundings::{TABLES, TableName},
 };
 
-/// Bytes of a table that one answer to a peer holds at the most. The narrowest
-/// links that are planned for carry 10 Mbit/s: that is 26 ms there, and a peer
-/// that batches pieces is asked every 300 ms, with 400 ms to answer, whether it
-/// still lives.
+/// Most bytes of a table in one reply to a peer. The narrowest links that are planned
+/// for carry 10 Mbit/s, so a reply takes 26 ms there. A peer that batches pieces is
+/// pinged every 300 ms over the same link and has 400 ms to answer.
 pub const PORTION_BYTES: usize = 32 << 10;
 
-/// Bytes of tables that are worth a log line when they come: the directory's
-/// changes of a few seconds are less, a large configuration is more.
+/// Bytes of received tables from which on a log line is written: the directory's
+/// changes of a few seconds are smaller, a large configuration is larger.
 pub const MIN_LOGGED_BYTES: u64 = 64 << 10;
 
-/// Endpoints that join in one answer, from which on one line counts them: with a
-/// line for each, 295 instances that start before 287 endpoints log 85,000 lines.
-const BULK: usize = 16;
+/// If more endpoint records than this arrive together, one log line counts those that
+/// join: with a line for each, 295 instances that start before 287 endpoints log
+/// 85,000 lines.
+const BULK_SIZE: usize = 16;
 
-/// Bytes of a log line that quote a record: whoever writes to a table must not
+/// Most bytes of a record that a log line quotes, so that writers to a table cannot
 /// fill the logs.
-const LONGEST_QUOTE: usize = 200;
+const MAX_QUOTE_BYTES: usize = 200;
 
-/// One table.
+/// The copy of one table.
 #[derive(Debug, Default)]
 struct Copy {
     table: RefCell<Table>,
     catch_up: RefCell<CatchUp>,
-    /// When it was last compared with the platform's store.
-    compared: Cell<Option<Duration>>,
-    /// When its timeline began here; none if it has been the same since the start.
-    renewed: Cell<Option<Duration>>,
+    /// The last time at which the copy held what the platform's store held.
+    compared_at: Cell<Option<Duration>>,
+    /// When the copy moved to its current timeline; `None` if that never changed.
+    renewed_at: Cell<Option<Duration>>,
 }
 
 /// The copies of the platform's tables.
@@ -61,74 +61,73 @@
         &self.copies[name as usize]
     }
 
-    /// Whether a copy was ever read whole.
+    /// Whether a copy has been read whole.
     pub fn is_loaded(&self, name: TableName) -> bool {
         self.copy(name).table.borrow().is_loaded()
     }
 
-    /// How far a copy is.
+    /// The position in the store's log up to which a copy is complete.
     pub fn position(&self, name: TableName) -> Position {
         self.copy(name).table.borrow().position()
     }
 
-    /// How far all copies are, in the order of [`TABLES`].
+    /// The positions of all copies, in the order of [`TABLES`].
     pub fn positions(&self) -> Vec<Position> {
         TABLES.into_iter().map(|name| self.position(name)).collect()
     }
 
-    /// Whether the platform has this value of a key.
+    /// Whether the platform's table has this value for a key; `None` stands for no record.
     pub fn has_value(&self, name: TableName, key: &str, value: Option<&Bytes>) -> bool {
         self.copy(name).table.borrow().has_value(key, value)
     }
 
-    /// When a copy was last compared with the store.
+    /// The last time at which a copy held what the store held; `None` if it never did.
     pub fn compared_at(&self, name: TableName) -> Option<Duration> {
-        self.copy(name).compared.get()
+        self.copy(name).compared_at.get()
     }
 
-    /// When the timeline of a copy began here, unless it has been the same since the start.
+    /// When a copy moved to its current timeline; `None` if that never changed.
     pub fn renewed_at(&self, name: TableName) -> Option<Duration> {
-        self.copy(name).renewed.get()
+        self.copy(name).renewed_at.get()
     }
 
-    /// What was in force in an earlier timeline and is not written again yet.
+    /// Records carried over from an earlier timeline that nobody has written again yet.
     pub fn carried_over(&self, name: TableName) -> Vec<Record> {
         self.copy(name).table.borrow().carried_over().cloned().collect()
     }
 
-    /// What nobody has written again is not in force any more. Returns what changes.
+    /// Drops the carried-over records. Returns what changes by that.
     pub fn drop_carried_over(&self, name: TableName) -> Vec<Record> {
         self.copy(name).table.borrow_mut().drop_carried_over()
     }
 
-    /// How long ago the copies of the urgent tables were both compared with the
-    /// store.
+    /// Age of the older one of the copies that requests are decided by, configuration and
+    /// directory; `None` if one of them was never compared with the store.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         let urgent = [TableName::Config, TableName::Endpoints];
         let compared: Option<Vec<_>> =
-            urgent.iter().map(|name| self.copy(*name).compared.get()).collect();
+            urgent.iter().map(|name| self.copy(*name).compared_at.get()).collect();
         compared?.into_iter().min().map(|at| now.saturating_sub(at))
     }
 
-    /// Whether all tables were read whole.
+    /// Whether all copies have been read whole.
     pub fn are_loaded(&self) -> bool {
         TABLES.into_iter().all(|name| self.is_loaded(name))
     }
 
-    /// A copy held what the store held at that time.
+    /// Records that a copy held what the store held at time `at`.
     pub fn mark_compared(&self, name: TableName, at: Duration) {
-        let known = &self.copy(name).compared;
-        known.set(known.get().max(Some(at)));
+        let compared = &self.copy(name).compared_at;
+        compared.set(compared.get().max(Some(at)));
     }
 
-    /// Takes in records of the store that follow each other up to `end`.
-    /// Returns what changed.
+    /// Applies consecutive records of the store's log up to `end`. Returns what changed.
     pub fn apply_changes(&self, name: TableName, records: Vec<Record>, end: u64) -> Vec<Record> {
         self.copy(name).table.borrow_mut().apply_changes(records, end)
     }
 
-    /// Takes in the newest records of all keys, read while the store's log
-    /// ended there or behind it. Returns what changed.
+    /// Applies a listing of the newest records of all keys, read while the store's log
+    /// ended at `end` or later. Returns what changed.
     pub fn apply_listing(
         &self,
         name: TableName,
@@ -138,34 +137,35 @@
         self.copy(name).table.borrow_mut().apply_listing(records, end)
     }
 
-    /// What a peer is told that asks this, in the order of [`TABLES`].
-    pub fn read_portions(&self, asks: &[PortionRequest]) -> Vec<Portion> {
-        let pairs = self.copies.iter().zip(asks);
+    /// The portions that answer a peer's requests, in the order of [`TABLES`].
+    pub fn read_portions(&self, requests: &[PortionRequest]) -> Vec<Portion> {
+        let pairs = self.copies.iter().zip(requests);
         pairs.map(|(copy, ask)| copy.table.borrow().read_portion(ask, PORTION_BYTES)).collect()
     }
 
-    /// What to ask a peer, in the order of [`TABLES`].
+    /// The requests to send to a peer, in the order of [`TABLES`].
     pub fn next_requests(&self) -> Vec<PortionRequest> {
-        let ask = |copy: &Copy| copy.catch_up.borrow().next_request(&copy.table.borrow());
-        self.copies.iter().map(ask).collect()
+        let request = |copy: &Copy| copy.catch_up.borrow().next_request(&copy.table.borrow());
+        self.copies.iter().map(request).collect()
     }
 
-    /// Takes in what a peer told of a table.
+    /// Applies a portion of a table that a peer sent.
     pub fn apply_portion(&self, name: TableName, portion: Portion) -> PortionEffect {
         let copy = self.copy(name);
         copy.catch_up.borrow_mut().apply(&mut copy.table.borrow_mut(), portion)
     }
 }
 
-/// Notes that a copy may be of another timeline than it was.
+/// Records and logs that a copy moved to another timeline, if it did since `before`, which
+/// holds whether it was loaded and its position.
 pub fn record_timeline(driver: &Driver, name: TableName, source: &str, before: (bool, Position)) {
-    let (was_known, before) = before;
+    let (was_loaded, before) = before;
     let now = driver.peers.tables.position(name);
-    if !was_known || now.timeline == before.timeline {
+    if !was_loaded || now.timeline == before.timeline {
         return;
     }
     let copy = driver.peers.tables.copy(name);
-    copy.renewed.set(Some(driver.now()));
+    copy.renewed_at.set(Some(driver.now()));
     driver.metrics.count("relay.store_copies", 1);
     let Timeline(from) = before.timeline;
     let Timeline(timeline) = now.timeline;
@@ -174,11 +174,12 @@
     tracing::warn!(event = "table_copied", table, source, from, timeline, end_before, end, awaited);
 }
 
-/// Tells the machine what changed in a table.
+/// Passes the changes of a table to the machine. `source` is the peer or the store that
+/// they come from.
 pub fn apply(driver: &Rc<Driver>, name: TableName, source: &str, changed: Vec<Record>) {
-    let is_told = !changed.is_empty();
+    let has_changed = !changed.is_empty();
     match name {
-        TableName::Config => apply_acts(driver, source, &changed),
+        TableName::Config => apply_commands(driver, source, &changed),
         TableName::Endpoints => apply_endpoints(driver, source, &changed),
         TableName::Instances => {
             changed.iter().for_each(|record| driver.peers.apply_announcement(driver.now(), record));
@@ -188,20 +189,20 @@
     if name == TableName::Quarantine && driver.peers.tables.is_loaded(name) {
         driver.feed(|machine, _| machine.mark_quarantine_read());
     }
-    if is_told && name == TableName::Instances {
+    if has_changed && name == TableName::Instances {
         peers::update_peers(driver);
     }
     driver.on_tables_read();
     driver.update_ready();
 }
 
-/// Takes in the operators' orders, all at once: one that an earlier record takes back
-/// must not hold for a moment.
-fn apply_acts(driver: &Rc<Driver>, source: &str, records: &[Record]) {
-    let mut acts = Vec::new();
+/// Applies the operators' commands in one step, so that a command which another record
+/// withdraws is never in force in between.
+fn apply_commands(driver: &Rc<Driver>, source: &str, records: &[Record]) {
+    let mut commands = Vec::new();
     for record in records {
-        match read_act(driver, record) {
-            Ok(Some(act)) => acts.push((record, act)),
+        match read_command(driver, record) {
+            Ok(Some(command)) => commands.push((record, command)),
             Ok(None) => {}
             Err(error) => {
                 driver.metrics.count("relay.config_unreadable", 1);
@@ -210,60 +211,80 @@
             }
         }
     }
-    if acts.is_empty() {
+    if commands.is_empty() {
         return;
     }
-    let orders = acts.iter().map(|(_, act)| act.clone()).collect();
-    let taken = driver.feed(|machine, now| machine.apply_operator_changes(now, orders));
-    for ((record, act), taken) in acts.iter().zip(taken) {
-        if taken && matches!(act, OperatorCommand::Configure(_)) {
+    let changes = commands.iter().map(|(_, command)| command.clone()).collect();
+    let accepted = driver.feed(|machine, now| machine.apply_operator_changes(now, changes));
+    for ((record, command), is_accepted) in commands.iter().zip(accepted) {
+        if is_accepted && matches!(command, OperatorCommand::Configure(_)) {
             driver.peers.set_config((*record).clone());
         }
-        log_act(driver, act, record.offset, source, taken);
+        log_command(driver, command, record.offset, source, is_accepted);
     }
     let evacuated = driver.inspect(|machine| machine.directory().evacuated().count());
     driver.metrics.gauge("relay.evacuated", evacuated as u64);
 }
 
-fn read_act(driver: &Driver, record: &Record) -> Result<Option<OperatorCommand>, String> {
-    let act = (driver.platform.read_command)(record)?;
-    if let Some(OperatorCommand::Configure(config)) = &act {
+fn read_command(driver: &Driver, record: &Record) -> Result<Option<OperatorCommand>, String> {
+    let command = (driver.platform.read_command)(record)?;
+    if let Some(OperatorCommand::Configure(config)) = &command {
         config.check().map_err(|flaw| flaw.to_string())?;
     }
-    Ok(act)
+    Ok(command)
 }
 
-fn log_act(driver: &Driver, act: &OperatorCommand, offset: u64, source: &str, taken: bool) {
+fn log_command(
+    driver: &Driver,
+    command: &OperatorCommand,
+    offset: u64,
+    source: &str,
+    is_accepted: bool,
+) {
     let ready = |data_centre: &str| {
         driver.inspect(|machine| machine.directory().ready_count_in(data_centre))
     };
-    match act {
+    match command {
         OperatorCommand::Configure(config) => {
             let (version, routes) = (config.version, config.routes.len());
             driver.metrics.gauge("relay.config_version", version);
-            tracing::info!(event = "config", version, offset, source, routes, taken);
+            tracing::info!(event = "config", version, offset, source, routes, taken = is_accepted);
         }
         OperatorCommand::Evacuate(name) => {
             let endpoints = ready(name);
             let data_centre = truncate(name);
-            tracing::warn!(event = "evacuated", data_centre, offset, source, endpoints, taken);
+            tracing::warn!(
+                event = "evacuated",
+                data_centre,
+                offset,
+                source,
+                endpoints,
+                taken = is_accepted
+            );
         }
         OperatorCommand::Restore(name) => {
             let endpoints = ready(name);
             let data_centre = truncate(name);
-            tracing::warn!(event = "restored", data_centre, offset, source, endpoints, taken);
+            tracing::warn!(
+                event = "restored",
+                data_centre,
+                offset,
+                source,
+                endpoints,
+                taken = is_accepted
+            );
         }
     }
 }
 
-/// The beginning of a message that may quote what somebody else wrote.
+/// Cuts a message that may quote a record to [`MAX_QUOTE_BYTES`].
 pub fn truncate(message: &str) -> &str {
-    &message[..message.floor_char_boundary(LONGEST_QUOTE)]
+    &message[..message.floor_char_boundary(MAX_QUOTE_BYTES)]
 }
 
-/// Takes in endpoints' records.
+/// Applies endpoints' records.
 fn apply_endpoints(driver: &Rc<Driver>, source: &str, records: &[Record]) {
-    let is_bulk = records.len() > BULK;
+    let is_bulk = records.len() > BULK_SIZE;
     let mut bulk = Bulk::default();
     for record in records {
         let counted = is_bulk.then_some(&mut bulk);
@@ -278,14 +299,14 @@
     }
 }
 
-/// Endpoints of which no line of its own is logged, since many changed together.
+/// Counts of endpoints that are logged together, since many changed at once.
 #[derive(Debug, Default)]
 struct Bulk {
     joined: u64,
     cooled: u64,
 }
 
-/// Takes in an endpoint's record.
+/// Applies an endpoint's record. With `bulk`, a join is counted there instead of logged.
 fn apply_endpoint(driver: &Rc<Driver>, source: &str, record: &Record, bulk: Option<&mut Bulk>) {
     let (name, offset) = (&*record.key, record.offset);
     let change = match (driver.platform.read_endpoint)(record) {
