--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,10 +1,9 @@
 //! Connections to endpoints and to the platform.
 //!
-//! A connection carries one exchange at a time and goes back to the pool only
-//! when its reply was whole and nothing followed it. It is watched while it is
-//! idle, so that bytes which nobody asked for end it. A connection that is
-//! dropped instead of given back is closed at once, which is how a call is
-//! cancelled.
+//! A connection carries one exchange at a time and returns to the pool only when the
+//! reply was read whole and no bytes followed it. While a connection is idle, the
+//! pool polls it, and unsolicited bytes close it. A connection that is dropped instead
+//! of being returned is closed at once, which is how a call is cancelled.
 
 use std::{cell::RefCell, collections::HashMap, io, rc::Rc, sync::Arc, time::Duration};
 
@@ -19,54 +18,55 @@
 use peatdeck_wire::socket;
 use tokio::net::TcpStream;
 
-/// Time to make a connection. Data centres are a few milliseconds apart; an
-/// opening packet that is lost is sent again after a second, and another
-/// endpoint is the better choice by then.
+/// Time limit for opening a connection. Data centres are a few milliseconds apart. A
+/// lost SYN packet is sent again only after a second; by then another endpoint is the
+/// better choice.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// An idle connection is used again within this time where the peer does not
-/// say for how long it keeps it.
-const DEFAULT_IDLE: Duration = Duration::from_secs(4);
-/// An idle connection is not used again after this time, whatever the peer says.
-const LONGEST_IDLE: Duration = Duration::from_secs(600);
-/// A connection is not used any more so long before the peer closes it.
+/// How long an idle connection may be reused if the peer does not state a limit.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
+/// Longest time that an idle connection may be reused, whatever limit the peer states.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(600);
+/// A connection is no longer reused this long before the peer closes it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// A store that lives and can be reached answers, or sends on, within this
-/// time: its answers take milliseconds, and fifty times as long when it is slow.
-const SILENCE: Duration = Duration::from_millis(1500);
-/// A process that ends closes what it has within this time.
+/// Time without any bytes after which the store counts as unreachable. Its answers
+/// take milliseconds, and fifty times as long when it is slow.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// A process that exits closes its connections within this time.
 const PROBE_PAUSE: Duration = Duration::from_millis(100);
-/// Idle connections to one address at the most.
-const MAX_IDLE: usize = 64;
+/// Most idle connections to one address.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Why a request brought no reply.
+/// A request that got no complete reply.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Not a byte was sent.
+    /// No byte of the request was sent.
     #[error("no connection to {addr}: {cause}; check that it runs and can be reached")]
     Unsent {
-        /// The address.
+        /// Address of the peer.
         addr: Arc<str>,
-        /// What the system said.
+        /// Error of the connection attempt.
         cause: String,
     },
-    /// Nothing came for too long.
-    #[error("nothing came from {addr} for too long; check that it runs and can be reached")]
+    /// The peer sent nothing within the time limit.
+    #[error("no data from {addr} within the time limit; check that it runs and can be reached")]
     Silent {
-        /// The address.
+        /// Address of the peer.
         addr: Arc<str>,
     },
-    /// The connection ended after bytes were sent.
-    #[error("the connection to {addr} ended without a reply: {cause}; the request may have run")]
+    /// The connection broke after bytes of the request were sent.
+    #[error(
+        "the connection to {addr} closed before the reply ended: {cause}; the request may have run"
+    )]
     Cut {
-        /// The address.
+        /// Address of the peer.
         addr: Arc<str>,
-        /// What the connection said.
+        /// Error of the connection.
         cause: String,
     },
 }
 
 impl Error {
-    /// Whether certainly not a byte was sent.
+    /// Whether it is certain that no byte was sent.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Error::Unsent { .. })
     }
@@ -90,7 +90,7 @@
 pub struct Lease {
     addr: Arc<str>,
     connection: Connection,
-    keep: Duration,
+    max_idle: Duration,
 }
 
 struct Idle {
@@ -104,16 +104,16 @@
     }
 }
 
-/// What a pool has done.
+/// Counters of a pool since its creation.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
-    /// Connections made.
+    /// Connections opened.
     pub opened: u64,
-    /// Exchanges on a connection that was there.
+    /// Exchanges that reused an open connection.
     pub reused: u64,
 }
 
-/// Idle connections by address.
+/// A pool of idle connections, by address.
 pub struct Pool {
     clock: Rc<dyn Clock>,
     idle: RefCell<HashMap<Arc<str>, Vec<Idle>>>,
@@ -121,35 +121,35 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(clock: Rc<dyn Clock>) -> Rc<Pool> {
         Rc::new(Pool { clock, idle: RefCell::default(), counts: RefCell::default() })
     }
 
-    /// What it has done so far.
+    /// The counters so far.
     pub fn counts(&self) -> Counts {
         *self.counts.borrow()
     }
 
-    /// Sends a request that may be waited for, and reads the whole reply.
+    /// Sends a request that the peer may hold for up to `wait`, and reads the whole reply.
     ///
-    /// There is no limit on the whole: a large reply takes long on a narrow
-    /// link, and one that is cut off there is asked for again, beside whatever
-    /// is still on the way.
+    /// The total time is not limited: a large reply takes long on a narrow link, and if
+    /// it were aborted there, its retry would compete with the bytes still in transit.
     ///
     /// # Errors
-    /// Any [`Error`]; [`Error::Silent`] if nothing comes any more.
+    /// Any [`Error`]; [`Error::Silent`] if the peer stops sending.
     pub async fn fetch(
         &self,
         addr: &Arc<str>,
         request: Request<Full<Bytes>>,
         wait: Duration,
     ) -> Result<Response<Bytes>, Error> {
-        let sent = unless_silent(addr, wait + SILENCE, self.send(addr, request)).await?;
+        let sent =
+            with_silence_timeout(addr, wait + SILENCE_TIMEOUT, self.send(addr, request)).await?;
         let (response, lease) = sent?;
         let (parts, mut body) = response.into_parts();
         let mut bytes = BytesMut::new();
-        while let Some(frame) = unless_silent(addr, SILENCE, body.frame()).await? {
+        while let Some(frame) = with_silence_timeout(addr, SILENCE_TIMEOUT, body.frame()).await? {
             let frame = frame.map_err(|error| cut(addr, error))?;
             bytes.extend_from_slice(&frame.into_data().unwrap_or_default());
         }
@@ -160,7 +160,7 @@
     /// Sends a request and waits for the head of its reply.
     ///
     /// # Errors
-    /// Any [`Error`]; [`Error::Unsent`] is certain.
+    /// Any [`Error`] but [`Error::Silent`]; [`Error::Unsent`] only if certainly nothing was sent.
     pub async fn send(
         &self,
         addr: &Arc<str>,
@@ -181,7 +181,7 @@
             }
             match sender.try_send_request(request).await {
                 Ok(response) => {
-                    lease.keep = keep_time(response.headers());
+                    lease.max_idle = keep_alive_time(response.headers());
                     return Ok((response, lease));
                 }
                 Err(mut error) => {
@@ -197,36 +197,36 @@
         }
     }
 
-    /// Whether anything listens at an address, by a new connection. One that is
-    /// made is kept, since a call will need it. A process that is about to end may
-    /// still have taken it in: one that is closed at once is looked at again.
+    /// Checks by a new connection whether a process listens at an address. The connection
+    /// is kept for the next call. A process that is exiting may still have accepted it, so
+    /// if it is closed at once, a second connection is tried.
     pub async fn probe(&self, addr: &Arc<str>) -> ProbeResult {
         let stream = match open(addr).await {
             Ok(stream) => stream,
-            Err(error) => return absence(&error),
+            Err(error) => return probe_failure(&error),
         };
-        let Ok(lease) = begin(addr, stream).await else { return ProbeResult::Unknown };
+        let Ok(lease) = handshake(addr, stream).await else { return ProbeResult::Unknown };
         tokio::time::sleep(PROBE_PAUSE).await;
         if lease.connection.sender.is_closed() {
             let again = open(addr).await;
-            return again.map_or_else(|error| absence(&error), |_| ProbeResult::There);
+            return again.map_or_else(|error| probe_failure(&error), |_| ProbeResult::There);
         }
         self.count(true);
-        self.put_back(Lease { keep: DEFAULT_IDLE, ..lease });
+        self.put_back(Lease { max_idle: DEFAULT_IDLE_TIME, ..lease });
         ProbeResult::There
     }
 
-    /// Gives a connection back whose reply was read whole.
+    /// Returns a connection to the pool after its reply was read whole.
     pub fn put_back(&self, lease: Lease) {
-        if lease.keep.is_zero() || lease.connection.sender.is_closed() {
+        if lease.max_idle.is_zero() || lease.connection.sender.is_closed() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(lease.addr.clone()).or_default();
         let now = self.clock.now();
         list.retain(|idle| idle.is_usable(now));
-        if list.len() < MAX_IDLE {
-            list.push(Idle { connection: lease.connection, until: now + lease.keep });
+        if list.len() < MAX_IDLE_CONNECTIONS {
+            list.push(Idle { connection: lease.connection, until: now + lease.max_idle });
         }
     }
 
@@ -240,7 +240,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes idle connections that will not be used again.
+    /// Closes idle connections that may no longer be reused.
     pub fn prune(&self) {
         let now = self.clock.now();
         self.idle.borrow_mut().retain(|_, list| {
@@ -249,14 +249,14 @@
         });
     }
 
-    /// The connection that was used last is taken first, so that few stay.
+    /// Takes the most recently used connection, so that surplus ones expire.
     fn take_idle(&self, addr: &Arc<str>) -> Option<Lease> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(addr)?;
         let now = self.clock.now();
         list.retain(|idle| idle.is_usable(now));
         let Idle { connection, .. } = list.pop()?;
-        Some(Lease { addr: addr.clone(), connection, keep: Duration::ZERO })
+        Some(Lease { addr: addr.clone(), connection, max_idle: Duration::ZERO })
     }
 
     fn count(&self, is_fresh: bool) {
@@ -270,7 +270,7 @@
 
 async fn connect(addr: &Arc<str>) -> Result<Lease, Error> {
     let stream = open(addr).await.map_err(|error| unsent(addr, error))?;
-    begin(addr, stream).await
+    handshake(addr, stream).await
 }
 
 async fn open(addr: &str) -> io::Result<TcpStream> {
@@ -278,32 +278,32 @@
     opening.await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-async fn begin(addr: &Arc<str>, stream: TcpStream) -> Result<Lease, Error> {
+async fn handshake(addr: &Arc<str>, stream: TcpStream) -> Result<Lease, Error> {
     socket::watch_for_death(&stream).map_err(|error| unsent(addr, error))?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|error| unsent(addr, error))?;
     let (task, registration) = AbortHandle::new_pair();
     ntex::rt::spawn(Abortable::new(
         async move {
-            // What ended it is seen by whoever uses it.
+            // The error also reaches the sender's next request.
             connection.await.ok();
         },
         registration,
     ));
     let connection = Connection { sender, task };
-    Ok(Lease { addr: addr.clone(), connection, keep: Duration::ZERO })
+    Ok(Lease { addr: addr.clone(), connection, max_idle: Duration::ZERO })
 }
 
-/// What a connection that was not made says of a process.
-fn absence(error: &io::Error) -> ProbeResult {
+/// The probe result for a failed connection attempt.
+fn probe_failure(error: &io::Error) -> ProbeResult {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => ProbeResult::Gone,
         _ => ProbeResult::Unknown,
     }
 }
 
-/// How long a connection may be idle, as its peer says.
-fn keep_time(headers: &HeaderMap) -> Duration {
+/// How long a connection may be idle, by the headers of a reply; zero if it closes.
+fn keep_alive_time(headers: &HeaderMap) -> Duration {
     let value = |name: &http::HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     if value(&header::CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close")) {
         return Duration::ZERO;
@@ -312,10 +312,10 @@
     let timeout = keep_alive.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
     let timeout = timeout.and_then(|seconds| seconds.trim().parse().ok());
     let stated = timeout.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    stated.map_or(DEFAULT_IDLE, |stated| stated.saturating_sub(IDLE_MARGIN).min(LONGEST_IDLE))
+    stated.map_or(DEFAULT_IDLE_TIME, |stated| stated.saturating_sub(IDLE_MARGIN).min(MAX_IDLE_TIME))
 }
 
-async fn unless_silent<T>(
+async fn with_silence_timeout<T>(
     addr: &Arc<str>,
     limit: Duration,
     next: impl Future<Output = T>,
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -1,9 +1,9 @@
-//! Records of what is held back, in the platform's table.
+//! Records of the platform's quarantine table.
 //!
 //! A record's key is the content's fingerprint. Its value is for people: which
-//! instance wrote it, when, and how many endpoints ended. That it is there is what
-//! counts, and when it was heard of, by each instance's own clock: clocks of two
-//! instances may differ by any time.
+//! instance wrote it, when, and how many endpoints crashed. Instances go only by the
+//! existence of the record, and by when they received it on their own clock, since the
+//! clocks of two instances may differ by any amount.
 
 use std::{
     cmp::Reverse,
@@ -19,51 +19,51 @@
 
 use crate::{driver::Driver, follow, repair, surroundings::TableName, tables};
 
-/// First pause after a write that failed. It doubles, so that an outage of seconds
-/// is over before many contents that are written again add up.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1600);
-/// How often a removal is tried, some half a minute: one that was in vain is asked for
-/// again a minute later, or by an operator.
-const MOST_REMOVALS: u32 = 20;
+/// Delay after the first failed write. It doubles with each failure, which limits the
+/// writes of many contents during an outage of seconds.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Longest delay after a failed write.
+const MAX_BACKOFF: Duration = Duration::from_millis(1600);
+/// Attempts to remove a record, which take about half a minute. A removal that failed is
+/// requested again a minute later, or by an operator.
+const MAX_REMOVALS: u32 = 20;
 
-/// A content that is held back, as the platform's table has it.
+/// A record of the platform's quarantine table.
 #[message]
 pub struct QuarantineRecord {
-    /// Endpoints that ended under it.
+    /// Number of endpoints that crashed while they ran the content.
     pub crashes: u32,
-    /// The instance that wrote this.
+    /// The instance that wrote the record.
     pub by: Arc<str>,
-    /// When, in milliseconds since 1970 by its clock.
+    /// When it was written, in Unix milliseconds by that instance's clock.
     pub at_ms: u64,
 }
 
-/// What an instance holds back, as an operator is shown it, oldest first.
+/// Lists the contents that this instance has quarantined, for operators, oldest first.
 pub fn list(driver: &Driver) -> Vec<Held> {
     let now = driver.now();
     let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    let listed = |(content, hold): (Fingerprint, &QuarantineEntry)| Held {
+    let listed = |(content, entry): (Fingerprint, &QuarantineEntry)| Held {
         content: Arc::from(content.to_string()),
-        crashes: hold.crashes,
-        held_ms: millis(now.saturating_sub(hold.since)),
-        left_ms: millis(hold.until.saturating_sub(now)),
-        refused: hold.refused,
+        crashes: entry.crashes,
+        held_ms: millis(now.saturating_sub(entry.since)),
+        left_ms: millis(entry.until.saturating_sub(now)),
+        refused: entry.refused,
     };
     let mut all: Vec<_> = driver.inspect(|machine| machine.quarantined().map(listed).collect());
     all.sort_by_key(|listed| Reverse(listed.held_ms));
     all
 }
 
-/// Writes a content's record, or removes it, until the platform has taken it or
-/// there is no reason for it any more. What is then there is taken in at once, so
-/// that peers hear of it from here.
+/// Writes a content's record, or removes it if `crashes` is `None`, and retries until the
+/// store has accepted that or the content is no longer quarantined. Then reads the table
+/// back at once, so that peers receive the change from this instance.
 pub async fn write(driver: Rc<Driver>, content: Fingerprint, crashes: Option<u32>) {
-    let mut pause = FIRST_PAUSE;
-    let is_held =
-        || driver.inspect(|machine| machine.quarantined().any(|(held, _)| held == content));
-    let mut removals = 0..MOST_REMOVALS;
-    while if crashes.is_some() { is_held() } else { removals.next().is_some() } {
+    let mut pause = INITIAL_BACKOFF;
+    let is_quarantined =
+        || driver.inspect(|machine| machine.quarantined().any(|(key, _)| key == content));
+    let mut removals = 0..MAX_REMOVALS;
+    while if crashes.is_some() { is_quarantined() } else { removals.next().is_some() } {
         match try_write(&driver, content, crashes).await {
             Ok(()) => return,
             Err(error) => {
@@ -72,7 +72,7 @@
             }
         }
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_BACKOFF);
     }
 }
 
@@ -84,12 +84,12 @@
     let value = crashes.map(|crashes| value(driver, crashes));
     let key: Arc<str> = Arc::from(content.to_string());
     repair::write(driver, TableName::Quarantine, key.clone(), value.as_ref()).await?;
-    // The store may come back from an older copy before anybody has read it.
+    // The store may be restored from an older copy before any instance reads the record.
     let read = follow::read_back(driver, TableName::Quarantine).await;
     read.map_err(|error| error.to_string())?;
     let is_there =
         driver.peers.tables.has_value(TableName::Quarantine, &key, None) == value.is_none();
-    is_there.then_some(()).ok_or_else(|| "it is not in the table".to_owned())
+    is_there.then_some(()).ok_or_else(|| "the table does not show the change".to_owned())
 }
 
 fn value(driver: &Driver, crashes: u32) -> Bytes {
@@ -102,19 +102,23 @@
     Bytes::from(serde_json::to_vec(&record).expect("numbers and a name are JSON"))
 }
 
-/// Takes in a record. One that cannot be read holds nothing back: anybody may write
-/// to the platform's tables.
+/// Applies a record of the quarantine table. An invalid record is ignored, since anybody
+/// may write to the platform's tables.
 pub fn apply(driver: &Rc<Driver>, record: &Record) {
     let Some(content) = Fingerprint::parse(&record.key) else {
         let key = tables::truncate(&record.key);
-        tracing::warn!(event = "quarantine_unreadable", key, error = "the key is no fingerprint");
+        tracing::warn!(
+            event = "quarantine_unreadable",
+            key,
+            error = "the key is not a fingerprint"
+        );
         return;
     };
     let value = record.value.as_deref().map(serde_json::from_slice::<QuarantineRecord>);
     match value {
         None => driver.feed(|machine, _| machine.on_quarantine_removal(content)),
-        Some(Ok(held)) => {
-            driver.feed(|machine, now| machine.on_quarantine_record(now, content, held.crashes));
+        Some(Ok(record)) => {
+            driver.feed(|machine, now| machine.on_quarantine_record(now, content, record.crashes));
         }
         Some(Err(error)) => {
             let error = error.to_string();
--- a/crates/relay/src/repair.rs
+++ b/crates/relay/src/repair.rs
@@ -1,9 +1,10 @@
-//! Writes again what the platform's store has lost.
+//! Writes records again that the platform's store has lost.
 //!
-//! What the store has acknowledged holds for one timeline of its log only. The operators
-//! and the endpoints write their own records again; this instance its announcement,
-//! and all instances together what is held back and what was released. None of it
-//! hangs on noticing a loss: what should be in a table is compared with what is.
+//! A write that the store has acknowledged is durable only within one timeline of its
+//! log. The operators and the endpoints write their own records again, each instance its
+//! announcement, and all instances together the quarantine table's records and removals.
+//! None of this relies on detecting a loss: the expected records are compared with those
+//! in the table.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -23,31 +24,34 @@
     tables,
 };
 
-/// Time for one write.
+/// Time limit of one write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause before this instance's record is written again after a failure.
-const ANNOUNCE_PAUSE: Duration = Duration::from_millis(600);
-/// Pause between two looks at what is to be written again.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
-/// A copy of the table of instances that was compared so long after a write has what
-/// was written: readers look at it every two seconds, the others hear from them.
-const KNOWN_AFTER: Duration = Duration::from_secs(5);
-/// An instance whose record somebody else writes over does not write each time.
-const LONGEST_REST: Duration = Duration::from_secs(60);
-/// The first of all instances writes a lost record so long after it was missed.
-const FIRST_WRITER: Duration = Duration::from_millis(200);
-/// The next one follows so long after it, if the record is still not there.
-const NEXT_WRITER: Duration = Duration::from_secs(1);
-/// Endpoints are back within some two seconds.
-const ENDPOINTS_BACK: Duration = Duration::from_secs(2);
-/// Orders of operators: an evacuation that was taken back meanwhile stays in force for
-/// as long, one that was not ends too soon if they need longer.
-const ORDERS_BACK: Duration = Duration::from_secs(5);
-/// Instances may be cut off from the store.
-const INSTANCES_BACK: Duration = Duration::from_secs(10);
+/// Delay before this instance retries to write its announcement.
+const ANNOUNCE_DELAY: Duration = Duration::from_millis(600);
+/// Interval of the checks for records that have to be written again.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// A copy of the table of instances that was compared with the store this long after a
+/// write contains what was written: readers read the table every two seconds, the other
+/// instances receive it from them.
+const VISIBLE_AFTER: Duration = Duration::from_secs(5);
+/// Longest delay before an instance writes its announcement again while somebody else
+/// keeps overwriting it.
+const MAX_REWRITE_DELAY: Duration = Duration::from_secs(60);
+/// Time after which the first instance in rank writes a lost record again.
+const FIRST_WRITER_DELAY: Duration = Duration::from_millis(200);
+/// Additional time for each further rank, if the record is still missing.
+const NEXT_WRITER_DELAY: Duration = Duration::from_secs(1);
+/// Time for endpoints to write their records again, which takes them about two seconds.
+const ENDPOINTS_GRACE: Duration = Duration::from_secs(2);
+/// Time for operators to write their commands again. An evacuation withdrawn meanwhile
+/// stays in force this long; one still wanted ends too soon if they need longer.
+const COMMANDS_GRACE: Duration = Duration::from_secs(5);
+/// Time for instances to write their announcements again; some may be cut off from the
+/// store.
+const INSTANCES_GRACE: Duration = Duration::from_secs(10);
 
-/// Writes this instance's record until the platform has taken it, and again whenever
-/// the platform does not have it any more.
+/// Writes this instance's announcement, with retries, and again whenever the platform's
+/// table lacks it.
 pub async fn announce(driver: Rc<Driver>) {
     let settings = &driver.settings;
     let announcement = Announcement {
@@ -57,27 +61,31 @@
     };
     let value = serde_json::to_vec(&announcement).expect("two names are JSON");
     let value = Bytes::from(value);
-    let mut rest = Duration::ZERO;
+    let mut delay = Duration::ZERO;
     loop {
         write_announcement(&driver, &announcement, &value).await;
-        let written = Written { at: driver.now(), timeline: (driver.platform.store.timeline)() };
-        tokio::time::sleep(rest).await;
+        let written =
+            AcknowledgedWrite { at: driver.now(), timeline: (driver.platform.store.timeline)() };
+        tokio::time::sleep(delay).await;
         while !has_lost_announcement(&driver, &value, written) {
-            tokio::time::sleep(LOOK_PAUSE.mul_f64(rand::rng().random_range(0.8..1.2))).await;
+            tokio::time::sleep(CHECK_INTERVAL.mul_f64(rand::rng().random_range(0.8..1.2))).await;
         }
         let is_missing = driver.peers.tables.has_value(TableName::Instances, &settings.name, None);
         driver.metrics.count("relay.records_rewritten", 1);
         tracing::warn!(event = "announcement_lost", is_missing);
-        rest =
-            if is_missing { Duration::ZERO } else { (rest * 2).clamp(KNOWN_AFTER, LONGEST_REST) };
+        delay = if is_missing {
+            Duration::ZERO
+        } else {
+            (delay * 2).clamp(VISIBLE_AFTER, MAX_REWRITE_DELAY)
+        };
     }
 }
 
 /// An acknowledged write.
 #[derive(Debug, Clone, Copy)]
-struct Written {
+struct AcknowledgedWrite {
     at: Duration,
-    /// What the store named then.
+    /// The store's timeline at that time.
     timeline: Timeline,
 }
 
@@ -85,41 +93,42 @@
     let name = &driver.settings.name;
     while let Err(error) = write(driver, TableName::Instances, name.clone(), Some(value)).await {
         tracing::warn!(event = "announce_failed", error);
-        tokio::time::sleep(ANNOUNCE_PAUSE).await;
+        tokio::time::sleep(ANNOUNCE_DELAY).await;
     }
     tracing::info!(event = "announced", peers = &*announcement.peers);
 }
 
-/// Whether the platform has been read since the record was written, and lacks it. A
-/// later timeline is read whole after the write; in the same one that takes time to show.
-fn has_lost_announcement(driver: &Driver, value: &Bytes, written: Written) -> bool {
+/// Whether the table of instances has been read since the write and lacks the
+/// announcement. A copy of a later timeline was read whole after the write; within the same
+/// timeline the copy shows the write only after [`VISIBLE_AFTER`].
+fn has_lost_announcement(driver: &Driver, value: &Bytes, written: AcknowledgedWrite) -> bool {
     let (tables, table) = (&driver.peers.tables, TableName::Instances);
     if driver.is_stopping() || !tables.is_loaded(table) {
         return false;
     }
     let is_later = tables.position(table).timeline > written.timeline;
-    let was_read = tables.compared_at(table).is_some_and(|at| at > written.at + KNOWN_AFTER);
+    let was_read = tables.compared_at(table).is_some_and(|at| at > written.at + VISIBLE_AFTER);
     (is_later || was_read) && !tables.has_value(table, &driver.settings.name, Some(value))
 }
 
-/// Looks after what an earlier timeline had and this one lacks, for as long as the process
-/// runs.
+/// Handles records that an earlier timeline had and the current one lacks, for as long as
+/// the process runs.
 pub async fn run(driver: Rc<Driver>) {
     loop {
-        tokio::time::sleep(LOOK_PAUSE.mul_f64(rand::rng().random_range(0.8..1.2))).await;
+        tokio::time::sleep(CHECK_INTERVAL.mul_f64(rand::rng().random_range(0.8..1.2))).await;
         rewrite_lost(&driver).await;
-        give_up(&driver, TableName::Endpoints, ENDPOINTS_BACK);
-        give_up(&driver, TableName::Config, ORDERS_BACK);
-        give_up(&driver, TableName::Instances, INSTANCES_BACK);
+        drop_carried_over(&driver, TableName::Endpoints, ENDPOINTS_GRACE);
+        drop_carried_over(&driver, TableName::Config, COMMANDS_GRACE);
+        drop_carried_over(&driver, TableName::Instances, INSTANCES_GRACE);
     }
 }
 
-/// Writes again what is held back, or was released, and the platform has lost.
+/// Writes lost records and removals of the quarantine table again.
 async fn rewrite_lost(driver: &Rc<Driver>) {
     let table = TableName::Quarantine;
     let Some(since) = driver.peers.tables.renewed_at(table) else { return };
     for record in driver.peers.tables.carried_over(table) {
-        let due = since + FIRST_WRITER + NEXT_WRITER * rank(driver, &record.key);
+        let due = since + FIRST_WRITER_DELAY + NEXT_WRITER_DELAY * rank(driver, &record.key);
         if driver.now() < due {
             continue;
         }
@@ -138,7 +147,8 @@
     }
 }
 
-/// This instance's place among those that may write a record again, which all agree on.
+/// This instance's rank among those that may write a record again, by rendezvous hashing,
+/// so that all instances agree on the order.
 fn rank(driver: &Driver, key: &str) -> u32 {
     let seed = xxh3::xxh3_64(key.as_bytes());
     let weight = |name: &str| xxh3::xxh3_64_with_seed(name.as_bytes(), seed);
@@ -147,9 +157,9 @@
     alive.iter().filter(|name| weight(name) < own).count() as u32
 }
 
-/// What others have not written again in time is not in force any more. Times in which
-/// the store could not be read do not count.
-fn give_up(driver: &Rc<Driver>, name: TableName, within: Duration) {
+/// Drops carried-over records that others have not written again in time. Time in which
+/// the store could not be read does not count.
+fn drop_carried_over(driver: &Rc<Driver>, name: TableName, within: Duration) {
     let tables = &driver.peers.tables;
     let Some(since) = tables.renewed_at(name) else { return };
     let is_over = tables.compared_at(name).is_some_and(|at| at >= since + within);
@@ -166,10 +176,10 @@
     }
 }
 
-/// One write.
+/// Writes one record to the store, or removes the key if `value` is `None`.
 ///
 /// # Errors
-/// Why the store did not take it.
+/// The store's error, or a timeout.
 pub async fn write(
     driver: &Driver,
     table: TableName,
