--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -1,8 +1,8 @@
-//! The headers that callers and endpoints speak.
+//! Headers and bodies exchanged with callers and endpoints.
 //!
-//! What a header's value looks like is the product's own; only the names
-//! differ between platforms, so a [`Dialect`] is a table of names and two
-//! functions for the bodies of piece calls.
+//! The format of header values is the same on every platform; only the names
+//! differ. A [`Dialect`] is therefore a table of names, with functions for the
+//! bodies of the calls that the relay makes itself.
 
 mod names;
 
@@ -22,7 +22,7 @@
 
 pub use crate::dialect::names::{HeaderNames, HeaderRule, Setter};
 
-/// Headers that concern one connection only and are never passed on.
+/// Hop-by-hop headers, which concern one connection only and are never forwarded.
 const HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -33,54 +33,55 @@
     header::PROXY_AUTHORIZATION,
     header::CONTENT_LENGTH,
 ];
-/// The same, of those that have no constant.
+/// A hop-by-hop header for which the `http` crate has no constant.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// A call's path and body.
+/// Path and body of a `POST` that the relay makes itself.
 #[derive(Debug, Clone)]
 pub struct PostRequest {
-    /// The path.
+    /// Path at the endpoint.
     pub path: &'static str,
-    /// The body.
+    /// Body, in JSON.
     pub body: Bytes,
 }
 
-/// How callers and endpoints are spoken to.
+/// The HTTP interface to callers and endpoints on one platform.
 #[derive(Debug, Clone)]
 pub struct Dialect {
     /// Names of the headers.
     pub names: HeaderNames,
-    /// Has pieces made. Given the time from now until each has to be done.
+    /// The call that runs pieces; the second argument is the current time.
     pub encode_pieces: fn(&[Piece], Duration) -> PostRequest,
-    /// Reads what came of it; `None` if it cannot be read.
+    /// Parses the reply to a call for pieces; `None` if it is malformed.
     pub decode_results: fn(&[u8]) -> Option<Vec<PieceResult>>,
-    /// Gives results up.
+    /// The call that frees results.
     pub encode_free: fn(&[Handle]) -> PostRequest,
-    /// The path at which an engine tells which parts of prompts it holds.
+    /// Path at which an engine lists the prompt parts that it holds.
     pub parts_path: &'static str,
-    /// Reads them; `None` if they cannot be read.
+    /// Parses that list; `None` if it is malformed.
     pub decode_parts: fn(&[u8]) -> Option<HeldParts>,
 }
 
-/// A request that cannot be passed on as it is.
+/// Why a caller's request is malformed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// The header of the request's id is missing.
-    #[error("the request has no id; send one that is new for each attempt")]
+    /// The header with the request's id is missing.
+    #[error("the request has no id; send a new one with each attempt")]
     Id,
-    /// The header of the deadline is no number.
-    #[error("the deadline is not a whole number of milliseconds; send one, or leave it out")]
+    /// The header with the deadline is not a number.
+    #[error("the deadline is not a whole number of milliseconds; correct or omit it")]
     Deadline,
-    /// The request names no host.
-    #[error("the request names no host; send the header `Host`")]
+    /// The `Host` header is missing.
+    #[error("the request has no host; send the header `Host`")]
     Host,
 }
 
 impl Dialect {
-    /// What decisions need of a caller's request, but for its content.
+    /// Parses the headers of a caller's request; the fingerprint of its content is left
+    /// unknown.
     ///
     /// # Errors
-    /// [`Malformed`] if something that every request needs is missing.
+    /// [`Malformed`] if a required header is missing or invalid.
     pub fn arrival(&self, path: &str, headers: &HeaderMap) -> Result<Arrival, Malformed> {
         let names = &self.names;
         let deadline = match text(headers, &names.deadline) {
@@ -103,8 +104,7 @@
         })
     }
 
-    /// The headers of a call: the caller's own, and those that the relay sets
-    /// whatever the caller sent.
+    /// The headers of a call: the caller's own, with those that the relay sets replaced.
     pub fn call_headers(&self, call: &Call, caller: &HeaderMap) -> HeaderMap {
         let names = &self.names;
         let mut headers = caller.clone();
@@ -131,22 +131,22 @@
         headers
     }
 
-    /// The headers of an endpoint's reply that go to the caller.
+    /// The headers of an endpoint's reply that are forwarded to the caller.
     pub fn reply_headers(&self, mut reply: HeaderMap) -> HeaderMap {
         strip_hop_headers(&mut reply);
         self.names.retain_reply_headers(&mut reply);
         reply
     }
 
-    /// What decisions need of a reply to the request with that id.
+    /// Parses the head of a reply to the request with this id.
     pub fn reply_head(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> ReplyHead {
         let names = &self.names;
         let echo = text(headers, &names.request);
-        let is_unrun = headers.contains_key(&names.not_run) || status.as_u16() == 421;
+        let is_not_run = headers.contains_key(&names.not_run) || status.as_u16() == 421;
         ReplyHead {
             status: status.as_u16(),
-            has_request_id: echo.map_or(is_unrun, |echo| echo == id),
-            is_not_run: is_unrun,
+            has_request_id: echo.map_or(is_not_run, |echo| echo == id),
+            is_not_run,
             is_sealed: headers.contains_key(&names.seal)
                 && !headers.contains_key(header::CONTENT_ENCODING),
             load: text(headers, &names.load).and_then(load),
@@ -156,14 +156,14 @@
 
     fn terms(&self, status: StatusCode, headers: &HeaderMap) -> Terms {
         let names = &self.names;
-        let is_turned_away =
+        let is_refusal =
             [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS].contains(&status);
-        let rest = text(headers, &header::RETRY_AFTER).and_then(seconds);
+        let hold = text(headers, &header::RETRY_AFTER).and_then(seconds);
         Terms {
-            cold_left: text(headers, &names.cold).and_then(cold),
+            cold_left: text(headers, &names.cold).and_then(cold_left),
             limit: text(headers, &names.limit).and_then(rate),
             is_leaving: text(headers, &names.leaving).is_some_and(|text| text.trim() != "0"),
-            hold: rest.filter(|_| is_turned_away),
+            hold: hold.filter(|_| is_refusal),
         }
     }
 
@@ -179,7 +179,7 @@
     }
 }
 
-/// Removes what concerns one connection only.
+/// Removes hop-by-hop headers, those that `Connection` names among them.
 fn strip_hop_headers(headers: &mut HeaderMap) {
     let named = text(headers, &header::CONNECTION).unwrap_or_default();
     let named: Vec<_> =
@@ -189,7 +189,7 @@
     }
 }
 
-/// A header's value as text.
+/// A header's value as text; `None` if it is missing or not ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
@@ -209,26 +209,27 @@
     Some(Part { id: part_id(id)?, tokens: tokens.parse().ok()? })
 }
 
-/// A part's identity, as it is written in hexadecimal.
+/// Parses the id of a prompt part, written in hexadecimal.
 pub fn part_id(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16).ok()
 }
 
-/// A time in seconds, whole or not; `None` if it makes no sense. A longer one than any
-/// that is reckoned with is cut to that.
+/// Parses a time in seconds, which may be fractional; `None` if it is invalid. Times
+/// above [`config::MAX_TIME`] are cut to that.
 fn seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
-    let longest = config::MAX_TIME;
-    (seconds >= 0.0).then(|| Duration::try_from_secs_f64(seconds).unwrap_or(longest).min(longest))
+    let max = config::MAX_TIME;
+    (seconds >= 0.0).then(|| Duration::try_from_secs_f64(seconds).unwrap_or(max).min(max))
 }
 
-/// A rate in calls a second; `None` if it makes no sense.
+/// Parses a rate in calls per second; `None` if it is invalid.
 fn rate(text: &str) -> Option<Rate> {
     Rate::per_second(text.trim().parse().ok()?)
 }
 
-/// A time in milliseconds, whole or not; `None` if it makes no sense.
-fn cold(text: &str) -> Option<Duration> {
+/// Parses a time in milliseconds, which may be fractional; `None` if it is invalid or above
+/// [`config::MAX_TIME`].
+fn cold_left(text: &str) -> Option<Duration> {
     let millis: f64 = text.trim().parse().ok()?;
     let left = Duration::try_from_secs_f64(millis / 1000.0).ok()?;
     (left <= config::MAX_TIME).then_some(left)
--- a/crates/relay/src/dialect/names.rs
+++ b/crates/relay/src/dialect/names.rs
@@ -1,33 +1,32 @@
-//! Which headers there are, and who may set them.
+//! The headers of a dialect, and who may set them.
 //!
-//! Endpoints act on many headers. Some are the caller's to choose, some are the
-//! relay's, and some steer an endpoint in a way that the relay never asks for:
-//! whose memory it reads, what it keeps and for how long. A caller that could
-//! set one of these would reach into the work of others. Each header that a
-//! dialect knows therefore has a [`HeaderRule`], and calls and replies are put together
-//! from the rows.
+//! Endpoints act on many headers. Callers set some, the relay sets others, and some
+//! control an endpoint in a way that the relay never uses: whose memory it reads, what
+//! it keeps and for how long. A caller that set one of these could interfere with the
+//! requests of others. Each header of a dialect therefore has a [`HeaderRule`], and the
+//! headers of calls and replies are filtered by these rules.
 
 use http::{HeaderMap, HeaderName};
 
-/// Who sets a header of a call to an endpoint.
+/// Which side sets a header of a call to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Setter {
-    /// The caller; it is passed on as it came.
+    /// The caller; the header is forwarded unchanged.
     Caller,
-    /// The relay; what the caller sent under this name is dropped.
+    /// The relay; a header of this name from the caller is dropped.
     Relay,
-    /// Nobody; what the caller sent under this name is dropped.
+    /// Neither side; a header of this name from the caller is dropped.
     Nobody,
 }
 
-/// What becomes of one header.
+/// How one header is handled in calls and replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeaderRule<'a> {
-    /// The header.
+    /// Name of the header.
     pub name: &'a HeaderName,
-    /// Who sets it in calls.
+    /// Which side sets it in calls.
     pub setter: Setter,
-    /// Whether callers get to see it in replies.
+    /// Whether it is forwarded to callers in replies.
     pub is_forwarded: bool,
 }
 
@@ -36,52 +35,52 @@
 pub struct HeaderNames {
     /// The caller's id of the request; endpoints echo it.
     pub request: HeaderName,
-    /// How long the caller still waits, in milliseconds.
+    /// Time until the caller's deadline, in milliseconds.
     pub deadline: HeaderName,
-    /// The caller's key. Endpoints never see it.
+    /// The caller's key. It is never forwarded to endpoints.
     pub key: HeaderName,
-    /// The team, for endpoints.
+    /// The caller's team, sent to endpoints.
     pub team: HeaderName,
-    /// The endpoint that a call is meant for.
+    /// The endpoint that a call is addressed to.
     pub endpoint: HeaderName,
-    /// The last event of a stream that the caller holds.
+    /// Id of the last event of a stream that the caller has received.
     pub resume: HeaderName,
     /// States that an endpoint did not run the request.
     pub not_run: HeaderName,
-    /// An endpoint's load: running, waiting, places.
+    /// An endpoint's load: running calls, queued calls, slots.
     pub load: HeaderName,
-    /// Marks an endpoint's own whole answer.
+    /// Marks a whole reply that the endpoint itself produced.
     pub seal: HeaderName,
-    /// Urgency at an engine.
+    /// Priority of a call in an engine's queue.
     pub rank: HeaderName,
-    /// Tokens of the prompt and at most of the answer.
+    /// Number of tokens of the prompt, and most tokens of the output.
     pub tokens: HeaderName,
     /// Parts of the prompt, `id:tokens`, in order.
     pub parts: HeaderName,
-    /// Pieces of each stage.
+    /// Number of pieces of each stage.
     pub pieces: HeaderName,
-    /// What pieces without inputs are made from.
+    /// Key of the input of pieces whose stage follows no other.
     pub piece_key: HeaderName,
-    /// Results that a call takes in.
+    /// Handles of the results that are inputs of a call.
     pub inputs: HeaderName,
-    /// The engine to fetch from what is lacking of a prompt, `ip:port`.
+    /// Address of the engine to copy missing prompt parts from, `ip:port`.
     pub source: HeaderName,
     /// How much longer an endpoint is cold, in milliseconds.
     pub cold: HeaderName,
-    /// Calls a second that an endpoint takes from all instances together.
+    /// Calls per second that an endpoint accepts from all instances together.
     pub limit: HeaderName,
-    /// States that an endpoint takes no new work any more.
+    /// States that an endpoint accepts no new work any more.
     pub leaving: HeaderName,
     /// Further headers that callers may set for endpoints.
     pub extra: Vec<HeaderName>,
-    /// Further headers that endpoints act on and that are nobody's to set.
+    /// Further headers that endpoints act on and that neither side may set.
     pub reserved: Vec<HeaderName>,
 }
 
 impl HeaderNames {
-    /// What becomes of each header.
+    /// The rule of each header.
     pub fn rules(&self) -> impl Iterator<Item = HeaderRule<'_>> {
-        // Without `..`: a new name does not compile until it has a row.
+        // Without `..`, so that a new field does not compile until it has a rule.
         let HeaderNames {
             request,
             deadline,
@@ -105,45 +104,45 @@
             extra: free,
             reserved,
         } = self;
-        let row = |name, setter, is_told| HeaderRule { name, setter, is_forwarded: is_told };
+        let rule = |name, setter, is_forwarded| HeaderRule { name, setter, is_forwarded };
         let known = [
-            row(request, Setter::Caller, true),
-            row(deadline, Setter::Relay, false),
-            row(key, Setter::Nobody, false),
-            row(team, Setter::Relay, false),
-            row(endpoint, Setter::Relay, false),
-            row(resume, Setter::Relay, false),
-            // Replies only: the relay answers for what ran, and keeps loads.
-            row(unrun, Setter::Nobody, false),
-            row(load, Setter::Nobody, false),
-            row(seal, Setter::Nobody, true),
-            row(rank, Setter::Relay, false),
-            row(tokens, Setter::Caller, false),
-            row(parts, Setter::Caller, false),
-            row(pieces, Setter::Caller, false),
-            row(piece_key, Setter::Caller, false),
-            row(inputs, Setter::Relay, false),
-            row(source, Setter::Relay, false),
-            row(cold, Setter::Nobody, false),
-            row(limit, Setter::Nobody, false),
-            row(leaving, Setter::Nobody, false),
+            rule(request, Setter::Caller, true),
+            rule(deadline, Setter::Relay, false),
+            rule(key, Setter::Nobody, false),
+            rule(team, Setter::Relay, false),
+            rule(endpoint, Setter::Relay, false),
+            rule(resume, Setter::Relay, false),
+            // Replies only: whether a request ran and the load concern the relay alone.
+            rule(unrun, Setter::Nobody, false),
+            rule(load, Setter::Nobody, false),
+            rule(seal, Setter::Nobody, true),
+            rule(rank, Setter::Relay, false),
+            rule(tokens, Setter::Caller, false),
+            rule(parts, Setter::Caller, false),
+            rule(pieces, Setter::Caller, false),
+            rule(piece_key, Setter::Caller, false),
+            rule(inputs, Setter::Relay, false),
+            rule(source, Setter::Relay, false),
+            rule(cold, Setter::Nobody, false),
+            rule(limit, Setter::Nobody, false),
+            rule(leaving, Setter::Nobody, false),
         ];
-        let free = free.iter().map(move |name| row(name, Setter::Caller, true));
-        let reserved = reserved.iter().map(move |name| row(name, Setter::Nobody, false));
+        let free = free.iter().map(move |name| rule(name, Setter::Caller, true));
+        let reserved = reserved.iter().map(move |name| rule(name, Setter::Nobody, false));
         known.into_iter().chain(free).chain(reserved)
     }
 
-    /// Leaves of a caller's headers what the caller may set.
+    /// Removes the headers that a caller may not set.
     pub fn retain_caller_headers(&self, headers: &mut HeaderMap) {
-        for row in self.rules().filter(|row| row.setter != Setter::Caller) {
-            headers.remove(row.name);
+        for rule in self.rules().filter(|rule| rule.setter != Setter::Caller) {
+            headers.remove(rule.name);
         }
     }
 
-    /// Leaves of a reply's headers what callers may see.
+    /// Removes the headers of a reply that are not forwarded to callers.
     pub fn retain_reply_headers(&self, headers: &mut HeaderMap) {
-        for row in self.rules().filter(|row| !row.is_forwarded) {
-            headers.remove(row.name);
+        for rule in self.rules().filter(|rule| !rule.is_forwarded) {
+            headers.remove(rule.name);
         }
     }
 }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -1,4 +1,4 @@
-//! Callers' requests and their answers.
+//! Callers' requests and the responses to them.
 
 use std::{cell::Cell, io, rc::Rc};
 
@@ -13,33 +13,33 @@
 
 use crate::driver::{Driver, Reply, ReplyPart, ReplyReceiver, Request};
 
-/// When a caller that an instance which stops cannot serve should come back,
-/// in seconds: at once, to another instance.
-const COME_BACK: f64 = 0.05;
+/// Value of `Retry-After`, in seconds, for a request that a stopping instance refuses:
+/// the caller should retry at once, at another instance.
+const RETRY_AFTER_STOP: f64 = 0.05;
 
-/// Why a body was not taken in.
-enum Rejected {
-    /// It is larger than allowed.
+/// Why the body of a request was not accepted.
+enum BodyError {
+    /// It is larger than the configuration allows.
     TooLarge,
-    /// All memory for bodies is taken.
+    /// The memory for bodies is exhausted.
     NoMemory,
-    /// The caller broke off.
+    /// The caller's connection ended within the body.
     Incomplete,
 }
 
-/// Bytes of callers' bodies that are held now.
+/// Accounts for the bytes of the bodies of all active requests.
 #[derive(Debug, Default)]
 pub struct BodyMemory {
     held: Cell<usize>,
 }
 
-/// Bytes that one body holds until it is dropped.
-struct Held {
+/// The share of one body in [`BodyMemory`], released when dropped.
+struct BodyReservation {
     memory: Rc<BodyMemory>,
     bytes: usize,
 }
 
-impl Held {
+impl BodyReservation {
     fn grow(&mut self, bytes: usize, limit: usize) -> bool {
         let total = self.memory.held.get() + bytes;
         if total > limit {
@@ -51,16 +51,16 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.memory.held.set(self.memory.held.get() - self.bytes);
     }
 }
 
-/// Answers one request.
+/// Serves one request of a caller.
 ///
 /// # Errors
-/// None; the type is what the server asks for.
+/// Never; the HTTP server requires the type.
 pub async fn answer(
     driver: Rc<Driver>,
     memory: Rc<BodyMemory>,
@@ -72,13 +72,13 @@
         Err(error) => {
             driver.metrics.count("relay.malformed", 1);
             tracing::warn!(event = "malformed", error = %error);
-            return Ok(plain(&driver, 400, &error.to_string()));
+            return Ok(text_response(&driver, 400, &error.to_string()));
         }
     };
-    let mut held = Held { memory, bytes: 0 };
+    let mut held = BodyReservation { memory, bytes: 0 };
     let body = match read_body(&driver, &mut req, &mut held).await {
         Ok(body) => body,
-        Err(rejected) => return Ok(reject(&driver, &arrival.id, &rejected)),
+        Err(error) => return Ok(body_error(&driver, &arrival.id, &error)),
     };
     let target = req.uri().path_and_query().map_or("/", |target| target.as_str()).to_owned();
     let method = req.method().clone();
@@ -86,23 +86,25 @@
     if driver.is_refusing() {
         driver.metrics.count("relay.refused.closed", 1);
         tracing::info!(event = "refuse", id = &*request.id, reason = "stopping", status = 503);
-        return Ok(refuse(&driver, Refusal::Unserved, Some(COME_BACK)));
+        return Ok(refusal_response(&driver, Refusal::Unserved, Some(RETRY_AFTER_STOP)));
     }
     let waited = driver.wait_for_tables().await;
     let deadline = arrival.deadline.map(|deadline| deadline.saturating_sub(waited));
     let arrival = Arrival { deadline, ..arrival };
     let mut waiter = match driver.submit(arrival, request) {
         Ok(waiter) => waiter,
-        Err(refusal) => return Ok(refuse(&driver, refusal, None)),
+        Err(refusal) => return Ok(refusal_response(&driver, refusal, None)),
     };
     let response = match waiter.parts.next().await {
-        Some(ReplyPart::Whole(reply)) => whole(&driver, reply),
-        Some(ReplyPart::Head(head)) => stream(&driver, head, waiter, req.io().cloned(), held),
+        Some(ReplyPart::Whole(reply)) => whole_response(&driver, reply),
+        Some(ReplyPart::Head(head)) => {
+            stream_response(&driver, head, waiter, req.io().cloned(), held)
+        }
         Some(ReplyPart::Refused { refusal, retry_after }) => {
-            refuse(&driver, refusal, retry_after.map(|after| after.as_secs_f64()))
+            refusal_response(&driver, refusal, retry_after.map(|after| after.as_secs_f64()))
         }
         Some(ReplyPart::Event(_) | ReplyPart::End | ReplyPart::Broken) | None => {
-            refuse(&driver, Refusal::Failed, None)
+            refusal_response(&driver, Refusal::Failed, None)
         }
     };
     Ok(response)
@@ -122,57 +124,57 @@
 async fn read_body(
     driver: &Driver,
     req: &mut server::Request,
-    held: &mut Held,
-) -> Result<Bytes, Rejected> {
+    held: &mut BodyReservation,
+) -> Result<Bytes, BodyError> {
     let limit = driver.inspect(|machine| machine.config().map(|config| config.limits.max_body));
     let limit = limit.unwrap_or(driver.settings.body_memory);
     let mut body = BytesMut::new();
     while let Some(chunk) = req.payload().next().await {
-        let chunk = chunk.map_err(|_| Rejected::Incomplete)?;
+        let chunk = chunk.map_err(|_| BodyError::Incomplete)?;
         if body.len() + chunk.len() > limit {
-            return Err(Rejected::TooLarge);
+            return Err(BodyError::TooLarge);
         }
         if !held.grow(chunk.len(), driver.settings.body_memory) {
-            return Err(Rejected::NoMemory);
+            return Err(BodyError::NoMemory);
         }
         body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
 
-fn reject(driver: &Driver, id: &str, rejected: &Rejected) -> Response {
-    let (status, reason) = match rejected {
-        Rejected::TooLarge => (413, "the body is larger than allowed; send less"),
-        Rejected::NoMemory => (503, "no memory is left for bodies; nothing ran; send it again"),
-        Rejected::Incomplete => (400, "the body ended early; send the request again"),
+fn body_error(driver: &Driver, id: &str, error: &BodyError) -> Response {
+    let (status, reason) = match error {
+        BodyError::TooLarge => (413, "the body is larger than allowed; send a smaller one"),
+        BodyError::NoMemory => (503, "the memory for bodies is exhausted; nothing ran; retry"),
+        BodyError::Incomplete => (400, "the body ended early; send the request again"),
     };
     driver.metrics.count("relay.bodies_rejected", 1);
     tracing::warn!(event = "body_rejected", id, status);
-    let mut response = plain(driver, status, reason);
+    let mut response = text_response(driver, status, reason);
     response.head_mut().set_connection_type(server::ConnectionType::Close);
     response
 }
 
-fn whole(driver: &Driver, reply: Reply) -> Response {
-    let mut response = begin(driver, &reply);
+fn whole_response(driver: &Driver, reply: Reply) -> Response {
+    let mut response = response_with_head(driver, &reply);
     response.body(ntex::util::Bytes::copy_from_slice(&reply.body))
 }
 
-fn stream(
+fn stream_response(
     driver: &Driver,
     head: Reply,
     waiter: ReplyReceiver,
     io: Option<IoRef>,
-    held: Held,
+    held: BodyReservation,
 ) -> Response {
-    begin(driver, &head).streaming(Box::pin(events(waiter, io, held)))
+    response_with_head(driver, &head).streaming(Box::pin(events(waiter, io, held)))
 }
 
-/// A stream's events, until it ends or the caller goes.
+/// A stream's events, until it ends or the caller disconnects.
 fn events(
     waiter: ReplyReceiver,
     io: Option<IoRef>,
-    held: Held,
+    held: BodyReservation,
 ) -> impl Stream<Item = Result<ntex::util::Bytes, io::Error>> {
     let state = Some((waiter, io, held));
     futures::stream::unfold(state, async |state| {
@@ -183,26 +185,25 @@
                 Some((Ok(bytes), Some((waiter, io, held))))
             }
             Some(ReplyPart::End) => None,
-            _ => Some((Err(break_off(io.as_ref()).await), None)),
+            _ => Some((Err(abort_stream(io.as_ref()).await), None)),
         }
     })
 }
 
-/// Closes the caller's connection without the mark that ends a body. If the
-/// server saw an error instead, it would write an answer of its own into the
-/// unfinished one.
-async fn break_off(io: Option<&IoRef>) -> io::Error {
+/// Closes the caller's connection without the terminating chunk of the body. On an error
+/// from the stream, the server would write a response of its own into the unfinished one.
+async fn abort_stream(io: Option<&IoRef>) -> io::Error {
     match io {
         Some(io) => {
             io.close();
             std::future::pending().await
         }
-        None => io::Error::other("the stream is not whole"),
+        None => io::Error::other("the stream ended early"),
     }
 }
 
-/// The next part; `None` if the caller has gone. The server itself would look
-/// at the connection only when there is something to send.
+/// The next part; `None` if the caller has disconnected. The server itself checks the
+/// connection only when it has something to send.
 async fn next_part(waiter: &mut ReplyReceiver, io: Option<&IoRef>) -> Option<ReplyPart> {
     let Some(io) = io else { return waiter.parts.next().await };
     let gone = io.on_disconnect();
@@ -212,8 +213,8 @@
     }
 }
 
-fn refuse(driver: &Driver, refusal: Refusal, retry_after: Option<f64>) -> Response {
-    let mut response = start(driver, refusal.status());
+fn refusal_response(driver: &Driver, refusal: Refusal, retry_after: Option<f64>) -> Response {
+    let mut response = response_builder(driver, refusal.status());
     if let Some(seconds) = retry_after {
         response.header(header::RETRY_AFTER.as_str(), format!("{seconds:.3}"));
     }
@@ -221,21 +222,21 @@
     response.body(format!("{}\n", refusal.name()))
 }
 
-fn plain(driver: &Driver, status: u16, text: &str) -> Response {
-    let mut response = start(driver, status);
+fn text_response(driver: &Driver, status: u16, text: &str) -> Response {
+    let mut response = response_builder(driver, status);
     response.content_type("text/plain");
     response.body(format!("{text}\n"))
 }
 
-fn begin(driver: &Driver, reply: &Reply) -> ResponseBuilder {
-    let mut response = start(driver, reply.status.as_u16());
+fn response_with_head(driver: &Driver, reply: &Reply) -> ResponseBuilder {
+    let mut response = response_builder(driver, reply.status.as_u16());
     for (name, value) in &reply.headers {
         response.header(name.as_str(), value.as_bytes());
     }
     response
 }
 
-fn start(driver: &Driver, status: u16) -> ResponseBuilder {
+fn response_builder(driver: &Driver, status: u16) -> ResponseBuilder {
     let status = server::StatusCode::from_u16(status).expect("statuses are in range");
     let mut response = Response::build(status);
     if driver.is_stopping() {
--- a/crates/relay/src/native.rs
+++ b/crates/relay/src/native.rs
@@ -1,4 +1,4 @@
-//! The product's own dialect: names of headers, and bodies of piece calls.
+//! The product's own dialect: names of headers, and bodies of the relay's own calls.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,71 +12,70 @@
 
 use crate::dialect::{self, Dialect, HeaderNames, PostRequest};
 
-/// A call for pieces.
+/// The body of a call that runs pieces.
 #[message]
 pub struct PiecesBody {
-    /// The pieces.
+    /// The pieces to run, in the order of the results.
     pub pieces: Vec<PieceBody>,
 }
 
 /// One piece of a call.
 #[message]
 pub struct PieceBody {
-    /// The caller's id of the request.
+    /// The id of the caller's request that the piece belongs to.
     pub request: Arc<str>,
     /// The stage's position in its route.
     pub stage: u16,
     /// The piece's number within the stage.
     pub number: u16,
-    /// Time until the caller gives up.
+    /// Time until the caller's deadline.
     pub remaining_ms: u64,
-    /// What it is made from, where the stage follows no other.
+    /// Key of the input, if the stage follows no other.
     pub key: Option<Arc<str>>,
-    /// The results that it is made from, where the stage follows others.
+    /// Handles of the input results, if the stage follows others.
     pub inputs: Vec<Handle>,
 }
 
-/// The answer to a call for pieces, in their order.
+/// The reply to a call for pieces.
 #[message]
 pub struct ResultsBody {
-    /// The results.
+    /// The results, in the order of the pieces.
     pub results: Vec<ResultBody>,
 }
 
-/// What became of one piece.
+/// Result of one piece.
 #[message]
 #[serde(rename_all = "snake_case")]
 pub enum ResultBody {
-    /// It was made; the result has this handle, `ip:port/name`.
+    /// The piece was run; its result has this handle, `ip:port/name`.
     Made(Handle),
-    /// Its time was over.
+    /// The deadline had passed.
     Late,
-    /// A result that it is made from is gone.
+    /// An input result no longer exists.
     InputGone,
-    /// There was no room for its result.
+    /// The endpoint had no memory left for the result.
     NoRoom,
-    /// It failed.
+    /// The piece failed for another reason.
     Failed,
 }
 
-/// Results that are given up.
+/// The body of a call that frees results.
 #[message]
 pub struct FreeBody {
-    /// Their handles.
+    /// Handles of the results to free.
     pub handles: Vec<Handle>,
 }
 
-/// Parts of prompts that an engine holds, in hexadecimal.
+/// The prompt parts that an engine holds.
 #[message]
 pub struct PartsBody {
-    /// Which of its lives the engine is in.
+    /// Incarnation of the engine, if it states one.
     pub incarnation: Option<u64>,
-    /// Their identities.
+    /// Ids of the parts, in hexadecimal.
     pub parts: Vec<Arc<str>>,
 }
 
-/// How callers and endpoints that speak the product's own format are spoken
-/// to.
+/// The dialect of callers and endpoints that use the product's own format.
 pub fn dialect() -> Dialect {
     let name = HeaderName::from_static;
     Dialect {
@@ -101,7 +100,7 @@
             limit: name("peatdeck-limit"),
             leaving: name("peatdeck-leaving"),
             extra: Vec::new(),
-            // What an engine keeps free, and whose memory it goes on from.
+            // How much memory an engine keeps free, and from whose memory it continues a run.
             reserved: vec![name("peatdeck-hold"), name("peatdeck-from")],
         },
         encode_pieces: encode_pieces,
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -1,15 +1,15 @@
-//! What operators can ask an instance, at its metrics address.
+//! The operators' HTTP interface of an instance, at its metrics address.
 //!
-//! | request | answer |
+//! | request | response |
 //! | --- | --- |
-//! | `GET /quarantine` | what is held back here, as JSON ([`Held`]) |
+//! | `GET /quarantine` | the contents quarantined here, as JSON ([`Held`]) |
 //! | `DELETE /quarantine/FINGERPRINT` | releases that content at all instances |
-//! | `GET /evacuations` | data centres that are evacuated, as JSON ([`Evacuated`]) |
-//! | `GET /terms` | what endpoints say of themselves, as JSON ([`EndpointTerms`]) |
+//! | `GET /evacuations` | the evacuated data centres, as JSON ([`Evacuated`]) |
+//! | `GET /terms` | the terms that endpoints have stated, as JSON ([`EndpointTerms`]) |
 //! | anything else | counters and timings, as text |
 //!
-//! The server may answer on another thread than that of the event loop, so questions
-//! go there by a channel.
+//! The HTTP server may run on another thread than the event loop, so queries go to the
+//! event loop through a channel.
 
 use std::{io, rc::Rc, sync::Arc};
 
@@ -25,98 +25,104 @@
 
 use crate::{driver::Driver, records};
 
-/// What an operator asks the event loop.
+/// An operator's query to the event loop, with the channel for the result.
 #[derive(Debug)]
 pub enum Query {
-    /// What is held back?
+    /// Lists the quarantined contents.
     Quarantined(oneshot::Sender<Vec<Held>>),
-    /// Which data centres are evacuated?
+    /// Lists the evacuated data centres.
     Evacuated(oneshot::Sender<Vec<Evacuated>>),
-    /// What do endpoints say of themselves?
+    /// Lists the terms that endpoints have stated.
     Terms(oneshot::Sender<Vec<EndpointTerms>>),
-    /// Release this content. The answer says whether it was held back.
+    /// Releases a content. The result is whether it was quarantined here.
     Release(Fingerprint, oneshot::Sender<bool>),
 }
 
-/// Answers one request.
+/// Serves one request of an operator, or for the metrics.
 ///
 /// # Errors
-/// None; the type is what the server asks for.
+/// Never; the HTTP server requires the type.
 pub async fn answer(
     metrics: Arc<Registry>,
-    asked: mpsc::UnboundedSender<Query>,
+    queries: mpsc::UnboundedSender<Query>,
     req: Request,
 ) -> Result<Response, io::Error> {
     if req.path() == EVACUATIONS {
-        return Ok(show(&asked, Query::Evacuated).await);
+        return Ok(query_list(&queries, Query::Evacuated).await);
     }
     if req.path() == TERMS {
-        return Ok(show(&asked, Query::Terms).await);
+        return Ok(query_list(&queries, Query::Terms).await);
     }
     let Some(rest) = req.path().strip_prefix(QUARANTINE) else {
         return Ok(Response::Ok().body(metrics.render()));
     };
     let response = match (req.method(), rest.strip_prefix('/')) {
-        (&Method::GET, None) => show(&asked, Query::Quarantined).await,
-        (&Method::DELETE, Some(name)) => release(&asked, name).await,
-        _ => plain(StatusCode::NOT_FOUND, "ask GET /quarantine, or DELETE /quarantine/FINGERPRINT"),
+        (&Method::GET, None) => query_list(&queries, Query::Quarantined).await,
+        (&Method::DELETE, Some(name)) => release(&queries, name).await,
+        _ => text_response(
+            StatusCode::NOT_FOUND,
+            "use GET /quarantine or DELETE /quarantine/FINGERPRINT",
+        ),
     };
     Ok(response)
 }
 
-/// Answers with what the event loop lists.
-async fn show<T: Serialize>(
-    asked: &mpsc::UnboundedSender<Query>,
-    question: impl Fn(oneshot::Sender<Vec<T>>) -> Query,
+/// Responds with the list that the event loop returns for a query, as JSON.
+async fn query_list<T: Serialize>(
+    queries: &mpsc::UnboundedSender<Query>,
+    query: impl Fn(oneshot::Sender<Vec<T>>) -> Query,
 ) -> Response {
     let (tx, rx) = oneshot::channel();
-    // Without an event loop there is no answer either.
-    asked.unbounded_send(question(tx)).ok();
+    // If the event loop has ended, `rx` returns an error.
+    queries.unbounded_send(query(tx)).ok();
     match rx.await {
         Ok(listed) => {
             let text = serde_json::to_string(&listed).expect("names and numbers are JSON");
             Response::Ok().content_type("application/json").body(text)
         }
-        Err(_) => stopping(),
+        Err(_) => stopping_response(),
     }
 }
 
-async fn release(asked: &mpsc::UnboundedSender<Query>, name: &str) -> Response {
+async fn release(queries: &mpsc::UnboundedSender<Query>, name: &str) -> Response {
     let Some(content) = Fingerprint::parse(name) else {
-        let help = "that is no fingerprint; take one from GET /quarantine";
-        return plain(StatusCode::BAD_REQUEST, help);
+        let help = "not a fingerprint; copy one from GET /quarantine";
+        return text_response(StatusCode::BAD_REQUEST, help);
     };
     let (tx, rx) = oneshot::channel();
-    // Without an event loop there is no answer either.
-    asked.unbounded_send(Query::Release(content, tx)).ok();
+    // If the event loop has ended, `rx` returns an error.
+    queries.unbounded_send(Query::Release(content, tx)).ok();
     match rx.await {
-        Ok(true) => plain(StatusCode::ACCEPTED, "released here; the others follow in seconds"),
-        Ok(false) => plain(StatusCode::NOT_FOUND, "it is not held back here"),
-        Err(_) => stopping(),
+        Ok(true) => text_response(
+            StatusCode::ACCEPTED,
+            "released here; other instances follow within seconds",
+        ),
+        Ok(false) => text_response(StatusCode::NOT_FOUND, "the content is not quarantined here"),
+        Err(_) => stopping_response(),
     }
 }
 
-fn stopping() -> Response {
-    plain(StatusCode::SERVICE_UNAVAILABLE, "the instance is stopping; ask another one")
+fn stopping_response() -> Response {
+    text_response(StatusCode::SERVICE_UNAVAILABLE, "the instance is stopping; use another one")
 }
 
-fn plain(status: StatusCode, text: &str) -> Response {
+fn text_response(status: StatusCode, text: &str) -> Response {
     Response::build(status).content_type("text/plain").body(format!("{text}\n"))
 }
 
-/// Answers operators' questions for as long as the process runs.
-pub async fn serve(driver: Rc<Driver>, mut questions: mpsc::UnboundedReceiver<Query>) {
-    while let Some(question) = questions.next().await {
-        // Whoever asked may have gone.
-        match question {
+/// Answers operators' queries on the event loop for as long as the process runs.
+pub async fn serve(driver: Rc<Driver>, mut queries: mpsc::UnboundedReceiver<Query>) {
+    while let Some(query) = queries.next().await {
+        // The operator may have disconnected, so failed sends are ignored.
+        match query {
             Query::Quarantined(answer) => {
                 answer.send(records::list(&driver)).ok();
             }
             Query::Evacuated(answer) => {
-                answer.send(evacuated(&driver)).ok();
+                answer.send(list_evacuated(&driver)).ok();
             }
             Query::Terms(answer) => {
-                answer.send(terms(&driver)).ok();
+                answer.send(list_terms(&driver)).ok();
             }
             Query::Release(content, answer) => {
                 let was_held = driver.feed(|machine, _| machine.release_content(content));
@@ -127,7 +133,7 @@
     }
 }
 
-fn evacuated(driver: &Driver) -> Vec<Evacuated> {
+fn list_evacuated(driver: &Driver) -> Vec<Evacuated> {
     driver.inspect(|machine| {
         let directory = machine.directory();
         let listed = directory.evacuated().map(|name| Evacuated {
@@ -138,9 +144,9 @@
     })
 }
 
-fn terms(driver: &Driver) -> Vec<EndpointTerms> {
+fn list_terms(driver: &Driver) -> Vec<EndpointTerms> {
     let now = driver.now();
-    let says = |endpoint: &Endpoint| {
+    let stated_terms = |endpoint: &Endpoint| {
         let terms = EndpointTerms {
             endpoint: endpoint.entry.name.clone(),
             service: endpoint.entry.service.clone(),
@@ -148,8 +154,8 @@
             rest_ms: endpoint.hold_left(now).as_millis() as u64,
             is_leaving: endpoint.has_announced_leaving(),
         };
-        let says_any = terms.limit.is_some() || terms.rest_ms > 0 || terms.is_leaving;
-        says_any.then_some(terms)
+        let has_any = terms.limit.is_some() || terms.rest_ms > 0 || terms.is_leaving;
+        has_any.then_some(terms)
     };
-    driver.inspect(|machine| machine.directory().all().filter_map(says).collect())
+    driver.inspect(|machine| machine.directory().all().filter_map(stated_terms).collect())
 }
--- a/crates/relay/src/policy.rs
+++ b/crates/relay/src/policy.rs
@@ -4,30 +4,30 @@
 
 use peatdeck_core::policy::{self, Program};
 
-/// Why a policy cannot be used.
+/// Why a policy is unusable.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum Error {
-    /// Its file cannot be read.
+    /// The file cannot be read.
     #[error("the policy {path} cannot be read: {cause}")]
-    #[diagnostic(help("give the path of a file that can be read, or leave the policy out"))]
+    #[diagnostic(help("set the path of a readable file, or start without a policy"))]
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: Arc<str>,
-        /// What the system said.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// It is not a valid policy.
-    #[error("the policy {path} is wrong: {cause}")]
+    /// The file is not a valid policy.
+    #[error("the policy {path} is invalid: {cause}")]
     #[diagnostic(help("correct the file; docs/reference/policies.md says what a policy may do"))]
     Invalid {
-        /// Its path.
+        /// Path of the file.
         path: Arc<str>,
-        /// What is wrong.
+        /// Error of compiling it or of running it on sample facts.
         cause: policy::Error,
     },
 }
 
-/// Reads a policy and tries it on sample facts.
+/// Reads and compiles a policy, and runs it on sample facts.
 ///
 /// # Errors
 /// Any [`Error`].
