--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -1,18 +1,17 @@
-//! The other instances, over Cap'n Proto.
+//! Communication with the other instances, over Cap'n Proto.
 //!
-//! With every round an instance sends some peers its liveness counters; each
-//! answers in kind, and says how far its copies of the platform's tables are.
-//! What they hold is asked for apart from that, so an instance that the
-//! platform's store turns away still learns what is in force. Pieces are handed
-//! to the peer that batches their service; a peer that stops answering gets them
-//! taken back.
+//! In every round of gossip an instance sends some peers its liveness counters. Each
+//! replies with its own, and with the positions of its copies of the platform's tables.
+//! The contents of the tables are requested separately, so an instance that the
+//! platform's store refuses still receives them. Pieces are handed over to the peer
+//! that batches their service; if that peer stops answering, they are recalled.
 //!
-//! - [`gossip`]: the rounds.
-//! - [`learn`]: what the tables hold.
+//! - [`gossip`]: rounds of gossip.
+//! - [`learn`]: receives the contents of the tables from peers.
 //! - `work`: pieces, placements and results.
-//! - `verdicts`: contents that crash what runs them.
-//! - [`versions`]: a newer configuration than the tables tell of.
-//! - `service`: the other side, what peers ask of this instance.
+//! - `verdicts`: contents that crash the endpoints that run them.
+//! - [`versions`]: configurations newer than the platform's table has.
+//! - `service`: the interface that this instance offers to its peers.
 
 pub mod gossip;
 pub mod learn;
@@ -53,56 +52,56 @@
     tables::{self, Tables},
 };
 
-/// Time for one short exchange, making the connection included.
+/// Time limit of one short exchange, including opening the connection.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time between two rounds of gossip.
+/// Interval between two rounds of gossip.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(400);
-/// A peer whose counter has not risen for this long is taken for dead.
+/// A peer whose counter has not increased for this long is considered dead.
 const DEAD_AFTER: Duration = Duration::from_millis(2400);
 
-/// Peers that a log line names: those of a large site fill kilobytes.
-const MOST_NAMED: usize = 12;
+/// Most peers that a log line names; all names of a large site would take kilobytes.
+const MAX_NAMED: usize = 12;
 
-/// An instance's own record in the platform's table of instances.
+/// An instance's record in the platform's table of instances, which it writes itself.
 #[message]
 pub struct Announcement {
-    /// Where its peers reach it.
+    /// Address that peers connect to.
     pub peers: Arc<str>,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub place: Arc<str>,
-    /// Its processor's share, in thousandths of a core.
+    /// CPU share of the instance, in thousandths of a core.
     #[serde(default)]
     pub strength: u32,
 }
 
-/// An instance that announced itself.
-struct Listed {
+/// An instance with a valid announcement.
+struct AnnouncedInstance {
     entry: InstanceEntry,
-    strength: u32,
+    millicores: u32,
 }
 
-/// What is known of the other instances, and what is under way with them.
+/// State about the other instances, and the exchanges in flight with them.
 pub struct Peers {
     /// The copies of the platform's tables.
     pub tables: Tables,
-    /// How far learning them from peers is.
-    learning: learn::Learning,
+    /// Progress of receiving the tables from peers.
+    learn_state: learn::LearnState,
     members: RefCell<Members>,
-    listed: RefCell<HashMap<InstanceName, Listed>>,
+    announced: RefCell<HashMap<InstanceName, AnnouncedInstance>>,
     links: Links<relay::Client>,
     handovers: RefCell<SecondaryMap<HandoverKey, AbortHandle>>,
     tickets: RefCell<HashMap<u64, oneshot::Sender<Vec<PieceResult>>>>,
     next_ticket: Cell<u64>,
     /// Names of the peers that may batch pieces, sorted.
-    usable: RefCell<Vec<InstanceName>>,
-    /// Exchanges of gossip that have no answer yet.
-    open: Cell<u64>,
-    /// The configuration in force, as it was written, and who has a newer one.
+    usable_names: RefCell<Vec<InstanceName>>,
+    /// Number of gossip exchanges in flight.
+    open_exchanges: Cell<u64>,
+    /// The configuration's record in force, and the peer that has a newer one.
     versions: versions::Versions,
 }
 
 impl Peers {
-    /// An instance that knows no peer.
+    /// Creates the state of an instance that has no peers yet.
     pub fn new(settings: &Settings) -> Peers {
         let identity = Identity {
             name: settings.name.clone(),
@@ -116,55 +115,55 @@
         };
         Peers {
             tables: Tables::default(),
-            learning: learn::Learning::default(),
+            learn_state: learn::LearnState::default(),
             members: RefCell::new(Members::new(identity, gossip, rand::random())),
-            listed: RefCell::default(),
+            announced: RefCell::default(),
             links: Links::default(),
             handovers: RefCell::default(),
             tickets: RefCell::default(),
             next_ticket: Cell::new(0),
-            usable: RefCell::default(),
-            open: Cell::new(0),
+            usable_names: RefCell::default(),
+            open_exchanges: Cell::new(0),
             versions: versions::Versions::default(),
         }
     }
 
-    /// The configuration that is in force now, as it was written.
+    /// Stores the record of the configuration that is in force now.
     pub fn set_config(&self, record: Record) {
         self.versions.set(record);
     }
 
-    /// Takes in an instance's record.
+    /// Applies a record of the table of instances.
     pub fn apply_announcement(&self, now: Duration, record: &Record) {
-        let mut listed = self.listed.borrow_mut();
+        let mut announced = self.announced.borrow_mut();
         let value = record.value.as_deref();
         match value.map(serde_json::from_slice::<Announcement>) {
-            None => drop(listed.remove(&record.key)),
+            None => drop(announced.remove(&record.key)),
             Some(Err(error)) => {
                 let (name, error) = (&*record.key, error.to_string());
                 let error = tables::truncate(&error);
                 tracing::warn!(event = "instance_unreadable", name, error);
-                // Nobody can be reached by it, whatever stood there before.
-                listed.remove(&record.key);
+                // An unreadable record has no address, so the previous one is dropped.
+                announced.remove(&record.key);
             }
-            Some(Ok(announced)) => {
+            Some(Ok(announcement)) => {
                 let entry = InstanceEntry {
                     name: record.key.clone(),
-                    peer_addr: announced.peers.clone(),
-                    http_addr: announced.peers,
-                    data_centre: announced.place,
+                    peer_addr: announcement.peers.clone(),
+                    http_addr: announcement.peers,
+                    data_centre: announcement.place,
                     presence: Presence::Live,
                 };
-                let strength = announced.strength;
-                listed.insert(record.key.clone(), Listed { entry, strength });
+                let millicores = announcement.strength;
+                announced.insert(record.key.clone(), AnnouncedInstance { entry, millicores });
             }
         }
-        let entries: Vec<_> = listed.values().map(|listed| listed.entry.clone()).collect();
+        let entries: Vec<_> = announced.values().map(|instance| instance.entry.clone()).collect();
         self.members.borrow_mut().apply_listing(now, &entries);
     }
 
-    /// Whether this instance reads the platform's tables itself: it is one of
-    /// the readers, or nobody has given it a fresh copy.
+    /// Whether this instance reads the platform's tables from the store itself: it is one of
+    /// the readers, or has no fresh copies.
     pub fn reads_store(&self, now: Duration) -> bool {
         if !self.tables.are_loaded() || self.is_stale(now) {
             return true;
@@ -172,13 +171,13 @@
         self.is_reader(now)
     }
 
-    /// Whether this instance is one of those that read the platform's tables for all.
+    /// Whether this instance is one of those that read the platform's tables for all others.
     pub fn is_reader(&self, now: Duration) -> bool {
         let own = &self.members.borrow().identity().name.clone();
         self.readers(now).contains(own)
     }
 
-    /// The instances that are taken for alive, this one among them.
+    /// The instances that are considered alive, including this one.
     pub fn alive(&self, now: Duration) -> Vec<InstanceName> {
         let members = self.members.borrow();
         let mut alive: Vec<_> = members.alive(now).into_iter().collect();
@@ -188,10 +187,10 @@
 
     fn is_stale(&self, now: Duration) -> bool {
         let is_old = self.tables.age(now).is_none_or(|age| age > readers::STALE_AFTER);
-        is_old && !self.learning.is_underway(now)
+        is_old && !self.learn_state.is_underway(now)
     }
 
-    /// The readers among the instances that are taken for alive.
+    /// The readers among the instances that are considered alive.
     fn readers(&self, now: Duration) -> Vec<InstanceName> {
         let members = self.members.borrow();
         let alive = members.alive(now).into_iter();
@@ -201,38 +200,39 @@
         readers::select_readers(&instances)
     }
 
-    /// An instance with what it announced of itself.
+    /// An instance with its announced CPU share; 0 if it has no announcement.
     fn peer(&self, name: InstanceName) -> Peer {
-        let strength = self.listed.borrow().get(&name).map_or(0, |listed| listed.strength);
-        Peer { name, millicores: strength }
+        let millicores =
+            self.announced.borrow().get(&name).map_or(0, |instance| instance.millicores);
+        Peer { name, millicores }
     }
 
-    /// Logs which peers may batch pieces since now, or not any more.
+    /// Logs which peers have become able to batch pieces, and which no longer are.
     fn log_changes(&self, peers: &[Peer]) {
         let mut names: Vec<_> = peers.iter().map(|peer| peer.name.clone()).collect();
         names.sort_unstable();
-        let before = self.usable.replace(names);
-        let now = self.usable.borrow();
-        let joined = missing_in(&now, &before);
-        let left = missing_in(&before, &now);
+        let before = self.usable_names.replace(names);
+        let now = self.usable_names.borrow();
+        let joined = names_missing_in(&now, &before);
+        let left = names_missing_in(&before, &now);
         if !(joined.is_empty() && left.is_empty()) {
             tracing::info!(event = "peers", count = now.len(), joined, left);
         }
     }
 }
 
-/// Tells the machine which peers may batch pieces.
+/// Passes the peers that may batch pieces to the machine.
 pub fn update_peers(driver: &Rc<Driver>) {
     let now = driver.now();
     let members = driver.peers.members.borrow();
-    let versions = members.peer_statuses(now);
-    let usable = versions.into_iter().filter(|peer| peer.is_usable(now));
+    let statuses = members.peer_statuses(now);
+    let usable = statuses.into_iter().filter(|peer| peer.is_usable(now));
     let peers = usable.filter(|peer| members.addr(&peer.name).is_some());
     let peers: Vec<_> = peers.map(|peer| driver.peers.peer(peer.name)).collect();
     drop(members);
     driver.metrics.gauge("relay.peers", peers.len() as u64);
     driver.peers.log_changes(&peers);
-    let announced = driver.peers.listed.borrow().len();
+    let announced = driver.peers.announced.borrow().len();
     let are_known = driver.peers.tables.is_loaded(TableName::Instances);
     driver.feed(|machine, now| {
         machine.set_peers(now, peers, announced);
@@ -242,13 +242,13 @@
     });
 }
 
-/// The names that the other sorted list does not have, for a log line; of many
-/// only the first.
-fn missing_in(names: &[InstanceName], other: &[InstanceName]) -> String {
+/// The names that are missing in the other, sorted list, joined for a log line; if there
+/// are many, only the first [`MAX_NAMED`].
+fn names_missing_in(names: &[InstanceName], other: &[InstanceName]) -> String {
     let is_missing = |name: &&InstanceName| other.binary_search(name).is_err();
     let missing: Vec<&str> = names.iter().filter(is_missing).map(|name| &**name).collect();
     match missing.len() {
-        0..=MOST_NAMED => missing.join(" "),
-        count => format!("{} and {} more", missing[..MOST_NAMED].join(" "), count - MOST_NAMED),
+        0..=MAX_NAMED => missing.join(" "),
+        count => format!("{} and {} more", missing[..MAX_NAMED].join(" "), count - MAX_NAMED),
     }
 }
--- a/crates/relay/src/peers/gossip.rs
+++ b/crates/relay/src/peers/gossip.rs
@@ -1,4 +1,4 @@
-//! Rounds of gossip: who lives, and how far each instance's tables are.
+//! Rounds of gossip: liveness of instances, and the positions of their tables.
 
 use std::{
     rc::Rc,
@@ -26,7 +26,7 @@
         let local = local(&driver);
         let envelopes = driver.peers.members.borrow_mut().tick(now, &local);
         if envelopes.is_empty() {
-            ask_a_seed(&driver);
+            greet_seed(&driver);
         }
         for envelope in envelopes {
             ntex::rt::spawn(send(driver.clone(), envelope));
@@ -35,8 +35,8 @@
     }
 }
 
-/// An instance that knows no peer asks one that it was told of at its start.
-fn ask_a_seed(driver: &Rc<Driver>) {
+/// Sends gossip to a random seed, since no peer is known yet.
+fn greet_seed(driver: &Rc<Driver>) {
     let own = driver.settings.peers.to_string();
     let others: Vec<_> = driver.settings.seeds.iter().filter(|seed| ***seed != *own).collect();
     let Some(addr) = others.choose(&mut rand::rng()).map(|addr| Arc::clone(addr)) else { return };
@@ -44,7 +44,7 @@
     ntex::rt::spawn(send(driver.clone(), envelope));
 }
 
-/// A message that tells nothing but who asks.
+/// A gossip message without any state, sent to a peer whose name is not known.
 fn greeting(driver: &Driver) -> Gossip {
     Gossip {
         from: driver.settings.name.clone(),
@@ -65,26 +65,26 @@
     let exchange = async |client: relay::Client| {
         let mut request = client.gossip_request();
         peer_wire::write_gossip(&message, request.get().init_message())?;
-        let told = request.get().init_notices(notices.len() as u32);
-        wire::write_notices(&notices, told);
+        let notice_list = request.get().init_notices(notices.len() as u32);
+        wire::write_notices(&notices, notice_list);
         let response = request.send().promise.await?;
         let response = response.get()?;
         let reply = response.get_reply()?;
         let reply = if reply.has_from() { Some(peer_wire::read_gossip(reply)?) } else { None };
         let positions = wire::read_positions(response.get_timelines()?, response.get_ends()?);
         let age = Duration::from_millis(u64::from(response.get_age_ms()));
-        let heard = wire::read_notices(response.get_notices()?)?;
-        Ok((reply, positions, age, heard))
+        let peer_notices = wire::read_notices(response.get_notices()?)?;
+        Ok((reply, positions, age, peer_notices))
     };
     driver.metrics.count("relay.gossip", 1);
-    let open = &driver.peers.open;
-    open.set(open.get() + 1);
-    driver.metrics.gauge("relay.exchanges_open", open.get());
+    let open_exchanges = &driver.peers.open_exchanges;
+    open_exchanges.set(open_exchanges.get() + 1);
+    driver.metrics.gauge("relay.exchanges_open", open_exchanges.get());
     let result = driver.peers.links.exchange(&addr, EXCHANGE_TIMEOUT, exchange).await;
-    open.set(open.get() - 1);
+    open_exchanges.set(open_exchanges.get() - 1);
     match result {
-        Ok((reply, positions, age, heard)) => {
-            driver.feed(|machine, now| machine.on_peer_notices(now, &to, &heard));
+        Ok((reply, positions, age, peer_notices)) => {
+            driver.feed(|machine, now| machine.on_peer_notices(now, &to, &peer_notices));
             learn::compare_positions(&driver, &addr, &positions, asked_at.checked_sub(age));
             if let Some(reply) = reply {
                 versions::note_version(&driver, &addr, &positions, reply.mark.version);
@@ -95,14 +95,14 @@
         Err(error) => {
             driver.metrics.count("relay.gossip_failed", 1);
             let took_ms = driver.now().saturating_sub(asked_at).as_millis() as u64;
-            let (peer, open) = (&*to, open.get());
+            let (peer, open) = (&*to, open_exchanges.get());
             tracing::info!(event = "gossip_failed", peer, took_ms, open, error = %error);
             driver.peers.members.borrow_mut().send_failed(driver.now(), &to);
         }
     }
 }
 
-/// What this instance tells of itself.
+/// The state of this instance that its gossip carries.
 pub fn local(driver: &Driver) -> LocalState<'static> {
     let version = driver.inspect(|machine| machine.config().map_or(0, |config| config.version));
     LocalState {
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -1,10 +1,10 @@
-//! Learns from peers what the platform's tables hold.
+//! Receives the contents of the platform's tables from peers.
 //!
-//! One question is open at a time, to one peer, and each answer is bounded
-//! ([`catch_up`](peatdeck_core::relay::catch_up)): whatever is lacking, no more
-//! than one answer is on its way to an instance. Were each exchange with any
-//! peer to bring all that is lacking, copies of one large configuration would
-//! fill a narrow link, none whole before its time limit, for ever.
+//! An instance has one request open at a time, to one peer, and the size of each reply
+//! is limited ([`catch_up`](peatdeck_core::relay::catch_up)), so at most one such reply
+//! is in transit to it, however much it lacks. If every exchange with any peer carried
+//! everything that is missing, copies of one large configuration would saturate a narrow
+//! link, and each would time out before it is complete, without end.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,49 +29,50 @@
     tables::{self, MIN_LOGGED_BYTES},
 };
 
-/// How far learning from peers is.
+/// Progress of receiving tables from peers.
 #[derive(Debug, Default)]
-pub struct Learning {
-    /// A peer that said it is ahead.
-    ahead: RefCell<Option<Ahead>>,
+pub struct LearnState {
+    /// A peer whose copies are newer than those of this instance.
+    ahead: RefCell<Option<AheadPeer>>,
     wake: Notify,
-    /// When something came that is not yet all, from a peer that is up to date.
+    /// When the last portion with more to follow arrived from a peer that is up to date.
     progressed: Cell<Option<Duration>>,
 }
 
 #[derive(Debug)]
-struct Ahead {
+struct AheadPeer {
     addr: Arc<str>,
     positions: Vec<Position>,
 }
 
-/// Whom to ask.
-struct Teller {
-    /// Its name, if it is known.
+/// The peer to request tables from.
+struct Source {
+    /// Name of a reader; `None` for a peer of which only the address is known.
     name: Option<InstanceName>,
     addr: Arc<str>,
 }
 
-impl Learning {
-    /// Whether a peer that is up to date is just telling what this instance
-    /// lacks. It need not ask the store for the same then.
+impl LearnState {
+    /// Whether a peer that is up to date is sending what this instance lacks, so that it
+    /// need not read the same from the store.
     pub fn is_underway(&self, now: Duration) -> bool {
         self.progressed.get().is_some_and(|at| now.saturating_sub(at) <= readers::STALE_AFTER)
     }
 }
 
-/// Learns for as long as the process runs: from a reader at its pace, and
-/// meanwhile from peers that say they are ahead.
+/// Receives tables for as long as the process runs: from a reader at the readers' interval,
+/// and in between from peers that are ahead.
 pub async fn run(driver: Rc<Driver>) {
-    let mut due = driver.now();
+    let mut next_read = driver.now();
     loop {
-        let pause = tokio::time::sleep(due.saturating_sub(driver.now()));
-        let woken = Box::pin(driver.peers.learning.wake.notified());
+        let pause = tokio::time::sleep(next_read.saturating_sub(driver.now()));
+        let woken = Box::pin(driver.peers.learn_state.wake.notified());
         future::select(Box::pin(pause), woken).await;
-        let ahead = driver.peers.learning.ahead.borrow_mut().take();
-        let is_due = driver.now() >= due;
+        let ahead = driver.peers.learn_state.ahead.borrow_mut().take();
+        let is_due = driver.now() >= next_read;
         if is_due {
-            due = driver.now() + readers::READ_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1));
+            next_read =
+                driver.now() + readers::READ_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1));
         }
         let lacks_config =
             ahead.as_ref().is_some_and(|ahead| lacks_config(&driver, &ahead.positions));
@@ -79,21 +80,22 @@
             learn_from(&driver, &reader).await;
         }
         if let Some(ahead) = ahead.filter(|ahead| lacks(&driver, &ahead.positions)) {
-            learn_from(&driver, &Teller { name: None, addr: ahead.addr }).await;
+            learn_from(&driver, &Source { name: None, addr: ahead.addr }).await;
         }
         versions::catch_up(&driver).await;
     }
 }
 
-/// Takes in how far a peer is, whose copies were compared with the store at
-/// that time. A peer in an earlier timeline says nothing of this one.
+/// Compares a peer's positions with those of this instance. `compared` is when the peer's
+/// copies were last compared with the store; it applies also to copies here that are at
+/// least as new, of the same timeline. Requests the tables if the peer is ahead.
 pub fn compare_positions(
     driver: &Driver,
     addr: &Arc<str>,
     positions: &[Position],
     compared: Option<Duration>,
 ) {
-    let (tables, learning) = (&driver.peers.tables, &driver.peers.learning);
+    let (tables, learn_state) = (&driver.peers.tables, &driver.peers.learn_state);
     for (name, theirs) in TABLES.into_iter().zip(positions) {
         let own = tables.position(name);
         let is_level = own.timeline == theirs.timeline && own >= *theirs;
@@ -103,25 +105,26 @@
     }
     if lacks(driver, positions) {
         let positions = positions.to_vec();
-        *learning.ahead.borrow_mut() = Some(Ahead { addr: addr.clone(), positions });
-        learning.wake.notify_one();
+        *learn_state.ahead.borrow_mut() = Some(AheadPeer { addr: addr.clone(), positions });
+        learn_state.wake.notify_one();
     }
 }
 
-/// Whether a peer whose copies are so far has anything that this instance lacks.
+/// Whether a peer at these positions has records that this instance lacks.
 fn lacks(driver: &Driver, positions: &[Position]) -> bool {
     driver.peers.tables.positions().iter().zip(positions).any(|(own, theirs)| own < theirs)
 }
 
-/// Whether it has a newer configuration. That may be large, so readers, which
-/// are the strongest instances, are asked for it first.
+/// Whether a peer at these positions has a newer configuration table. That may be large, so
+/// it is requested from a reader first, since readers have the largest CPU shares.
 pub fn lacks_config(driver: &Driver, positions: &[Position]) -> bool {
     let own = driver.peers.tables.position(TableName::Config);
     positions.get(TableName::Config as usize).is_some_and(|theirs| own < *theirs)
 }
 
-/// A reader to ask, unless this instance is one and reads the store.
-fn reader(driver: &Driver) -> Option<Teller> {
+/// A random reader to request tables from; `None` if this instance is a reader with fresh
+/// copies, or no other reader is known.
+fn reader(driver: &Driver) -> Option<Source> {
     let now = driver.now();
     let own = &driver.settings.name;
     let readers = driver.peers.readers(now);
@@ -131,16 +134,16 @@
     let others: Vec<_> = readers.into_iter().filter(|name| name != own).collect();
     let name = others.choose(&mut rand::rng())?.clone();
     let addr = driver.peers.members.borrow().addr(&name)?;
-    Some(Teller { name: Some(name), addr })
+    Some(Source { name: Some(name), addr })
 }
 
-/// Asks a peer until it has told all that it has.
-async fn learn_from(driver: &Rc<Driver>, teller: &Teller) {
+/// Requests portions from a peer until it has no more to send.
+async fn learn_from(driver: &Rc<Driver>, source_peer: &Source) {
     let begun = driver.now();
-    let source = teller.name.as_deref().unwrap_or(&teller.addr);
+    let source = source_peer.name.as_deref().unwrap_or(&source_peer.addr);
     let mut bytes = 0;
     let result = loop {
-        match step(driver, teller, source).await {
+        match step(driver, source_peer, source).await {
             Ok(Step { bytes: came, has_more }) => {
                 bytes += came;
                 if !has_more || came == 0 {
@@ -157,21 +160,21 @@
     if let Err(error) = result {
         driver.metrics.count("relay.learn_failed", 1);
         tracing::info!(event = "learn_failed", peer = source, bytes, took_ms, error = %error);
-        if let Some(name) = &teller.name {
+        if let Some(name) = &source_peer.name {
             driver.peers.members.borrow_mut().send_failed(driver.now(), name);
         }
     }
 }
 
-/// What one answer brought.
+/// Size of one reply, and whether the peer has more.
 struct Step {
     bytes: u64,
     has_more: bool,
 }
 
-async fn step(driver: &Rc<Driver>, teller: &Teller, source: &str) -> Result<Step, Error> {
+async fn step(driver: &Rc<Driver>, source_peer: &Source, source: &str) -> Result<Step, Error> {
     let asked_at = driver.now();
-    let (portions, age) = ask(driver, &teller.addr).await?;
+    let (portions, age) = request_portions(driver, &source_peer.addr).await?;
     let bytes = portions.iter().map(Portion::bytes).sum::<usize>() as u64;
     driver.metrics.count("relay.heard_bytes", bytes);
     let (tables, mut has_more) = (&driver.peers.tables, false);
@@ -186,18 +189,21 @@
         tables::apply(driver, name, source, learned.changed);
     }
     if has_more && age <= readers::STALE_AFTER {
-        driver.peers.learning.progressed.set(Some(driver.now()));
+        driver.peers.learn_state.progressed.set(Some(driver.now()));
     }
     Ok(Step { bytes, has_more })
 }
 
-/// One question, and its answer with the age of what is told.
-async fn ask(driver: &Driver, addr: &Arc<str>) -> Result<(Vec<Portion>, Duration), Error> {
-    let asks = driver.peers.tables.next_requests();
+/// Sends one request. Returns the portions and the age of the peer's copies.
+async fn request_portions(
+    driver: &Driver,
+    addr: &Arc<str>,
+) -> Result<(Vec<Portion>, Duration), Error> {
+    let requests = driver.peers.tables.next_requests();
     let exchange = async |client: relay::Client| {
         let mut request = client.learn_request();
-        let mut list = request.get().init_asks(asks.len() as u32);
-        for (idx, ask) in (0..).zip(&asks) {
+        let mut list = request.get().init_asks(requests.len() as u32);
+        for (idx, ask) in (0..).zip(&requests) {
             wire::write_ask(ask, list.reborrow().get(idx));
         }
         let response = request.send().promise.await?;
--- a/crates/relay/src/peers/service.rs
+++ b/crates/relay/src/peers/service.rs
@@ -1,4 +1,4 @@
-//! What peers can call at this instance.
+//! The interface that this instance offers to its peers.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
     peers::{gossip, versions},
 };
 
-/// Pause after a failed accept, as when no file descriptor is left.
+/// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// Serves peers for as long as the process runs.
@@ -31,7 +31,7 @@
     }
 }
 
-/// What peers can call.
+/// Implements the calls of peers.
 struct Service {
     driver: Rc<Driver>,
 }
@@ -44,13 +44,14 @@
     ) -> Result<(), capnp::Error> {
         let driver = &self.driver;
         let params = params.get()?;
-        let message = peer_wire::read_gossip(params.get_message()?).map_err(failed)?;
-        let notices = wire::read_notices(params.get_notices()?).map_err(failed)?;
+        let message = peer_wire::read_gossip(params.get_message()?).map_err(to_capnp_error)?;
+        let notices = wire::read_notices(params.get_notices()?).map_err(to_capnp_error)?;
         driver.feed(|machine, now| machine.on_peer_notices(now, &message.from, &notices));
         let local = gossip::local(driver);
         let reply = driver.peers.members.borrow_mut().receive(driver.now(), &message, &local);
         if let Some(reply) = reply {
-            peer_wire::write_gossip(&reply.message, results.get().init_reply()).map_err(failed)?;
+            peer_wire::write_gossip(&reply.message, results.get().init_reply())
+                .map_err(to_capnp_error)?;
         }
         let notices = driver.feed(Relay::peer_notices);
         wire::write_notices(&notices, results.get().init_notices(notices.len() as u32));
@@ -73,8 +74,8 @@
         mut results: relay::LearnResults,
     ) -> Result<(), capnp::Error> {
         let driver = &self.driver;
-        let asks: Vec<_> = params.get()?.get_asks()?.iter().map(wire::read_ask).collect();
-        let portions = driver.peers.tables.read_portions(&asks);
+        let requests: Vec<_> = params.get()?.get_asks()?.iter().map(wire::read_ask).collect();
+        let portions = driver.peers.tables.read_portions(&requests);
         let bytes = portions.iter().map(Portion::bytes).sum::<usize>() as u64;
         driver.metrics.count("relay.told_bytes", bytes);
         results.get().set_age_ms(age_ms(driver));
@@ -92,7 +93,7 @@
     ) -> Result<(), capnp::Error> {
         let driver = &self.driver;
         let pieces =
-            wire::read_pieces(driver.now(), params.get()?.get_pieces()?).map_err(failed)?;
+            wire::read_pieces(driver.now(), params.get()?.get_pieces()?).map_err(to_capnp_error)?;
         let ticket = driver.peers.next_ticket.get();
         driver.peers.next_ticket.set(ticket + 1);
         let (tx, rx) = oneshot::channel();
@@ -103,9 +104,9 @@
             tracing::info!(event = "take_over", id, ticket, stage, count);
         }
         driver.feed(|machine, now| machine.on_handover(now, ticket, pieces));
-        let made = rx.await.map_err(failed)?;
+        let produced = rx.await.map_err(to_capnp_error)?;
         drop(guard);
-        wire::write_results(&made, results.get().init_results(made.len() as u32));
+        wire::write_results(&produced, results.get().init_results(produced.len() as u32));
         Ok(())
     }
 
@@ -115,9 +116,9 @@
         _results: relay::FreeResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let handles = wire::read_handles(params.get_handles()?).map_err(failed)?;
-        let is_spare = params.get_is_spare();
-        self.driver.feed(|machine, _| match is_spare {
+        let handles = wire::read_handles(params.get_handles()?).map_err(to_capnp_error)?;
+        let is_evictable = params.get_is_spare();
+        self.driver.feed(|machine, _| match is_evictable {
             true => machine.mark_evictable(handles),
             false => machine.free_at_endpoints(handles),
         });
@@ -129,8 +130,8 @@
         params: relay::PlaceParams,
         mut results: relay::PlaceResults,
     ) -> Result<(), capnp::Error> {
-        let question = wire::read_question(params.get()?.get_question()?).map_err(failed)?;
-        let placement = self.driver.feed(|machine, now| machine.place_prompt(now, &question));
+        let request = wire::read_question(params.get()?.get_question()?).map_err(to_capnp_error)?;
+        let placement = self.driver.feed(|machine, now| machine.place_prompt(now, &request));
         if let Some(placement) = placement {
             wire::write_placement(&placement, results.get().init_placement());
         }
@@ -144,9 +145,9 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let progress = params.get_progress()?.iter().map(wire::read_progress);
-        let progress = progress.collect::<Result<Vec<_>, _>>().map_err(failed)?;
-        let notices = wire::read_notices(params.get_notices()?).map_err(failed)?;
-        let from = wire::read_name(params.get_from()?).map_err(failed)?;
+        let progress = progress.collect::<Result<Vec<_>, _>>().map_err(to_capnp_error)?;
+        let notices = wire::read_notices(params.get_notices()?).map_err(to_capnp_error)?;
+        let from = wire::read_name(params.get_from()?).map_err(to_capnp_error)?;
         self.driver.feed(|machine, now| {
             machine.on_peer_notices(now, &from, &notices);
             for one in progress {
@@ -173,7 +174,7 @@
         _results: relay::AccuseResults,
     ) -> Result<(), capnp::Error> {
         let crashes = params.get()?.get_crashes()?.iter().map(wire::read_crash);
-        let crashes = crashes.collect::<Result<Vec<_>, _>>().map_err(failed)?;
+        let crashes = crashes.collect::<Result<Vec<_>, _>>().map_err(to_capnp_error)?;
         self.driver.feed(|machine, now| {
             for crash in &crashes {
                 machine.on_crash(now, crash);
@@ -233,8 +234,8 @@
     }
 }
 
-/// A peer's pieces that are being made here. Dropped when the peer does not
-/// want them any more.
+/// Pieces handed over by a peer that are running here. Dropping it before the results are
+/// returned, as when the peer cancels its call, recalls them.
 struct Ticket {
     driver: Rc<Driver>,
     ticket: u64,
@@ -249,12 +250,12 @@
     }
 }
 
-/// How long ago the tables were compared with the store.
+/// Age of the tables in milliseconds, `u32::MAX` if they were never compared with the store.
 fn age_ms(driver: &Driver) -> u32 {
     let age = driver.peers.tables.age(driver.now()).unwrap_or(Duration::MAX);
     u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn failed(error: impl ToString) -> capnp::Error {
+fn to_capnp_error(error: impl ToString) -> capnp::Error {
     capnp::Error::failed(error.to_string())
 }
--- a/crates/relay/src/peers/verdicts.rs
+++ b/crates/relay/src/peers/verdicts.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of contents that crash what runs them.
+//! Messages between instances about contents that crash the endpoints that run them.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -14,51 +14,52 @@
     peers::{EXCHANGE_TIMEOUT, Peers},
 };
 
-/// Time for all peers to say whether they had a content answered. One that does not
-/// say so in time, since it is gone or paused, counts as not having had it: every
-/// moment more is one in which an endpoint may end.
-const CONSULT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time limit for peers to report whether an endpoint answered a content. A peer that does
+/// not reply in time, since it has stopped or is suspended, counts as not having had an
+/// answer: in any longer wait another endpoint may crash.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Peers {
-    /// Tells a keeper of contents of their crashes. There is another keeper, so what
-    /// does not arrive is not told again.
+    /// Reports crashes to a collector of their contents. There is a second collector, so a
+    /// failed report is not retried.
     pub fn report_crashes(&self, driver: &Rc<Driver>, peer: InstanceName, crashes: Vec<Crash>) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
-            if let Err(error) = accuse(&driver, &peer, &crashes).await {
+            if let Err(error) = send_crashes(&driver, &peer, &crashes).await {
                 driver.metrics.count("relay.accusations_failed", 1);
                 tracing::info!(event = "accuse_failed", peer = &*peer, error = %error);
             }
         });
     }
 
-    /// Asks all peers whether they had a content answered since a time.
+    /// Queries all peers whether a content was answered there since a time, and passes the
+    /// result to the machine.
     pub fn query_answered(&self, driver: &Rc<Driver>, content: Fingerprint, since: Duration) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
             let age = driver.now().saturating_sub(since);
-            let asked = driver.peers.reachable(&driver).into_iter();
-            let asked = asked.map(|addr| was_answered(&driver, addr, content, age));
-            let answers = future::join_all(asked).await;
+            let queries = driver.peers.reachable(&driver).into_iter();
+            let queries = queries.map(|addr| was_answered(&driver, addr, content, age));
+            let answers = future::join_all(queries).await;
             let was_answered = answers.contains(&true);
             driver.feed(|machine, now| machine.on_query_result(now, content, was_answered));
         });
     }
 
-    /// Tells all peers that a content is held back. Whoever does not hear it reads it
-    /// in the platform's table.
+    /// Announces to all peers that a content is quarantined. A peer that does not receive
+    /// this reads it from the platform's quarantine table.
     pub fn announce_quarantine(&self, driver: &Rc<Driver>, content: Fingerprint, crashes: u32) {
         for addr in self.reachable(driver) {
             let driver = driver.clone();
             ntex::rt::spawn(async move {
-                if let Err(error) = tell(&driver, &addr, content, crashes).await {
+                if let Err(error) = send_quarantine(&driver, &addr, content, crashes).await {
                     tracing::info!(event = "quarantine_untold", %content, addr = &*addr, error = %error);
                 }
             });
         }
     }
 
-    /// The addresses of all peers that are not known to be dead.
+    /// The addresses of all peers that are considered alive.
     fn reachable(&self, driver: &Driver) -> Vec<Arc<str>> {
         let members = self.members.borrow();
         let alive = members.alive(driver.now()).into_iter();
@@ -66,7 +67,7 @@
     }
 }
 
-async fn accuse(driver: &Rc<Driver>, peer: &str, crashes: &[Crash]) -> Result<(), Error> {
+async fn send_crashes(driver: &Rc<Driver>, peer: &str, crashes: &[Crash]) -> Result<(), Error> {
     let addr = driver.peers.members.borrow().addr(peer).ok_or(Error::TimedOut)?;
     let exchange = async |client: relay::Client| {
         let mut request = client.accuse_request();
@@ -89,12 +90,12 @@
         request.get().set_age_ms(wire::write_age(age));
         Ok(request.send().promise.await?.get()?.get_was_answered())
     };
-    // A slow answer is no reason to close the connection, as with placements.
-    let asked = driver.peers.links.exchange(&addr, EXCHANGE_TIMEOUT, exchange);
-    matches!(tokio::time::timeout(CONSULT_TIMEOUT, asked).await, Ok(Ok(true)))
+    // As with placements, a slow reply must not close the connection.
+    let query = driver.peers.links.exchange(&addr, EXCHANGE_TIMEOUT, exchange);
+    matches!(tokio::time::timeout(QUERY_TIMEOUT, query).await, Ok(Ok(true)))
 }
 
-async fn tell(
+async fn send_quarantine(
     driver: &Rc<Driver>,
     addr: &Arc<str>,
     content: Fingerprint,
--- a/crates/relay/src/peers/versions.rs
+++ b/crates/relay/src/peers/versions.rs
@@ -1,9 +1,10 @@
-//! A newer configuration than the platform's table tells of.
+//! Configurations newer than the platform's table has.
 //!
-//! A version never goes back. Where the platform has lost one and nobody has written
-//! it again yet, an instance that has just started reads an older one, though its
-//! peers serve by the newer. Each says its version with every message, so whoever
-//! hears of a newer one that no table will bring asks for it, in slices.
+//! The version in force never decreases. If the platform has lost the newest version and
+//! nobody has written it again yet, an instance that has just started reads an older one,
+//! while its peers use the newer one. Each gossip message carries the sender's version, so
+//! an instance that receives a newer one, which no table will bring, requests it from
+//! that peer, in slices.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,63 +24,64 @@
     tables::{self, PORTION_BYTES},
 };
 
-/// Pause before a version that could not be had, or not be used, is asked for again.
-const PAUSE: Duration = Duration::from_secs(2);
+/// Delay before a newer version is requested again, if it could not be fetched or used.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The configuration in force, and who has a newer one.
+/// The configuration in force, and a peer that has a newer one.
 #[derive(Debug, Default)]
 pub struct Versions {
-    /// As it was written.
+    /// Record of the configuration in force, as it was written.
     in_force: RefCell<Option<Record>>,
-    newer: RefCell<Option<Newer>>,
-    asked: Cell<Option<Duration>>,
+    newer: RefCell<Option<NewerVersion>>,
+    asked_at: Cell<Option<Duration>>,
 }
 
 #[derive(Debug)]
-struct Newer {
+struct NewerVersion {
     addr: Arc<str>,
     version: u64,
 }
 
-/// A slice of a configuration.
+/// A slice of the record of a configuration.
 pub struct ConfigSlice {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// The key of its record.
+    /// Key of its record.
     pub key: Arc<str>,
-    /// Bytes of the whole.
+    /// Size of the whole value, in bytes.
     pub size: u64,
-    /// The slice.
+    /// The bytes of this slice.
     pub bytes: Bytes,
 }
 
 impl Versions {
-    /// This one is in force now.
+    /// Stores the record of the configuration that is now in force.
     pub fn set(&self, record: Record) {
         *self.in_force.borrow_mut() = Some(record);
     }
 }
 
-/// Takes in which version a peer has whose tables are so far.
+/// Notes the version of a peer whose tables are at these positions, if it is newer. If this
+/// instance's configuration table is behind the peer's, the table will bring it instead.
 pub fn note_version(driver: &Driver, addr: &Arc<str>, positions: &[Position], version: u64) {
-    let is_told_by_table = learn::lacks_config(driver, positions);
-    if version > own_version(driver) && !is_told_by_table {
-        let newer = Newer { addr: addr.clone(), version };
+    let is_table_behind = learn::lacks_config(driver, positions);
+    if version > own_version(driver) && !is_table_behind {
+        let newer = NewerVersion { addr: addr.clone(), version };
         *driver.peers.versions.newer.borrow_mut() = Some(newer);
     }
 }
 
-/// Asks for the version that was heard of, unless it has come meanwhile.
+/// Fetches the newer version noted last, unless it has arrived in the meantime.
 pub async fn catch_up(driver: &Rc<Driver>) {
     let versions = &driver.peers.versions;
     let newer = versions.newer.borrow_mut().take();
-    let Some(Newer { addr, version }) = newer else { return };
+    let Some(NewerVersion { addr, version }) = newer else { return };
     let now = driver.now();
-    let was_asked = versions.asked.get().is_some_and(|at| now < at + PAUSE);
+    let was_asked = versions.asked_at.get().is_some_and(|at| now < at + RETRY_DELAY);
     if was_asked || version <= own_version(driver) {
         return;
     }
-    versions.asked.set(Some(now));
+    versions.asked_at.set(Some(now));
     match fetch(driver, &addr).await {
         Ok(Some(record)) => {
             driver.metrics.count("relay.versions_heard", 1);
@@ -93,7 +95,8 @@
     }
 }
 
-/// What a peer is told that has this much of the configuration in force.
+/// The slice of the configuration in force that starts at byte `at`; `None` behind its end,
+/// or if there is no configuration.
 pub fn read_slice(driver: &Driver, at: u64) -> Option<ConfigSlice> {
     let record = driver.peers.versions.in_force.borrow();
     let (key, value) = record.as_ref().and_then(|it| Some((it.key.clone(), it.value.as_ref()?)))?;
@@ -106,12 +109,13 @@
     driver.inspect(|machine| machine.config().map_or(0, |config| config.version))
 }
 
-/// The whole record; `None` if the peer has none, or has got another one meanwhile.
+/// Fetches the whole record from a peer; `None` if the peer has none, or its version
+/// changed in between.
 async fn fetch(driver: &Driver, addr: &Arc<str>) -> Result<Option<Record>, Error> {
     let mut value = BytesMut::new();
     let mut first = None;
     loop {
-        let slice = ask(driver, addr, value.len()).await?;
+        let slice = request_slice(driver, addr, value.len()).await?;
         let Some(ConfigSlice { version, key, size, bytes }) = slice else { return Ok(None) };
         if *first.get_or_insert(version) != version || bytes.is_empty() {
             return Ok(None);
@@ -123,7 +127,11 @@
     }
 }
 
-async fn ask(driver: &Driver, addr: &Arc<str>, at: usize) -> Result<Option<ConfigSlice>, Error> {
+async fn request_slice(
+    driver: &Driver,
+    addr: &Arc<str>,
+    at: usize,
+) -> Result<Option<ConfigSlice>, Error> {
     let exchange = async |client: relay::Client| {
         let mut request = client.config_request();
         request.get().set_at(at as u64);
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -1,4 +1,4 @@
-//! Work that peers do for this instance: pieces, placements, results given up.
+//! Work that peers do for this instance: running pieces, placing prompts, freeing results.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,18 +20,18 @@
     peers::{self, EXCHANGE_TIMEOUT, Peers},
 };
 
-/// Time for a peer to say that it still works.
+/// Time limit for a peer to answer a ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause between two such questions while pieces are with a peer.
-const PING_PAUSE: Duration = Duration::from_millis(300);
-/// Longest time that pieces stay with a peer.
+/// Interval of pings while a peer runs pieces of this instance.
+const PING_INTERVAL: Duration = Duration::from_millis(300);
+/// Time limit for a peer to run the pieces handed over to it.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time for a peer to say where a call should go: some way over the slowest
-/// way there and back within a region, and little against any objective.
-const PLACE_TIMEOUT: Duration = Duration::from_millis(80);
+/// Time limit of a placement request: somewhat above the longest round trip within a
+/// region, and short compared with any latency objective.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(80);
 
 impl Peers {
-    /// Hands pieces to a peer.
+    /// Hands pieces over to a peer, and passes its results to the machine.
     pub fn hand_over(
         &self,
         driver: &Rc<Driver>,
@@ -43,7 +43,7 @@
         self.handovers.borrow_mut().insert(key, abort);
         let driver = driver.clone();
         let task = async move {
-            let made = make(&driver, &peer, &pieces).await;
+            let made = run_pieces(&driver, &peer, &pieces).await;
             driver.peers.handovers.borrow_mut().remove(key);
             let results = match made {
                 Ok(results) if results.len() == pieces.len() => Some(results),
@@ -61,18 +61,18 @@
         ntex::rt::spawn(Abortable::new(task, registration));
     }
 
-    /// Asks a peer where an exchange's call should go.
+    /// Requests from a peer, the placer, which endpoint an exchange's call should go to.
     pub fn request_placement(
         &self,
         driver: &Rc<Driver>,
         key: ExchangeKey,
         peer: InstanceName,
-        question: PlacementRequest,
+        request: PlacementRequest,
     ) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
-            let asked = driver.now();
-            let placement = match place(&driver, &peer, &question).await {
+            let started = driver.now();
+            let placement = match place(&driver, &peer, &request).await {
                 Ok(placement) => placement,
                 Err(error) => {
                     driver.metrics.count("relay.placements_failed", 1);
@@ -81,13 +81,13 @@
                     None
                 }
             };
-            driver.metrics.time("relay.placement", driver.now().saturating_sub(asked));
+            driver.metrics.time("relay.placement", driver.now().saturating_sub(started));
             driver.feed(|machine, now| machine.on_placement(now, key, &peer, placement));
         });
     }
 
-    /// Tells a placer how the calls go on that it placed. What does not arrive is
-    /// not told again: the placer forgets calls of which it hears nothing.
+    /// Reports to a placer the progress of the calls that it placed. A failed report is not
+    /// retried, since the placer expires calls without reports.
     pub fn report_progress(
         &self,
         driver: &Rc<Driver>,
@@ -104,8 +104,8 @@
         });
     }
 
-    /// Tells a peer that pieces wait at a service. What does not arrive is told
-    /// anew in a moment.
+    /// Notifies a peer that pieces are queued for a service. A failed notification is not
+    /// retried, since the next one follows shortly.
     pub fn announce_queue(&self, driver: &Rc<Driver>, peer: InstanceName, service: ServiceName) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
@@ -116,41 +116,41 @@
         });
     }
 
-    /// Takes pieces back from a peer.
+    /// Recalls pieces from a peer by cancelling the call.
     pub fn recall(&self, key: HandoverKey) {
         if let Some(task) = self.handovers.borrow_mut().remove(key) {
             task.abort();
         }
     }
 
-    /// Has a peer give results up; does it itself if that fails. Those that are
-    /// only spare are held until they are given up for good then.
+    /// Has a peer free results, or mark them as evictable. If that fails, this instance frees
+    /// them itself; evictable ones are kept until they are freed for good.
     pub fn free_via_peer(
         &self,
         driver: &Rc<Driver>,
         peer: InstanceName,
         handles: Vec<Handle>,
-        is_spare: bool,
+        is_evictable: bool,
     ) {
         let driver = driver.clone();
         ntex::rt::spawn(async move {
-            if free(&driver, &peer, &handles, is_spare).await.is_err() && !is_spare {
+            if free(&driver, &peer, &handles, is_evictable).await.is_err() && !is_evictable {
                 driver.feed(|machine, _| machine.free_at_endpoints(handles));
             }
         });
     }
 
-    /// Gives a peer its results.
+    /// Returns the results of pieces to the peer that handed them over.
     pub fn return_results(&self, ticket: u64, results: Vec<PieceResult>) {
         if let Some(waiting) = self.tickets.borrow_mut().remove(&ticket) {
-            // A peer that has gone does not need them.
+            // The peer may have cancelled its call.
             waiting.send(results).ok();
         }
     }
 }
 
-/// Has a peer make pieces, and watches that it still works.
-async fn make(
+/// Has a peer run pieces, and pings it until it returns the results.
+async fn run_pieces(
     driver: &Rc<Driver>,
     peer: &str,
     pieces: &[Piece],
@@ -162,7 +162,7 @@
         wire::write_pieces(driver.now(), pieces, list);
         let mut made = request.send().promise;
         loop {
-            let pause = Box::pin(tokio::time::sleep(PING_PAUSE));
+            let pause = Box::pin(tokio::time::sleep(PING_INTERVAL));
             match future::select(made, pause).await {
                 Either::Left((response, _)) => {
                     return Ok(wire::read_results(response?.get()?.get_results()?)?);
@@ -179,12 +179,12 @@
     driver: &Rc<Driver>,
     peer: &str,
     handles: &[Handle],
-    is_spare: bool,
+    is_evictable: bool,
 ) -> Result<(), Error> {
     let addr = driver.peers.members.borrow().addr(peer).ok_or(Error::TimedOut)?;
     let exchange = async |client: relay::Client| {
         let mut request = client.free_request();
-        request.get().set_is_spare(is_spare);
+        request.get().set_is_spare(is_evictable);
         let mut list = request.get().init_handles(handles.len() as u32);
         for (idx, handle) in (0..).zip(handles) {
             list.set(idx, &**handle);
@@ -198,19 +198,19 @@
 async fn place(
     driver: &Rc<Driver>,
     peer: &str,
-    question: &PlacementRequest,
+    placement_request: &PlacementRequest,
 ) -> Result<Option<Placement>, Error> {
     let addr = driver.peers.members.borrow().addr(peer).ok_or(Error::TimedOut)?;
     let exchange = async |client: relay::Client| {
         let mut request = client.place_request();
-        wire::write_question(question, request.get().init_question());
+        wire::write_question(placement_request, request.get().init_question());
         let response = request.send().promise.await?;
         Ok(wire::read_placement(response.get()?.get_placement()?)?)
     };
-    // A slow answer is no reason to close the connection: pieces that were
-    // handed over on it are still being made.
-    let asked = driver.peers.links.exchange(&addr, EXCHANGE_TIMEOUT, exchange);
-    tokio::time::timeout(PLACE_TIMEOUT, asked).await.unwrap_or(Err(Error::TimedOut))
+    // A slow reply must not close the connection, since pieces handed over on it may still
+    // be running.
+    let placement = driver.peers.links.exchange(&addr, EXCHANGE_TIMEOUT, exchange);
+    tokio::time::timeout(PLACEMENT_TIMEOUT, placement).await.unwrap_or(Err(Error::TimedOut))
 }
 
 async fn report(
