--- a/crates/relay/src/dialect/names.rs
+++ b/crates/relay/src/dialect/names.rs
@@ -88,7 +88,7 @@
             team,
             endpoint,
             resume,
-            not_run: unrun,
+            not_run,
             load,
             seal,
             rank,
@@ -101,7 +101,7 @@
             cold,
             limit,
             leaving,
-            extra: free,
+            extra,
             reserved,
         } = self;
         let rule = |name, setter, is_forwarded| HeaderRule { name, setter, is_forwarded };
@@ -113,7 +113,7 @@
             rule(endpoint, Setter::Relay, false),
             rule(resume, Setter::Relay, false),
             // Replies only: whether a request ran and the load concern the relay alone.
-            rule(unrun, Setter::Nobody, false),
+            rule(not_run, Setter::Nobody, false),
             rule(load, Setter::Nobody, false),
             rule(seal, Setter::Nobody, true),
             rule(rank, Setter::Relay, false),
@@ -127,9 +127,9 @@
             rule(limit, Setter::Nobody, false),
             rule(leaving, Setter::Nobody, false),
         ];
-        let free = free.iter().map(move |name| rule(name, Setter::Caller, true));
+        let extra = extra.iter().map(move |name| rule(name, Setter::Caller, true));
         let reserved = reserved.iter().map(move |name| rule(name, Setter::Nobody, false));
-        known.into_iter().chain(free).chain(reserved)
+        known.into_iter().chain(extra).chain(reserved)
     }
 
     /// Removes the headers that a caller may not set.
--- a/crates/relay/src/driver.rs
+++ b/crates/relay/src/driver.rs
@@ -47,7 +47,7 @@
 const SERVE_AFTER_STOP: Duration = Duration::from_millis(2900);
 
 /// Gossip wakes the event loop every 400 ms. If it was idle for five times as long,
-/// the process was stopped or its machine suspended.
+/// the process was stopped or its host suspended.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_secs(2);
 /// How long requests wait for the tables to be read after a suspension: the time of
 /// two reads.
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -53,7 +53,7 @@
             continue;
         }
         wait_for_readers(&driver, name).await;
-        let asked = driver.now();
+        let started = driver.now();
         match step(&driver, name).await {
             Ok(()) => {
                 if failures > 0 {
@@ -67,7 +67,7 @@
             }
             Err(error) => {
                 driver.metrics.count("relay.store_failed", 1);
-                let took_ms = driver.now().saturating_sub(asked).as_millis() as u64;
+                let took_ms = driver.now().saturating_sub(started).as_millis() as u64;
                 let table = name.name();
                 match failures {
                     0 => tracing::warn!(event = "store_lost", table, took_ms, error = %error),
@@ -175,11 +175,11 @@
 ) -> Result<(), StoreError> {
     let tables = &driver.peers.tables;
     driver.metrics.count("relay.store_reads", 1);
-    let asked = driver.now();
+    let started = driver.now();
     let read = (driver.platform.store.read)(name, from.offset, wait);
     match with_timeout(wait, read).await? {
         Read::Records { records, end, has_more, timeline } => {
-            record_read(driver, name, &records, asked);
+            record_read(driver, name, &records, started);
             if timeline.is_some_and(|timeline| timeline < from.timeline) {
                 return Err(outdated(driver, name, timeline));
             }
@@ -190,7 +190,7 @@
             }
             let changed = tables.apply_changes(name, records, end);
             if !has_more {
-                tables.mark_compared(name, asked);
+                tables.mark_compared(name, started);
             }
             tables::apply(driver, name, "store", changed);
             Ok(())
@@ -208,7 +208,7 @@
 /// log is then followed from where it ended at the first page; that position is
 /// returned.
 async fn read_whole(driver: &Rc<Driver>, name: TableName) -> Result<Position, StoreError> {
-    let asked = driver.now();
+    let started = driver.now();
     let tables = &driver.peers.tables;
     let first = read_page(driver, name, None).await?;
     let Page { mut records, next_after: mut after, end: offset, timeline } = first;
@@ -220,16 +220,16 @@
         records.extend(page.records);
         after = page.next_after;
     }
-    record_read(driver, name, &records, asked);
-    let known = tables.position(name);
-    let end = Position { timeline: timeline.unwrap_or(known.timeline), offset };
-    if end.timeline < known.timeline || later_timeline(driver, name) > Some(end.timeline) {
+    record_read(driver, name, &records, started);
+    let previous = tables.position(name);
+    let end = Position { timeline: timeline.unwrap_or(previous.timeline), offset };
+    if end.timeline < previous.timeline || later_timeline(driver, name) > Some(end.timeline) {
         return Err(outdated(driver, name, timeline));
     }
-    let before = (tables.is_loaded(name), known);
+    let before = (tables.is_loaded(name), previous);
     let changed = tables.apply_listing(name, records, end);
     tables::record_timeline(driver, name, "store", before);
-    tables.mark_compared(name, asked);
+    tables.mark_compared(name, started);
     tables::apply(driver, name, "store", changed);
     Ok(end)
 }
@@ -260,11 +260,11 @@
 }
 
 /// Counts the bytes that the store sent, and logs them if they are many.
-fn record_read(driver: &Driver, name: TableName, records: &[Record], asked: Duration) {
+fn record_read(driver: &Driver, name: TableName, records: &[Record], started: Duration) {
     let bytes = records.iter().map(Record::bytes).sum::<usize>() as u64;
     driver.metrics.count("relay.store_bytes", bytes);
     if bytes >= tables::MIN_LOGGED_BYTES {
-        let took_ms = driver.now().saturating_sub(asked).as_millis() as u64;
+        let took_ms = driver.now().saturating_sub(started).as_millis() as u64;
         tracing::info!(event = "store_read", table = name.name(), bytes, took_ms);
     }
 }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -75,8 +75,8 @@
             return Ok(text_response(&driver, 400, &error.to_string()));
         }
     };
-    let mut held = BodyReservation { memory, bytes: 0 };
-    let body = match read_body(&driver, &mut req, &mut held).await {
+    let mut reservation = BodyReservation { memory, bytes: 0 };
+    let body = match read_body(&driver, &mut req, &mut reservation).await {
         Ok(body) => body,
         Err(error) => return Ok(body_error(&driver, &arrival.id, &error)),
     };
@@ -91,14 +91,14 @@
     let waited = driver.wait_for_tables().await;
     let deadline = arrival.deadline.map(|deadline| deadline.saturating_sub(waited));
     let arrival = Arrival { deadline, ..arrival };
-    let mut waiter = match driver.submit(arrival, request) {
-        Ok(waiter) => waiter,
+    let mut receiver = match driver.submit(arrival, request) {
+        Ok(receiver) => receiver,
         Err(refusal) => return Ok(refusal_response(&driver, refusal, None)),
     };
-    let response = match waiter.parts.next().await {
+    let response = match receiver.parts.next().await {
         Some(ReplyPart::Whole(reply)) => whole_response(&driver, reply),
         Some(ReplyPart::Head(head)) => {
-            stream_response(&driver, head, waiter, req.io().cloned(), held)
+            stream_response(&driver, head, receiver, req.io().cloned(), reservation)
         }
         Some(ReplyPart::Refused { refusal, retry_after }) => {
             refusal_response(&driver, refusal, retry_after.map(|after| after.as_secs_f64()))
@@ -124,7 +124,7 @@
 async fn read_body(
     driver: &Driver,
     req: &mut server::Request,
-    held: &mut BodyReservation,
+    reservation: &mut BodyReservation,
 ) -> Result<Bytes, BodyError> {
     let limit = driver.inspect(|machine| machine.config().map(|config| config.limits.max_body));
     let limit = limit.unwrap_or(driver.settings.body_memory);
@@ -134,7 +134,7 @@
         if body.len() + chunk.len() > limit {
             return Err(BodyError::TooLarge);
         }
-        if !held.grow(chunk.len(), driver.settings.body_memory) {
+        if !reservation.grow(chunk.len(), driver.settings.body_memory) {
             return Err(BodyError::NoMemory);
         }
         body.extend_from_slice(&chunk);
@@ -163,26 +163,26 @@
 fn stream_response(
     driver: &Driver,
     head: Reply,
-    waiter: ReplyReceiver,
+    receiver: ReplyReceiver,
     io: Option<IoRef>,
-    held: BodyReservation,
+    reservation: BodyReservation,
 ) -> Response {
-    response_with_head(driver, &head).streaming(Box::pin(events(waiter, io, held)))
+    response_with_head(driver, &head).streaming(Box::pin(events(receiver, io, reservation)))
 }
 
 /// A stream's events, until it ends or the caller disconnects.
 fn events(
-    waiter: ReplyReceiver,
+    receiver: ReplyReceiver,
     io: Option<IoRef>,
-    held: BodyReservation,
+    reservation: BodyReservation,
 ) -> impl Stream<Item = Result<ntex::util::Bytes, io::Error>> {
-    let state = Some((waiter, io, held));
+    let state = Some((receiver, io, reservation));
     futures::stream::unfold(state, async |state| {
-        let (mut waiter, io, held) = state?;
-        match next_part(&mut waiter, io.as_ref()).await {
+        let (mut receiver, io, reservation) = state?;
+        match next_part(&mut receiver, io.as_ref()).await {
             Some(ReplyPart::Event(bytes)) => {
                 let bytes = ntex::util::Bytes::copy_from_slice(&bytes);
-                Some((Ok(bytes), Some((waiter, io, held))))
+                Some((Ok(bytes), Some((receiver, io, reservation))))
             }
             Some(ReplyPart::End) => None,
             _ => Some((Err(abort_stream(io.as_ref()).await), None)),
@@ -204,10 +204,10 @@
 
 /// The next part; `None` if the caller has disconnected. The server itself checks the
 /// connection only when it has something to send.
-async fn next_part(waiter: &mut ReplyReceiver, io: Option<&IoRef>) -> Option<ReplyPart> {
-    let Some(io) = io else { return waiter.parts.next().await };
-    let gone = io.on_disconnect();
-    match futures::future::select(waiter.parts.next(), gone).await {
+async fn next_part(receiver: &mut ReplyReceiver, io: Option<&IoRef>) -> Option<ReplyPart> {
+    let Some(io) = io else { return receiver.parts.next().await };
+    let disconnected = io.on_disconnect();
+    match futures::future::select(receiver.parts.next(), disconnected).await {
         Either::Left((part, _)) => part,
         Either::Right(_) => None,
     }
--- a/crates/relay/src/native.rs
+++ b/crates/relay/src/native.rs
@@ -103,11 +103,11 @@
             // How much memory an engine keeps free, and from whose memory it continues a run.
             reserved: vec![name("peatdeck-hold"), name("peatdeck-from")],
         },
-        encode_pieces: encode_pieces,
-        decode_results: decode_results,
-        encode_free: encode_free,
+        encode_pieces,
+        decode_results,
+        encode_free,
         parts_path: "/v1/parts",
-        decode_parts: decode_parts,
+        decode_parts,
     }
 }
 
@@ -124,8 +124,8 @@
 }
 
 fn decode_results(body: &[u8]) -> Option<Vec<PieceResult>> {
-    let made: ResultsBody = serde_json::from_slice(body).ok()?;
-    Some(made.results.into_iter().map(result).collect())
+    let reply: ResultsBody = serde_json::from_slice(body).ok()?;
+    Some(reply.results.into_iter().map(result).collect())
 }
 
 fn encode_free(handles: &[Handle]) -> PostRequest {
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -139,21 +139,21 @@
 
 /// Requests portions from a peer until it has no more to send.
 async fn learn_from(driver: &Rc<Driver>, source_peer: &Source) {
-    let begun = driver.now();
+    let started = driver.now();
     let source = source_peer.name.as_deref().unwrap_or(&source_peer.addr);
     let mut bytes = 0;
     let result = loop {
         match step(driver, source_peer, source).await {
-            Ok(Step { bytes: came, has_more }) => {
-                bytes += came;
-                if !has_more || came == 0 {
+            Ok(Step { bytes: received, has_more }) => {
+                bytes += received;
+                if !has_more || received == 0 {
                     break Ok(());
                 }
             }
             Err(error) => break Err(error),
         }
     };
-    let took_ms = driver.now().saturating_sub(begun).as_millis() as u64;
+    let took_ms = driver.now().saturating_sub(started).as_millis() as u64;
     if bytes >= MIN_LOGGED_BYTES {
         tracing::info!(event = "tables_heard", peer = source, bytes, took_ms);
     }
--- a/crates/relay/src/peers/versions.rs
+++ b/crates/relay/src/peers/versions.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// The slice of the configuration in force that starts at byte `at`; `None` behind its end,
+/// The slice of the configuration in force that starts at byte `at`; `None` past its end,
 /// or if there is no configuration.
 pub fn read_slice(driver: &Driver, at: u64) -> Option<ConfigSlice> {
     let record = driver.peers.versions.in_force.borrow();
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -43,9 +43,9 @@
         self.handovers.borrow_mut().insert(key, abort);
         let driver = driver.clone();
         let task = async move {
-            let made = run_pieces(&driver, &peer, &pieces).await;
+            let outcome = run_pieces(&driver, &peer, &pieces).await;
             driver.peers.handovers.borrow_mut().remove(key);
-            let results = match made {
+            let results = match outcome {
                 Ok(results) if results.len() == pieces.len() => Some(results),
                 Ok(_) => None,
                 Err(error) => {
@@ -160,14 +160,14 @@
         let mut request = client.make_request();
         let list = request.get().init_pieces(pieces.len() as u32);
         wire::write_pieces(driver.now(), pieces, list);
-        let mut made = request.send().promise;
+        let mut reply = request.send().promise;
         loop {
             let pause = Box::pin(tokio::time::sleep(PING_INTERVAL));
-            match future::select(made, pause).await {
+            match future::select(reply, pause).await {
                 Either::Left((response, _)) => {
                     return Ok(wire::read_results(response?.get()?.get_results()?)?);
                 }
-                Either::Right((_, unfinished)) => made = unfinished,
+                Either::Right((_, unfinished)) => reply = unfinished,
             }
             ping(&client).await?;
         }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -175,7 +175,7 @@
             let sender = &mut lease.connection.sender;
             if sender.ready().await.is_err() {
                 if is_fresh {
-                    return Err(unsent(addr, "closed as soon as it was made"));
+                    return Err(unsent(addr, "closed as soon as it was opened"));
                 }
                 continue;
             }
--- a/crates/relay/src/repair.rs
+++ b/crates/relay/src/repair.rs
@@ -128,8 +128,8 @@
     let table = TableName::Quarantine;
     let Some(since) = driver.peers.tables.renewed_at(table) else { return };
     for record in driver.peers.tables.carried_over(table) {
-        let due = since + FIRST_WRITER_DELAY + NEXT_WRITER_DELAY * rank(driver, &record.key);
-        if driver.now() < due {
+        let write_at = since + FIRST_WRITER_DELAY + NEXT_WRITER_DELAY * rank(driver, &record.key);
+        if driver.now() < write_at {
             continue;
         }
         let Record { key, value, .. } = record;
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -131,10 +131,10 @@
         policy::load(path)?;
     }
     let listeners = Listeners::bind(&settings)?;
-    let (told, signals) = mpsc::unbounded();
-    watch(SignalKind::terminate(), Control::Stop, &told)?;
-    watch(SignalKind::interrupt(), Control::Stop, &told)?;
-    watch(SignalKind::hangup(), Control::Reload, &told)?;
+    let (sender, signals) = mpsc::unbounded();
+    watch(SignalKind::terminate(), Control::Stop, &sender)?;
+    watch(SignalKind::interrupt(), Control::Stop, &sender)?;
+    watch(SignalKind::hangup(), Control::Reload, &sender)?;
     log_start(&settings);
     run_on(listeners, settings, signals, platform, SystemClock::shared).await
 }
@@ -202,7 +202,7 @@
         .config("metrics", config)
         .run();
 
-    on_exit.await.map_err(|_| miette!("the event loop ended before it was told to stop"))?;
+    on_exit.await.map_err(|_| miette!("the event loop ended without a signal to stop"))?;
     if tokio::time::timeout(SHUTDOWN_TIMEOUT, server.stop(false)).await.is_err() {
         tracing::warn!(event = "shutdown_cut", limit_ms = SHUTDOWN_TIMEOUT.as_millis() as u64);
     }
@@ -266,8 +266,8 @@
     mut signals: mpsc::UnboundedReceiver<Control>,
     exited: oneshot::Sender<()>,
 ) {
-    while let Some(told) = signals.next().await {
-        match told {
+    while let Some(control) = signals.next().await {
+        match control {
             Control::Reload => {
                 tracing::info!(event = "reload");
                 load_policy(&driver);
@@ -281,7 +281,7 @@
     drain(&driver).await;
     driver.feed(Relay::end_all_exchanges);
     tokio::time::sleep(FLUSH_TIME).await;
-    // The receiver lives for as long as the process runs.
+    // The receiver exists for as long as the process runs.
     exited.send(()).ok();
 }
 
@@ -332,18 +332,18 @@
 
 fn watch(
     kind: SignalKind,
-    told: Control,
+    control: Control,
     to: &mpsc::UnboundedSender<Control>,
 ) -> miette::Result<()> {
     let signals = signal(kind).into_diagnostic().wrap_err("cannot install a signal handler")?;
-    ntex::rt::spawn(forward(signals, told, to.clone()));
+    ntex::rt::spawn(forward(signals, control, to.clone()));
     Ok(())
 }
 
-async fn forward(mut signals: Signal, told: Control, to: mpsc::UnboundedSender<Control>) {
+async fn forward(mut signals: Signal, control: Control, to: mpsc::UnboundedSender<Control>) {
     while signals.recv().await.is_some() {
         // The event loop receives them for as long as the process runs.
-        to.unbounded_send(told).ok();
+        to.unbounded_send(control).ok();
     }
 }
 
