--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -75,6 +75,7 @@
     rng: SmallRng,
     config_reader: config_log::ConfigReader,
     plan: Option<Rc<Plan>>,
+    /// Why the version in force cannot be used; `None` if it can.
     plan_error: Option<Arc<str>>,
     claims: claims::Claims,
     members: membership::Members,
@@ -82,6 +83,7 @@
     requests: SlotMap<RequestKey, ActiveRequest>,
     calls: SlotMap<CallKey, CallInFlight>,
     callers: HashMap<CallerId, RequestKey>,
+    /// Active non-idempotent requests by their id.
     claimants: HashMap<RequestId, RequestKey>,
     probes: HashMap<PipelineName, ProbePacer>,
     teams: HashMap<TeamName, TeamUsage>,
--- a/crates/core/src/instance/held.rs
+++ b/crates/core/src/instance/held.rs
@@ -110,11 +110,11 @@
 
 impl StageProgress {
     /// State at the start of a stage.
-    pub fn new(stage: usize, input: Text, since: Duration) -> StageProgress {
+    pub fn new(stage: usize, input: Text, started_at: Duration) -> StageProgress {
         StageProgress {
             stage,
             input,
-            started_at: since,
+            started_at,
             attempts: 0,
             calls: Vec::new(),
             tried: Vec::new(),
--- a/crates/core/src/instance/lanes.rs
+++ b/crates/core/src/instance/lanes.rs
@@ -54,10 +54,10 @@
 }
 
 impl PoolQueues {
-    /// No queues yet. If `fair`, calls are ordered by deadline and teams get shares; otherwise it
+    /// Creates no queue yet. If `is_fair`, calls are ordered by deadline and teams get shares; otherwise it
     /// is first come, first served.
-    pub fn new(fair: bool) -> PoolQueues {
-        PoolQueues { by_pool: BTreeMap::new(), is_fair: fair }
+    pub fn new(is_fair: bool) -> PoolQueues {
+        PoolQueues { by_pool: BTreeMap::new(), is_fair }
     }
 
     /// The pools that calls wait for.
