--- a/crates/core/src/instance/lanes.rs
+++ b/crates/core/src/instance/lanes.rs
@@ -54,8 +54,8 @@
 }
 
 impl PoolQueues {
-    /// Creates no queue yet. If `is_fair`, calls are ordered by deadline and teams get shares; otherwise it
-    /// is first come, first served.
+    /// Creates no queue yet. If `is_fair`, calls are ordered by deadline and teams get shares;
+    /// otherwise it is first come, first served.
     pub fn new(is_fair: bool) -> PoolQueues {
         PoolQueues { by_pool: BTreeMap::new(), is_fair }
     }
