--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -299,7 +299,7 @@
     /// Applies a change of the directory.
     pub fn apply_change(&mut self, now: Duration, change: Change) -> ChangeEffect {
         let change = self.reject_unknown_service(change);
-        let changed = self.directory.change(now, change);
+        let changed = self.directory.apply_change(now, change);
         if let Some(EndedEndpoint { endpoint, is_planned }) = changed.ended {
             self.end_incarnation(now, endpoint, is_planned);
         }
