--- a/crates/core/src/relay/directory/endpoint.rs
+++ b/crates/core/src/relay/directory/endpoint.rs
@@ -20,7 +20,8 @@
 /// about two seconds after it, and it takes half a second until their loss is noticed.
 const MISSING_GRACE: Duration = Duration::from_millis(1500);
 /// How long an endpoint receives no calls after its calls failed.
-const FAILURE_DELAYS: Delays = Delays { initial: Duration::from_millis(400), max: Duration::from_secs(4) };
+const FAILURE_DELAYS: Delays =
+    Delays { initial: Duration::from_millis(400), max: Duration::from_secs(4) };
 /// The weight of a new response time in the moving average.
 const NEW_TIME_WEIGHT: f64 = 0.2;
 /// The time without an answer after which a slow endpoint receives a trial call. Slow
--- a/crates/core/src/relay/machine/ending.rs
+++ b/crates/core/src/relay/machine/ending.rs
@@ -12,7 +12,7 @@
 const RETRY_AFTER_SHARE: f64 = 0.3;
 /// Shortest `retry_after` that is sent; below this, none is.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// `retry_after` while no endpoint is usable: the usual time until one that failed is usable
+/// `retry_after` of other refusals: the usual time until an endpoint that failed is usable
 /// again.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// `retry_after` while queues are too long. It is not computed from the queue, since
