--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -275,7 +275,7 @@
         for order in self.batcher.plan(now, service, &config, &self.directory) {
             let endpoint = order.endpoint;
             let call = self.calls.insert(CallState {
-                exchange: CallPurpose::Pieces,
+                purpose: CallPurpose::Pieces,
                 endpoint,
                 started_at: now,
                 tokens: 0,
