--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -74,14 +74,14 @@
         if self.unresponsive_placers.get(&peer).is_some_and(|until| now < *until) {
             return false;
         }
-        let question = PlacementRequest {
+        let request = PlacementRequest {
             service: exchange.service.clone(),
             prompt: prompt.clone(),
             inputs: exchange.graph.outputs_by_data_centre(&exchange.route),
             excluded: self.excluded_engines(now, key),
         };
         self.exchanges[key].is_placement_pending = true;
-        self.actions.push(Action::RequestPlacement { exchange: key, peer, request: question });
+        self.actions.push(Action::RequestPlacement { exchange: key, peer, request });
         true
     }
 
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -121,15 +121,15 @@
 
     /// Reports runs that were cut just before the end of their endpoint's incarnation as
     /// crashes.
-    fn report_crashes(&mut self, now: Duration, endpoint: EndpointKey) {
-        let Some(life) = self.directory.get(endpoint).map(|known| known.id()) else { return };
-        let cuts = self.cut_runs.entry(endpoint).or_default();
+    fn report_crashes(&mut self, now: Duration, key: EndpointKey) {
+        let Some(endpoint) = self.directory.get(key).map(|known| known.id()) else { return };
+        let cuts = self.cut_runs.entry(key).or_default();
         cuts.gone_at = Some(now);
         let runs = std::mem::take(&mut cuts.runs);
         let recent = runs.into_iter().filter(|cut| now < cut.at + CUT_RETENTION);
         let crash = |CutRun { content, at, is_late }| Crash {
             content,
-            endpoint: life.clone(),
+            endpoint: endpoint.clone(),
             age: now.saturating_sub(at),
             is_late,
         };
@@ -138,7 +138,7 @@
             return;
         }
         self.notify_collectors(&crashes);
-        self.actions.push(Action::EndpointCrashed { endpoint: life, crashes: crashes.clone() });
+        self.actions.push(Action::EndpointCrashed { endpoint, crashes: crashes.clone() });
         for crash in &crashes {
             self.on_crash(now, crash);
         }
