--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -239,7 +239,7 @@
         self.config.as_ref()
     }
 
-    /// The endpoints that this instance knows.
+    /// The endpoints in this instance's directory.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
@@ -344,9 +344,9 @@
     }
 
     /// Makes requests with stages or prompts wait until the peers are known, or until the
-    /// given time. An instance that has just started does not know them yet. When 295
+    /// given time. An instance that has just started has no list of peers yet. When 295
     /// instances were restarted together, 173 of them sent calls for pieces themselves in the
-    /// 0.2 s before they knew each other, and 8,000 of these calls found their endpoint full.
+    /// 0.2 s before they had the list, and 8,000 of these calls found their endpoint full.
     pub fn hold_for_peers(&mut self, until: Duration) {
         self.peers_deadline = until;
     }
--- a/crates/core/src/relay/machine/intake.rs
+++ b/crates/core/src/relay/machine/intake.rs
@@ -20,7 +20,7 @@
 
 /// Weight of the newest time in the moving average, which covers about the last five.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// A service without a measured time for so long is considered idle.
+/// A service is considered idle if no time has been measured for this long.
 const IDLE_AFTER: Duration = Duration::from_secs(2);
 /// How steeply the admitted share falls, once for each rank of urgency and once more. With
 /// three times the load for 24 s and half of the callers retrying at once, 2 gave more
--- a/crates/core/src/relay/machine/placing.rs
+++ b/crates/core/src/relay/machine/placing.rs
@@ -1,11 +1,11 @@
 //! Placement of prompts: one instance chooses the engines for all.
 //!
-//! Instances that choose on their own do not know what the others have just sent. Two long
-//! prompts go to one engine while another is idle; prompt parts that one engine has read are
-//! read again by the next; and a part that no engine has read goes to the one engine that all
-//! instances agree on, however far it is from the results that the call needs. Therefore one
-//! instance, the *placer*, chooses for all: it knows which prompts each engine was given, and
-//! which parts it holds.
+//! Instances that choose on their own have no record of what the others have just sent. Two
+//! long prompts go to one engine while another is idle; prompt parts that one engine has read
+//! are read again by the next; and a part that no engine has read goes to the one engine that
+//! all instances agree on, however far it is from the results that the call needs. Therefore
+//! one instance, the *placer*, chooses for all: it records which prompts each engine was
+//! given, and which parts it holds.
 //!
 //! Like the batcher of a service, the placer is not required for progress: an instance sends
 //! it one short message for each request, and chooses on its own if it gets no answer. In
@@ -47,7 +47,7 @@
 pub(super) const INITIAL_RUN_TIME: Duration = Duration::from_millis(1500);
 /// Weight of the newest time in the moving average of that.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// An instance does not ask a placer for so long after it did not answer. After that its
+/// A placer that did not answer gets no requests of an instance for this long. After that its
 /// liveness counter shows whether it is alive.
 const AVOID_TIME: Duration = Duration::from_secs(2);
 
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Asks engines of a service which prompt parts they hold, if this instance does not
-    /// know: it has placed no prompts lately, or the engines are new. Otherwise parts that
+    /// Asks engines of a service which prompt parts they hold, if this instance has no record
+    /// of that: it has placed no prompts lately, or the engines are new. Otherwise parts that
     /// were read before a placer started would be read again.
     fn query_parts(&mut self, now: Duration, service: &str) {
         if now > self.last_placement + prompts::RETENTION {
@@ -393,8 +393,8 @@
 }
 
 /// The placer's share that a prompt belongs to, by its last shared part. A change of the
-/// number of shares moves few prompts to another placer, which does not know which engines
-/// hold their parts.
+/// number of shares moves few prompts to another placer, which has no record of the engines
+/// that hold their parts.
 fn share_of(prompt: &Prompt, shares: u64) -> u64 {
     let part = prompt.shared().last().map_or(0, |part| part.id);
     let weight = |share: &u64| xxh3::xxh3_64_with_seed(&part.to_le_bytes(), *share);
--- a/crates/core/src/relay/machine/quarantine.rs
+++ b/crates/core/src/relay/machine/quarantine.rs
@@ -145,7 +145,7 @@
     }
 
     /// Takes in a crash that this instance or a peer detected. If the content is quarantined
-    /// already, some instance does not know it, so the quarantine is announced again.
+    /// already, some instance has missed the announcement, so it is sent again.
     pub fn on_crash(&mut self, now: Duration, crash: &Crash) {
         if let Some(QuarantineEntry { crashes, .. }) = self.quarantine.get(crash.content) {
             let (content, crashes) = (crash.content, *crashes);
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -22,7 +22,7 @@
 
 /// How often the stages of an exchange are started at most.
 const MAX_ROUNDS: u8 = 2;
-/// A peer gets no pieces for so long after it did not answer a hand-over. After that its
+/// A peer that did not answer a hand-over gets no pieces for this long. After that its
 /// liveness counter shows whether it is alive.
 const AVOID_TIME: Duration = Duration::from_secs(2);
 /// How often a piece is sent at most.
