--- a/crates/core/src/relay/batch/worker.rs
+++ b/crates/core/src/relay/batch/worker.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy)]
 struct StoredResult {
     bytes: u64,
-    until: Duration,
+    expires_at: Duration,
     /// Whether every piece that needs it has probably read it.
     is_evictable: bool,
 }
@@ -51,7 +51,7 @@
 impl Worker {
     /// Free memory for further results, in bytes.
     pub fn free_bytes(&self, now: Duration, config: &Pieces) -> u64 {
-        let held = self.results.values().filter(|held| now < held.until);
+        let held = self.results.values().filter(|held| now < held.expires_at);
         let held: u64 = held.map(|held| held.bytes).sum();
         config.room.saturating_sub(held + self.reserved_bytes).saturating_sub(self.unaccounted(now))
     }
@@ -61,9 +61,9 @@
     }
 
     /// Records a result that the endpoint holds until it is freed or its lease ends.
-    pub fn add_result(&mut self, now: Duration, handle: Handle, bytes: u64, until: Duration) {
-        self.results.retain(|_, held| now < held.until);
-        self.results.insert(handle, StoredResult { bytes, until, is_evictable: false });
+    pub fn add_result(&mut self, now: Duration, handle: Handle, bytes: u64, expires_at: Duration) {
+        self.results.retain(|_, held| now < held.expires_at);
+        self.results.insert(handle, StoredResult { bytes, expires_at, is_evictable: false });
     }
 
     /// Marks those of the results that the endpoint holds as evictable.
