--- a/crates/core/src/relay/table.rs
+++ b/crates/core/src/relay/table.rs
@@ -129,10 +129,10 @@
     /// Records of an earlier timeline that stay in force until they are written again.
     /// Those without a value are removals that the new timeline lacks.
     carried_over: HashMap<Arc<str>, Record>,
-    /// The offset from which on the copy has every change. It has no removals before it.
+    /// The offset from which on the copy has every change. It has no removals from before.
     base: u64,
     end: u64,
-    is_known: bool,
+    is_loaded: bool,
     /// Large records that were replaced recently, oldest first.
     replaced: VecDeque<Record>,
 }
@@ -140,7 +140,7 @@
 impl Table {
     /// Whether the table was ever read in full.
     pub fn is_loaded(&self) -> bool {
-        self.is_known
+        self.is_loaded
     }
 
     /// The offset up to which the copy has the log.
@@ -202,7 +202,7 @@
             self.end = end;
         }
         self.base = end;
-        self.is_known = true;
+        self.is_loaded = true;
         changed
     }
 
@@ -214,7 +214,7 @@
     /// if each change restarted the transfer, a copy behind a slow link would never receive
     /// a whole record.
     pub fn read_portion(&self, request: &PortionRequest, limit: usize) -> Portion {
-        if !self.is_known {
+        if !self.is_loaded {
             return Portion::default();
         }
         if request.timeline > self.timeline {
@@ -317,7 +317,7 @@
         self.timeline = end.timeline;
         self.end = if self.carried_over.is_empty() { end.offset } else { diverged.min(end.offset) };
         self.base = self.end;
-        self.is_known = true;
+        self.is_loaded = true;
         changed
     }
 
