--- a/crates/core/src/relay/directory/endpoint.rs
+++ b/crates/core/src/relay/directory/endpoint.rs
@@ -16,10 +16,10 @@
 };
 
 /// How long an endpoint whose entry disappeared may still be used where few others are
-/// left. Entries that expired while the platform's store was unavailable return within
-/// about two seconds after it, and it takes half a second until their loss is noticed.
+/// left. Entries that expired while the platform's store was unavailable are written again
+/// within about two seconds of its return, and their loss is noticed half a second late.
 const MISSING_GRACE: Duration = Duration::from_millis(1500);
-/// How long an endpoint receives no calls after its calls failed.
+/// How long an endpoint is avoided after its calls failed.
 const FAILURE_DELAYS: Delays =
     Delays { initial: Duration::from_millis(400), max: Duration::from_secs(4) };
 /// The weight of a new response time in the moving average.
@@ -197,8 +197,8 @@
         matches!(self.state, State::Missing(since) if now < since + MISSING_GRACE)
     }
 
-    /// Whether it receives no calls because its last calls failed or were refused. After
-    /// failures, one call at a time probes whether it works again.
+    /// Whether it is avoided because its last calls failed or were refused. After failures,
+    /// one call at a time probes whether it works again.
     pub fn is_paused(&self, now: Duration) -> bool {
         let is_probed =
             || self.in_flight > 0 || self.engine.has_pending_probe(now, self.failures.until());
@@ -275,7 +275,7 @@
     pub fn record_step(&mut self, now: Duration, took: Duration, step: Step) {
         match step {
             Step::Answered(load) => self.record_answer(now, took, load),
-            Step::Refused(load) => self.refused(now, load),
+            Step::Refused(load) => self.record_refusal(now, load),
             Step::Ended => {}
             Step::Failed(failure) => drop(self.record_failure(now, failure)),
         }
@@ -283,7 +283,7 @@
 
     /// Records that it refused a call. Without a pause it would be chosen again at once,
     /// because the refusal lowers its load.
-    fn refused(&mut self, now: Duration, load: Option<Load>) {
+    fn record_refusal(&mut self, now: Duration, load: Option<Load>) {
         self.refusals.record_failure(now, backoff::REFUSAL_DELAYS);
         if let Some(load) = load {
             self.record_load(now, load);
