--- a/crates/core/src/relay/machine.rs
+++ b/crates/core/src/relay/machine.rs
@@ -1,14 +1,14 @@
-//! The relay as a state machine: what happened goes in by methods, what is to
-//! be done comes out as actions.
+//! The relay as a state machine without I/O: its methods take in events, and the event loop
+//! carries out the [`Action`]s that they queue.
 //!
-//! This module holds the state and what every part needs; `calls`, `stages`,
-//! `results` and `ending` are the parts of an exchange's life, `moves` gives calls
-//! up and makes them elsewhere, `intake` decides whether it begins, `plan` by when
-//! its stages have to be done, `queues` where pieces wait, `placing` finds engines for all instances,
-//! `quarantine` keeps requests from endpoints that end under them, `evacuation` all
-//! requests from data centres that operators have emptied, `pace` most of them from
-//! endpoints that bear few, `terms` what endpoints say of themselves,
-//! `policies` is where operators' programs decide.
+//! This module holds the state and what all submodules need. `calls`, `stages`, `results` and
+//! `ending` implement the phases of an exchange; `moves` cancels calls and retries them on
+//! other endpoints; `intake` decides whether a request is admitted; `plan` computes the
+//! deadlines of its stages; `queues` reports backlogs of pieces; `placing` chooses engines
+//! for all instances; `quarantine` stops requests that crash endpoints; `evacuation` keeps
+//! all requests away from evacuated data centres; `pace` limits the calls to endpoints that
+//! are cold or state a limit; `terms` processes what endpoints report of themselves;
+//! `policies` runs the operators' programs.
 
 mod calls;
 mod ending;
@@ -57,110 +57,112 @@
     },
 };
 
-/// Pause between two clean-ups of what is not needed any more.
-const CLEAN_UP: Duration = Duration::from_secs(5);
-/// Idle time of a caller that does not say how long it waits.
+/// Interval between two clean-ups of expired state.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
+/// Time limit of a request that states no deadline.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(600);
 
-/// How the relay works; given once at the start.
+/// Settings of the state machine, fixed at its start.
 #[data]
 pub struct Settings {
-    /// This instance.
+    /// Name of this instance.
     pub name: InstanceName,
-    /// Its data centre.
+    /// Data centre of this instance.
     pub data_centre: DataCentre,
-    /// The bound on repetition.
-    pub bound: RetryBudgetConfig,
-    /// Instances that share the bound while no more are known.
-    pub instances: usize,
-    /// Its processor's share, in thousandths of a core.
-    pub strength: u32,
+    /// The retry budget that all instances share.
+    pub retry_budget: RetryBudgetConfig,
+    /// Number of instances that share the retry budget while fewer are known.
+    pub min_instances: usize,
+    /// CPU share of this instance, in thousandths of a core.
+    pub millicores: u32,
 }
 
-/// The relay.
+/// The relay's state machine.
 pub struct Relay {
     settings: Settings,
     rng: SmallRng,
     config: Option<Arc<Config>>,
     directory: Directory,
-    memory: choice::prompts::SentParts,
+    sent_parts: choice::prompts::SentParts,
     exchanges: SlotMap<ExchangeKey, Exchange>,
     calls: SlotMap<CallKey, CallState>,
     handovers: SlotMap<HandoverKey, Handover>,
-    batches: Batcher,
+    batcher: Batcher,
     tickets: HashMap<u64, Ticket>,
-    allowances: HashMap<ServiceName, RetryBudget>,
-    /// How fast engines read.
-    speeds: HashMap<ServiceName, PrefillSpeed>,
+    retry_budgets: HashMap<ServiceName, RetryBudget>,
+    /// How fast the engines of each service read prompts.
+    prefill_speeds: HashMap<ServiceName, PrefillSpeed>,
     stage_times: intake::StageTimes,
     peers: Vec<Peer>,
     /// Peers that did not answer a hand-over, and until when they get none.
-    avoided: HashMap<InstanceName, Duration>,
-    announced: usize,
-    /// Until when requests that peers may have a part in wait for word of them.
-    peers_by: Duration,
-    /// Until when all requests wait for word of what is in force.
-    news_by: Duration,
-    /// Placers that did not answer, and until when they are not asked.
-    mute_placers: HashMap<InstanceName, Duration>,
-    /// Engines that were asked what they hold, and when this instance last
+    unresponsive_peers: HashMap<InstanceName, Duration>,
+    announced_count: usize,
+    /// Requests that need peers (for stages or prompts) wait until this time at the latest
+    /// for the list of peers.
+    peers_deadline: Duration,
+    /// All requests wait until this time at the latest for the platform's tables to be read
+    /// again.
+    tables_deadline: Duration,
+    /// Placers that did not answer, and until when this instance does not ask them.
+    unresponsive_placers: HashMap<InstanceName, Duration>,
+    /// Engines that this instance asked for the prompt parts that they hold, and when it last
     /// placed a prompt.
-    listed: HashSet<EndpointKey>,
-    placed_at: Duration,
-    /// The engines of the calls that this instance placed, by their numbers.
+    queried_engines: HashSet<EndpointKey>,
+    last_placement: Duration,
+    /// The engines of the calls that this instance placed, by the numbers of the calls.
     runs: HashMap<RunNumber, EndpointKey>,
     next_run: RunNumber,
-    /// How long calls are at engines, as a moving average.
-    run_time: Duration,
-    /// What placers are to be told, and when.
-    reports: HashMap<InstanceName, Vec<Progress>>,
-    /// Limits that go with these.
-    notices: HashMap<InstanceName, Vec<Notice>>,
+    /// Moving average of how long a call runs at an engine.
+    average_run: Duration,
+    /// Progress of calls that is to be sent to their placers at `report_at`.
+    progress_reports: HashMap<InstanceName, Vec<Progress>>,
+    /// Notices on endpoints that are sent with the progress reports.
+    pending_notices: HashMap<InstanceName, Vec<Notice>>,
     report_at: Duration,
     is_batching: bool,
     quarantine: Quarantine,
-    /// Whether it is known what is held back. Nothing is sent before.
-    knows_quarantine: bool,
-    /// Runs that were cut lately, by the endpoint's life.
-    cuts: HashMap<EndpointKey, quarantine::Cuts>,
+    /// Whether the quarantine table has been read. No request is admitted before.
+    is_quarantine_read: bool,
+    /// Runs whose connection was cut lately, by the incarnation of their endpoint.
+    cut_runs: HashMap<EndpointKey, quarantine::CutRuns>,
     policy: Option<Program>,
-    /// Room has become free that waiting pieces may need.
-    has_room: bool,
-    due: BTreeSet<(Duration, ExchangeKey)>,
-    /// When first tokens of engines are overdue.
-    overdue: BTreeSet<(Duration, CallKey)>,
-    /// When the engines that are called with results have probably read them.
-    spare_at: BTreeSet<(Duration, ExchangeKey)>,
-    /// When who batches a service told last that pieces wait there.
-    queues: HashMap<ServiceName, Duration>,
-    /// When this instance tells of its own queues next.
-    next_word: Duration,
-    /// How long after its call an engine has probably read them.
-    read_time: Duration,
+    /// Whether result memory has become free that waiting pieces may need.
+    has_freed_memory: bool,
+    deadlines: BTreeSet<(Duration, ExchangeKey)>,
+    /// When calls to engines that have not sent a first token become overdue.
+    token_deadlines: BTreeSet<(Duration, CallKey)>,
+    /// When the engines that were called with results have probably read them.
+    evictable_at: BTreeSet<(Duration, ExchangeKey)>,
+    /// When the batcher of each service last reported that pieces wait there.
+    backlogs: HashMap<ServiceName, Duration>,
+    /// When this instance next reports the backlogs of its own queues.
+    next_backlog: Duration,
+    /// How long after the start of a call an engine has probably read the results.
+    read_delay: Duration,
     searching: BTreeSet<ExchangeKey>,
     next_search: Duration,
-    next_clean: Duration,
+    next_cleanup: Duration,
     actions: Vec<Action>,
 }
 
-/// What an arrival was taken in as.
+/// Summary of an exchange, for a log line.
 #[data]
 pub struct ExchangeSummary {
-    /// The route.
+    /// Name of the route.
     pub route: Arc<str>,
-    /// The service that is to answer.
+    /// The service that answers.
     pub service: ServiceName,
-    /// The team.
+    /// The team of the caller's key; `None` without a known key.
     pub team: Option<TeamName>,
-    /// What it asks for, and for whom.
+    /// Fingerprint of the request and its team.
     pub content: Fingerprint,
-    /// How long it is kept waiting at the most.
+    /// Time from the arrival to the deadline.
     pub wait: Duration,
-    /// Pieces of each stage.
+    /// Number of pieces of each stage.
     pub pieces: Vec<u16>,
 }
 
-/// Pieces of an exchange that were handed to a peer, until it returns them.
+/// Pieces of an exchange that were handed to a peer, until it returns their results.
 #[derive(Debug)]
 struct Handover {
     exchange: ExchangeKey,
@@ -168,81 +170,81 @@
     pieces: Vec<Piece>,
 }
 
-/// A peer's pieces that are being made here.
+/// Pieces that a peer handed to this instance, with the results so far.
 #[derive(Debug)]
 struct Ticket {
     results: Vec<Option<PieceResult>>,
 }
 
 impl Relay {
-    /// A relay that knows nothing yet.
+    /// Creates a relay without configuration, endpoints or peers.
     pub fn new(settings: Settings, seed: u64) -> Relay {
-        // Numbers of an earlier life of this instance may still be reported.
+        // Peers may still report progress under numbers of an earlier incarnation of this
+        // instance.
         let next_run = u64::from(SmallRng::seed_from_u64(!seed).random::<u32>()) << 32;
         Relay {
             settings,
             rng: SmallRng::seed_from_u64(seed),
             config: None,
             directory: Directory::default(),
-            memory: choice::prompts::SentParts::default(),
+            sent_parts: choice::prompts::SentParts::default(),
             exchanges: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             handovers: SlotMap::with_key(),
-            batches: Batcher::default(),
+            batcher: Batcher::default(),
             tickets: HashMap::new(),
-            allowances: HashMap::new(),
-            speeds: HashMap::new(),
+            retry_budgets: HashMap::new(),
+            prefill_speeds: HashMap::new(),
             stage_times: intake::StageTimes::default(),
             peers: Vec::new(),
-            avoided: HashMap::new(),
-            announced: 0,
-            peers_by: Duration::ZERO,
-            news_by: Duration::ZERO,
-            mute_placers: HashMap::new(),
-            listed: HashSet::new(),
-            placed_at: Duration::ZERO,
+            unresponsive_peers: HashMap::new(),
+            announced_count: 0,
+            peers_deadline: Duration::ZERO,
+            tables_deadline: Duration::ZERO,
+            unresponsive_placers: HashMap::new(),
+            queried_engines: HashSet::new(),
+            last_placement: Duration::ZERO,
             runs: HashMap::new(),
             next_run,
-            run_time: placing::FIRST_RUN_TIME,
-            reports: HashMap::new(),
-            notices: HashMap::new(),
+            average_run: placing::INITIAL_RUN_TIME,
+            progress_reports: HashMap::new(),
+            pending_notices: HashMap::new(),
             report_at: Duration::ZERO,
             is_batching: true,
             quarantine: Quarantine::default(),
-            knows_quarantine: false,
-            cuts: HashMap::new(),
+            is_quarantine_read: false,
+            cut_runs: HashMap::new(),
             policy: None,
-            has_room: false,
-            due: BTreeSet::new(),
-            overdue: BTreeSet::new(),
-            spare_at: BTreeSet::new(),
-            queues: HashMap::new(),
-            next_word: Duration::ZERO,
-            read_time: results::FIRST_READ_TIME,
+            has_freed_memory: false,
+            deadlines: BTreeSet::new(),
+            token_deadlines: BTreeSet::new(),
+            evictable_at: BTreeSet::new(),
+            backlogs: HashMap::new(),
+            next_backlog: Duration::ZERO,
+            read_delay: results::INITIAL_READ_DELAY,
             searching: BTreeSet::new(),
             next_search: Duration::ZERO,
-            next_clean: Duration::ZERO,
+            next_cleanup: Duration::ZERO,
             actions: Vec::new(),
         }
     }
 
-    /// What is to be done since the last time this was asked.
+    /// Takes the actions that were queued since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The configuration in force.
+    /// The configuration in force; `None` until one has been read.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.as_ref()
     }
 
-    /// Endpoints, as far as they are known.
+    /// The endpoints that this instance knows.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// What became of an arrival, for a log line: its route, service, team and
-    /// whether it was taken in at all.
+    /// Summarises an exchange for a log line; `None` once it has ended.
     pub fn describe(&self, key: ExchangeKey) -> Option<ExchangeSummary> {
         let exchange = self.exchanges.get(key)?;
         Some(ExchangeSummary {
@@ -255,36 +257,37 @@
         })
     }
 
-    /// Exchanges that have not ended.
+    /// Number of exchanges that have not ended.
     pub fn open_exchanges(&self) -> usize {
         self.exchanges.len()
     }
 
-    /// Pieces of peers that are being made here.
+    /// Number of hand-overs from peers whose results have not been returned.
     pub fn open_tickets(&self) -> usize {
         self.tickets.len()
     }
 
     /// When [`Relay::tick`] should be called next.
     pub fn next_wake(&self, now: Duration) -> Duration {
-        if self.has_room && !self.batches.waiting_services().is_empty() {
+        if self.has_freed_memory && !self.batcher.waiting_services().is_empty() {
             return now;
         }
-        let due = self.due.first().map(|(at, _)| *at);
+        let deadline = self.deadlines.first().map(|(at, _)| *at);
         let search = (!self.searching.is_empty()).then_some(self.next_search);
-        let spare = self.spare_at.first().map(|(at, _)| *at);
-        let batch = self.batches.next_wake(now);
-        let overdue = self.overdue.first().map(|(at, _)| *at);
+        let evictable = self.evictable_at.first().map(|(at, _)| *at);
+        let batch = self.batcher.next_wake(now);
+        let overdue = self.token_deadlines.first().map(|(at, _)| *at);
         let report = self.next_report();
-        let word = (!self.batches.waiting_services().is_empty()).then_some(self.next_word.max(now));
-        [due, overdue, search, spare, batch, report, word]
+        let backlog =
+            (!self.batcher.waiting_services().is_empty()).then_some(self.next_backlog.max(now));
+        [deadline, overdue, search, evictable, batch, report, backlog]
             .into_iter()
             .flatten()
             .min()
-            .unwrap_or(self.next_clean)
+            .unwrap_or(self.next_cleanup)
     }
 
-    /// Takes in a configuration. An older one is passed over; false then.
+    /// Applies a configuration. Returns false if the one in force is as new or newer.
     pub fn configure(&mut self, config: Arc<Config>) -> bool {
         if self.config.as_ref().is_some_and(|known| known.version >= config.version) {
             return false;
@@ -293,23 +296,23 @@
         true
     }
 
-    /// Takes in a change of the directory.
+    /// Applies a change of the directory.
     pub fn apply_change(&mut self, now: Duration, change: Change) -> ChangeEffect {
-        let change = self.unless_strange(change);
+        let change = self.reject_unknown_service(change);
         let changed = self.directory.apply_change(now, change);
         if let Some(EndedEndpoint { endpoint, is_planned }) = changed.ended {
-            self.end_life(now, endpoint, is_planned);
+            self.end_incarnation(now, endpoint, is_planned);
         }
         if changed.is_new {
             self.search(now);
-            self.make_all(now);
+            self.dispatch_all(now);
         }
         changed
     }
 
-    /// An entry that moves a known endpoint to a service that the configuration does
-    /// not name is nobody's: anybody may write to the directory.
-    fn unless_strange(&self, change: Change) -> Change {
+    /// Treats an entry that moves a known endpoint to a service that the configuration does
+    /// not name as unreadable, since any process may write to the directory.
+    fn reject_unknown_service(&self, change: Change) -> Change {
         let Change::Put(entry) = &change else { return change };
         let Some(config) = &self.config else { return change };
         let known = self.directory.service_of(&entry.name);
@@ -320,59 +323,58 @@
         }
     }
 
-    /// Hands no piece to itself any more where a peer can batch it: its peers
-    /// do not count on this instance from now on.
+    /// Stops batching pieces wherever a peer can do so. Peers exclude this instance as a
+    /// batcher from now on.
     pub fn stop_batching(&mut self) {
         self.is_batching = false;
     }
 
-    /// Takes in which peers are taken for alive, and how many instances there
-    /// are at the most: those that ever announced themselves.
+    /// Replaces the list of live peers. `announced` is the number of instances that ever
+    /// announced themselves, an upper bound of those that are alive.
     pub fn set_peers(&mut self, now: Duration, peers: Vec<Peer>, announced: usize) {
-        self.avoided.retain(|_, until| now < *until);
-        self.mute_placers.retain(|_, until| now < *until);
+        self.unresponsive_peers.retain(|_, until| now < *until);
+        self.unresponsive_placers.retain(|_, until| now < *until);
         let is_known = |peer: &Peer| self.peers.iter().any(|known| known.name == peer.name);
         let has_joined = !peers.iter().all(is_known);
         self.peers = peers;
-        self.announced = announced;
+        self.announced_count = announced;
         if has_joined {
-            self.tell_joined();
+            self.notify_new_peers();
         }
     }
 
-    /// An instance that has just started does not know its peers yet: until then,
-    /// or until that time, requests with stages or prompts wait. After a common
-    /// restart of 295 instances, 173 of them sent calls for pieces themselves in
-    /// the fifth of a second before they knew each other, and 8,000 of these found
-    /// their endpoint full.
+    /// Makes requests with stages or prompts wait until the peers are known, or until the
+    /// given time. An instance that has just started does not know them yet. When 295
+    /// instances were restarted together, 173 of them sent calls for pieces themselves in the
+    /// 0.2 s before they knew each other, and 8,000 of these calls found their endpoint full.
     pub fn hold_for_peers(&mut self, until: Duration) {
-        self.peers_by = until;
+        self.peers_deadline = until;
     }
 
-    /// This instance stood still and does not know what is in force: until it does,
-    /// or until that time, all requests wait. An instance that was suspended for half
-    /// a minute sent by the routes of before until its first look at the tables.
+    /// Makes all requests wait until the tables have been read again, or until the given
+    /// time, after the event loop stood still. An instance that was suspended for 30 s used
+    /// outdated routes until it first read the tables.
     pub fn hold_for_tables(&mut self, until: Duration) {
-        self.news_by = until;
+        self.tables_deadline = until;
     }
 
-    /// What is in force is known again.
+    /// The tables have been read again: requests that wait for them go on.
     pub fn mark_tables_read(&mut self, now: Duration) {
-        if now < std::mem::take(&mut self.news_by) {
+        if now < std::mem::take(&mut self.tables_deadline) {
             self.search(now);
         }
     }
 
-    /// The peers are known now.
+    /// The peers are known: requests that wait for them go on.
     pub fn mark_peers_known(&mut self, now: Duration) {
-        if now < std::mem::take(&mut self.peers_by) {
+        if now < std::mem::take(&mut self.peers_deadline) {
             self.search(now);
         }
     }
 
-    /// A caller's request has been read whole.
+    /// Takes in a caller's request that has been read whole.
     pub fn on_request(&mut self, now: Duration, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
-        let config = self.config.clone().filter(|_| self.knows_quarantine);
+        let config = self.config.clone().filter(|_| self.is_quarantine_read);
         let config = config.ok_or(Refusal::NotReady)?;
         let route = config.route(&arrival.host, &arrival.path).ok_or(Refusal::NoRoute)?;
         let team = config.team(arrival.key.as_deref());
@@ -407,11 +409,11 @@
             wait_until: None,
             arrival,
         };
-        self.earn(now, &exchange.service, 1);
-        let due = exchange.deadline;
+        self.deposit(now, &exchange.service, 1);
+        let deadline = exchange.deadline;
         let key = self.exchanges.insert(exchange);
-        self.due.insert((due, key));
-        if !self.takes_in(now, key) {
+        self.deadlines.insert((deadline, key));
+        if !self.admits(now, key) {
             self.give_up(now, key, Refusal::Infeasible);
         } else if self.policy_admits(now, key) {
             self.exchanges[key].priority = self.policy_priority(now, key);
@@ -422,43 +424,43 @@
         Ok(key)
     }
 
-    /// Does what has become due.
+    /// Handles all timers that have expired.
     pub fn tick(&mut self, now: Duration) {
-        self.tick_quietly(now);
+        self.time_out_due(now);
         if now >= self.next_search && !self.searching.is_empty() {
             self.search(now);
         }
-        self.move_overdue(now);
+        self.retry_overdue(now);
         self.send_reports(now);
-        self.spare_results(now);
-        self.tell_queues(now);
-        self.spare_inputs(now);
-        self.make_stragglers_again(now);
-        self.make_all(now);
-        if now >= self.next_clean {
-            self.next_clean = now + CLEAN_UP;
+        self.report_evictable(now);
+        self.report_backlogs(now);
+        self.report_read_inputs(now);
+        self.duplicate_stragglers(now);
+        self.dispatch_all(now);
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_INTERVAL;
             self.directory.forget(now);
-            self.release_old(now);
+            self.release_expired(now);
             self.forget_runs();
-            self.forget_limits(now);
-            self.batches.forget_removed(&self.directory);
+            self.expire_limits(now);
+            self.batcher.forget_removed(&self.directory);
         }
     }
 
-    /// Goes on with an exchange: its next stages, or its call.
+    /// Continues an exchange: refuses it, starts its next stages or makes its call.
     fn advance(&mut self, now: Duration, key: ExchangeKey) {
-        if self.held_for(now, key).is_some() {
-            self.refuse_held(now, key);
+        if self.quarantined_for(now, key).is_some() {
+            self.refuse_quarantined(now, key);
             return;
         }
-        if self.needs_evacuated(now, key) {
+        if self.needs_evacuated_service(now, key) {
             self.give_up(now, key, Refusal::Evacuated);
             return;
         }
         let exchange = &self.exchanges[key];
         let is_shared = !exchange.graph.is_complete() || exchange.arrival.prompt.is_some();
-        if now < self.news_by || (is_shared && now < self.peers_by) {
-            self.look_again(now, key);
+        if now < self.tables_deadline || (is_shared && now < self.peers_deadline) {
+            self.search_later(now, key);
             return;
         }
         if !exchange.graph.is_complete() {
@@ -468,23 +470,23 @@
         self.call(now, key);
     }
 
-    /// Instances that may be alive. Those that are only out of sight count: they
-    /// repeat out of the same bound.
-    fn instances(&self) -> usize {
-        (self.peers.len() + 1).max(self.announced).max(self.settings.instances)
+    /// Upper bound of the live instances. Unreachable ones count, since they still spend from
+    /// the shared retry budget.
+    fn instance_count(&self) -> usize {
+        (self.peers.len() + 1).max(self.announced_count).max(self.settings.min_instances)
     }
 
-    fn earn(&mut self, now: Duration, service: &ServiceName, count: u32) {
-        self.allowance(service).deposit(now, count);
+    fn deposit(&mut self, now: Duration, service: &ServiceName, count: u32) {
+        self.retry_budget(service).deposit(now, count);
     }
 
-    fn spend(&mut self, now: Duration, service: &ServiceName, count: u32) -> bool {
-        let instances = self.instances();
-        self.allowance(service).try_withdraw(now, count, instances)
+    fn try_withdraw(&mut self, now: Duration, service: &ServiceName, count: u32) -> bool {
+        let instances = self.instance_count();
+        self.retry_budget(service).try_withdraw(now, count, instances)
     }
 
-    fn allowance(&mut self, service: &ServiceName) -> &mut RetryBudget {
-        let bound = self.settings.bound;
-        self.allowances.entry(service.clone()).or_insert_with(|| RetryBudget::new(bound))
+    fn retry_budget(&mut self, service: &ServiceName) -> &mut RetryBudget {
+        let config = self.settings.retry_budget;
+        self.retry_budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(config))
     }
 }
--- a/crates/core/src/relay/machine/calls.rs
+++ b/crates/core/src/relay/machine/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: where they go, what came of them, what is repeated.
+//! Calls to endpoints: where they go, how they end and which are retried.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,19 +15,19 @@
     },
 };
 
-/// Pause before an exchange looks again for a usable endpoint.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
-/// Share of its objective that an exchange waits for a usable endpoint: one that
-/// restarts or whose connection broke is often back by then, and a caller that
-/// is refused then still has most of its time.
+/// Pause before an exchange searches again for a usable endpoint.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(40);
+/// Share of its objective that an exchange waits for a usable endpoint. An endpoint that
+/// restarts or whose connection broke is often usable again by then, and a caller that is
+/// refused then still has most of its time left.
 const PATIENCE_SHARE: f64 = 0.2;
-/// Nothing is sent to an endpoint with less time than this.
-const SHORTEST_CALL: Duration = Duration::from_millis(5);
+/// No call is sent if less time than this is left.
+const MIN_CALL_TIME: Duration = Duration::from_millis(5);
 
 impl Relay {
-    /// The head of a reply came. True if its body is a stream whose events are
-    /// to be asked about one by one with [`Relay::on_stream_event`]; false if the
-    /// body is to be read whole first.
+    /// Takes in the head of a reply. Returns true if its body is a stream, each event of
+    /// which is to be passed to [`Relay::on_stream_event`]; false if the body is to be read
+    /// whole first.
     pub fn on_reply_head(&mut self, now: Duration, call: CallKey, head: &ReplyHead) -> bool {
         self.on_reply_terms(now, call, head);
         let Some(exchange) = self.exchange_of(call) else { return false };
@@ -35,12 +35,12 @@
         let is_success = (200..300).contains(&head.status);
         if is_stream && is_success {
             self.exchanges[exchange].was_called = true;
-            self.note_answer(now, call, head.load);
+            self.record_answer(now, call, head.load);
         }
         is_stream && is_success
     }
 
-    /// Whether a stream's event goes to the caller.
+    /// Takes in an event of a stream. Returns whether it is to be passed on to the caller.
     pub fn on_stream_event(&mut self, now: Duration, call: CallKey, id: Option<u64>) -> bool {
         let Some(key) = self.exchange_of(call) else { return false };
         let exchange = &mut self.exchanges[key];
@@ -56,11 +56,11 @@
             self.actions.push(Action::BeginStream { exchange: key, call });
             self.free_results(key);
         }
-        self.tick_quietly(now);
+        self.time_out_due(now);
         true
     }
 
-    /// A stream ended whole.
+    /// A stream has ended completely.
     pub fn on_stream_end(&mut self, now: Duration, call: CallKey) {
         let Some(key) = self.exchange_of(call) else { return };
         self.quarantine.record_answer(now, self.exchanges[key].content);
@@ -72,17 +72,17 @@
         self.close(key);
     }
 
-    /// A reply came whole.
+    /// A reply has been read whole.
     pub fn on_reply(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
         let Some(key) = self.exchange_of(call) else { return };
         let endpoint = self.calls[call].endpoint;
         if head.is_refusal() {
             self.end_call(now, call, Step::Refused(head.load));
         } else if head.is_not_run {
-            self.note_load(now, endpoint, head.load);
+            self.record_load(now, endpoint, head.load);
             self.end_call(now, call, Step::Ended);
         } else {
-            self.note_answer(now, call, head.load);
+            self.record_answer(now, call, head.load);
             self.quarantine.record_answer(now, self.exchanges[key].content);
             self.end_call(now, call, Step::Ended);
         }
@@ -98,11 +98,11 @@
         }
         let has_inputs = !self.exchanges[key].route.stages.is_empty();
         let inputs_gone = head.is_not_run && head.status == 409 && has_inputs;
-        // Whatever a later head says, one that has sent events has run it.
+        // An endpoint that has sent events has run the request, whatever a later head states.
         let has_run = self.exchanges[key].was_called;
         let may_run = self.exchanges[key].route.kind.is_repeatable() || !has_run;
         if inputs_gone && may_run {
-            self.inputs_gone(now, key);
+            self.remake_inputs(now, key);
             return;
         }
         let exchange = &mut self.exchanges[key];
@@ -110,16 +110,16 @@
             exchange.attempts -= 1;
         }
         exchange.was_called |= !head.is_not_run;
-        let own_answer = (!head.is_not_run && head.is_sealed).then_some(call);
-        self.repeat(now, key, own_answer);
+        let sealed_reply = (!head.is_not_run && head.is_sealed).then_some(call);
+        self.retry(now, key, sealed_reply);
     }
 
-    /// A call failed without a whole reply.
+    /// A call failed before its reply was complete.
     pub fn on_call_failure(&mut self, now: Duration, call: CallKey, failure: Failure) {
         let Some(key) = self.exchange_of(call) else { return };
         if failure == Failure::Cut {
-            let runs = self.runs_of(now, call);
-            self.note_cut(now, self.calls[call].endpoint, runs);
+            let runs = self.runs_of_call(now, call);
+            self.on_cut(now, self.calls[call].endpoint, runs);
         }
         self.end_call(now, call, Step::Failed(failure));
         let exchange = &mut self.exchanges[key];
@@ -127,15 +127,16 @@
             Failure::Unsent => exchange.attempts -= 1,
             Failure::Cut | Failure::Foreign => exchange.was_called = true,
         }
-        self.repeat(now, key, None);
+        self.retry(now, key, None);
     }
 
-    /// An engine did not run a call since results that it takes in are gone.
-    fn inputs_gone(&mut self, now: Duration, key: ExchangeKey) {
-        self.note_early_spare(key);
+    /// Makes the stages again after an engine refused a call because results that it needs
+    /// are gone.
+    fn remake_inputs(&mut self, now: Duration, key: ExchangeKey) {
+        self.extend_read_delay(key);
         self.exchanges[key].attempts -= 1;
         let service = self.exchanges[key].service.clone();
-        if self.spend(now, &service, 1) {
+        if self.try_withdraw(now, &service, 1) {
             self.restart_stages(now, key);
         } else {
             self.give_up(now, key, Refusal::Failed);
@@ -146,49 +147,50 @@
     pub(super) fn connection_limit(&self, service: &str) -> u32 {
         let service = self.config.as_ref().and_then(|config| config.services.get(service));
         let all = service.map_or(u32::MAX, |service| service.connections);
-        (all / self.instances() as u32).max(1)
+        (all / self.instance_count() as u32).max(1)
     }
 
-    /// Calls an endpoint with an exchange whose stages are complete.
+    /// Calls an endpoint for an exchange whose stages are complete. Its placer chooses the
+    /// endpoint if there is one.
     pub(super) fn call(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         if exchange.is_placement_pending {
             return;
         }
-        if exchange.deadline < now + SHORTEST_CALL {
+        if exchange.deadline < now + MIN_CALL_TIME {
             self.time_out(now, key);
             return;
         }
         if !self.ask_placer(now, key) {
-            self.call_alone(now, key);
+            self.call_without_placer(now, key);
         }
     }
 
-    /// The same without asking anybody where to.
-    pub(super) fn call_alone(&mut self, now: Duration, key: ExchangeKey) {
+    /// Calls an endpoint that this instance chooses itself.
+    pub(super) fn call_without_placer(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
-        let places = exchange.graph.outputs_by_data_centre(&exchange.route);
-        let Some(chosen) = self.choose(now, key, &places) else {
+        let inputs = exchange.graph.outputs_by_data_centre(&exchange.route);
+        let Some(chosen) = self.choose(now, key, &inputs) else {
             self.wait_for_endpoint(now, key);
             return;
         };
         let placed = Placed { chosen, source: self.addr_of(chosen.source), placer: None };
-        self.call_at(now, key, placed);
+        self.send_call(now, key, placed);
     }
 
     pub(super) fn addr_of(&self, endpoint: Option<EndpointKey>) -> Option<Arc<str>> {
         Some(self.directory.get(endpoint?)?.entry.addr.clone())
     }
 
-    /// Calls an endpoint.
-    pub(super) fn call_at(&mut self, now: Duration, key: ExchangeKey, placed: Placed) {
+    /// Sends the call of an exchange to the chosen endpoint.
+    pub(super) fn send_call(&mut self, now: Duration, key: ExchangeKey, placed: Placed) {
         let Placed { chosen, source, placer } = placed;
         let choice::Candidate { endpoint, tokens, .. } = chosen;
         self.searching.remove(&key);
-        let run = self.note_sent(now, key, &chosen);
-        let basis = self.basis(now, key, endpoint, tokens);
+        let run = self.record_prompt(now, key, &chosen);
+        let basis = self.choice_basis(now, key, endpoint, tokens);
         let call = self.calls.insert(CallState {
-            exchange: CallPurpose::Exchange(key),
+            purpose: CallPurpose::Exchange(key),
             endpoint,
             started_at: now,
             tokens,
@@ -198,7 +200,7 @@
             overdue_at: None,
         });
         if run.is_some() {
-            self.watch(now, call, &chosen);
+            self.watch_first_token(now, call, &chosen);
         }
         self.pace_call(now, endpoint);
         let exchange = &mut self.exchanges[key];
@@ -206,7 +208,8 @@
         exchange.attempts += 1;
         exchange.tried.push(endpoint);
         exchange.wait_until = None;
-        let target = self.directory.get_mut(endpoint).expect("a chosen endpoint is known");
+        let target =
+            self.directory.get_mut(endpoint).expect("the directory has the chosen endpoint");
         target.record_sent();
         let call = Call {
             key: call,
@@ -222,12 +225,12 @@
             attempt: exchange.attempts,
             basis,
         };
-        self.spare_later(now + chosen.wait, key);
+        self.schedule_eviction(now + chosen.wait, key);
         self.actions.push(Action::Send(call));
     }
 
-    /// Remembers what an engine is sent.
-    fn note_sent(
+    /// Records the prompt that is sent to an engine.
+    fn record_prompt(
         &mut self,
         now: Duration,
         key: ExchangeKey,
@@ -235,28 +238,28 @@
     ) -> Option<RunNumber> {
         let Exchange { service, arrival, .. } = &self.exchanges[key];
         let prompt = arrival.prompt.clone()?;
-        Some(self.note_placed(now, &service.clone(), chosen, &prompt))
+        Some(self.record_placement(now, &service.clone(), chosen, &prompt))
     }
 
-    pub(super) fn basis(
+    pub(super) fn choice_basis(
         &self,
         now: Duration,
         key: ExchangeKey,
         endpoint: EndpointKey,
         tokens: u64,
     ) -> Basis {
-        let known = self.directory.get(endpoint);
+        let target = self.directory.get(endpoint);
         Basis {
             version: self.config.as_ref().map_or(0, |config| config.version),
-            calls: known.map_or(0, |known| known.calls(now)),
-            load_age: known.and_then(|known| known.load_age(now)),
+            calls: target.map_or(0, |target| target.calls(now)),
+            load_age: target.and_then(|target| target.load_age(now)),
             tokens,
             usable: self.directory.usable(now, &self.exchanges[key].service).len(),
         }
     }
 
     pub(super) fn wait_for_endpoint(&mut self, now: Duration, key: ExchangeKey) {
-        let free = self.first_free(now, key);
+        let free = self.first_available(now, key);
         let exchange = &mut self.exchanges[key];
         let patience = exchange.route.objective.mul_f64(PATIENCE_SHARE);
         let until = *exchange.wait_until.get_or_insert(now + patience);
@@ -267,20 +270,20 @@
             self.give_up(now, key, refusal);
             return;
         }
-        self.look_again(now, key);
+        self.search_later(now, key);
     }
 
-    /// Goes on with an exchange in a moment.
-    pub(super) fn look_again(&mut self, now: Duration, key: ExchangeKey) {
+    /// Continues an exchange after [`SEARCH_INTERVAL`].
+    pub(super) fn search_later(&mut self, now: Duration, key: ExchangeKey) {
         if self.searching.is_empty() {
-            self.next_search = now + LOOK_AGAIN;
+            self.next_search = now + SEARCH_INTERVAL;
         }
         self.searching.insert(key);
     }
 
-    /// Tries again for the exchanges that found no endpoint, or no peer.
+    /// Continues the exchanges that found no usable endpoint or wait for peers or tables.
     pub(super) fn search(&mut self, now: Duration) {
-        self.next_search = now + LOOK_AGAIN;
+        self.next_search = now + SEARCH_INTERVAL;
         for key in std::mem::take(&mut self.searching) {
             if self.exchanges.contains_key(key) {
                 self.advance(now, key);
@@ -288,19 +291,19 @@
         }
     }
 
-    /// Sends an exchange to another endpoint, or ends it. `answer` is the
-    /// endpoint's own failure, which is passed on if it stays at that.
-    pub(super) fn repeat(&mut self, now: Duration, key: ExchangeKey, answer: Option<CallKey>) {
+    /// Retries an exchange on another endpoint, or ends it. `answer` is a call whose error
+    /// reply is passed on to the caller if no retry is possible.
+    pub(super) fn retry(&mut self, now: Duration, key: ExchangeKey, answer: Option<CallKey>) {
         let exchange = &self.exchanges[key];
         let kind = exchange.route.kind;
         let may_run = kind.is_repeatable() || !exchange.was_called;
-        let can_go_on = !exchange.has_sent_head || kind.is_repeatable();
+        let can_resume = !exchange.has_sent_head || kind.is_repeatable();
         let has_attempts = exchange.attempts < exchange.route.max_attempts;
-        let has_time = exchange.deadline > now + SHORTEST_CALL;
+        let has_time = exchange.deadline > now + MIN_CALL_TIME;
         let is_first = exchange.attempts == 0;
         let service = exchange.service.clone();
-        let may_try = may_run && can_go_on && has_attempts && has_time;
-        if may_try && (is_first || self.spend(now, &service, 1)) {
+        let may_retry = may_run && can_resume && has_attempts && has_time;
+        if may_retry && (is_first || self.try_withdraw(now, &service, 1)) {
             if self.exchanges[key].has_sent_head {
                 self.restart_stages(now, key);
             }
@@ -324,37 +327,36 @@
     }
 
     pub(super) fn exchange_of(&self, call: CallKey) -> Option<ExchangeKey> {
-        match self.calls.get(call)?.exchange {
+        match self.calls.get(call)?.purpose {
             CallPurpose::Exchange(key) if self.exchanges.contains_key(key) => Some(key),
             _ => None,
         }
     }
 
-    fn note_load(&mut self, now: Duration, endpoint: EndpointKey, load: Option<Load>) {
+    fn record_load(&mut self, now: Duration, endpoint: EndpointKey, load: Option<Load>) {
         if let (Some(endpoint), Some(load)) = (self.directory.get_mut(endpoint), load) {
             endpoint.record_load(now, load);
         }
     }
 
-    pub(super) fn note_answer(&mut self, now: Duration, call: CallKey, load: Option<Load>) {
+    pub(super) fn record_answer(&mut self, now: Duration, call: CallKey, load: Option<Load>) {
         let Some(state) = self.calls.get_mut(call) else { return };
         if state.answered_at.replace(now).is_some() {
             return;
         }
         let took = now.saturating_sub(state.started_at);
-        let (tokens, exchange) = (state.tokens, state.exchange);
+        let (tokens, exchange) = (state.tokens, state.purpose);
         if let CallPurpose::Exchange(key) = exchange
             && let Some(Exchange { service, arrival, .. }) = self.exchanges.get(key)
             && arrival.prompt.is_some()
         {
-            self.speeds.entry(service.clone()).or_default().record(now, tokens, took);
+            self.prefill_speeds.entry(service.clone()).or_default().record(now, tokens, took);
         }
-        self.note_step(now, call, Step::Answered(load));
+        self.record_step(now, call, Step::Answered(load));
     }
 
-    /// A call has got so far: what is known of its endpoint changes, and a peer
-    /// that placed it is told.
-    fn note_step(&mut self, now: Duration, call: CallKey, step: Step) {
+    /// Records how far a call has got, and reports it to the peer that placed it.
+    fn record_step(&mut self, now: Duration, call: CallKey, step: Step) {
         let Some(CallState { endpoint, started_at, run, placer, .. }) = self.calls.get(call) else {
             return;
         };
@@ -376,15 +378,15 @@
     }
 
     pub(super) fn end_call(&mut self, now: Duration, call: CallKey, step: Step) {
-        self.note_step(now, call, step);
+        self.record_step(now, call, step);
         let Some(state) = self.calls.remove(call) else { return };
         if let Some(at) = state.overdue_at {
-            self.overdue.remove(&(at, call));
+            self.token_deadlines.remove(&(at, call));
         }
         if let Some(endpoint) = self.directory.get_mut(state.endpoint) {
             endpoint.record_end();
         }
-        if let CallPurpose::Exchange(key) = state.exchange
+        if let CallPurpose::Exchange(key) = state.purpose
             && let Some(exchange) = self.exchanges.get_mut(key)
         {
             exchange.call = None;
--- a/crates/core/src/relay/machine/stages.rs
+++ b/crates/core/src/relay/machine/stages.rs
@@ -1,4 +1,5 @@
-//! Stages: pieces are started, batched or handed over, and taken in.
+//! Stages: their pieces are started, batched here or handed over to a peer, and their results
+//! collected.
 
 use std::time::Duration;
 
@@ -19,16 +20,16 @@
     },
 };
 
-/// How often an exchange's pieces are made at the most.
+/// How often the stages of an exchange are started at most.
 const MAX_ROUNDS: u8 = 2;
-/// A peer that did not answer a hand-over gets none for so long. Until then its
-/// liveness counter shows whether it is there.
+/// A peer gets no pieces for so long after it did not answer a hand-over. After that its
+/// liveness counter shows whether it is alive.
 const AVOID_TIME: Duration = Duration::from_secs(2);
-/// How often a piece is sent at the most.
+/// How often a piece is sent at most.
 const MAX_TRIES: u8 = 3;
 
 impl Relay {
-    /// A call for pieces brought results.
+    /// A call for pieces returned results.
     pub fn on_pieces_made(
         &mut self,
         now: Duration,
@@ -36,81 +37,80 @@
         results: Vec<PieceResult>,
         load: Option<Load>,
     ) {
-        self.note_answer(now, call, load);
-        let service = self.service_of(call);
+        self.record_answer(now, call, load);
+        let service = self.service_of_call(call);
         self.end_call(now, call, Step::Ended);
-        let (finished, strays) = self.batches.record_results(now, call, results);
-        if let (Some(service), false) = (service, strays.is_empty()) {
-            self.free_at(&service, strays);
+        let (finished, unclaimed) = self.batcher.record_results(now, call, results);
+        if let (Some(service), false) = (service, unclaimed.is_empty()) {
+            self.free_through_batcher(&service, unclaimed);
         }
-        self.take_finished(now, finished);
-        self.make_all(now);
+        self.process_finished(now, finished);
+        self.dispatch_all(now);
     }
 
     /// The service of the endpoint that a call went to.
-    pub(super) fn service_of(&self, call: CallKey) -> Option<ServiceName> {
+    pub(super) fn service_of_call(&self, call: CallKey) -> Option<ServiceName> {
         let endpoint = self.directory.get(self.calls.get(call)?.endpoint)?;
         Some(endpoint.entry.service.clone())
     }
 
-    /// Has the pieces of stragglers made elsewhere too, as far as the bound on
-    /// repetition allows.
-    pub(super) fn make_stragglers_again(&mut self, now: Duration) {
-        for (call, service, count) in self.batches.take_stragglers(now) {
-            if self.spend(now, &service, count) {
-                self.batches.requeue(call);
+    /// Sends the pieces of stragglers to other endpoints too, within the retry budget.
+    pub(super) fn duplicate_stragglers(&mut self, now: Duration) {
+        for (call, service, count) in self.batcher.take_stragglers(now) {
+            if self.try_withdraw(now, &service, count) {
+                self.batcher.requeue(call);
             }
         }
     }
 
-    /// A call for pieces failed; `is_unrun` if the endpoint said that it did
-    /// not run.
+    /// A call for pieces failed. `is_not_run` if the endpoint stated that it did not run the
+    /// call.
     pub fn on_pieces_failure(
         &mut self,
         now: Duration,
         call: CallKey,
         failure: Failure,
-        is_unrun: bool,
+        is_not_run: bool,
     ) {
-        let step = if is_unrun { Step::Refused(None) } else { Step::Failed(failure) };
-        let is_cut = !is_unrun && failure == Failure::Cut;
+        let step = if is_not_run { Step::Refused(None) } else { Step::Failed(failure) };
+        let is_cut = !is_not_run && failure == Failure::Cut;
         if let Some(state) = self.calls.get(call).filter(|_| is_cut) {
-            let (endpoint, runs) = (state.endpoint, self.runs_of(now, call));
-            self.note_cut(now, endpoint, runs);
+            let (endpoint, runs) = (state.endpoint, self.runs_of_call(now, call));
+            self.on_cut(now, endpoint, runs);
         }
         self.end_call(now, call, step);
-        let mut finished = self.batches.record_failure(now, call, is_unrun);
-        let is_safe = is_unrun || failure == Failure::Unsent;
-        for one in &mut finished {
-            one.piece.is_repeat |= !is_safe;
-            one.piece.is_isolated |= is_cut;
+        let mut finished = self.batcher.record_failure(now, call, is_not_run);
+        let is_safe = is_not_run || failure == Failure::Unsent;
+        for outcome in &mut finished {
+            outcome.piece.is_repeat |= !is_safe;
+            outcome.piece.is_isolated |= is_cut;
         }
         self.requeue(now, finished, is_safe);
-        self.make_all(now);
+        self.dispatch_all(now);
     }
 
     /// A peer hands over pieces. Their results are returned under `ticket`.
     pub fn on_handover(&mut self, now: Duration, ticket: u64, pieces: Vec<Piece>) {
         self.tickets.insert(ticket, Ticket { results: vec![None; pieces.len()] });
         for piece in &pieces {
-            self.earn(now, &piece.service, 1);
+            self.deposit(now, &piece.service, 1);
         }
         let origin = |index| Origin::Peer { ticket, index };
         let pieces = pieces.into_iter().enumerate();
         let pieces = pieces.map(|(index, piece)| (piece, origin(index)));
-        let (held, others) = pieces.partition(|(piece, _)| self.is_held(piece));
-        self.admit(now, others);
-        self.take_finished(now, held.into_iter().map(not_made).collect());
-        self.make_all(now);
+        let (quarantined, others) = pieces.partition(|(piece, _)| self.is_quarantined(piece));
+        self.admit_pieces(now, others);
+        self.process_finished(now, quarantined.into_iter().map(failed_piece).collect());
+        self.dispatch_all(now);
     }
 
-    /// A peer does not want its pieces any more.
+    /// A peer no longer needs the pieces that it handed over.
     pub fn on_handover_recall(&mut self, ticket: u64) {
         self.tickets.remove(&ticket);
-        self.batches.cancel(Requester::Ticket(ticket));
+        self.batcher.cancel(Requester::Ticket(ticket));
     }
 
-    /// A peer returned the results of pieces; `None` if it cannot be reached.
+    /// A peer returned the results of pieces; `None` if it could not be reached.
     pub fn on_handover_return(
         &mut self,
         now: Duration,
@@ -128,36 +128,36 @@
                     .zip(results)
                     .map(|(piece, result)| FinishedPiece { origin, piece, result, endpoint: None });
                 let finished = finished.collect();
-                self.take_finished(now, finished);
+                self.process_finished(now, finished);
             }
             None => {
                 // The peer may have had some of them made.
-                self.note_run(exchange);
-                self.avoided.insert(peer, now + AVOID_TIME);
-                self.hand_on(exchange, pieces);
+                self.mark_may_have_run(exchange);
+                self.unresponsive_peers.insert(peer, now + AVOID_TIME);
+                self.hand_over_again(exchange, pieces);
             }
         }
-        self.make_all(now);
+        self.dispatch_all(now);
     }
 
-    /// Hands pieces that came back unmade to the peer that ranks next. Whoever
-    /// handed pieces to the peer that failed does the same, so that they meet
-    /// at one instance again.
-    fn hand_on(&mut self, exchange: ExchangeKey, pieces: Vec<Piece>) {
+    /// Hands pieces that a peer did not make to the peer that ranks next. Other instances
+    /// that handed pieces to the failed peer do the same, so that one instance batches all of
+    /// them again.
+    fn hand_over_again(&mut self, exchange: ExchangeKey, pieces: Vec<Piece>) {
         let Some(first) = pieces.first() else { return };
-        match self.owner(&first.service) {
+        match self.batcher_peer(&first.service) {
             Some(peer) => self.hand_over(exchange, peer, pieces),
             None => {
                 for piece in pieces {
-                    self.batches.add(piece, Origin::Local(exchange));
+                    self.batcher.add(piece, Origin::Local(exchange));
                 }
             }
         }
     }
 
     pub(super) fn start_stages(&mut self, now: Duration, key: ExchangeKey) {
-        self.find_home(now, key);
-        // Starting a stage may end the exchange: there may be no time for it.
+        self.predict_destination(now, key);
+        // Starting a stage may end the exchange if too little time is left.
         while let Some(exchange) = self.exchanges.get_mut(key) {
             let route = exchange.route.clone();
             let ready = exchange.graph.start_ready(&route, LARGE_RESULT_BYTES);
@@ -168,113 +168,114 @@
                 self.start_stage(now, key, stage);
             }
         }
-        let services = self.batches.waiting_services();
+        let services = self.batcher.waiting_services();
         for service in services {
-            self.make(now, &service);
+            self.dispatch(now, &service);
         }
     }
 
     pub(super) fn start_stage(&mut self, now: Duration, key: ExchangeKey, stage: usize) {
         let Some(exchange) = self.exchanges.get(key) else { return };
         let service = exchange.route.stages[stage].service.clone();
-        let pieces = exchange.new_pieces(stage, self.rest(exchange, stage));
+        let pieces = exchange.new_pieces(stage, self.remaining_time(exchange, stage));
         self.exchanges[key].stage_starts.push((stage, now));
-        match self.owner(&service) {
+        match self.batcher_peer(&service) {
             None => {
-                self.earn(now, &service, pieces.len() as u32);
+                self.deposit(now, &service, pieces.len() as u32);
                 let pieces = pieces.into_iter().map(|piece| (piece, Origin::Local(key)));
-                self.admit(now, pieces.collect());
+                self.admit_pieces(now, pieces.collect());
             }
             Some(peer) => self.hand_over(key, peer, pieces),
         }
     }
 
     pub(super) fn hand_over(&mut self, key: ExchangeKey, peer: InstanceName, pieces: Vec<Piece>) {
-        let held = Handover { exchange: key, peer: peer.clone(), pieces: pieces.clone() };
-        let handover = self.handovers.insert(held);
+        let handover = Handover { exchange: key, peer: peer.clone(), pieces: pieces.clone() };
+        let handover = self.handovers.insert(handover);
         self.exchanges[key].handovers.push(handover);
         self.actions.push(Action::HandOverPieces { key: handover, peer, pieces });
     }
 
-    /// The peer that batches a service's pieces; `None` if this instance does.
-    /// The strongest instances come first: a service's pieces all go through
-    /// one processor.
-    pub(super) fn owner(&self, service: &str) -> Option<InstanceName> {
+    /// The peer that batches a service's pieces; `None` if this instance does. The instances
+    /// with the largest CPU shares come first, since all pieces of a service pass through one
+    /// process.
+    pub(super) fn batcher_peer(&self, service: &str) -> Option<InstanceName> {
         self.first_ranked(xxh3::xxh3_64(service.as_bytes()))
     }
 
     /// The peer that ranks first for a task; `None` if this instance does.
     pub(super) fn first_ranked(&self, seed: u64) -> Option<InstanceName> {
-        let rank =
-            |name: &str, strength: u32| (strength, xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
-        let own = rank(&self.settings.name, self.settings.strength);
-        let peers = self.peers.iter().filter(|peer| !self.avoided.contains_key(&peer.name));
+        let rank = |name: &str, cpu: u32| (cpu, xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
+        let own = rank(&self.settings.name, self.settings.millicores);
+        let peers =
+            self.peers.iter().filter(|peer| !self.unresponsive_peers.contains_key(&peer.name));
         let ranked = peers.map(|peer| (rank(&peer.name, peer.millicores), &peer.name));
         let (best, name) = ranked.max()?;
         (best > own || !self.is_batching).then(|| name.clone())
     }
 
-    /// How many peers rank before this instance for a task, however strong they are.
-    pub(super) fn place_of(&self, seed: u64) -> usize {
+    /// How many peers rank before this instance for a task, regardless of their CPU shares.
+    pub(super) fn rank_of(&self, seed: u64) -> usize {
         let rank = |name: &str| xxh3::xxh3_64_with_seed(name.as_bytes(), seed);
         let own = rank(&self.settings.name);
         self.peers.iter().filter(|peer| rank(&peer.name) > own).count()
     }
 
-    /// Takes in pieces, but those that cannot be made in time: their callers
-    /// hear it at once, while they can still come back.
-    pub(super) fn admit(&mut self, now: Duration, pieces: Vec<(Piece, Origin)>) {
+    /// Queues pieces, except those that cannot be made in time. They are refused at once,
+    /// while their callers still have time to retry.
+    pub(super) fn admit_pieces(&mut self, now: Duration, pieces: Vec<(Piece, Origin)>) {
         let mut late = Vec::new();
-        let mut judged: Option<(Duration, Duration, bool)> = None;
+        let mut last_decision: Option<(Duration, Duration, bool)> = None;
         for (piece, origin) in pieces {
-            // The pieces of a stage are judged together.
-            let known =
-                judged.filter(|(aim, due, _)| (*aim, *due) == (piece.target, piece.deadline));
+            // One decision holds for all pieces of a stage.
+            let known = last_decision.filter(|(target, deadline, _)| {
+                (*target, *deadline) == (piece.target, piece.deadline)
+            });
             let is_feasible = match known {
                 Some((_, _, is_feasible)) => is_feasible,
                 None => self.is_feasible(now, &piece),
             };
-            judged = Some((piece.target, piece.deadline, is_feasible));
+            last_decision = Some((piece.target, piece.deadline, is_feasible));
             match is_feasible {
-                true => self.batches.add(piece, origin),
+                true => self.batcher.add(piece, origin),
                 false => late.push(Batcher::reject_late(piece, origin)),
             }
         }
-        self.take_finished(now, late);
+        self.process_finished(now, late);
     }
 
     fn is_feasible(&self, now: Duration, piece: &Piece) -> bool {
-        let shape = self.shape(&piece.service);
-        shape.is_none_or(|shape| self.batches.is_feasible(now, piece, &shape, &self.directory))
+        let config = self.piece_config(&piece.service);
+        config.is_none_or(|config| self.batcher.is_feasible(now, piece, &config, &self.directory))
     }
 
-    pub(super) fn shape(&self, service: &str) -> Option<Pieces> {
+    pub(super) fn piece_config(&self, service: &str) -> Option<Pieces> {
         self.config.as_ref()?.services.get(service)?.pieces
     }
 
-    pub(super) fn make_all(&mut self, now: Duration) {
-        self.has_room = false;
-        for service in self.batches.waiting_services() {
-            self.make(now, &service);
+    pub(super) fn dispatch_all(&mut self, now: Duration) {
+        self.has_freed_memory = false;
+        for service in self.batcher.waiting_services() {
+            self.dispatch(now, &service);
         }
     }
 
-    /// Sends what waits for a service to its idle endpoints.
-    pub(super) fn make(&mut self, now: Duration, service: &str) {
-        let Some(shape) = self.shape(service) else { return };
-        let spares = self.batches.results_to_evict(now, service, &shape, &self.directory);
-        if !spares.is_empty() {
-            self.free_at_endpoints(spares);
+    /// Sends queued pieces of a service to its idle endpoints.
+    pub(super) fn dispatch(&mut self, now: Duration, service: &str) {
+        let Some(config) = self.piece_config(service) else { return };
+        let evictable = self.batcher.results_to_evict(now, service, &config, &self.directory);
+        if !evictable.is_empty() {
+            self.free_at_endpoints(evictable);
         }
         let late = match self.directory.is_evacuated(now, service) {
-            true => self.batches.take_waiting(service),
-            false => self.batches.take_late(now, service, &shape, &self.directory),
+            true => self.batcher.take_waiting(service),
+            false => self.batcher.take_late(now, service, &config, &self.directory),
         };
-        self.take_finished(now, late);
-        for order in self.batches.plan(now, service, &shape, &self.directory) {
+        self.process_finished(now, late);
+        for order in self.batcher.plan(now, service, &config, &self.directory) {
             let endpoint = order.endpoint;
             let call = self.calls.insert(CallState {
-                exchange: CallPurpose::Pieces,
+                purpose: CallPurpose::Pieces,
                 endpoint,
                 started_at: now,
                 tokens: 0,
@@ -283,60 +284,60 @@
                 answered_at: None,
                 overdue_at: None,
             });
-            self.batches.record_start(now, call, &order, &shape);
+            self.batcher.record_start(now, call, &order, &config);
             self.pace_call(now, endpoint);
-            let target = self.directory.get_mut(endpoint).expect("a planned endpoint is known");
+            let target =
+                self.directory.get_mut(endpoint).expect("the directory has the planned endpoint");
             target.record_sent();
             let (endpoint, addr) = (target.entry.name.clone(), target.entry.addr.clone());
             self.actions.push(Action::MakePieces { call, endpoint, addr, pieces: order.pieces });
         }
     }
 
-    pub(super) fn take_finished(&mut self, now: Duration, finished: Vec<FinishedPiece>) {
-        let mut touched = Vec::new();
-        for one in finished {
-            match one.origin {
-                Origin::Peer { ticket, index } => self.return_one(now, ticket, index, one),
+    pub(super) fn process_finished(&mut self, now: Duration, finished: Vec<FinishedPiece>) {
+        let mut affected = Vec::new();
+        for outcome in finished {
+            match outcome.origin {
+                Origin::Peer { ticket, index } => self.return_to_peer(now, ticket, index, outcome),
                 Origin::Local(key) => {
-                    self.take_own(now, key, one);
-                    if !touched.contains(&key) {
-                        touched.push(key);
+                    self.process_own_piece(now, key, outcome);
+                    if !affected.contains(&key) {
+                        affected.push(key);
                     }
                 }
             }
         }
-        for key in touched {
-            self.after_pieces(now, key);
+        for key in affected {
+            self.advance_after_pieces(now, key);
         }
     }
 
-    pub(super) fn return_one(
+    pub(super) fn return_to_peer(
         &mut self,
         now: Duration,
         ticket: u64,
         index: usize,
-        one: FinishedPiece,
+        outcome: FinishedPiece,
     ) {
         if !self.tickets.contains_key(&ticket) {
-            self.free_stray(one);
+            self.free_unclaimed(outcome);
             return;
         }
-        let again = another_try(&one).filter(|piece| !self.is_held(piece));
-        let again = again.filter(|piece| self.may_send_again(now, piece));
-        let is_late = one.result == Err(PieceFailure::Late);
-        match again {
-            Some(piece) => self.batches.add(piece, Origin::Peer { ticket, index }),
-            // The peer must not take it for unmade.
-            None if is_late && !is_unmade(&one) => {
-                self.settle(ticket, index, Err(PieceFailure::Failed));
+        let retry = retry_piece(&outcome).filter(|piece| !self.is_quarantined(piece));
+        let retry = retry.filter(|piece| self.withdraw_for_retry(now, piece));
+        let is_late = outcome.result == Err(PieceFailure::Late);
+        match retry {
+            Some(piece) => self.batcher.add(piece, Origin::Peer { ticket, index }),
+            // The peer must not assume that the piece was never made.
+            None if is_late && !is_unmade(&outcome) => {
+                self.record_ticket_result(ticket, index, Err(PieceFailure::Failed));
             }
-            None => self.settle(ticket, index, one.result),
+            None => self.record_ticket_result(ticket, index, outcome.result),
         }
     }
 
-    /// Notes the result of a peer's piece, and returns all of them once they
-    /// are there.
-    fn settle(&mut self, ticket: u64, index: usize, result: PieceResult) {
+    /// Records the result of a peer's piece, and returns all results once they are complete.
+    fn record_ticket_result(&mut self, ticket: u64, index: usize, result: PieceResult) {
         let Some(open) = self.tickets.get_mut(&ticket) else { return };
         open.results[index] = Some(result);
         if open.results.iter().any(Option::is_none) {
@@ -348,92 +349,99 @@
         }
     }
 
-    pub(super) fn take_own(&mut self, now: Duration, key: ExchangeKey, one: FinishedPiece) {
+    pub(super) fn process_own_piece(
+        &mut self,
+        now: Duration,
+        key: ExchangeKey,
+        outcome: FinishedPiece,
+    ) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
-            self.free_stray(one);
+            self.free_unclaimed(outcome);
             return;
         };
-        exchange.has_run |= !is_unmade(&one);
-        let is_old = one.piece.round != exchange.rounds;
-        self.note_stage_time(now, key, &one);
+        exchange.has_run |= !is_unmade(&outcome);
+        let is_stale = outcome.piece.round != exchange.rounds;
+        self.record_stage_time(now, key, &outcome);
         let exchange = &mut self.exchanges[key];
-        match one.result {
-            // Its round has been given up already.
-            Err(_) if is_old => {}
+        match outcome.result {
+            // The round of this piece has been abandoned already.
+            Err(_) if is_stale => {}
             Ok(handle) => {
-                let data_centre = self.directory.data_centre_of(&handle, one.endpoint);
+                let data_centre = self.directory.data_centre_of(&handle, outcome.endpoint);
                 let made = LocatedResult { handle, data_centre };
-                let (stage, number) = (usize::from(one.piece.stage), usize::from(one.piece.number));
+                let (stage, number) =
+                    (usize::from(outcome.piece.stage), usize::from(outcome.piece.number));
                 exchange.graph.record_result(stage, number, made);
             }
             Err(PieceFailure::Late) => self.give_up(now, key, Refusal::Infeasible),
             Err(PieceFailure::InputGone) => self.restart_stages(now, key),
             Err(_) => {
-                let piece = another_try(&one);
-                let piece = piece.filter(|piece| self.may_send_again(now, piece));
+                let piece = retry_piece(&outcome);
+                let piece = piece.filter(|piece| self.withdraw_for_retry(now, piece));
                 match piece {
-                    Some(piece) => self.batches.add(piece, Origin::Local(key)),
+                    Some(piece) => self.batcher.add(piece, Origin::Local(key)),
                     None => self.give_up(now, key, Refusal::Failed),
                 }
             }
         }
     }
 
-    /// Watches how long a stage took whose piece has come back.
-    fn note_stage_time(&mut self, now: Duration, key: ExchangeKey, one: &FinishedPiece) {
+    /// Records how long a stage took when the first of its pieces has come back.
+    fn record_stage_time(&mut self, now: Duration, key: ExchangeKey, outcome: &FinishedPiece) {
         let starts = &mut self.exchanges[key].stage_starts;
-        let stage = usize::from(one.piece.stage);
+        let stage = usize::from(outcome.piece.stage);
         let Some(idx) = starts.iter().position(|(known, _)| *known == stage) else { return };
         let (_, started) = starts.swap_remove(idx);
-        self.stage_times.note(now, &one.piece.service, now.saturating_sub(started));
+        self.stage_times.record(now, &outcome.piece.service, now.saturating_sub(started));
     }
 
-    /// Pieces of a failed call wait again. `is_safe` if they certainly did not
-    /// arrive anywhere as work.
+    /// Queues the pieces of a failed call again. `is_safe` if certainly no endpoint received
+    /// them as work.
     pub(super) fn requeue(&mut self, now: Duration, finished: Vec<FinishedPiece>, is_safe: bool) {
-        let mut lost = Vec::new();
-        for one in finished {
-            let is_wanted = match one.origin {
+        let mut failed = Vec::new();
+        for outcome in finished {
+            let is_wanted = match outcome.origin {
                 Origin::Local(key) => self.exchanges.contains_key(key),
                 Origin::Peer { ticket, .. } => self.tickets.contains_key(&ticket),
             };
             if !is_wanted {
                 continue;
             }
-            let may_wait = !self.is_held(&one.piece);
-            if may_wait && (is_safe || self.spend(now, &one.piece.service.clone(), 1)) {
-                self.batches.add(one.piece, one.origin);
+            let may_wait = !self.is_quarantined(&outcome.piece);
+            if may_wait && (is_safe || self.try_withdraw(now, &outcome.piece.service.clone(), 1)) {
+                self.batcher.add(outcome.piece, outcome.origin);
             } else {
-                lost.push(one);
+                failed.push(outcome);
             }
         }
-        self.take_finished(now, lost);
+        self.process_finished(now, failed);
     }
 
-    pub(super) fn after_pieces(&mut self, now: Duration, key: ExchangeKey) {
+    pub(super) fn advance_after_pieces(&mut self, now: Duration, key: ExchangeKey) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let route = exchange.route.clone();
         let used = exchange.graph.take_unneeded(&route);
         self.free(&route, used);
-        let is_calling = self.exchanges[key].call.is_some();
-        if !is_calling {
+        let has_call = self.exchanges[key].call.is_some();
+        if !has_call {
             self.advance(now, key);
         }
     }
 
-    /// Where the call will probably go, if large results should lie near it.
-    pub(super) fn find_home(&mut self, now: Duration, key: ExchangeKey) {
+    /// Predicts the data centre of the call, if large results should be made near it.
+    pub(super) fn predict_destination(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &self.exchanges[key];
         let has_large = exchange.route.stages.iter().any(|stage| stage.bytes >= LARGE_RESULT_BYTES);
         if exchange.destination.is_some() || !has_large {
             return;
         }
         let Some(chosen) = self.choose(now, key, &[]) else { return };
-        let home = self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
-        self.exchanges[key].destination = home;
+        let destination =
+            self.directory.get(chosen.endpoint).map(|known| known.entry.data_centre.clone());
+        self.exchanges[key].destination = destination;
     }
 
-    /// The results of an exchange's stages are gone: they are made again.
+    /// Makes the stages of an exchange again after their results were lost.
     pub(super) fn restart_stages(&mut self, now: Duration, key: ExchangeKey) {
         let exchange = &mut self.exchanges[key];
         if exchange.route.stages.is_empty() {
@@ -451,33 +459,34 @@
         self.advance(now, key);
     }
 
-    /// Whether a piece's request is held back.
-    fn is_held(&self, piece: &Piece) -> bool {
+    /// Whether the content of a piece's request is quarantined.
+    fn is_quarantined(&self, piece: &Piece) -> bool {
         self.quarantine.get(piece.content).is_some()
     }
 
-    /// Pays for sending a piece again that was or may have been made.
-    pub(super) fn may_send_again(&mut self, now: Duration, piece: &Piece) -> bool {
-        !piece.is_repeat || self.spend(now, &piece.service.clone(), 1)
+    /// Withdraws from the retry budget if a piece was or may have been made before. Returns
+    /// whether it may be sent.
+    pub(super) fn withdraw_for_retry(&mut self, now: Duration, piece: &Piece) -> bool {
+        !piece.is_repeat || self.try_withdraw(now, &piece.service.clone(), 1)
     }
 }
 
-/// Whether nothing was made of a piece that is late. One whose call brought no
-/// answer may have been made all the same.
-fn is_unmade(one: &FinishedPiece) -> bool {
-    one.result == Err(PieceFailure::Late) && !one.piece.is_repeat
+/// Whether a late piece was certainly not made. A piece whose call brought no answer may have
+/// been made all the same.
+fn is_unmade(outcome: &FinishedPiece) -> bool {
+    outcome.result == Err(PieceFailure::Late) && !outcome.piece.is_repeat
 }
 
-/// A piece of a request that is held back.
-fn not_made((piece, origin): (Piece, Origin)) -> FinishedPiece {
+/// The result of a piece whose content is quarantined.
+fn failed_piece((piece, origin): (Piece, Origin)) -> FinishedPiece {
     FinishedPiece { origin, piece, result: Err(PieceFailure::Failed), endpoint: None }
 }
 
-/// The piece, if another call may do better.
-fn another_try(one: &FinishedPiece) -> Option<Piece> {
-    let may_do_better = matches!(one.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
-    let piece = &one.piece;
-    let is_repeat = one.result != Err(PieceFailure::NoRoom);
+/// The piece for another attempt, if that may succeed.
+fn retry_piece(outcome: &FinishedPiece) -> Option<Piece> {
+    let may_succeed = matches!(outcome.result, Err(PieceFailure::NoRoom | PieceFailure::Failed));
+    let piece = &outcome.piece;
+    let is_repeat = outcome.result != Err(PieceFailure::NoRoom);
     let tries = piece.tries.saturating_add(u8::from(is_repeat));
-    (may_do_better && tries < MAX_TRIES).then(|| Piece { tries, is_repeat, ..piece.clone() })
+    (may_succeed && tries < MAX_TRIES).then(|| Piece { tries, is_repeat, ..piece.clone() })
 }
--- a/crates/core/src/relay/machine/terms.rs
+++ b/crates/core/src/relay/machine/terms.rs
@@ -1,4 +1,5 @@
-//! What endpoints say of themselves: taken in from every reply, and told to peers.
+//! What endpoints report of themselves in each reply: limits, holds, cold starts and leaving.
+//! Peers are notified.
 
 use std::time::Duration;
 
@@ -14,15 +15,15 @@
     },
 };
 
-/// How long peers are told of what does not go on: a word gets around among hundreds of
-/// instances in a few rounds of gossip.
-const NEWS_FOR: Duration = Duration::from_secs(15);
-/// Notices in a message at the most, of some 50 bytes each.
-const MOST_NOTICES: usize = 32;
+/// How long peers are notified of a change: a notice reaches hundreds of instances within a
+/// few rounds of gossip.
+const NOTICE_VALIDITY: Duration = Duration::from_secs(15);
+/// Maximum number of notices in a message, of some 50 bytes each.
+const MAX_NOTICES: usize = 32;
 
 impl Relay {
-    /// The head of a reply came. What its endpoint says of itself counts whatever
-    /// becomes of the call, but where another one has its address.
+    /// Takes in the head of a reply. What the endpoint reports of itself holds however the
+    /// call ends, unless another endpoint answered at its address.
     pub fn on_reply_terms(&mut self, now: Duration, call: CallKey, head: &ReplyHead) {
         if head.status == 421 {
             return;
@@ -30,71 +31,72 @@
         let Some(state) = self.calls.get(call) else { return };
         let (key, placer) = (state.endpoint, state.placer.clone());
         let Some(endpoint) = self.directory.get_mut(key) else { return };
-        if let Some(left) = head.terms.cold_left {
-            endpoint.set_cold(now, left);
+        if let Some(cold_left) = head.terms.cold_left {
+            endpoint.set_cold(now, cold_left);
         }
-        if let Some(rest) = head.terms.hold {
-            endpoint.extend_hold(now, rest);
+        if let Some(hold) = head.terms.hold {
+            endpoint.extend_hold(now, hold);
         }
         let is_news = endpoint.update_limit(LimitReport { limit: head.terms.limit, at: now });
         let is_notable = is_news || endpoint.limit().is_some() || head.terms.is_leaving;
         if let (Some((peer, _)), true) = (placer, is_notable) {
             let notice = Notice { is_leaving: head.terms.is_leaving, ..endpoint.notice(now) };
-            self.notices.entry(peer).or_default().push(notice);
+            self.pending_notices.entry(peer).or_default().push(notice);
         }
         if is_news {
-            self.note_limit(now, key, None);
+            self.report_limit(now, key, None);
         }
         if head.terms.hold.is_some() {
             self.pace_pieces(now, key);
         }
         if head.terms.is_leaving {
-            self.leave_told(now, key, None);
+            self.mark_leaving(now, key, None);
         }
     }
 
-    /// What peers should know of endpoints.
+    /// Notices on endpoints for the next message to a peer.
     pub fn peer_notices(&mut self, now: Duration) -> Vec<Notice> {
-        let is_fresh = |at: Duration| now < at + NEWS_FOR;
+        let is_fresh = |at: Duration| now < at + NOTICE_VALIDITY;
         let is_news = |endpoint: &&Endpoint| {
-            let has_left = endpoint.leaving_at.is_some_and(is_fresh);
-            let is_told = endpoint.limit_report.is_some_and(|word| is_fresh(word.at));
-            endpoint.limit().is_some() || has_left || is_told
+            let is_leaving = endpoint.leaving_at.is_some_and(is_fresh);
+            let is_reported = endpoint.limit_report.is_some_and(|word| is_fresh(word.at));
+            endpoint.limit().is_some() || is_leaving || is_reported
         };
         let news = self.directory.all().filter(is_news);
         let mut notices: Vec<_> = news.map(|endpoint| endpoint.notice(now)).collect();
-        while notices.len() > MOST_NOTICES {
-            // Others come with the next message.
+        while notices.len() > MAX_NOTICES {
+            // The others are sent with later messages.
             let idx = self.rng.random_range(0..notices.len());
             notices.swap_remove(idx);
         }
         notices
     }
 
-    /// A peer told of endpoints.
+    /// Takes in a peer's notices on endpoints.
     pub fn on_peer_notices(&mut self, now: Duration, peer: &InstanceName, notices: &[Notice]) {
         for notice in notices {
             let Some(key) = self.directory.by_id(&notice.endpoint) else { continue };
             let Some(endpoint) = self.directory.get_mut(key) else { continue };
             if endpoint.update_limit(notice.limit_report(now)) {
-                self.note_limit(now, key, Some(peer.clone()));
+                self.report_limit(now, key, Some(peer.clone()));
             }
             if notice.is_leaving {
-                self.leave_told(now, key, Some(peer.clone()));
+                self.mark_leaving(now, key, Some(peer.clone()));
             }
         }
     }
 
-    fn note_limit(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
+    fn report_limit(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
         self.pace_pieces(now, key);
         let Some(endpoint) = self.directory.get(key) else { return };
         let (name, limit) = (endpoint.entry.name.clone(), endpoint.limit());
         self.actions.push(Action::EndpointLimit { endpoint: name, limit, source });
     }
 
-    /// An endpoint said that it leaves, whatever the directory says: that may be dark, or
-    /// late, and endpoints end soon after they have said so.
-    fn leave_told(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
+    /// Marks an endpoint as leaving after it announced that, whatever the directory states.
+    /// The directory may be unreachable or late, and endpoints stop soon after the
+    /// announcement.
+    fn mark_leaving(&mut self, now: Duration, key: EndpointKey, source: Option<InstanceName>) {
         let Some(endpoint) = self.directory.get_mut(key).filter(|it| it.leaving_at.is_none())
         else {
             return;
