--- a/crates/core/src/relay/directory.rs
+++ b/crates/core/src/relay/directory.rs
@@ -180,10 +180,10 @@
         let keys = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let keys = keys.iter().filter(|key| !self.is_in_evacuated(&self.endpoints[**key]));
         let is_ready = |key: &EndpointKey| self.endpoints[*key].is_ready();
-        let has_lapsed = |key: &EndpointKey| self.endpoints[*key].is_last_resort(now);
+        let has_expired = |key: &EndpointKey| self.endpoints[*key].is_last_resort(now);
         let ready = keys.clone().filter(|key| is_ready(key)).count();
-        let lapsed = keys.clone().filter(|key| has_lapsed(key)).count();
-        let is_usable = |key: &&EndpointKey| is_ready(key) || (lapsed > ready && has_lapsed(key));
+        let expired = keys.clone().filter(|key| has_expired(key)).count();
+        let is_usable = |key: &&EndpointKey| is_ready(key) || (expired > ready && has_expired(key));
         keys.filter(is_usable).copied().collect()
     }
 
@@ -205,19 +205,23 @@
     }
 
     /// The key of an incarnation; `None` if it is not the newest one known.
-    pub fn by_id(&self, life: &EndpointId) -> Option<EndpointKey> {
-        let key = self.by_name(&life.name)?;
-        (self.endpoints[key].entry.incarnation == life.incarnation).then_some(key)
+    pub fn by_id(&self, id: &EndpointId) -> Option<EndpointKey> {
+        let key = self.by_name(&id.name)?;
+        (self.endpoints[key].entry.incarnation == id.incarnation).then_some(key)
     }
 
     /// The data centre where a result is stored: that of the endpoint that produced it,
     /// or else of the endpoint whose address the handle begins with. `None` if the handle
     /// contains no address or the endpoint is unknown.
-    pub fn data_centre_of(&self, handle: &str, maker: Option<EndpointKey>) -> Option<DataCentre> {
+    pub fn data_centre_of(
+        &self,
+        handle: &str,
+        producer: Option<EndpointKey>,
+    ) -> Option<DataCentre> {
         let (addr, _) = handle.split_once('/')?;
-        let maker = maker.and_then(|key| self.endpoints.get(key));
+        let producer = producer.and_then(|key| self.endpoints.get(key));
         let at_addr = |endpoint: &&Endpoint| *endpoint.entry.addr == *addr;
-        let endpoint = maker.or_else(|| self.endpoints.values().find(at_addr))?;
+        let endpoint = producer.or_else(|| self.endpoints.values().find(at_addr))?;
         Some(endpoint.entry.data_centre.clone())
     }
 
