--- a/crates/core/src/trace/replay.rs
+++ b/crates/core/src/trace/replay.rs
@@ -22,7 +22,7 @@
     #[error("the trace could not be read: {0}; check the file")]
     Read(#[from] io::Error),
     /// A line is not a valid record.
-    #[error("line {line} is not a valid trace record: {cause}; correct or remove it")]
+    #[error("line {line} is no valid trace record: {cause}; correct or remove it")]
     Line {
         /// The number of the line, from 1.
         line: u64,
