--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -68,9 +68,9 @@
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
-        bound,
-        instances: 74,
-        strength: 120,
+        retry_budget: bound,
+        min_instances: 74,
+        millicores: 120,
     };
     let mut relay = Relay::new(settings, 1);
     let slots = if room < 1 << 40 { 2 } else { 1 };
@@ -121,7 +121,7 @@
         deadline: Duration::from_secs(600),
         target: Duration::from_secs(300) + Duration::from_millis(request % 1000),
         priority: 0,
-        preferred_data_centre: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
+        destination: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
         round: 0,
         tries: 0,
         is_repeat: false,
--- a/crates/core/src/instance/peers.rs
+++ b/crates/core/src/instance/peers.rs
@@ -1,4 +1,4 @@
-//! Gossip, from the instance's side.
+//! Exchanges gossip with peers.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 };
 
 impl Instance {
-    /// Sends the round of gossip that is due.
-    pub(super) fn gossip_round(&mut self) {
+    /// Sends a round of gossip if one is due.
+    pub(super) fn send_gossip(&mut self) {
         if self.members.next_wake().is_none_or(|at| at > self.now) {
             return;
         }
         let facts = self.local_facts();
         let envelopes = self.members.tick(self.now, &facts.local());
-        envelopes.into_iter().for_each(|envelope| self.post(envelope));
+        envelopes.into_iter().for_each(|envelope| self.send_envelope(envelope));
     }
 
-    pub(super) fn gossip(&mut self, message: &Gossip) {
+    pub(super) fn on_gossip(&mut self, message: &Gossip) {
         self.counters.gossip_received += 1;
         if let Some(snapshot) = &message.snapshot {
-            let changes = self.fold.adopt(snapshot);
+            let changes = self.config_reader.adopt(snapshot);
             self.apply(changes);
         }
         for mark in &message.leaving {
@@ -36,42 +36,42 @@
         let facts = self.local_facts();
         let reply = self.members.receive(self.now, message, &facts.local());
         if let Some(envelope) = reply {
-            self.post(envelope);
+            self.send_envelope(envelope);
         }
     }
 
-    fn post(&mut self, envelope: Envelope) {
+    fn send_envelope(&mut self, envelope: Envelope) {
         self.counters.gossip_sent += 1;
         let Envelope { to, addr, message } = envelope;
         self.actions.push(Action::Gossip { to, addr, message });
     }
 
-    fn local_facts(&self) -> Facts {
-        Facts {
-            mark: self.fold.mark(),
-            snapshot: self.fold.shared(),
-            ready: self.unready_reasons().is_empty(),
+    fn local_facts(&self) -> LocalFacts {
+        LocalFacts {
+            mark: self.config_reader.mark(),
+            snapshot: self.config_reader.shared(),
+            is_ready: self.unready_reasons().is_empty(),
             leaving: self.table.leaving_marks(),
             endpoints: self.table.states(self.now),
         }
     }
 }
 
-/// What this instance can tell, gathered for one message.
-struct Facts {
+/// The state of this instance that goes into a gossip message.
+struct LocalFacts {
     mark: ConfigMark,
     snapshot: Option<Arc<Snapshot>>,
-    ready: bool,
+    is_ready: bool,
     leaving: Vec<LeavingMark>,
     endpoints: Vec<EndpointState>,
 }
 
-impl Facts {
+impl LocalFacts {
     fn local(&self) -> LocalState<'_> {
         LocalState {
             mark: self.mark,
             snapshot: self.snapshot.clone(),
-            ready: self.ready,
+            ready: self.is_ready,
             leaving: &self.leaving,
             endpoints: &self.endpoints,
         }
--- a/crates/core/src/instance/policies.rs
+++ b/crates/core/src/instance/policies.rs
@@ -1,9 +1,8 @@
-//! Operators' programs at the points where they may decide.
+//! Evaluates operators' policy programs where they may decide.
 //!
-//! A program only ever chooses among what the built-in rules allow: whom to
-//! refuse although there is room, which waiting call goes first within a team,
-//! which usable endpoint is taken, when a refused caller should come back. It
-//! cannot make a request run twice, or on an endpoint that is leaving.
+//! A program only chooses among what the built-in rules allow: which requests to refuse although
+//! they fit, which call of a team leaves the queue first, which usable endpoint gets a call, and
+//! when a refused caller should retry. It cannot make a request run twice or on a leaving endpoint.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,8 +15,8 @@
 };
 
 impl Instance {
-    /// Admission: the built-in decision, and what the pipeline's program makes of it.
-    pub(super) fn decide(
+    /// Decides on admission: the built-in decision, modified by the pipeline's program.
+    pub(super) fn decide_admission(
         &mut self,
         request: &Request,
         plan: &Plan,
@@ -29,50 +28,50 @@
             return built_in;
         };
         let facts = self.admission_facts(request, plan, estimate, &built_in);
-        let admitted = self.noted(program.admit(&facts)).unwrap_or(built_in.is_ok());
+        let admitted = self.count_failure(program.admit(&facts)).unwrap_or(built_in.is_ok());
         if admitted {
             return Ok(());
         }
         let kind = built_in.as_ref().err().map_or(RefusalKind::Policy, |refusal| refusal.kind);
         let wait = built_in.err().map_or(estimate.wait, |refusal| refusal.retry_after);
-        let wait = self.noted(program.refuse(&facts)).unwrap_or(wait);
+        let wait = self.count_failure(program.refuse(&facts)).unwrap_or(wait);
         Err(admission::refusal(kind, wait))
     }
 
-    /// The priority that a program gives the current stage's call.
+    /// The priority that the program gives to the current stage's call; 0 without a program.
     pub(super) fn priority(&mut self, key: RequestKey) -> f64 {
         let Some(program) = self.program(key) else { return 0.0 };
         let facts = self.stage_facts(key);
-        self.noted(program.order(&facts)).unwrap_or(0.0)
+        self.count_failure(program.order(&facts)).unwrap_or(0.0)
     }
 
-    /// The program that decides for a held request.
+    /// The policy program of an active request, from the configuration in force.
     pub(super) fn program(&self, key: RequestKey) -> Option<Rc<Program>> {
         let plan = self.plan.as_ref()?;
-        plan.program(&self.held[key].pipeline).cloned()
+        plan.program(&self.requests[key].pipeline).cloned()
     }
 
-    /// What a program is told of a held request and its current stage.
+    /// Facts that a program gets about an active request and its current stage.
     pub(super) fn stage_facts(&self, key: RequestKey) -> Facts {
-        let held = &self.held[key];
-        let stage = held.stage();
-        let left = held.due.saturating_sub(self.now);
-        let estimate = self.estimate(&held.request, &held.pipeline, held.weight, None);
-        let costs = held.pipeline.stages.iter().map(|stage| self.cost(&stage.pool));
+        let active = &self.requests[key];
+        let stage = active.stage();
+        let left = active.deadline.saturating_sub(self.now);
+        let estimate = self.estimate(&active.request, &active.pipeline, active.weight, None);
+        let costs = active.pipeline.stages.iter().map(|stage| self.cost(&stage.pool));
         let costs: Vec<f64> = costs.collect();
-        let (spent, cost) = costs.split_at(held.progress.stage);
+        let (spent, cost) = costs.split_at(active.progress.stage);
         Facts {
-            team: held.request.id.team.clone(),
-            pipeline: held.pipeline.name.clone(),
+            team: active.request.id.team.clone(),
+            pipeline: active.pipeline.name.clone(),
             stage: stage.name.clone(),
-            stage_index: u32::try_from(held.progress.stage).unwrap_or(u32::MAX),
-            idempotent: held.request.idempotent,
+            stage_index: u32::try_from(active.progress.stage).unwrap_or(u32::MAX),
+            idempotent: active.request.idempotent,
             left,
             wait: estimate.wait,
             work: estimate.work,
             cost: cost.iter().sum(),
             spent: spent.iter().sum(),
-            waiting: u32::try_from(self.lanes.len(&stage.pool)).unwrap_or(u32::MAX),
+            waiting: u32::try_from(self.queues.len(&stage.pool)).unwrap_or(u32::MAX),
             free: self.table.pool_free_slots(self.now, &stage.pool),
             team_held: estimate.share.active,
             team_share: estimate.share.weight,
@@ -81,7 +80,7 @@
         }
     }
 
-    /// What a program is told of an endpoint.
+    /// Facts that a program gets about an endpoint.
     pub(super) fn endpoint_facts(&self, endpoint: &Endpoint) -> EndpointFacts {
         EndpointFacts {
             name: endpoint.name.clone(),
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Cost of one call to a pool, by the configuration in force.
+    /// Cost of one call to a pool in the configuration in force; 1 if that is unknown.
     pub(super) fn cost(&self, pool: &str) -> f64 {
         self.plan.as_ref().map_or(1.0, |plan| plan.cost(pool))
     }
@@ -122,7 +121,7 @@
             work: estimate.work,
             cost: stages.iter().map(|stage| plan.cost(&stage.pool)).sum(),
             spent: 0.0,
-            waiting: u32::try_from(self.lanes.len(pool)).unwrap_or(u32::MAX),
+            waiting: u32::try_from(self.queues.len(pool)).unwrap_or(u32::MAX),
             free: self.table.pool_free_slots(self.now, pool),
             team_held: estimate.share.active,
             team_share: estimate.share.weight,
@@ -131,8 +130,8 @@
         }
     }
 
-    /// A program's decision; one that failed is counted and passed over.
-    fn noted<T>(&mut self, decision: Decision<T>) -> Option<T> {
+    /// Counts a failed evaluation; `None` then and if the program made no decision.
+    fn count_failure<T>(&mut self, decision: Decision<T>) -> Option<T> {
         self.counters.policy_errors += u64::from(matches!(decision, Decision::Failed(_)));
         decision.given()
     }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -1,19 +1,16 @@
-//! Which endpoints of a large pool one instance keeps to.
+//! Chooses which endpoints of a large pool an instance uses.
 //!
-//! Hundreds of instances before thousands of endpoints must not all know and
-//! call all of them: every decision would pass over the whole pool, every
-//! endpoint would hold a connection to every instance, and the little that one
-//! instance sends to each would teach it nothing about their speed.
+//! With hundreds of instances and thousands of endpoints, not every instance can call every
+//! endpoint: every decision would scan the whole pool, every endpoint would have a connection to
+//! every instance, and each instance would send too few calls to an endpoint to measure its speed.
 //!
-//! Each instance ranks the endpoints by a hash of both names (rendezvous
-//! hashing) and keeps to the first few: half of them out of its own data
-//! centre as far as it has them, the rest out of all. Nobody has to agree on
-//! anything; an endpoint that comes or goes changes one place in a few
-//! instances' subsets, and an instance that comes or goes changes no other's.
+//! Each instance ranks the endpoints by a hash of both names (rendezvous hashing) and uses the
+//! first few: half of them from its own data centre as far as it has them, the rest from all. This
+//! needs no coordination: an endpoint that is added or removed changes one entry in a few
+//! instances' subsets, and an instance that is added or removed changes no other instance's subset.
 //!
-//! The trap: subsets drawn independently cover the endpoints unevenly, by
-//! chance. Routing by load evens that out, as long as an endpoint's other
-//! callers show in its reports.
+//! Subsets drawn independently cover the endpoints unevenly. Routing by load evens that out, as
+//! long as an endpoint's load reports include its other callers.
 
 use std::{
     cmp::Reverse,
@@ -24,53 +21,56 @@
 
 use crate::model::{DataCentre, EndpointEntry, PoolName};
 
-/// Share of a subset that comes out of the instance's own data centre first.
+/// Share of a subset that is reserved for the instance's own data centre.
 const LOCAL_SHARE: f64 = 0.5;
 
-/// Who chooses.
+/// What a subset is computed from.
 #[derive(Debug, Clone, Copy)]
 pub struct Params<'a> {
-    /// The instance.
+    /// Name of the instance.
     pub name: &'a str,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: &'a str,
-    /// Endpoints of a pool that it keeps to, at the most.
+    /// The most endpoints of one pool in the subset.
     pub size: usize,
-    /// Data centres whose endpoints get nothing: they come last.
+    /// Evacuated data centres; their endpoints rank last.
     pub evacuated: &'a BTreeSet<DataCentre>,
 }
 
-/// The endpoints that an instance keeps to, out of the whole list. A pool that
-/// is no larger than the subset is kept whole.
-pub fn choose(chooser: Params<'_>, entries: &[EndpointEntry]) -> Vec<EndpointEntry> {
+/// The endpoints of the whole list that an instance uses. A pool that is no larger than the subset
+/// is used whole.
+pub fn choose(params: Params<'_>, entries: &[EndpointEntry]) -> Vec<EndpointEntry> {
     let mut pools: BTreeMap<&PoolName, Vec<&EndpointEntry>> = BTreeMap::new();
     for entry in entries {
         pools.entry(&entry.pool).or_default().push(entry);
     }
-    pools.into_values().flat_map(|pool| of_pool(chooser, pool)).cloned().collect()
+    pools.into_values().flat_map(|pool| choose_from_pool(params, pool)).cloned().collect()
 }
 
-fn of_pool<'a>(chooser: Params<'_>, mut pool: Vec<&'a EndpointEntry>) -> Vec<&'a EndpointEntry> {
-    if pool.len() <= chooser.size {
+fn choose_from_pool<'a>(
+    params: Params<'_>,
+    mut pool: Vec<&'a EndpointEntry>,
+) -> Vec<&'a EndpointEntry> {
+    if pool.len() <= params.size {
         return pool;
     }
-    let is_empty = |entry: &EndpointEntry| chooser.evacuated.contains(&entry.data_centre);
-    let place =
-        |entry: &&EndpointEntry| (is_empty(entry), Reverse(rank(chooser.name, &entry.name)));
-    pool.sort_by_key(place);
+    let is_evacuated = |entry: &EndpointEntry| params.evacuated.contains(&entry.data_centre);
+    let sort_key =
+        |entry: &&EndpointEntry| (is_evacuated(entry), Reverse(rank(params.name, &entry.name)));
+    pool.sort_by_key(sort_key);
     let is_local =
-        |entry: &&EndpointEntry| *entry.data_centre == *chooser.data_centre && !is_empty(entry);
-    let reserved = (chooser.size as f64 * LOCAL_SHARE) as usize;
+        |entry: &&EndpointEntry| *entry.data_centre == *params.data_centre && !is_evacuated(entry);
+    let reserved = (params.size as f64 * LOCAL_SHARE) as usize;
     let (local, other): (Vec<_>, Vec<_>) = pool.into_iter().partition(is_local);
-    let near = reserved.min(local.len());
-    let mut rest = [&local[near..], &other].concat();
-    rest.sort_by_key(place);
-    rest.truncate(chooser.size - near);
-    [&local[..near], &rest].concat()
+    let local_count = reserved.min(local.len());
+    let mut rest = [&local[local_count..], &other].concat();
+    rest.sort_by_key(sort_key);
+    rest.truncate(params.size - local_count);
+    [&local[..local_count], &rest].concat()
 }
 
-/// How much an endpoint is an instance's; a leaving one keeps its place, so
-/// that its leaving is seen.
+/// Rank of an endpoint for an instance. A leaving endpoint keeps its rank, so that the instance
+/// sees that it leaves.
 fn rank(instance: &str, endpoint: &str) -> u64 {
     xxh3::xxh3_64_with_seed(endpoint.as_bytes(), xxh3::xxh3_64(instance.as_bytes()))
 }
--- a/crates/core/tests/testsuite/relay/directory.rs
+++ b/crates/core/tests/testsuite/relay/directory.rs
@@ -5,7 +5,7 @@
 use peatdeck_core::{
     model::{Incarnation, Load},
     relay::{
-        directory::{Change, Directory, Ended, Entry},
+        directory::{Change, Directory, EndedEndpoint, Entry},
         engine::CallEstimate,
         model::Failure,
     },
@@ -22,7 +22,7 @@
 fn directory(names: &[&str]) -> Directory {
     let mut directory = Directory::default();
     for name in names {
-        directory.change(ms(0), Change::Put(entry(name, "desk")));
+        directory.apply_change(ms(0), Change::Put(entry(name, "desk")));
     }
     directory
 }
@@ -38,17 +38,17 @@
 #[test]
 fn leaving_is_sticky() {
     let mut directory = directory(&["a", "b"]);
-    directory.change(ms(10), leaving("a"));
-    directory.change(ms(20), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(10), leaving("a"));
+    directory.apply_change(ms(20), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 30), ["b"]);
 }
 
 #[test]
 fn an_entry_that_lapsed_is_a_last_resort_for_a_moment() {
     let mut directory = directory(&["a", "b"]);
-    directory.change(ms(100), Change::Removed(Arc::from("a")));
+    directory.apply_change(ms(100), Change::Removed(Arc::from("a")));
     assert_eq!(usable(&directory, 200), ["b"]);
-    directory.change(ms(100), Change::Removed(Arc::from("b")));
+    directory.apply_change(ms(100), Change::Removed(Arc::from("b")));
     assert_eq!(usable(&directory, 1500), ["a", "b"]);
     assert_eq!(usable(&directory, 1700), Vec::<String>::new());
 }
@@ -56,16 +56,16 @@
 #[test]
 fn an_entry_that_lapsed_comes_back() {
     let mut directory = directory(&["a"]);
-    directory.change(ms(100), Change::Removed(Arc::from("a")));
-    directory.change(ms(3000), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(100), Change::Removed(Arc::from("a")));
+    directory.apply_change(ms(3000), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 3000), ["a"]);
 }
 
 #[test]
 fn an_entry_that_left_does_not_come_back_by_being_removed() {
     let mut directory = directory(&["a"]);
-    directory.change(ms(10), leaving("a"));
-    directory.change(ms(20), Change::Removed(Arc::from("a")));
+    directory.apply_change(ms(10), leaving("a"));
+    directory.apply_change(ms(20), Change::Removed(Arc::from("a")));
     assert_eq!(usable(&directory, 30), Vec::<String>::new());
 }
 
@@ -74,12 +74,12 @@
     let mut directory = directory(&["a"]);
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(key).unwrap();
-    endpoint.failed(ms(0), Failure::Unsent);
+    endpoint.record_failure(ms(0), Failure::Unsent);
     assert!(endpoint.is_paused(ms(399)));
     assert!(!endpoint.is_paused(ms(400)));
-    endpoint.failed(ms(400), Failure::Unsent);
+    endpoint.record_failure(ms(400), Failure::Unsent);
     assert!(endpoint.is_paused(ms(1199)));
-    endpoint.answered(ms(1199), ms(5), None);
+    endpoint.record_answer(ms(1199), ms(5), None);
     assert!(!endpoint.is_paused(ms(1199)));
 }
 
@@ -88,11 +88,11 @@
     let mut directory = directory(&["a"]);
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(key).unwrap();
-    endpoint.failed(ms(0), Failure::Unsent);
+    endpoint.record_failure(ms(0), Failure::Unsent);
     assert!(!endpoint.is_paused(ms(500)));
-    endpoint.sent();
+    endpoint.record_sent();
     assert!(endpoint.is_paused(ms(500)));
-    endpoint.ended();
+    endpoint.record_end();
     assert!(!endpoint.is_paused(ms(500)));
 }
 
@@ -101,13 +101,17 @@
     let mut directory = directory(&["a", "b"]);
     let old = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(old).unwrap();
-    endpoint.sent();
+    endpoint.record_sent();
     let work = CallEstimate { prefill: ms(900), copy_time: ms(0), first_token: ms(50) };
     endpoint.engine.add_run(ms(0), 1, &prompt(1, 2), work);
-    endpoint.answered(ms(0), ms(700), Some(Load { running: 3, queued: 9, places: 4, age_ms: 0 }));
-    endpoint.failed(ms(0), Failure::Cut);
-    let changed = directory.change(ms(10), Change::Put(life("a", 2)));
-    let ended = Ended { endpoint: old, is_planned: false };
+    endpoint.record_answer(
+        ms(0),
+        ms(700),
+        Some(Load { running: 3, queued: 9, places: 4, age_ms: 0 }),
+    );
+    endpoint.record_failure(ms(0), Failure::Cut);
+    let changed = directory.apply_change(ms(10), Change::Put(life("a", 2)));
+    let ended = EndedEndpoint { endpoint: old, is_planned: false };
     assert_eq!((changed.is_new, changed.ended), (true, Some(ended)));
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get(key).unwrap();
@@ -115,18 +119,18 @@
     assert_eq!((endpoint.calls(ms(10)), endpoint.response_time), (0, None));
     assert_eq!((endpoint.engine.prefill_wait(ms(10)), endpoint.engine.memory_in_use()), (ms(0), 0));
     // What still comes of the earlier life touches that one only.
-    directory.get_mut(old).unwrap().ended();
-    directory.leaves(ms(20), old);
+    directory.get_mut(old).unwrap().record_end();
+    directory.mark_leaving(ms(20), old);
     assert_eq!(usable(&directory, 20), ["b", "a"]);
 }
 
 #[test]
 fn news_of_an_earlier_life_that_come_late_change_nothing() {
     let mut directory = directory(&["b"]);
-    directory.change(ms(0), Change::Put(life("a", 2)));
+    directory.apply_change(ms(0), Change::Put(life("a", 2)));
     let key = directory.by_name("a");
     let late = Entry { is_leaving: true, ..life("a", 1) };
-    assert_eq!(directory.change(ms(10), Change::Put(late)), Default::default());
+    assert_eq!(directory.apply_change(ms(10), Change::Put(late)), Default::default());
     assert_eq!(directory.by_name("a"), key);
     assert_eq!(usable(&directory, 20), ["b", "a"]);
 }
@@ -134,8 +138,8 @@
 #[test]
 fn an_endpoint_that_left_is_used_again_once_it_has_started_again() {
     let mut directory = directory(&["a"]);
-    directory.change(ms(10), leaving("a"));
-    directory.change(ms(20), Change::Put(life("a", 2)));
+    directory.apply_change(ms(10), leaving("a"));
+    directory.apply_change(ms(20), Change::Put(life("a", 2)));
     assert_eq!(usable(&directory, 30), ["a"]);
     // The life that is over is forgotten; its name belongs to the other one.
     directory.forget(ms(100_000));
@@ -146,10 +150,10 @@
 #[test]
 fn what_is_no_entry_names_no_endpoint_until_it_writes_again() {
     let mut directory = directory(&["a"]);
-    directory.change(ms(100), Change::Unreadable(Arc::from("a")));
-    directory.change(ms(100), Change::Unreadable(Arc::from("stranger")));
+    directory.apply_change(ms(100), Change::Unreadable(Arc::from("a")));
+    directory.apply_change(ms(100), Change::Unreadable(Arc::from("stranger")));
     assert_eq!(usable(&directory, 110), Vec::<String>::new(), "not even as a last resort");
-    directory.change(ms(300), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(300), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 310), ["a"]);
 }
 
@@ -159,9 +163,9 @@
 fn a_service_most_of_whose_entries_lapsed_is_used_on_for_a_moment() {
     let mut directory = directory(&["a", "b", "c", "d"]);
     for name in ["a", "b", "c", "d"] {
-        directory.change(ms(100), Change::Removed(Arc::from(name)));
+        directory.apply_change(ms(100), Change::Removed(Arc::from(name)));
     }
-    directory.change(ms(400), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(400), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 500), ["a", "b", "c", "d"]);
     assert_eq!(usable(&directory, 1700), ["a"], "what is not back then is gone");
 }
@@ -170,10 +174,10 @@
 fn an_entry_that_moves_a_life_to_another_service_is_somebody_elses() {
     let mut directory = directory(&["a", "b"]);
     let strange = Entry { service: Arc::from("mart"), ..entry("a", "mart") };
-    directory.change(ms(100), Change::Put(strange));
+    directory.apply_change(ms(100), Change::Put(strange));
     assert_eq!(usable(&directory, 110), ["b"]);
     assert!(directory.usable(ms(110), "mart").is_empty());
-    directory.change(ms(300), Change::Put(entry("a", "desk")));
+    directory.apply_change(ms(300), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 310), ["a", "b"]);
 }
 
@@ -184,6 +188,6 @@
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(key).unwrap();
     let load = Load { running: u32::MAX, queued: u32::MAX, places: 4, age_ms: 0 };
-    endpoint.answered(ms(0), ms(10), Some(load));
+    endpoint.record_answer(ms(0), ms(10), Some(load));
     assert_eq!(endpoint.calls(ms(1)), u32::MAX);
 }
