--- a/crates/relay/src/calls.rs
+++ b/crates/relay/src/calls.rs
@@ -247,7 +247,7 @@
 ) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
-    *outgoing.uri_mut() = request.target.parse().expect("it was a request's target");
+    *outgoing.uri_mut() = request.target.parse().expect("the target comes from a parsed request");
     *outgoing.headers_mut() = driver.platform.dialect.call_headers(call, &request.headers);
     outgoing
 }
--- a/crates/relay/src/driver.rs
+++ b/crates/relay/src/driver.rs
@@ -275,7 +275,7 @@
         read(&self.machine.borrow())
     }
 
-    /// Ticks the machine at the times that it asks for.
+    /// Ticks the machine at the wake times that it states.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let now = self.now();
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -2,9 +2,9 @@
 //!
 //! Each table is read whole once, and its log is followed from there. The store's
 //! capacity is scarce: only the readers ([`readers`]) call it, one call at a time for
-//! each table, with a backoff after failures, and a counter. The other instances ask
-//! a reader ([`crate::peers`]); an instance that gets no fresh answer calls the store
-//! itself.
+//! each table, with a backoff after failures, and each call is counted. The other
+//! instances request the tables from a reader ([`crate::peers`]); an instance that gets
+//! no fresh reply calls the store itself.
 //!
 //! Once any answer of the store names a later timeline, each table is read whole
 //! again, and late answers of earlier timelines are dropped.
--- a/crates/relay/src/peers/gossip.rs
+++ b/crates/relay/src/peers/gossip.rs
@@ -44,7 +44,7 @@
     ntex::rt::spawn(send(driver.clone(), envelope));
 }
 
-/// A gossip message without any state, sent to a peer whose name is not known.
+/// A gossip message without members, sent to a peer whose name is not known.
 fn greeting(driver: &Driver) -> Gossip {
     Gossip {
         from: driver.settings.name.clone(),
@@ -60,7 +60,7 @@
 
 async fn send(driver: Rc<Driver>, envelope: Envelope) {
     let Envelope { to, addr, message } = envelope;
-    let asked_at = driver.now();
+    let sent_at = driver.now();
     let notices = driver.feed(Relay::peer_notices);
     let exchange = async |client: relay::Client| {
         let mut request = client.gossip_request();
@@ -85,7 +85,7 @@
     match result {
         Ok((reply, positions, age, peer_notices)) => {
             driver.feed(|machine, now| machine.on_peer_notices(now, &to, &peer_notices));
-            learn::compare_positions(&driver, &addr, &positions, asked_at.checked_sub(age));
+            learn::compare_positions(&driver, &addr, &positions, sent_at.checked_sub(age));
             if let Some(reply) = reply {
                 versions::note_version(&driver, &addr, &positions, reply.mark.version);
                 let local = local(&driver);
@@ -94,7 +94,7 @@
         }
         Err(error) => {
             driver.metrics.count("relay.gossip_failed", 1);
-            let took_ms = driver.now().saturating_sub(asked_at).as_millis() as u64;
+            let took_ms = driver.now().saturating_sub(sent_at).as_millis() as u64;
             let (peer, open) = (&*to, open_exchanges.get());
             tracing::info!(event = "gossip_failed", peer, took_ms, open, error = %error);
             driver.peers.members.borrow_mut().send_failed(driver.now(), &to);
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -173,7 +173,7 @@
 }
 
 async fn step(driver: &Rc<Driver>, source_peer: &Source, source: &str) -> Result<Step, Error> {
-    let asked_at = driver.now();
+    let sent_at = driver.now();
     let (portions, age) = request_portions(driver, &source_peer.addr).await?;
     let bytes = portions.iter().map(Portion::bytes).sum::<usize>() as u64;
     driver.metrics.count("relay.heard_bytes", bytes);
@@ -182,7 +182,7 @@
         let before = (tables.is_loaded(name), tables.position(name));
         let learned = tables.apply_portion(name, portion);
         tables::record_timeline(driver, name, source, before);
-        if let Some(at) = asked_at.checked_sub(age).filter(|_| learned.is_caught_up) {
+        if let Some(at) = sent_at.checked_sub(age).filter(|_| learned.is_caught_up) {
             tables.mark_compared(name, at);
         }
         has_more |= learned.has_more;
--- a/crates/relay/src/peers/service.rs
+++ b/crates/relay/src/peers/service.rs
@@ -104,9 +104,9 @@
             tracing::info!(event = "take_over", id, ticket, stage, count);
         }
         driver.feed(|machine, now| machine.on_handover(now, ticket, pieces));
-        let piece_results = rx.await.map_err(to_capnp_error)?;
+        let output = rx.await.map_err(to_capnp_error)?;
         drop(guard);
-        wire::write_results(&piece_results, results.get().init_results(piece_results.len() as u32));
+        wire::write_results(&output, results.get().init_results(output.len() as u32));
         Ok(())
     }
 
--- a/crates/relay/src/peers/versions.rs
+++ b/crates/relay/src/peers/versions.rs
@@ -33,7 +33,7 @@
     /// Record of the configuration in force, as it was written.
     in_force: RefCell<Option<Record>>,
     newer: RefCell<Option<NewerVersion>>,
-    asked_at: Cell<Option<Duration>>,
+    requested_at: Cell<Option<Duration>>,
 }
 
 #[derive(Debug)]
@@ -77,11 +77,11 @@
     let newer = versions.newer.borrow_mut().take();
     let Some(NewerVersion { addr, version }) = newer else { return };
     let now = driver.now();
-    let was_asked = versions.asked_at.get().is_some_and(|at| now < at + RETRY_DELAY);
-    if was_asked || version <= own_version(driver) {
+    let was_requested = versions.requested_at.get().is_some_and(|at| now < at + RETRY_DELAY);
+    if was_requested || version <= own_version(driver) {
         return;
     }
-    versions.asked_at.set(Some(now));
+    versions.requested_at.set(Some(now));
     match fetch(driver, &addr).await {
         Ok(Some(record)) => {
             driver.metrics.count("relay.versions_heard", 1);
--- a/crates/relay/src/repair.rs
+++ b/crates/relay/src/repair.rs
@@ -59,7 +59,7 @@
         place: settings.data_centre.clone(),
         strength: settings.millicores,
     };
-    let value = serde_json::to_vec(&announcement).expect("two names are JSON");
+    let value = serde_json::to_vec(&announcement).expect("names and a number are JSON");
     let value = Bytes::from(value);
     let mut delay = Duration::ZERO;
     loop {
--- a/crates/relay/src/tables.rs
+++ b/crates/relay/src/tables.rs
@@ -277,7 +277,7 @@
     }
 }
 
-/// Cuts a message that may quote a record to [`MAX_QUOTE_BYTES`].
+/// Cuts a message that may quote a record to `MAX_QUOTE_BYTES` bytes.
 pub fn truncate(message: &str) -> &str {
     &message[..message.floor_char_boundary(MAX_QUOTE_BYTES)]
 }
