--- a/crates/core/tests/testsuite/relay.rs
+++ b/crates/core/tests/testsuite/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: opaque exchanges, their stages, and who repeats what.
+//! The relay: exchanges with opaque content, their stages, and which failures are retried.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/core/tests/testsuite/relay/batch.rs
+++ b/crates/core/tests/testsuite/relay/batch.rs
@@ -5,7 +5,7 @@
     model::{Arrival, PieceFailure},
 };
 
-use super::fixture::{ConfigBuilder, Order, World, arrival, entry, ms, route, stage};
+use super::fixture::{Batch, ConfigBuilder, World, arrival, entry, ms, route, stage};
 
 fn world(room: u64, bytes: u64, endpoints: &[&str]) -> World {
     let stages = vec![stage("ledger", &[], bytes)];
@@ -15,7 +15,7 @@
         objective: ms(400),
         ..route("quick", RequestKind::Idempotent, "desk")
     };
-    let config = ConfigBuilder::new(1).service("desk").maker("ledger", room).route(slow);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", room).route(slow);
     let mut world = World::new(config.route(quick).build());
     for name in endpoints {
         world.put(entry(name, "ledger"));
@@ -27,95 +27,95 @@
     Arrival { pieces: vec![pieces], deadline: Some(ms(8000)), ..arrival(id, route) }
 }
 
-fn names(orders: &[Order]) -> Vec<Vec<String>> {
-    orders.iter().map(Order::names).collect()
+fn names(batches: &[Batch]) -> Vec<Vec<String>> {
+    batches.iter().map(Batch::names).collect()
 }
 
 #[test]
 fn pieces_wait_here_while_endpoints_are_busy() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.arrive(asking("1", "r", 1));
-    let first = world.orders().remove(0);
+    world.submit(asking("1", "r", 1));
+    let first = world.batches().remove(0);
     for id in ["2", "3", "4"] {
-        world.arrive(asking(id, "r", 1));
+        world.submit(asking(id, "r", 1));
     }
-    assert!(world.orders().is_empty());
-    world.make(&first);
-    assert_eq!(names(&world.orders()), [["2/0/0", "3/0/0", "4/0/0"]]);
+    assert!(world.batches().is_empty());
+    world.complete(&first);
+    assert_eq!(names(&world.batches()), [["2/0/0", "3/0/0", "4/0/0"]]);
 }
 
 #[test]
 fn a_call_is_full_at_its_batch() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.arrive(asking("1", "r", 1));
-    let first = world.orders().remove(0);
+    world.submit(asking("1", "r", 1));
+    let first = world.batches().remove(0);
     for id in ["2", "3", "4", "5", "6"] {
-        world.arrive(asking(id, "r", 1));
+        world.submit(asking(id, "r", 1));
     }
-    world.make(&first);
-    assert_eq!(world.orders()[0].pieces.len(), 4);
+    world.complete(&first);
+    assert_eq!(world.batches()[0].pieces.len(), 4);
 }
 
 #[test]
 fn pieces_of_one_stage_are_not_torn_apart() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.arrive(asking("1", "r", 1));
-    let first = world.orders().remove(0);
-    world.arrive(asking("2", "r", 3));
-    world.arrive(asking("3", "r", 3));
-    world.arrive(asking("4", "r", 1));
-    world.make(&first);
-    assert_eq!(names(&world.orders()), [["2/0/0", "2/0/1", "2/0/2", "4/0/0"]]);
+    world.submit(asking("1", "r", 1));
+    let first = world.batches().remove(0);
+    world.submit(asking("2", "r", 3));
+    world.submit(asking("3", "r", 3));
+    world.submit(asking("4", "r", 1));
+    world.complete(&first);
+    assert_eq!(names(&world.batches()), [["2/0/0", "2/0/1", "2/0/2", "4/0/0"]]);
 }
 
 #[test]
 fn more_pieces_than_a_call_takes_are_made_in_several() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.arrive(asking("1", "r", 6));
-    let first = world.orders().remove(0);
+    world.submit(asking("1", "r", 6));
+    let first = world.batches().remove(0);
     assert_eq!(first.pieces.len(), 4);
-    world.make(&first);
-    assert_eq!(names(&world.orders()), [["1/0/4", "1/0/5"]]);
+    world.complete(&first);
+    assert_eq!(names(&world.batches()), [["1/0/4", "1/0/5"]]);
 }
 
 #[test]
 fn what_is_sooner_due_goes_first() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.arrive(asking("1", "r", 4));
-    let first = world.orders().remove(0);
-    world.arrive(asking("slow", "r", 4));
-    world.arrive(asking("fast", "quick", 4));
-    world.make(&first);
-    assert_eq!(world.orders()[0].names()[0], "fast/0/0");
+    world.submit(asking("1", "r", 4));
+    let first = world.batches().remove(0);
+    world.submit(asking("slow", "r", 4));
+    world.submit(asking("fast", "quick", 4));
+    world.complete(&first);
+    assert_eq!(world.batches()[0].names()[0], "fast/0/0");
 }
 
 #[test]
 fn what_can_still_be_in_good_time_goes_before_what_is_late() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.arrive(asking("1", "r", 4));
-    let first = world.orders().remove(0);
-    world.arrive(asking("late", "quick", 4));
+    world.submit(asking("1", "r", 4));
+    let first = world.batches().remove(0);
+    world.submit(asking("late", "quick", 4));
     world.advance(ms(450));
-    world.arrive(asking("good", "r", 4));
-    world.make(&first);
-    assert_eq!(world.orders()[0].names()[0], "good/0/0");
+    world.submit(asking("good", "r", 4));
+    world.complete(&first);
+    assert_eq!(world.batches()[0].names()[0], "good/0/0");
 }
 
 #[test]
 fn a_late_request_behind_others_is_given_up_before_half_of_its_time_is_over() {
     let mut world = world(1 << 30, 1, &["l1"]);
     world.put(entry("d1", "desk"));
-    world.arrive(asking("first", "r", 4));
-    let mut running = world.orders().remove(0);
-    world.arrive(asking("late", "quick", 4));
+    world.submit(asking("first", "r", 4));
+    let mut running = world.batches().remove(0);
+    world.submit(asking("late", "quick", 4));
     // Requests that can be in good time fill every call.
     for round in 0..12 {
         assert!(world.refusals().is_empty(), "given up after {round} rounds");
-        world.arrive(asking(&format!("good-{round}"), "r", 4));
-        world.arrive(asking(&format!("next-{round}"), "r", 4));
+        world.submit(asking(&format!("good-{round}"), "r", 4));
+        world.submit(asking(&format!("next-{round}"), "r", 4));
         world.advance(ms(280));
-        world.make(&running);
-        running = world.orders().remove(0);
+        world.complete(&running);
+        running = world.batches().remove(0);
         assert!(!running.names()[0].starts_with("late"));
     }
     world.advance(ms(300));
@@ -126,33 +126,33 @@
 fn a_late_request_that_gets_into_the_next_call_waits_for_it() {
     let mut world = world(1 << 30, 1, &["l1"]);
     world.put(entry("d1", "desk"));
-    world.arrive(asking("first", "r", 4));
-    let running = world.orders().remove(0);
+    world.submit(asking("first", "r", 4));
+    let running = world.batches().remove(0);
     for id in ["late-1", "late-2"] {
-        world.arrive(asking(id, "quick", 4));
+        world.submit(asking(id, "quick", 4));
     }
     // As long again as they have waited leaves a turn for the first one only.
     world.advance(ms(3700));
     assert_eq!(world.refusals().len(), 0);
     world.advance(ms(100));
     assert_eq!(world.refusals().len(), 1, "only one of them gets into it");
-    world.make(&running);
-    assert_eq!(world.orders().len(), 1);
+    world.complete(&running);
+    assert_eq!(world.batches().len(), 1);
 }
 
 #[test]
 fn results_never_need_more_room_than_there_is() {
     let mut world = world(10, 4, &["l1"]);
-    world.arrive(asking("1", "r", 2));
-    let first = world.orders().remove(0);
-    world.arrive(asking("2", "r", 2));
-    world.make(&first);
-    assert!(world.orders().is_empty(), "2 units of room are left");
+    world.submit(asking("1", "r", 2));
+    let first = world.batches().remove(0);
+    world.submit(asking("2", "r", 2));
+    world.complete(&first);
+    assert!(world.batches().is_empty(), "2 units of room are left");
     let call = world.call_for_desk();
-    world.replied(call, &super::fixture::head(200));
+    world.reply(call, &super::fixture::head(200));
     assert_eq!(world.relay.next_wake(world.now), world.now, "there is room now");
     world.advance(ms(0));
-    assert_eq!(names(&world.orders()), [["2/0/0", "2/0/1"]]);
+    assert_eq!(names(&world.batches()), [["2/0/0", "2/0/1"]]);
 }
 
 #[test]
@@ -166,29 +166,29 @@
         objective: ms(5000),
         ..route("small", RequestKind::Idempotent, "desk")
     };
-    let config = ConfigBuilder::new(1).service("desk").maker("ledger", 2_500_000);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", 2_500_000);
     let mut world = World::new(config.route(large).route(small).build());
     world.put(entry("l1", "ledger"));
-    world.arrive(asking("1", "large", 2));
-    let first = world.orders().remove(0);
+    world.submit(asking("1", "large", 2));
+    let first = world.batches().remove(0);
     for idx in 0..40 {
-        world.arrive(asking(&format!("large-{idx}"), "large", 1));
+        world.submit(asking(&format!("large-{idx}"), "large", 1));
     }
-    world.arrive(asking("small", "small", 1));
-    world.make(&first);
-    assert_eq!(names(&world.orders()), [["small/0/0"]]);
+    world.submit(asking("small", "small", 1));
+    world.complete(&first);
+    assert_eq!(names(&world.batches()), [["small/0/0"]]);
 }
 
 #[test]
 fn an_endpoint_that_refuses_again_is_left_alone_for_longer() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.arrive(asking("1", "r", 1));
+    world.submit(asking("1", "r", 1));
     for pause in [60, 120, 240, 400, 400] {
-        let order = world.orders().remove(0);
+        let batch = world.batches().remove(0);
         let failure = peatdeck_core::relay::model::Failure::Cut;
-        world.relay.on_pieces_failure(world.now, order.call, failure, true);
+        world.relay.on_pieces_failure(world.now, batch.call, failure, true);
         world.advance(ms(pause - 1));
-        assert!(world.orders().is_empty());
+        assert!(world.batches().is_empty());
         world.advance(ms(1));
     }
 }
@@ -196,75 +196,75 @@
 #[test]
 fn idle_endpoints_share_a_long_queue() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
-    world.arrive(asking("1", "r", 4));
-    world.arrive(asking("2", "r", 4));
-    let orders = world.orders();
-    assert_eq!(orders.iter().map(|order| order.pieces.len()).collect::<Vec<_>>(), [4, 4]);
-    assert_ne!(orders[0].endpoint, orders[1].endpoint);
+    world.submit(asking("1", "r", 4));
+    world.submit(asking("2", "r", 4));
+    let batches = world.batches();
+    assert_eq!(batches.iter().map(|batch| batch.pieces.len()).collect::<Vec<_>>(), [4, 4]);
+    assert_ne!(batches[0].endpoint, batches[1].endpoint);
 }
 
 #[test]
 fn pieces_of_a_straggler_are_made_elsewhere_too() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
-    world.arrive(asking("1", "r", 2));
-    let hung = world.orders().remove(0);
+    world.submit(asking("1", "r", 2));
+    let hung = world.batches().remove(0);
     world.advance(ms(1000));
-    assert!(world.orders().is_empty(), "a slow endpoint is waited for");
+    assert!(world.batches().is_empty(), "a slow endpoint is waited for");
     world.advance(ms(100));
-    let second = world.orders().remove(0);
+    let second = world.batches().remove(0);
     assert_eq!(second.names(), hung.names());
     assert_ne!(second.endpoint, hung.endpoint);
     assert!(second.pieces[0].is_repeat);
-    world.make(&second);
+    world.complete(&second);
     let call = world.call_for_desk();
-    world.replied(call, &super::fixture::head(200));
+    world.reply(call, &super::fixture::head(200));
     assert_eq!(world.freed().len(), 2);
-    world.make(&hung);
+    world.complete(&hung);
     assert_eq!(world.freed().len(), 2, "what nobody waits for is given up");
 }
 
 #[test]
 fn a_straggler_that_comes_first_counts() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.arrive(asking("1", "r", 2));
-    let hung = world.orders().remove(0);
+    world.submit(asking("1", "r", 2));
+    let hung = world.batches().remove(0);
     world.advance(ms(1100));
-    assert!(world.orders().is_empty(), "there is no other endpoint");
-    world.make(&hung);
-    assert!(world.orders().is_empty());
+    assert!(world.batches().is_empty(), "there is no other endpoint");
+    world.complete(&hung);
+    assert!(world.batches().is_empty());
     let call = world.call_for_desk();
-    world.replied(call, &super::fixture::head(200));
+    world.reply(call, &super::fixture::head(200));
     assert_eq!(world.relay.open_exchanges(), 0);
 }
 
 #[test]
 fn a_straggler_that_fails_in_the_end_takes_nothing_back() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
-    world.arrive(asking("1", "r", 1));
-    let hung = world.orders().remove(0);
+    world.submit(asking("1", "r", 1));
+    let hung = world.batches().remove(0);
     world.advance(ms(1100));
-    let second = world.orders().remove(0);
+    let second = world.batches().remove(0);
     let failure = peatdeck_core::relay::model::Failure::Cut;
     world.relay.on_pieces_failure(world.now, hung.call, failure, false);
     world.collect();
-    assert!(world.orders().is_empty());
-    world.make(&second);
+    assert!(world.batches().is_empty());
+    world.complete(&second);
     world.call_for_desk();
 }
 
 #[test]
 fn a_slow_endpoint_is_left_to_the_others_while_they_keep_up() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
-    world.arrive(asking("1", "r", 1));
-    let slow = world.orders().remove(0);
+    world.submit(asking("1", "r", 1));
+    let slow = world.batches().remove(0);
     world.advance(ms(1400));
-    world.make(&slow);
+    world.complete(&slow);
     for id in 2..6 {
-        world.arrive(asking(&id.to_string(), "r", 1));
-        let order = world.orders().remove(0);
-        assert_ne!(order.endpoint, slow.endpoint);
+        world.submit(asking(&id.to_string(), "r", 1));
+        let batch = world.batches().remove(0);
+        assert_ne!(batch.endpoint, slow.endpoint);
         world.advance(ms(220));
-        world.make(&order);
+        world.complete(&batch);
     }
 }
 
@@ -282,18 +282,18 @@
 fn an_endpoint_without_room_for_some_results_gets_the_next_call() {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("ledger", &[], 50_000)];
-    let config = ConfigBuilder::new(1).service("desk").maker("ledger", 8 * 50_000);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", 8 * 50_000);
     let mut world = World::new(config.route(staged).build());
     world.put(entry("a", "desk"));
     world.put(entry("l", "ledger"));
     for id in ["1", "2", "3", "4"] {
-        world.arrive(Arrival { pieces: vec![2], ..arrival(id, "r") });
+        world.submit(Arrival { pieces: vec![2], ..arrival(id, "r") });
     }
-    let first = world.orders().remove(0);
+    let first = world.batches().remove(0);
     let mut results = vec![Err(PieceFailure::NoRoom); first.pieces.len()];
     results[0] = Ok("l:80/x".into());
-    world.made(first.call, results);
-    let second = world.orders().remove(0);
+    world.complete_with(first.call, results);
+    let second = world.batches().remove(0);
     // Eight have room, of which one is held and what lacked room is taken to be.
     assert!(!second.pieces.is_empty() && second.pieces.len() <= 8 - first.pieces.len());
 }
--- a/crates/core/tests/testsuite/relay/calls.rs
+++ b/crates/core/tests/testsuite/relay/calls.rs
@@ -11,15 +11,15 @@
     },
 };
 
-use super::fixture::{ConfigBuilder, World, arrival, entry, head, ms, prompt, route, unrun};
+use super::fixture::{ConfigBuilder, World, arrival, entry, head, ms, not_run, prompt, route};
 
 #[test]
 fn an_answer_is_passed_on() {
     let mut world = World::plain(RequestKind::Once);
-    let exchange = world.arrive(arrival("1", "r"));
+    let exchange = world.submit(arrival("1", "r"));
     let call = world.call();
     assert_eq!(call.remaining, ms(2000));
-    world.replied(call.key, &head(200));
+    world.reply(call.key, &head(200));
     assert_eq!(world.actions, [Action::Answer { exchange, call: call.key }]);
     assert_eq!(world.relay.open_exchanges(), 0);
 }
@@ -28,9 +28,9 @@
 fn what_may_not_run_twice_is_not_sent_again_after_silence() {
     for failure in [Failure::Cut, Failure::Foreign] {
         let mut world = World::plain(RequestKind::Once);
-        world.arrive(arrival("1", "r"));
+        world.submit(arrival("1", "r"));
         let call = world.call();
-        world.failed(call.key, failure);
+        world.fail(call.key, failure);
         assert!(world.calls().is_empty());
         assert_eq!(world.refusals(), ["502 failed never"], "{failure:?}");
     }
@@ -39,9 +39,9 @@
 #[test]
 fn what_was_not_sent_goes_to_another_endpoint() {
     let mut world = World::plain(RequestKind::Once);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let first = world.call();
-    world.failed(first.key, Failure::Unsent);
+    world.fail(first.key, Failure::Unsent);
     let second = world.call();
     assert_ne!(first.endpoint, second.endpoint);
     assert_eq!(second.attempt, 1);
@@ -50,11 +50,11 @@
 #[test]
 fn what_certainly_did_not_run_is_told_so_with_a_time_to_come_back() {
     let mut world = World::plain(RequestKind::Once);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
-    world.replied(call.key, &unrun(503));
+    world.reply(call.key, &not_run(503));
     let second = world.call();
-    world.replied(second.key, &unrun(503));
+    world.reply(second.key, &not_run(503));
     expect![[r#"
         [
             "503 unserved 400ms",
@@ -68,24 +68,24 @@
     let mut world = World::plain(RequestKind::Once);
     let mut hurried = arrival("1", "r");
     hurried.deadline = Some(ms(600));
-    world.arrive(hurried);
+    world.submit(hurried);
     let call = world.call();
-    world.replied(call.key, &unrun(503));
+    world.reply(call.key, &not_run(503));
     let call = world.call();
-    world.replied(call.key, &unrun(503));
+    world.reply(call.key, &not_run(503));
     assert_eq!(world.refusals(), ["503 unserved 180ms"]);
 }
 
 #[test]
 fn an_idempotent_request_is_repeated_after_silence_and_after_a_failure() {
     let mut world = World::plain(RequestKind::Idempotent);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
-    world.failed(call.key, Failure::Cut);
+    world.fail(call.key, Failure::Cut);
     assert_eq!(world.calls().len(), 1);
-    world.arrive(arrival("2", "r"));
+    world.submit(arrival("2", "r"));
     let call = world.call();
-    world.replied(call.key, &head(500));
+    world.reply(call.key, &head(500));
     assert_eq!(world.calls().len(), 1);
 }
 
@@ -93,11 +93,11 @@
 fn attempts_end_at_the_routes_number() {
     let mut world = World::plain(RequestKind::Idempotent);
     world.put(entry("c", "desk"));
-    let exchange = world.arrive(arrival("1", "r"));
+    let exchange = world.submit(arrival("1", "r"));
     let call = world.call();
-    world.replied(call.key, &head(500));
+    world.reply(call.key, &head(500));
     let call = world.call();
-    world.replied(call.key, &head(500));
+    world.reply(call.key, &head(500));
     assert!(world.calls().is_empty());
     assert_eq!(world.actions, [Action::Answer { exchange, call: call.key }]);
 }
@@ -105,20 +105,20 @@
 #[test]
 fn an_endpoints_own_failure_is_passed_on_with_its_seal() {
     let mut world = World::plain(RequestKind::Once);
-    let exchange = world.arrive(arrival("1", "r"));
+    let exchange = world.submit(arrival("1", "r"));
     let call = world.call();
-    world.replied(call.key, &head(500));
+    world.reply(call.key, &head(500));
     assert_eq!(world.actions, [Action::Answer { exchange, call: call.key }]);
 }
 
 #[test]
 fn an_answer_without_a_seal_is_no_answer() {
     let mut world = World::plain(RequestKind::Once);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
     let mut bare = head(200);
     bare.is_sealed = false;
-    world.replied(call.key, &bare);
+    world.reply(call.key, &bare);
     assert_eq!(world.refusals(), ["502 failed never"]);
 }
 
@@ -127,14 +127,14 @@
     let config =
         ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let bound = RetryBudgetConfig { ratio: 0.0, slack: 2.5, window: ms(10_000) };
-    let mut world = World::with_bound(config.build(), bound);
+    let mut world = World::with_budget(config.build(), bound);
     world.put(entry("a", "desk"));
     world.put(entry("b", "desk"));
     let mut repeated = 0;
     for id in 0..5 {
-        world.arrive(arrival(&id.to_string(), "r"));
+        world.submit(arrival(&id.to_string(), "r"));
         let call = world.call();
-        world.replied(call.key, &head(500));
+        world.reply(call.key, &head(500));
         repeated += world.calls().len();
     }
     assert_eq!(repeated, 2);
@@ -145,15 +145,15 @@
     let config =
         ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let bound = RetryBudgetConfig { ratio: 0.0, slack: 100.0, window: ms(10_000) };
-    let mut world = World::with_bound(config.build(), bound);
+    let mut world = World::with_budget(config.build(), bound);
     world.put(entry("a", "desk"));
     world.put(entry("b", "desk"));
     world.relay.set_peers(world.now, Vec::new(), 40);
     let mut repeated = 0;
     for id in 0..10 {
-        world.arrive(arrival(&id.to_string(), "r"));
+        world.submit(arrival(&id.to_string(), "r"));
         let call = world.call();
-        world.replied(call.key, &head(500));
+        world.reply(call.key, &head(500));
         repeated += world.calls().len();
     }
     assert_eq!(repeated, 2);
@@ -162,13 +162,13 @@
 #[test]
 fn another_endpoint_at_the_address_means_that_this_one_is_gone() {
     let mut world = World::plain(RequestKind::Once);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let first = world.call();
-    world.replied(first.key, &unrun(421));
+    world.reply(first.key, &not_run(421));
     let second = world.call();
     assert_ne!(first.endpoint, second.endpoint);
     for id in 2..9 {
-        world.arrive(arrival(&id.to_string(), "r"));
+        world.submit(arrival(&id.to_string(), "r"));
         assert_eq!(world.call().endpoint, second.endpoint);
     }
 }
@@ -179,7 +179,7 @@
     let config = ConfigBuilder::new(1).service("desk").route(hasty);
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
     assert_eq!(call.remaining, ms(300));
     world.advance(ms(299));
@@ -192,11 +192,11 @@
 #[test]
 fn a_caller_that_leaves_ends_the_call() {
     let mut world = World::plain(RequestKind::Idempotent);
-    let exchange = world.arrive(arrival("1", "r"));
+    let exchange = world.submit(arrival("1", "r"));
     let call = world.call();
-    world.leave(exchange);
+    world.disconnect(exchange);
     assert_eq!(world.actions, [Action::Cancel(call.key)]);
-    world.failed(call.key, Failure::Cut);
+    world.fail(call.key, Failure::Cut);
     assert_eq!(world.relay.open_exchanges(), 0);
     assert!(world.calls().is_empty());
 }
@@ -205,14 +205,14 @@
 fn without_endpoints_a_request_waits_a_moment() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     world.advance(ms(100));
     assert!(world.actions.is_empty());
     world.put(entry("a", "desk"));
     assert_eq!(world.calls().len(), 1);
-    world.arrive(arrival("2", "r"));
+    world.submit(arrival("2", "r"));
     let call = world.call();
-    world.failed(call.key, Failure::Unsent);
+    world.fail(call.key, Failure::Unsent);
     for _ in 0..6 {
         world.advance(ms(40));
     }
@@ -224,7 +224,7 @@
     let mut world = World::plain(RequestKind::Idempotent);
     world.put(Entry { is_leaving: true, ..entry("a", "desk") });
     for id in 0..10 {
-        world.arrive(arrival(&id.to_string(), "r"));
+        world.submit(arrival(&id.to_string(), "r"));
     }
     assert!(world.calls().iter().all(|call| &*call.endpoint == "b"));
 }
@@ -232,10 +232,10 @@
 #[test]
 fn a_paused_instance_first_looks_at_the_time() {
     let mut world = World::plain(RequestKind::Stream);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
     world.now += ms(60_000);
-    assert!(!world.event(call.key, 1) || world.refusals().is_empty());
+    assert!(!world.stream_event(call.key, 1) || world.refusals().is_empty());
     world.advance(ms(0));
     assert_eq!(world.relay.open_exchanges(), 0);
 }
@@ -243,7 +243,7 @@
 #[test]
 fn callers_of_an_instance_that_ends_are_told() {
     let mut world = World::plain(RequestKind::Once);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
     world.relay.end_all_exchanges(world.now);
     world.collect();
@@ -256,7 +256,7 @@
 #[test]
 fn a_call_to_a_life_that_is_over_is_given_up_and_repeated() {
     let mut world = World::plain(RequestKind::Idempotent);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
     world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
     let addr = call.addr.clone();
@@ -272,14 +272,14 @@
     assert_eq!(closed, [addr.to_string(), "true".to_owned(), crashed]);
     let again = world.call();
     assert_eq!(again.attempt, 2);
-    world.replied(call.key, &head(200));
+    world.reply(call.key, &head(200));
     assert_eq!(world.actions.len(), 0, "what still comes of it belongs to nobody");
 }
 
 #[test]
 fn a_call_that_may_not_be_repeated_ends_with_the_life_that_it_went_to() {
     let mut world = World::plain(RequestKind::Once);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
     world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
     assert!(world.calls().is_empty());
@@ -289,7 +289,7 @@
 /// A world whose engines have shown that first tokens take 100 ms.
 fn engines() -> World {
     let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer: None };
-    let config = ConfigBuilder::new(1).engines("llm", engine);
+    let config = ConfigBuilder::new(1).engine_service("llm", engine);
     let config = config.route(route("resumable", RequestKind::Resumable, "llm")).route(route(
         "stream",
         RequestKind::Stream,
@@ -300,7 +300,7 @@
         world.put(entry(name, "llm"));
     }
     for idx in 0..30 {
-        world.arrive(asking_engine(&format!("before-{idx}"), "resumable"));
+        world.submit(asking_engine(&format!("before-{idx}"), "resumable"));
         let call = world.call();
         world.advance(ms(100));
         world.relay.on_reply_head(world.now, call.key, &head(200));
@@ -320,7 +320,7 @@
 #[test]
 fn a_call_whose_first_token_is_overdue_moves_to_another_engine() {
     let mut world = engines();
-    world.arrive(asking_engine("1", "resumable"));
+    world.submit(asking_engine("1", "resumable"));
     let call = world.call();
     world.advance(ms(500));
     assert!(world.calls().is_empty(), "a slow engine is waited for");
@@ -332,14 +332,14 @@
         _ => None,
     });
     assert_eq!(cancelled, [call.key]);
-    world.arrive(asking_engine("2", "resumable"));
+    world.submit(asking_engine("2", "resumable"));
     assert_ne!(world.call().endpoint, call.endpoint, "nothing new goes where it hung");
 }
 
 #[test]
 fn a_stream_that_may_run_once_stays_where_it_is() {
     let mut world = engines();
-    world.arrive(asking_engine("1", "stream"));
+    world.submit(asking_engine("1", "stream"));
     world.call();
     world.advance(ms(3000));
     assert!(world.calls().is_empty());
@@ -348,7 +348,7 @@
 #[test]
 fn a_call_whose_first_token_came_stays_where_it_is() {
     let mut world = engines();
-    world.arrive(asking_engine("1", "resumable"));
+    world.submit(asking_engine("1", "resumable"));
     let call = world.call();
     assert!(world.relay.on_reply_head(world.now, call.key, &head(200)));
     world.advance(ms(3000));
@@ -359,7 +359,7 @@
 fn overdue_calls_move_within_the_bound_on_repetition() {
     let mut world = engines();
     for idx in 0..200 {
-        world.arrive(asking_engine(&format!("{idx}"), "resumable"));
+        world.submit(asking_engine(&format!("{idx}"), "resumable"));
     }
     assert_eq!(world.calls().len(), 200);
     world.advance(ms(3000));
@@ -376,7 +376,7 @@
         let incarnation = Incarnation(incarnation);
         let strange = Entry { incarnation, addr: "c:80".into(), ..entry("a", "unheard-of") };
         world.put(strange);
-        world.arrive(arrival("1", "r"));
+        world.submit(arrival("1", "r"));
         assert_eq!(&*world.call().addr, "b:80");
     }
     world.put(entry("a", "desk"));
--- a/crates/core/tests/testsuite/relay/cold.rs
+++ b/crates/core/tests/testsuite/relay/cold.rs
@@ -21,7 +21,7 @@
 /// An instance alone before engines that are cold for a while.
 fn engines(names: &[&str], left: u64) -> World {
     let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer: None };
-    let config = ConfigBuilder::new(1).engines("llm", engine).cold_pace("llm", PACE);
+    let config = ConfigBuilder::new(1).engine_service("llm", engine).cold_interval("llm", PACE);
     let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in names {
         world.put(cold(name, "llm", Some(left)));
@@ -31,7 +31,7 @@
 
 fn ask(world: &mut World, id: usize) {
     let prompt = Some(prompt(1, 1000 + id as u64));
-    world.arrive(Arrival { prompt, ..arrival(&id.to_string(), "r") });
+    world.submit(Arrival { prompt, ..arrival(&id.to_string(), "r") });
 }
 
 /// The calls of a second in which a request comes each 20 ms.
@@ -151,7 +151,7 @@
     let called = |instances: usize| {
         let mut sum = 0;
         for own in 0..instances {
-            let config = ConfigBuilder::new(1).service("desk").cold_pace("desk", PACE);
+            let config = ConfigBuilder::new(1).service("desk").cold_interval("desk", PACE);
             let config = config.route(route("r", RequestKind::Idempotent, "desk")).build();
             let mut world = World::named(config, &format!("i{own}"));
             world.put(cold("a", "desk", Some(60_000)));
@@ -159,7 +159,7 @@
             let peers = others.map(|idx| Peer { name: format!("i{idx}").into(), millicores: 250 });
             world.relay.set_peers(world.now, peers.collect(), instances);
             for idx in 0..50 {
-                world.arrive(arrival(&idx.to_string(), "r"));
+                world.submit(arrival(&idx.to_string(), "r"));
                 world.advance(ms(20));
             }
             sum += world.calls().len();
@@ -177,17 +177,17 @@
 fn a_cold_maker_gets_its_pace() {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
-    let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
-    let config = config.cold_pace("maker", ms(500)).route(staged).build();
+    let config = ConfigBuilder::new(1).service("desk").piece_service("maker", 1 << 20);
+    let config = config.cold_interval("maker", ms(500)).route(staged).build();
     let mut world = World::new(config);
     world.put(entry("a", "desk"));
     world.put(cold("m", "maker", Some(5000)));
     let mut started = Vec::new();
     for idx in 0..100 {
-        world.arrive(Arrival { pieces: vec![1], ..arrival(&idx.to_string(), "r") });
-        for order in world.orders() {
+        world.submit(Arrival { pieces: vec![1], ..arrival(&idx.to_string(), "r") });
+        for batch in world.batches() {
             started.push(world.now);
-            world.make(&order);
+            world.complete(&batch);
         }
         world.advance(ms(20));
     }
@@ -200,16 +200,16 @@
 fn a_cold_maker_that_refuses_rests_as_long() {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
-    let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
-    let mut world = World::new(config.cold_pace("maker", ms(500)).route(staged).build());
+    let config = ConfigBuilder::new(1).service("desk").piece_service("maker", 1 << 20);
+    let mut world = World::new(config.cold_interval("maker", ms(500)).route(staged).build());
     world.put(entry("a", "desk"));
     world.put(cold("m", "maker", Some(5000)));
-    world.arrive(Arrival { pieces: vec![1], ..arrival("1", "r") });
-    let order = world.orders().remove(0);
-    world.relay.on_pieces_failure(world.now, order.call, Failure::Unsent, true);
+    world.submit(Arrival { pieces: vec![1], ..arrival("1", "r") });
+    let batch = world.batches().remove(0);
+    world.relay.on_pieces_failure(world.now, batch.call, Failure::Unsent, true);
     world.collect();
     world.advance(ms(499));
-    assert!(world.orders().is_empty());
+    assert!(world.batches().is_empty());
     world.advance(ms(1));
-    assert_eq!(world.orders().len(), 1);
+    assert_eq!(world.batches().len(), 1);
 }
--- a/crates/core/tests/testsuite/relay/config.rs
+++ b/crates/core/tests/testsuite/relay/config.rs
@@ -59,7 +59,7 @@
         },
         1,
     );
-    assert_eq!(world.try_arrive(arrival("1", "r")), Err(Refusal::NotReady));
+    assert_eq!(world.try_submit(arrival("1", "r")), Err(Refusal::NotReady));
 }
 
 #[test]
@@ -73,13 +73,13 @@
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
 
-    assert_eq!(world.try_arrive(arrival("1", "none")), Err(Refusal::NoRoute));
-    assert_eq!(world.try_arrive(arrival("2", "shut")), Err(Refusal::UnknownKey));
+    assert_eq!(world.try_submit(arrival("1", "none")), Err(Refusal::NoRoute));
+    assert_eq!(world.try_submit(arrival("2", "shut")), Err(Refusal::UnknownKey));
     let mut known = arrival("3", "shut");
     known.key = Some(Arc::from("k1"));
-    world.arrive(known);
+    world.submit(known);
     assert_eq!(world.call().team.as_deref(), Some("markets"));
-    world.arrive(arrival("4", "open"));
+    world.submit(arrival("4", "open"));
     assert_eq!(world.call().team, None);
 }
 
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -1,4 +1,4 @@
-//! A relay with a few routes and endpoints, driven by hand.
+//! A relay with a few routes and endpoints; the tests feed it inputs and inspect its actions.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -25,7 +25,6 @@
     Duration::from_millis(millis)
 }
 
-/// A configuration under construction.
 #[derive(Clone)]
 pub struct ConfigBuilder {
     config: Config,
@@ -51,36 +50,36 @@
         self
     }
 
-    pub fn maker(self, name: &str, room: u64) -> ConfigBuilder {
+    pub fn piece_service(self, name: &str, memory: u64) -> ConfigBuilder {
         let pieces = Pieces {
             slots: 1,
             queue: 2,
             batch: 4,
             call_time: ms(200),
             piece_time: ms(20),
-            room,
+            room: memory,
             lease: ms(4000),
         };
-        self.makers(name, pieces)
+        self.piece_service_with(name, pieces)
     }
 
-    pub fn makers(mut self, name: &str, pieces: Pieces) -> ConfigBuilder {
+    pub fn piece_service_with(mut self, name: &str, pieces: Pieces) -> ConfigBuilder {
         let service =
             Service { connections: 800, engine: None, pieces: Some(pieces), cold_interval: None };
         self.config.services.insert(Arc::from(name), service);
         self
     }
 
-    pub fn engines(mut self, name: &str, engine: Engine) -> ConfigBuilder {
+    pub fn engine_service(mut self, name: &str, engine: Engine) -> ConfigBuilder {
         let service =
             Service { connections: 800, engine: Some(engine), pieces: None, cold_interval: None };
         self.config.services.insert(Arc::from(name), service);
         self
     }
 
-    /// Endpoints of a service bear a call each so much time while they are cold.
-    pub fn cold_pace(mut self, name: &str, pace: Duration) -> ConfigBuilder {
-        self.config.services.get_mut(name).unwrap().cold_interval = Some(pace);
+    /// Cold endpoints of a service accept one call per `interval`.
+    pub fn cold_interval(mut self, name: &str, interval: Duration) -> ConfigBuilder {
+        self.config.services.get_mut(name).unwrap().cold_interval = Some(interval);
         self
     }
 
@@ -94,7 +93,7 @@
     }
 }
 
-/// A route to one service, for paths that begin with its name.
+/// A route to one service, for paths that begin with the name of the route.
 pub fn route(name: &str, kind: RequestKind, service: &str) -> Route {
     Route {
         name: Arc::from(name),
@@ -148,7 +147,7 @@
     Prompt { parts: vec![part(shared, 6000), part(own, 1000)], input: 7000, output: 50 }
 }
 
-/// The head of an endpoint's own whole answer.
+/// The head of a complete, sealed reply from the endpoint that the call was sent to.
 pub fn head(status: u16) -> ReplyHead {
     let terms = Terms::default();
     ReplyHead {
@@ -161,12 +160,12 @@
     }
 }
 
-/// The head of a reply that says that nothing ran.
-pub fn unrun(status: u16) -> ReplyHead {
+/// The head of a reply that states that the request did not run.
+pub fn not_run(status: u16) -> ReplyHead {
     ReplyHead { is_not_run: true, is_sealed: false, ..head(status) }
 }
 
-/// A relay under test and its clock.
+/// A relay under test, its clock and the actions that the test has not consumed yet.
 pub struct World {
     pub relay: Relay,
     pub now: Duration,
@@ -175,25 +174,25 @@
 
 impl World {
     pub fn new(config: Arc<Config>) -> World {
-        let bound = RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: ms(10_000) };
-        World::with_bound(config, bound)
+        let budget = RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: ms(10_000) };
+        World::with_budget(config, budget)
     }
 
-    /// An instance of that name.
+    /// An instance with the given name.
     pub fn named(config: Arc<Config>, name: &str) -> World {
-        let bound = RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: ms(10_000) };
-        World::with_name(config, bound, name)
+        let budget = RetryBudgetConfig { ratio: 0.2, slack: 40.0, window: ms(10_000) };
+        World::with_name(config, budget, name)
     }
 
-    pub fn with_bound(config: Arc<Config>, bound: RetryBudgetConfig) -> World {
-        World::with_name(config, bound, "own")
+    pub fn with_budget(config: Arc<Config>, budget: RetryBudgetConfig) -> World {
+        World::with_name(config, budget, "own")
     }
 
-    fn with_name(config: Arc<Config>, bound: RetryBudgetConfig, name: &str) -> World {
+    fn with_name(config: Arc<Config>, budget: RetryBudgetConfig, name: &str) -> World {
         let settings = Settings {
             name: Arc::from(name),
             data_centre: Arc::from("east"),
-            retry_budget: bound,
+            retry_budget: budget,
             min_instances: 1,
             millicores: 250,
         };
@@ -203,7 +202,7 @@
         World { relay, now: Duration::ZERO, actions: Vec::new() }
     }
 
-    /// A world with one plain route of that kind and two endpoints.
+    /// One route of the given kind, without stages, and two endpoints.
     pub fn plain(kind: RequestKind) -> World {
         let config = ConfigBuilder::new(1).service("desk").route(route("r", kind, "desk"));
         let mut world = World::new(config.build());
@@ -217,18 +216,18 @@
         self.collect();
     }
 
-    pub fn arrive(&mut self, arrival: Arrival) -> ExchangeKey {
-        self.try_arrive(arrival).unwrap()
+    pub fn submit(&mut self, arrival: Arrival) -> ExchangeKey {
+        self.try_submit(arrival).unwrap()
     }
 
-    /// Operators order something.
-    pub fn obey(&mut self, act: OperatorCommand) -> bool {
+    /// Applies an operator command; returns whether it changed anything.
+    pub fn apply_command(&mut self, act: OperatorCommand) -> bool {
         let taken = self.relay.apply_operator_changes(self.now, vec![act]);
         self.collect();
         taken[0]
     }
 
-    pub fn try_arrive(&mut self, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
+    pub fn try_submit(&mut self, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
         let arrived = self.relay.on_request(self.now, arrival);
         self.collect();
         arrived
@@ -240,52 +239,52 @@
         self.collect();
     }
 
-    pub fn replied(&mut self, call: CallKey, head: &ReplyHead) {
+    pub fn reply(&mut self, call: CallKey, head: &ReplyHead) {
         self.relay.on_reply(self.now, call, head);
         self.collect();
     }
 
-    pub fn failed(&mut self, call: CallKey, failure: Failure) {
+    pub fn fail(&mut self, call: CallKey, failure: Failure) {
         self.relay.on_call_failure(self.now, call, failure);
         self.collect();
     }
 
-    pub fn leave(&mut self, exchange: ExchangeKey) {
+    pub fn disconnect(&mut self, exchange: ExchangeKey) {
         self.relay.on_caller_disconnect(self.now, exchange);
         self.collect();
     }
 
-    pub fn event(&mut self, call: CallKey, id: u64) -> bool {
+    pub fn stream_event(&mut self, call: CallKey, id: u64) -> bool {
         let is_passed = self.relay.on_stream_event(self.now, call, Some(id));
         self.collect();
         is_passed
     }
 
-    pub fn made(&mut self, call: CallKey, results: Vec<PieceResult>) {
+    pub fn complete_with(&mut self, call: CallKey, results: Vec<PieceResult>) {
         self.relay.on_pieces_made(self.now, call, results, None);
         self.collect();
     }
 
-    /// Every piece of a call is made; handles name request, stage and piece.
-    pub fn make(&mut self, order: &Order) {
+    /// Completes every piece of a batch; the handles contain request, stage and piece number.
+    pub fn complete(&mut self, batch: &Batch) {
         let handle = |piece: &Piece| {
             let Piece { request, stage, number, .. } = piece;
-            Ok(Handle::from(format!("{}/{request}-{stage}-{number}", order.addr)))
+            Ok(Handle::from(format!("{}/{request}-{stage}-{number}", batch.addr)))
         };
-        let results = order.pieces.iter().map(handle).collect();
-        self.made(order.call, results);
+        let results = batch.pieces.iter().map(handle).collect();
+        self.complete_with(batch.call, results);
     }
 
     pub fn collect(&mut self) {
         self.actions.extend(self.relay.take_actions());
     }
 
-    /// The newest call, which has to be there.
+    /// Removes all calls from the actions and returns the newest one; panics if there is none.
     pub fn call(&mut self) -> Call {
         self.calls().pop().expect("a call was sent")
     }
 
-    /// Takes all calls out of the actions.
+    /// Removes all calls from the actions and returns them.
     pub fn calls(&mut self) -> Vec<Call> {
         self.take(|action| match action {
             Action::Send(call) => Some(call.clone()),
@@ -293,18 +292,18 @@
         })
     }
 
-    /// Takes all calls for pieces out of the actions.
-    pub fn orders(&mut self) -> Vec<Order> {
+    /// Removes all batches from the actions and returns them.
+    pub fn batches(&mut self) -> Vec<Batch> {
         self.take(|action| match action {
             Action::MakePieces { call, endpoint, addr, pieces } => {
                 let (endpoint, addr, pieces) = (endpoint.clone(), addr.clone(), pieces.clone());
-                Some(Order { call: *call, endpoint, addr, pieces })
+                Some(Batch { call: *call, endpoint, addr, pieces })
             }
             _ => None,
         })
     }
 
-    /// Takes the results that were given up out of the actions.
+    /// Removes the freed results from the actions and returns them.
     pub fn freed(&mut self) -> Vec<Handle> {
         let freed = self.take(|action| match action {
             Action::FreeResults { handles, .. } => Some(handles.clone()),
@@ -315,7 +314,7 @@
         freed
     }
 
-    /// Takes all refusals out of the actions, as text.
+    /// Removes all refusals from the actions and returns them as `status name retry_after`.
     pub fn refusals(&mut self) -> Vec<String> {
         self.take(|action| match action {
             Action::Refuse { refusal, retry_after, .. } => {
@@ -326,7 +325,7 @@
         })
     }
 
-    /// Takes those actions out of which `pick` makes something.
+    /// Removes the actions for which `pick` returns a value, and returns these values.
     pub fn take<T>(&mut self, pick: impl Fn(&Action) -> Option<T>) -> Vec<T> {
         let mut taken = Vec::new();
         self.actions.retain(|action| match pick(action) {
@@ -340,24 +339,24 @@
     }
 }
 
-/// A call for pieces.
+/// A call that runs pieces at an endpoint.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct Batch {
     pub call: CallKey,
     pub endpoint: Arc<str>,
     pub addr: Arc<str>,
     pub pieces: Vec<Piece>,
 }
 
-impl Order {
-    /// Its pieces as `request/stage/number`.
+impl Batch {
+    /// The pieces as `request/stage/number`.
     pub fn names(&self) -> Vec<String> {
         let name = |piece: &Piece| format!("{}/{}/{}", piece.request, piece.stage, piece.number);
         self.pieces.iter().map(name).collect()
     }
 
-    /// A result for each piece.
-    pub fn all(&self, failure: PieceFailure) -> Vec<PieceResult> {
+    /// The same failure as the result of each piece.
+    pub fn all_failed(&self, failure: PieceFailure) -> Vec<PieceResult> {
         self.pieces.iter().map(|_| Err(failure)).collect()
     }
 }
--- a/crates/core/tests/testsuite/relay/forgotten.rs
+++ b/crates/core/tests/testsuite/relay/forgotten.rs
@@ -21,7 +21,7 @@
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
     world.relay.on_reply_head(world.now, call.key, head);
-    world.replied(call.key, head);
+    world.reply(call.key, head);
 }
 
 /// Asks so many times, one after the other; each call takes as long as its endpoint
@@ -34,7 +34,7 @@
 ) -> HashMap<String, u64> {
     let mut calls = HashMap::new();
     for _ in 0..count {
-        world.arrive(arrival(&format!("r{}", world.now.as_micros()), "r"));
+        world.submit(arrival(&format!("r{}", world.now.as_micros()), "r"));
         let call = world.call();
         world.advance(ms(took(&call.endpoint)));
         answer(world, &call, &head(&call.endpoint));
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -25,7 +25,9 @@
 };
 use proptest::prelude::*;
 
-use super::fixture::{ConfigBuilder, Order, World, arrival, entry, head, ms, route, stage, unrun};
+use super::fixture::{
+    Batch, ConfigBuilder, World, arrival, entry, head, ms, not_run, route, stage,
+};
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -148,7 +150,7 @@
     calls: Vec<(CallKey, ExchangeKey)>,
     called: HashMap<CallKey, String>,
     lives: HashMap<String, u64>,
-    orders: Vec<Order>,
+    batches: Vec<Batch>,
     leaving: HashSet<String>,
     next_event: HashMap<ExchangeKey, u64>,
     contents: HashMap<ExchangeKey, Fingerprint>,
@@ -163,7 +165,7 @@
 }
 
 /// Time between two calls of a cold endpoint.
-const COLD_PACE: Duration = Duration::from_millis(150);
+const COLD_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Oracle {
     fn check(&mut self, world: &mut World) {
@@ -191,11 +193,11 @@
                     assert!(!is_held, "made although it is held back");
                     assert!(!self.leaving.contains(&*endpoint), "made at one that leaves");
                     self.check_sent(world.now, &endpoint);
-                    self.orders.push(Order { call, endpoint, addr, pieces });
+                    self.batches.push(Batch { call, endpoint, addr, pieces });
                 }
                 Action::Cancel(call) => {
                     self.forget(call);
-                    self.orders.retain(|order| order.call != call);
+                    self.batches.retain(|batch| batch.call != call);
                 }
                 Action::Answer { exchange, .. }
                 | Action::FinishStream(exchange)
@@ -230,7 +232,7 @@
             return;
         };
         assert!(
-            last.is_none_or(|last| now >= last + COLD_PACE),
+            last.is_none_or(|last| now >= last + COLD_INTERVAL),
             "too much for a cold one: {until:?}"
         );
         *last = Some(now);
@@ -266,8 +268,10 @@
 }
 
 fn world() -> World {
-    let mut config =
-        ConfigBuilder::new(1).service("desk").maker("ledger", 6_000_000).maker("mart", 100_000);
+    let mut config = ConfigBuilder::new(1)
+        .service("desk")
+        .piece_service("ledger", 6_000_000)
+        .piece_service("mart", 100_000);
     for (idx, kind) in KINDS.into_iter().enumerate() {
         config = config.route(route(&format!("plain{idx}"), kind, "desk"));
         let stages = vec![
@@ -278,7 +282,7 @@
         config = config.route(Route { stages, ..route(&format!("staged{idx}"), kind, "desk") });
     }
     for service in ["desk", "ledger", "mart"] {
-        config = config.cold_pace(service, COLD_PACE);
+        config = config.cold_interval(service, COLD_INTERVAL);
     }
     let mut world = World::new(config.build());
     for name in ["d0", "d1", "d2"] {
@@ -310,10 +314,10 @@
             Step::Reply(pick, how) => {
                 let Some((call, exchange)) = oracle.call(pick) else { continue };
                 let head = match how % 6 {
-                    0 => unrun(503),
-                    1 => unrun(421),
+                    0 => not_run(503),
+                    1 => not_run(421),
                     2 => head(500),
-                    3 => unrun(409),
+                    3 => not_run(409),
                     _ => head(200),
                 };
                 if head.status != 421 {
@@ -327,7 +331,7 @@
                     oracle.ran.insert(exchange);
                 }
                 oracle.forget(call);
-                world.replied(call, &head);
+                world.reply(call, &head);
             }
             Step::Event(pick) => {
                 let Some((call, exchange)) = oracle.call(pick) else { continue };
@@ -338,7 +342,7 @@
                 let next = oracle.next_event.entry(exchange).or_default();
                 *next += 1;
                 let id = *next;
-                world.event(call, id);
+                world.stream_event(call, id);
             }
             Step::End(pick) => {
                 let Some((call, exchange)) = oracle.call(pick) else { continue };
@@ -361,20 +365,20 @@
                     oracle.ran.insert(exchange);
                 }
                 oracle.forget(call);
-                world.failed(call, failure);
+                world.fail(call, failure);
             }
             Step::Make(pick, how) => {
-                if oracle.orders.is_empty() {
+                if oracle.batches.is_empty() {
                     continue;
                 }
-                let order = oracle.orders.remove(usize::from(pick) % oracle.orders.len());
+                let batch = oracle.batches.remove(usize::from(pick) % oracle.batches.len());
                 match how % 8 {
-                    0 => world.made(order.call, order.all(PieceFailure::NoRoom)),
-                    1 => world.made(order.call, order.all(PieceFailure::InputGone)),
-                    2 => world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false),
-                    3 => world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, true),
+                    0 => world.complete_with(batch.call, batch.all_failed(PieceFailure::NoRoom)),
+                    1 => world.complete_with(batch.call, batch.all_failed(PieceFailure::InputGone)),
+                    2 => world.relay.on_pieces_failure(world.now, batch.call, Failure::Cut, false),
+                    3 => world.relay.on_pieces_failure(world.now, batch.call, Failure::Cut, true),
                     _ => {
-                        world.make(&order);
+                        world.complete(&batch);
                     }
                 }
                 world.collect();
@@ -387,7 +391,7 @@
                 }
                 let key = open[usize::from(pick) % open.len()];
                 oracle.open.remove(&key);
-                world.leave(key);
+                world.disconnect(key);
             }
             Step::Drain(pick) => {
                 let name = format!("d{}", pick % 3);
@@ -427,7 +431,7 @@
                 for (call, exchange) in oracle.calls_at(&format!("d{}", pick % 3)) {
                     oracle.ran.insert(exchange);
                     oracle.forget(call);
-                    world.failed(call, Failure::Cut);
+                    world.fail(call, Failure::Cut);
                 }
                 let probes = world.take(|action| match action {
                     Action::Probe { endpoint, .. } => Some(*endpoint),
@@ -448,7 +452,7 @@
                     true => oracle.evacuated.insert(name),
                     false => oracle.evacuated.remove(name),
                 };
-                assert_eq!(world.obey(act), is_new);
+                assert_eq!(world.apply_command(act), is_new);
             }
             Step::Cool(pick, left) => {
                 let all = [("d0", "desk"), ("d1", "desk"), ("l0", "ledger"), ("m0", "mart")];
@@ -474,8 +478,8 @@
         oracle.check(&mut world);
     }
     for _ in 0..40 {
-        for order in std::mem::take(&mut oracle.orders) {
-            world.make(&order);
+        for batch in std::mem::take(&mut oracle.batches) {
+            world.complete(&batch);
         }
         oracle.check(&mut world);
         world.advance(ms(250));
@@ -501,7 +505,7 @@
             oracle.leaving.insert(name);
         }
         Saying::Rest(millis) => {
-            head = unrun(503);
+            head = not_run(503);
             terms.hold = Some(ms(millis.into()));
             let until = oracle.resting.entry(name).or_default();
             *until = (*until).max(world.now + ms(millis.into()));
@@ -521,7 +525,7 @@
     }
     if !world.relay.on_reply_head(world.now, call, &head) {
         oracle.forget(call);
-        world.replied(call, &head);
+        world.reply(call, &head);
     }
 }
 
@@ -542,12 +546,12 @@
     use Step::{Arrive, Leave, Make, Reply, Restart, Wait};
     let begin = [Reply(0, 0), Arrive(0), Arrive(128), Make(0, 4), Reply(0, 0), Arrive(0)];
     let replies = [Arrive(0), Arrive(0), Reply(0, 0), Reply(0, 0), Reply(0, 0), Arrive(0)];
-    let leave = [Reply(0, 0), Reply(0, 0), Leave(0), Leave(0), Arrive(128), Leave(7)];
-    let make = [Arrive(255), Make(32, 68), Make(71, 35), Wait(60), Arrive(135), Make(76, 44)];
+    let disconnect = [Reply(0, 0), Reply(0, 0), Leave(0), Leave(0), Arrive(128), Leave(7)];
+    let complete = [Arrive(255), Make(32, 68), Make(71, 35), Wait(60), Arrive(135), Make(76, 44)];
     let wait = [Wait(88), Wait(133), Arrive(136), Reply(0, 0), Make(109, 44), Restart(247)];
     let crash = [Arrive(0), Restart(6), Leave(3), Arrive(0), Restart(174), Wait(406)];
     let late = [Restart(198), Wait(574)];
-    let steps = [&begin[..], &replies, &leave, &make, &wait, &crash, &late].concat();
+    let steps = [&begin[..], &replies, &disconnect, &complete, &wait, &crash, &late].concat();
     play(steps);
 }
 
--- a/crates/core/tests/testsuite/relay/intake.rs
+++ b/crates/core/tests/testsuite/relay/intake.rs
@@ -16,8 +16,9 @@
         ..route(name, RequestKind::Resumable, "desk")
     };
     let single = Route { stages: vec![stage("ledger", &[], 1)], ..chain("single", 1) };
-    let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30);
-    let config = config.maker("mart", 1 << 30).route(chain("urgent", 0)).route(chain("r", 2));
+    let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", 1 << 30);
+    let config =
+        config.piece_service("mart", 1 << 30).route(chain("urgent", 0)).route(chain("r", 2));
     let mut world = World::new(config.route(single).build());
     for (name, service) in [("d1", "desk"), ("l1", "ledger"), ("m1", "mart")] {
         world.put(entry(name, service));
@@ -31,18 +32,18 @@
 
 /// A request whose first stage takes that long.
 fn slow_stage(world: &mut World, millis: u64) {
-    world.arrive(asking("slow", "r", &[1, 1]));
-    let order = world.orders().remove(0);
+    world.submit(asking("slow", "r", &[1, 1]));
+    let batch = world.batches().remove(0);
     world.advance(ms(millis));
-    world.make(&order);
-    world.orders();
+    world.complete(&batch);
+    world.batches();
 }
 
 /// How many of a hundred requests are refused, without anything being done.
 fn refused(world: &mut World, route: &str, pieces: &[u16]) -> usize {
     for idx in 0..100 {
-        let key = world.arrive(asking(&format!("{route}-{idx}"), route, pieces));
-        world.leave(key);
+        let key = world.submit(asking(&format!("{route}-{idx}"), route, pieces));
+        world.disconnect(key);
     }
     let refusals = world.refusals();
     assert!(refusals.iter().all(|refusal| refusal.starts_with("503 infeasible")), "{refusals:?}");
--- a/crates/core/tests/testsuite/relay/leaving.rs
+++ b/crates/core/tests/testsuite/relay/leaving.rs
@@ -24,7 +24,7 @@
 };
 
 use crate::relay::fixture::{
-    ConfigBuilder, World, arrival, entry, head, ms, prompt, route, stage, unrun,
+    ConfigBuilder, World, arrival, entry, head, ms, not_run, prompt, route, stage,
 };
 
 fn leaving(head: ReplyHead) -> ReplyHead {
@@ -33,13 +33,13 @@
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
     world.relay.on_reply_head(world.now, call.key, head);
-    world.replied(call.key, head);
+    world.reply(call.key, head);
 }
 
 /// Asks until an endpoint is called, and answers that call like that.
 fn answer_of(world: &mut World, name: &str, told: &ReplyHead) {
     for idx in 0..100 {
-        world.arrive(arrival(&format!("ask-{idx}"), "r"));
+        world.submit(arrival(&format!("ask-{idx}"), "r"));
         let call = world.call();
         let is_meant = *call.endpoint == *name;
         let told = if is_meant { told.clone() } else { head(200) };
@@ -56,7 +56,7 @@
 fn called(world: &mut World) -> Vec<String> {
     let mut names = Vec::new();
     for idx in 0..40 {
-        world.arrive(arrival(&format!("later-{idx}"), "r"));
+        world.submit(arrival(&format!("later-{idx}"), "r"));
         for call in world.calls() {
             names.push(call.endpoint.to_string());
             answer(world, &call, &head(200));
@@ -70,7 +70,7 @@
 
 #[test]
 fn whatever_it_answers_it_gets_nothing_more() {
-    let refusals = [head(200), head(404), head(500), unrun(503), unrun(429)];
+    let refusals = [head(200), head(404), head(500), not_run(503), not_run(429)];
     for refusal in refusals {
         let mut world = World::plain(RequestKind::Idempotent);
         answer_of(&mut world, "a", &leaving(refusal.clone()));
@@ -81,11 +81,11 @@
 #[test]
 fn the_head_of_a_stream_says_so() {
     let mut world = World::plain(RequestKind::Stream);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
     assert!(world.relay.on_reply_head(world.now, call.key, &leaving(head(200))));
     let other = if &*call.endpoint == "a" { "b" } else { "a" };
-    assert!(world.event(call.key, 1), "what it streams goes on");
+    assert!(world.stream_event(call.key, 1), "what it streams goes on");
     assert_eq!(called(&mut world), [other]);
 }
 
@@ -123,18 +123,18 @@
     world.put(entry("c", "desk"));
     let mut open = Vec::new();
     for idx in 0..20 {
-        world.arrive(arrival(&idx.to_string(), "r"));
+        world.submit(arrival(&idx.to_string(), "r"));
         let call = world.call();
         world.advance(ms(20));
         world.relay.on_reply_head(world.now, call.key, &head(200));
-        world.event(call.key, 1);
+        world.stream_event(call.key, 1);
         open.push(call);
     }
-    world.arrive(arrival("told", "r"));
+    world.submit(arrival("told", "r"));
     let told = world.call();
     world.relay.on_reply_head(world.now, told.key, &leaving(head(200)));
     for call in open.into_iter().filter(|call| call.endpoint != told.endpoint) {
-        world.failed(call.key, Failure::Cut);
+        world.fail(call.key, Failure::Cut);
     }
     let resumed = world.calls();
     assert!(!resumed.is_empty());
@@ -145,30 +145,30 @@
 fn calls_for_pieces_tell_it_and_end() {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
-    let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("maker", 1 << 20);
     for is_made in [true, false] {
         let mut world = World::new(config.clone().route(staged.clone()).build());
         world.put(entry("d", "desk"));
         world.put(entry("m1", "maker"));
         world.put(entry("m2", "maker"));
-        world.arrive(Arrival { pieces: vec![1], ..arrival("1", "r") });
-        let order = world.orders().remove(0);
-        let told = if is_made { head(200) } else { unrun(503) };
-        world.relay.on_reply_terms(world.now, order.call, &leaving(told));
+        world.submit(Arrival { pieces: vec![1], ..arrival("1", "r") });
+        let batch = world.batches().remove(0);
+        let told = if is_made { head(200) } else { not_run(503) };
+        world.relay.on_reply_terms(world.now, batch.call, &leaving(told));
         match is_made {
-            true => world.make(&order),
+            true => world.complete(&batch),
             false => {
                 let failure = Failure::Cut;
-                world.relay.on_pieces_failure(world.now, order.call, failure, true);
+                world.relay.on_pieces_failure(world.now, batch.call, failure, true);
                 world.collect();
             }
         }
         for idx in 0..20 {
-            world.arrive(Arrival { pieces: vec![2], ..arrival(&format!("l{idx}"), "r") });
+            world.submit(Arrival { pieces: vec![2], ..arrival(&format!("l{idx}"), "r") });
             world.advance(ms(300));
-            for later in world.orders() {
-                assert_ne!(later.endpoint, order.endpoint);
-                world.make(&later);
+            for later in world.batches() {
+                assert_ne!(later.endpoint, batch.endpoint);
+                world.complete(&later);
             }
         }
     }
@@ -179,12 +179,12 @@
 #[test]
 fn a_peers_placement_there_is_not_used() {
     let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer: None };
-    let config = ConfigBuilder::new(1).engines("llm", engine);
+    let config = ConfigBuilder::new(1).engine_service("llm", engine);
     let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     world.put(entry("a", "llm"));
     world.put(entry("b", "llm"));
     let ask = |world: &mut World, id: &str| {
-        world.arrive(Arrival { prompt: Some(prompt(1, 2)), ..arrival(id, "r") })
+        world.submit(Arrival { prompt: Some(prompt(1, 2)), ..arrival(id, "r") })
     };
     ask(&mut world, "1");
     let call = world.call();
--- a/crates/core/tests/testsuite/relay/limits.rs
+++ b/crates/core/tests/testsuite/relay/limits.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::relay::fixture::{
-    ConfigBuilder, World, arrival, entry, head, ms, prompt, route, stage, unrun,
+    ConfigBuilder, World, arrival, entry, head, ms, not_run, prompt, route, stage,
 };
 
 fn naming(limit: f64, head: ReplyHead) -> ReplyHead {
@@ -32,14 +32,14 @@
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
     world.relay.on_reply_head(world.now, call.key, head);
-    world.replied(call.key, head);
+    world.reply(call.key, head);
 }
 
 /// Asks once each 20 ms for a while; each call is answered like that at once.
 fn calls_in(world: &mut World, span: u64, head: &ReplyHead) -> usize {
     let mut count = 0;
     for idx in 0..span / 20 {
-        world.arrive(arrival(&format!("{}-{idx}", world.now.as_millis()), "r"));
+        world.submit(arrival(&format!("{}-{idx}", world.now.as_millis()), "r"));
         for call in world.calls() {
             count += 1;
             answer(world, &call, head);
@@ -52,10 +52,10 @@
 /// Whatever the status, the word counts, and the newest one.
 #[test]
 fn every_reply_names_or_ends_a_limit() {
-    let refusals = [head(200), head(404), head(500), unrun(503), unrun(429), unrun(400)];
+    let refusals = [head(200), head(404), head(500), not_run(503), not_run(429), not_run(400)];
     for refusal in refusals {
         let mut world = alone();
-        world.arrive(arrival("1", "r"));
+        world.submit(arrival("1", "r"));
         let call = world.call();
         answer(&mut world, &call, &naming(2.0, refusal.clone()));
         world.actions.clear();
@@ -111,9 +111,9 @@
 fn a_misdirected_call_teaches_no_limit() {
     let mut world = alone();
     world.put(entry("b", "desk"));
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
-    answer(&mut world, &call, &naming(0.0, unrun(421)));
+    answer(&mut world, &call, &naming(0.0, not_run(421)));
     let told = world.take(|action| matches!(action, Action::EndpointLimit { .. }).then_some(()));
     assert!(told.is_empty());
 }
@@ -122,10 +122,10 @@
 #[test]
 fn the_head_of_a_reply_that_breaks_off_counts() {
     let mut world = alone();
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
     world.relay.on_reply_head(world.now, call.key, &naming(0.0, head(200)));
-    world.failed(call.key, peatdeck_core::relay::model::Failure::Cut);
+    world.fail(call.key, peatdeck_core::relay::model::Failure::Cut);
     world.calls();
     assert_eq!(calls_in(&mut world, 1000, &naming(0.0, head(200))), 0);
 }
@@ -150,18 +150,18 @@
 fn an_endpoint_that_makes_pieces_gets_its_limit() {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
-    let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("maker", 1 << 20);
     let mut world = World::new(config.route(staged).build());
     world.put(entry("a", "desk"));
     world.put(entry("m", "maker"));
     let mut started = Vec::new();
     let told = naming(2.0, head(200));
     for idx in 0..200 {
-        world.arrive(Arrival { pieces: vec![1], ..arrival(&idx.to_string(), "r") });
-        for order in world.orders() {
+        world.submit(Arrival { pieces: vec![1], ..arrival(&idx.to_string(), "r") });
+        for batch in world.batches() {
             started.push(world.now);
-            world.relay.on_reply_terms(world.now, order.call, &told);
-            world.make(&order);
+            world.relay.on_reply_terms(world.now, batch.call, &told);
+            world.complete(&batch);
         }
         world.advance(ms(20));
     }
@@ -213,7 +213,7 @@
                 let world = &mut self.worlds[idx];
                 world.advance(ms(20));
                 if (step + idx as u64).is_multiple_of(pause / 20) {
-                    world.arrive(arrival(&step.to_string(), "r"));
+                    world.submit(arrival(&step.to_string(), "r"));
                 }
                 open.extend(world.calls());
                 for call in open.iter().filter(|call| &*call.endpoint == "limited") {
@@ -298,7 +298,7 @@
 fn an_engine_in_need_is_not_asked_for_its_parts() {
     let transfer = Some(Transfer { token_bytes: 160_000.0, rate: 32e6 });
     let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer };
-    let config = ConfigBuilder::new(1).engines("llm", engine);
+    let config = ConfigBuilder::new(1).engine_service("llm", engine);
     let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
@@ -307,7 +307,7 @@
     let limit = Rate::per_second(1.0);
     let notice = Notice { endpoint: life, limit, is_leaving: false, age: ms(0) };
     world.relay.on_peer_notices(world.now, &"peer".into(), &[notice]);
-    world.arrive(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
+    world.submit(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
     let asked = world.take(|action| match action {
         Action::ListParts { addr, .. } => Some(addr.to_string()),
         _ => None,
--- a/crates/core/tests/testsuite/relay/load.rs
+++ b/crates/core/tests/testsuite/relay/load.rs
@@ -10,7 +10,7 @@
 
 use peatdeck_core::relay::directory::{Change, Entry};
 
-use fleet::{COLD_PACE, Fleet, Outcome, Request};
+use fleet::{COLD_INTERVAL, Fleet, Outcome, Request};
 
 use crate::relay::fixture::ms;
 
@@ -167,7 +167,7 @@
     for mute in [false, true] {
         let result = a_burst_before_cold_engines(mute);
         assert_eq!(result.unanswered, 0);
-        let bearable = (COLD_FOR - ms(450)).as_secs_f64() / COLD_PACE.as_secs_f64();
+        let bearable = (COLD_FOR - ms(450)).as_secs_f64() / COLD_INTERVAL.as_secs_f64();
         for name in ["e1", "e4", "e7", "e10"] {
             let (most, all) = cold_calls(&result, name);
             assert!(most <= 7, "{name}: {most} in a second");
--- a/crates/core/tests/testsuite/relay/load/fleet.rs
+++ b/crates/core/tests/testsuite/relay/load/fleet.rs
@@ -27,7 +27,7 @@
 use engine::Reader;
 pub use limited::Limited;
 
-use crate::relay::fixture::{ConfigBuilder, arrival, entry, head, ms, route, stage, unrun};
+use crate::relay::fixture::{ConfigBuilder, arrival, entry, head, ms, not_run, route, stage};
 
 /// One way between two machines.
 const HOP: Duration = Duration::from_micros(1400);
@@ -44,7 +44,7 @@
 /// Tokens of a whole prompt.
 const PROMPT: u64 = 9200;
 /// Time between two calls that a cold engine bears.
-pub const COLD_PACE: Duration = Duration::from_millis(150);
+pub const COLD_INTERVAL: Duration = Duration::from_millis(150);
 const OBJECTIVE: Duration = Duration::from_millis(1100);
 const DEADLINE: Duration = Duration::from_secs(6);
 
@@ -273,7 +273,7 @@
     fn happen(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::Arrive(idx, request) => self.arrive(idx, request),
+            Event::Arrive(idx, request) => self.submit(idx, request),
             Event::Tick(idx) => {
                 self.wakes[idx] = None;
                 self.tell(idx, |relay| relay.tick(now));
@@ -322,7 +322,7 @@
             }
             Event::Send { from, call } => self.send(from, call),
             Event::InputsGone { to, call } => {
-                self.tell(to, |relay| relay.on_reply(now, call, &unrun(409)));
+                self.tell(to, |relay| relay.on_reply(now, call, &not_run(409)));
             }
             Event::FirstToken { to, call, terms } => self.tell(to, |relay| {
                 if relay.on_reply_head(now, call, &ReplyHead { terms, ..head(200) }) {
@@ -341,7 +341,7 @@
         }
     }
 
-    fn arrive(&mut self, idx: usize, request: Request) {
+    fn submit(&mut self, idx: usize, request: Request) {
         let shared = request.shared_parts().map(|(id, tokens)| (id, tokens));
         let own = (1_000_000 + request.id, OWN_PART);
         let parts = shared.into_iter().chain([own]);
@@ -564,8 +564,9 @@
         timeout: DEADLINE,
         ..route("r", RequestKind::Resumable, "llm")
     };
-    let config = ConfigBuilder::new(1).engines("llm", engine).makers("maker", pieces);
-    let config = config.cold_pace("llm", COLD_PACE).route(route);
+    let config =
+        ConfigBuilder::new(1).engine_service("llm", engine).piece_service_with("maker", pieces);
+    let config = config.cold_interval("llm", COLD_INTERVAL).route(route);
     relay.configure(config.build());
     relay
 }
--- a/crates/core/tests/testsuite/relay/peers.rs
+++ b/crates/core/tests/testsuite/relay/peers.rs
@@ -13,7 +13,7 @@
     let stages = vec![stage("ledger", &[], 10)];
     let config = ConfigBuilder::new(1)
         .service("desk")
-        .maker("ledger", 1 << 30)
+        .piece_service("ledger", 1 << 30)
         .route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
     let mut world = World::new(config.build());
     world.put(entry("d1", "desk"));
@@ -27,9 +27,9 @@
     for idx in 0..50 {
         let peers = vec![peer(&format!("peer-{idx}"), 250)];
         world.relay.set_peers(world.now, peers, 2);
-        let exchange = world.arrive(asking("probe", 1));
+        let exchange = world.submit(asking("probe", 1));
         let is_handed = !handed(&mut world).is_empty();
-        world.leave(exchange);
+        world.disconnect(exchange);
         world.actions.clear();
         if is_handed {
             return world;
@@ -72,7 +72,7 @@
 #[test]
 fn results_come_back_from_the_peer() {
     let mut world = with_owner();
-    world.arrive(asking("1", 2));
+    world.submit(asking("1", 2));
     let (key, pieces) = handed(&mut world).remove(0);
     assert_eq!(pieces.len(), 2);
     let results = vec![Ok(Arc::from("l1:80/x")), Ok(Arc::from("l1:80/y"))];
@@ -84,12 +84,12 @@
 #[test]
 fn pieces_of_a_peer_that_is_gone_are_made_here() {
     let mut world = with_owner();
-    world.arrive(asking("1", 2));
+    world.submit(asking("1", 2));
     let (key, _) = handed(&mut world).remove(0);
-    assert!(world.orders().is_empty());
+    assert!(world.batches().is_empty());
     world.relay.on_handover_return(world.now, key, None);
     world.collect();
-    assert_eq!(world.orders()[0].names(), ["1/0/0", "1/0/1"]);
+    assert_eq!(world.batches()[0].names(), ["1/0/0", "1/0/1"]);
 }
 
 #[test]
@@ -100,7 +100,7 @@
         let strong = format!("strong-{idx}");
         let peers = weak.chain([peer(&strong, 500)]).collect();
         world.relay.set_peers(world.now, peers, 22);
-        world.arrive(asking("1", 1));
+        world.submit(asking("1", 1));
         assert_eq!(receivers(&mut world), [Arc::from(strong)]);
     }
 }
@@ -110,7 +110,7 @@
     let mut world = world();
     let peers = vec![peer("first", 500), peer("second", 400)];
     world.relay.set_peers(world.now, peers.clone(), 3);
-    world.arrive(asking("1", 2));
+    world.submit(asking("1", 2));
     let (key, pieces) = handed(&mut world).remove(0);
     world.relay.on_handover_return(world.now, key, None);
     world.collect();
@@ -119,21 +119,21 @@
         _ => None,
     });
     assert_eq!(next, [(Arc::from("second"), pieces)]);
-    assert!(world.orders().is_empty(), "nothing is made here");
-    world.arrive(asking("2", 1));
+    assert!(world.batches().is_empty(), "nothing is made here");
+    world.submit(asking("2", 1));
     assert_eq!(receivers(&mut world), [Arc::from("second")]);
     world.now += ms(2100);
     world.relay.set_peers(world.now, peers, 3);
-    world.arrive(asking("3", 1));
+    world.submit(asking("3", 1));
     assert_eq!(receivers(&mut world), [Arc::from("first")], "it is asked again later");
 }
 
 #[test]
 fn a_caller_that_leaves_takes_its_pieces_back() {
     let mut world = with_owner();
-    let exchange = world.arrive(asking("1", 2));
+    let exchange = world.submit(asking("1", 2));
     let (key, _) = handed(&mut world).remove(0);
-    world.leave(exchange);
+    world.disconnect(exchange);
     assert_eq!(world.actions, [Action::RecallPieces(key)]);
 }
 
@@ -142,16 +142,16 @@
     let mut world = world();
     world.relay.set_peers(world.now, vec![peer("other", 250)], 2);
     world.relay.stop_batching();
-    world.arrive(asking("1", 1));
+    world.submit(asking("1", 1));
     assert_eq!(handed(&mut world).len(), 1);
     world.relay.set_peers(world.now, Vec::new(), 2);
-    world.arrive(asking("2", 1));
-    assert_eq!(world.orders()[0].names(), ["2/0/0"], "with nobody left it makes them itself");
+    world.submit(asking("2", 1));
+    assert_eq!(world.batches()[0].names(), ["2/0/0"], "with nobody left it makes them itself");
 }
 
 fn piece(number: u16) -> Piece {
     let mut world = with_owner();
-    world.arrive(asking("theirs", number + 1));
+    world.submit(asking("theirs", number + 1));
     handed(&mut world).remove(0).1.remove(usize::from(number))
 }
 
@@ -160,9 +160,9 @@
     let mut world = world();
     world.relay.on_handover(world.now, 9, vec![piece(0), piece(1)]);
     world.collect();
-    let order = world.orders().remove(0);
-    assert_eq!(order.pieces.len(), 2);
-    world.make(&order);
+    let batch = world.batches().remove(0);
+    assert_eq!(batch.pieces.len(), 2);
+    world.complete(&batch);
     assert_eq!(returned(&mut world), [(9, 2)]);
 }
 
@@ -173,7 +173,7 @@
     world.relay.on_handover(world.now, 9, vec![late]);
     world.collect();
     assert_eq!(returned(&mut world), [(9, 1)]);
-    assert!(world.orders().is_empty());
+    assert!(world.batches().is_empty());
 }
 
 /// A peer may say anything.
@@ -183,8 +183,8 @@
     let tried = Piece { tries: u8::MAX, ..piece(0) };
     world.relay.on_handover(world.now, 9, vec![tried]);
     world.collect();
-    let order = world.orders().remove(0);
-    world.made(order.call, order.all(PieceFailure::Failed));
+    let batch = world.batches().remove(0);
+    world.complete_with(batch.call, batch.all_failed(PieceFailure::Failed));
     assert_eq!(returned(&mut world), [(9, 1)]);
 }
 
@@ -193,12 +193,12 @@
     let mut world = world();
     world.relay.on_handover(world.now, 1, vec![piece(0)]);
     world.collect();
-    let running = world.orders().remove(0);
+    let running = world.batches().remove(0);
     world.relay.on_handover(world.now, 2, vec![piece(0)]);
     world.relay.on_handover_recall(1);
     world.relay.on_handover_recall(2);
-    world.make(&running);
-    assert!(world.orders().is_empty());
+    world.complete(&running);
+    assert!(world.batches().is_empty());
     assert_eq!(world.freed().len(), 1);
     assert_eq!(world.relay.open_tickets(), 0);
 }
@@ -209,8 +209,8 @@
     world.relay.on_handover(world.now, 3, vec![piece(0)]);
     world.collect();
     for _ in 0..3 {
-        let order = world.orders().remove(0);
-        world.made(order.call, order.all(PieceFailure::Failed));
+        let batch = world.batches().remove(0);
+        world.complete_with(batch.call, batch.all_failed(PieceFailure::Failed));
     }
     assert_eq!(returned(&mut world), [(3, 1)]);
 }
@@ -220,9 +220,9 @@
 fn pieces_wait_until_an_instance_that_has_just_started_knows_its_peers() {
     let mut world = world();
     world.relay.hold_for_peers(ms(1500));
-    world.arrive(asking("1", 2));
+    world.submit(asking("1", 2));
     world.advance(ms(300));
-    assert!(world.orders().is_empty() && handed(&mut world).is_empty());
+    assert!(world.batches().is_empty() && handed(&mut world).is_empty());
     world.relay.set_peers(world.now, vec![peer("strong", 500)], 2);
     world.relay.mark_peers_known(world.now);
     world.collect();
@@ -233,7 +233,7 @@
 fn an_instance_that_hears_of_no_peers_makes_its_pieces_itself() {
     let mut world = world();
     world.relay.hold_for_peers(ms(1500));
-    world.arrive(asking("1", 2));
+    world.submit(asking("1", 2));
     world.advance(ms(1500));
-    assert_eq!(world.orders().len(), 1);
+    assert_eq!(world.batches().len(), 1);
 }
--- a/crates/core/tests/testsuite/relay/placing.rs
+++ b/crates/core/tests/testsuite/relay/placing.rs
@@ -20,7 +20,7 @@
 fn beside_a_placer() -> World {
     let transfer = Some(Transfer { token_bytes: 160_000.0, rate: 32e6 });
     let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer };
-    let config = ConfigBuilder::new(1).engines("llm", engine);
+    let config = ConfigBuilder::new(1).engine_service("llm", engine);
     let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
@@ -58,7 +58,7 @@
 #[test]
 fn a_call_goes_where_the_placer_says() {
     let mut world = beside_a_placer();
-    world.arrive(asking("1"));
+    world.submit(asking("1"));
     assert!(world.calls().is_empty(), "it waits for the answer");
     let (key, question) = questions(&mut world).remove(0);
     assert_eq!((&*question.service, question.prompt), ("llm", prompt(1, 2)));
@@ -72,7 +72,7 @@
 #[test]
 fn an_engine_that_leaves_is_not_called_whatever_the_placer_says() {
     let mut world = beside_a_placer();
-    world.arrive(asking("1"));
+    world.submit(asking("1"));
     let (key, _) = questions(&mut world).remove(0);
     let leaving = Entry { is_leaving: true, ..entry("a", "llm") };
     world.relay.apply_change(world.now, Change::Put(leaving));
@@ -83,24 +83,24 @@
 #[test]
 fn without_an_answer_an_instance_chooses_alone_for_a_while() {
     let mut world = beside_a_placer();
-    world.arrive(asking("1"));
+    world.submit(asking("1"));
     let (key, _) = questions(&mut world).remove(0);
     world.relay.on_placer_failure(world.now, &"peer".into());
     world.relay.on_placement(world.now, key, &"peer".into(), None);
     world.collect();
     assert_eq!(world.calls().len(), 1);
-    world.arrive(asking("2"));
+    world.submit(asking("2"));
     assert!(questions(&mut world).is_empty());
     assert_eq!(world.calls().len(), 1);
     world.advance(ms(2000));
-    world.arrive(asking("3"));
+    world.submit(asking("3"));
     assert_eq!(questions(&mut world).len(), 1);
 }
 
 #[test]
 fn a_request_whose_time_is_over_before_the_answer_is_refused() {
     let mut world = beside_a_placer();
-    world.arrive(asking("1"));
+    world.submit(asking("1"));
     let (key, _) = questions(&mut world).remove(0);
     world.advance(ms(2000));
     assert_eq!(world.refusals().len(), 1);
@@ -136,11 +136,11 @@
         });
         asked.len()
     };
-    world.arrive(asking("1"));
-    world.arrive(asking("2"));
+    world.submit(asking("1"));
+    world.submit(asking("2"));
     assert_eq!(listed(&mut world), 2);
     world.put(entry("c", "llm"));
-    world.arrive(asking("3"));
+    world.submit(asking("3"));
     assert_eq!(listed(&mut world), 1);
 }
 
@@ -149,7 +149,7 @@
 fn a_placer_and_its_asker_mean_the_same_life_of_an_engine() {
     let mut world = beside_a_placer();
     world.put(Entry { incarnation: Incarnation(2), ..entry("a", "llm") });
-    world.arrive(asking("1"));
+    world.submit(asking("1"));
     let (key, question) = questions(&mut world).remove(0);
     assert!(question.excluded.is_empty());
     answer(&mut world, key, "a");
@@ -189,7 +189,7 @@
 /// to read besides, and where the next prompt goes that `a` has read before.
 fn placed_beside_streams(backlog: u64, pause: Option<Duration>) -> Arc<str> {
     let engine = Engine { slots: 64, memory: 900_000, max_gap: pause, transfer: None };
-    let config = ConfigBuilder::new(1).engines("llm", engine);
+    let config = ConfigBuilder::new(1).engine_service("llm", engine);
     let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b"] {
         world.put(entry(name, "llm"));
--- a/crates/core/tests/testsuite/relay/policies.rs
+++ b/crates/core/tests/testsuite/relay/policies.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_request_that_the_policy_does_not_admit_has_not_run_and_hears_when_to_come_back() {
     let mut world = under("fn admit(ctx) { ctx.pipeline != \"r\" } fn refuse(ctx) { 250 }");
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     assert_eq!(world.refusals(), ["503 policy 250ms"]);
     assert!(world.calls().is_empty());
     assert_eq!(world.relay.open_exchanges(), 0);
@@ -29,17 +29,17 @@
 #[test]
 fn a_policy_gives_at_most_a_third_of_the_time_that_is_left() {
     let mut world = under("fn admit(ctx) { false } fn refuse(ctx) { 60000 }");
-    world.arrive(Arrival { deadline: Some(ms(1000)), ..arrival("1", "r") });
+    world.submit(Arrival { deadline: Some(ms(1000)), ..arrival("1", "r") });
     assert_eq!(world.refusals(), ["503 policy 300ms"]);
 }
 
 #[test]
 fn a_policy_cannot_say_that_what_has_run_did_not() {
     let mut world = under("fn refuse(ctx) { 250 }");
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     for _ in 0..2 {
         let call = world.call().key;
-        world.failed(call, Failure::Cut);
+        world.fail(call, Failure::Cut);
     }
     assert_eq!(world.refusals(), ["502 failed 250ms"]);
 }
@@ -51,7 +51,7 @@
             format!("fn route(ctx) {{ if ctx.endpoint.name == \"{name}\" {{ 1 }} else {{ 0 }} }}");
         let mut world = under(&script);
         for id in ["1", "2", "3"] {
-            world.arrive(arrival(id, "r"));
+            world.submit(arrival(id, "r"));
             assert_eq!(&*world.call().endpoint, name);
         }
     }
@@ -61,7 +61,7 @@
 fn the_policys_order_is_the_rank_at_an_engine() {
     for (order, rank) in [("9", 0), ("2", 7), ("-5", 9), ("100", 0), ("()", 1)] {
         let mut world = under(&format!("fn order(ctx) {{ {order} }}"));
-        world.arrive(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
+        world.submit(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
         assert_eq!(world.call().rank, Some(rank), "{order}");
     }
 }
@@ -71,7 +71,7 @@
     // It fails on these facts only, not on the samples.
     let script = "fn admit(ctx) { if ctx.pipeline == \"r\" { ctx.unknown.field } else { true } }";
     let mut world = under(script);
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     assert_eq!(world.calls().len(), 1);
     assert_eq!(world.relay.policy_failures(), 1);
 }
@@ -79,7 +79,7 @@
 #[test]
 fn a_policy_sees_what_waits() {
     let stages = vec![stage("ledger", &[], 10)];
-    let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", 1 << 30);
     let config = config.route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
     let mut world = World::new(config.build());
     world.put(entry("l1", "ledger"));
@@ -87,10 +87,10 @@
     world.relay.set_policy(policy::compile(script).unwrap());
     let asking = |id: &str| Arrival { pieces: vec![2], ..arrival(id, "r") };
     for id in ["1", "2", "3"] {
-        world.arrive(asking(id));
+        world.submit(asking(id));
     }
     assert!(world.refusals().is_empty());
-    world.arrive(asking("4"));
+    world.submit(asking("4"));
     assert_eq!(world.refusals(), ["503 policy 400ms"]);
     assert_eq!(Refusal::Policy.status(), 503);
 }
--- a/crates/core/tests/testsuite/relay/prompts.rs
+++ b/crates/core/tests/testsuite/relay/prompts.rs
@@ -14,7 +14,7 @@
 
 fn world(transfer: Option<Transfer>) -> World {
     let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer };
-    let config = ConfigBuilder::new(1).engines("llm", engine);
+    let config = ConfigBuilder::new(1).engine_service("llm", engine);
     let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     for name in ["a", "b", "c"] {
         world.put(entry(name, "llm"));
@@ -27,7 +27,7 @@
 }
 
 fn send(world: &mut World, id: &str, shared: u64, own: u64) -> Call {
-    world.arrive(ask(id, shared, own));
+    world.submit(ask(id, shared, own));
     world.call()
 }
 
@@ -72,7 +72,7 @@
 fn an_engine_that_failed_is_no_source() {
     let mut world = world(Some(TRANSFER));
     let first = send(&mut world, "first", 1, 1);
-    world.failed(first.key, peatdeck_core::relay::model::Failure::Cut);
+    world.fail(first.key, peatdeck_core::relay::model::Failure::Cut);
     world.advance(ms(10));
     let second = send(&mut world, "second", 1, 2);
     assert_ne!(second.endpoint, first.endpoint);
--- a/crates/core/tests/testsuite/relay/quarantine.rs
+++ b/crates/core/tests/testsuite/relay/quarantine.rs
@@ -58,7 +58,7 @@
 
 /// The call is cut, and the probe of its endpoint tells this.
 fn cut(world: &mut World, call: &Call, probed: ProbeResult) {
-    world.failed(call.key, Failure::Cut);
+    world.fail(call.key, Failure::Cut);
     for endpoint in probes(world) {
         world.relay.on_probe(world.now, endpoint, probed);
         world.collect();
@@ -67,7 +67,7 @@
 
 /// The content is sent and ends its endpoint.
 fn crash(world: &mut World, id: &str) {
-    world.arrive(poison(id));
+    world.submit(poison(id));
     let call = world.call();
     cut(world, &call, ProbeResult::Gone);
     world.refusals();
@@ -88,7 +88,7 @@
 }
 
 fn is_refused(world: &mut World) -> bool {
-    world.arrive(poison("probe"));
+    world.submit(poison("probe"));
     let is_sent = !world.calls().is_empty();
     let refusals = world.refusals();
     assert!(is_sent != refusals.iter().any(|refusal| refusal.contains("quarantined")));
@@ -118,7 +118,7 @@
         _ => None,
     });
     assert_eq!(told, [(held(), 3)]);
-    world.arrive(poison("4"));
+    world.submit(poison("4"));
     assert!(world.calls().is_empty());
 }
 
@@ -126,7 +126,7 @@
 fn its_caller_hears_at_once_that_nothing_ran_and_how_long_that_lasts() {
     let mut world = held_world(RequestKind::Once);
     world.advance(ms(60_000));
-    world.arrive(poison("4"));
+    world.submit(poison("4"));
     let refusal = world.refusals().remove(0);
     let away = refusal.strip_prefix("503 quarantined ").unwrap().to_owned();
     let seconds: f64 = away.strip_suffix('s').unwrap().parse().unwrap();
@@ -137,7 +137,7 @@
 #[test]
 fn what_is_asked_for_by_others_is_served() {
     let mut world = held_world(RequestKind::Once);
-    world.arrive(arrival("other", "r"));
+    world.submit(arrival("other", "r"));
     assert_eq!(world.calls().len(), 1);
 }
 
@@ -174,7 +174,7 @@
     for probed in [ProbeResult::There, ProbeResult::Unknown] {
         let mut world = world(RequestKind::Once);
         for id in 0..9 {
-            world.arrive(poison(&id.to_string()));
+            world.submit(poison(&id.to_string()));
             let call = world.call();
             cut(&mut world, &call, probed);
             world.refusals();
@@ -188,10 +188,10 @@
 fn a_planned_end_is_no_crash() {
     let mut world = world(RequestKind::Once);
     for id in 0..6 {
-        world.arrive(poison(&id.to_string()));
+        world.submit(poison(&id.to_string()));
         let call = world.call();
         world.put(Entry { is_leaving: true, ..entry(&call.endpoint, "desk") });
-        world.failed(call.key, Failure::Cut);
+        world.fail(call.key, Failure::Cut);
         assert!(probes(&mut world).is_empty());
         world.refusals();
     }
@@ -206,7 +206,7 @@
     world.put(entry("only", "desk"));
     crash(&mut world, "1");
     world.advance(ms(5000));
-    world.arrive(arrival("2", "r"));
+    world.submit(arrival("2", "r"));
     assert!(world.calls().is_empty());
     world.put(entry("only", "desk"));
     assert_eq!(world.calls().len(), 1);
@@ -216,9 +216,9 @@
 #[test]
 fn calls_that_are_given_up_are_no_crashes() {
     let mut world = world(RequestKind::Once);
-    let key = world.arrive(poison("1"));
+    let key = world.submit(poison("1"));
     world.call();
-    world.leave(key);
+    world.disconnect(key);
     assert!(probes(&mut world).is_empty());
 }
 
@@ -229,12 +229,12 @@
     world.put(entry("only", "desk"));
     let calls: Vec<_> = (0..4)
         .map(|id| {
-            world.arrive(poison(&id.to_string()));
+            world.submit(poison(&id.to_string()));
             world.call()
         })
         .collect();
     for call in &calls {
-        world.failed(call.key, Failure::Cut);
+        world.fail(call.key, Failure::Cut);
     }
     let probed = probes(&mut world);
     assert_eq!(probed.len(), 1, "one probe tells for all");
@@ -249,12 +249,12 @@
     let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("only", "desk"));
-    world.arrive(arrival("bystander", "r"));
+    world.submit(arrival("bystander", "r"));
     let bystander = world.call();
-    world.arrive(poison("1"));
+    world.submit(poison("1"));
     let call = world.call();
     cut(&mut world, &bystander, ProbeResult::Gone);
-    world.failed(call.key, Failure::Cut);
+    world.fail(call.key, Failure::Cut);
     assert!(probes(&mut world).is_empty());
     let crashed = world.take(|action| match action {
         Action::EndpointCrashed { crashes, .. } => Some(crashes[0].content),
@@ -268,7 +268,7 @@
 fn an_endpoint_that_started_again_has_crashed_with_what_it_was_sent() {
     let mut world = world(RequestKind::Once);
     for id in ["1", "2", "3"] {
-        world.arrive(poison(id));
+        world.submit(poison(id));
         let call = world.call();
         cut(&mut world, &call, ProbeResult::There);
         world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
@@ -280,7 +280,7 @@
 fn calls_that_are_open_when_an_endpoint_starts_again_have_crashed_with_it() {
     let mut world = world(RequestKind::Once);
     for id in ["1", "2", "3"] {
-        world.arrive(poison(id));
+        world.submit(poison(id));
         let call = world.call();
         world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
         assert!(probes(&mut world).is_empty(), "nothing is left to find out");
@@ -294,10 +294,10 @@
     let mut world = world(RequestKind::Stream);
     for id in 0..6 {
         assert!(consulted(&mut world).is_empty(), "{id} crashes");
-        world.arrive(poison(&id.to_string()));
+        world.submit(poison(&id.to_string()));
         let call = world.call();
         world.relay.on_reply_head(world.now, call.key, &head(200));
-        world.event(call.key, 1);
+        world.stream_event(call.key, 1);
         world.advance(EARLY_PERIOD);
         cut(&mut world, &call, ProbeResult::Gone);
     }
@@ -310,9 +310,9 @@
     let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
-    world.arrive(poison("sound"));
+    world.submit(poison("sound"));
     let call = world.call();
-    world.replied(call.key, &head(200));
+    world.reply(call.key, &head(200));
     crash(&mut world, "3");
     assert!(consulted(&mut world).is_empty());
     assert!(!is_refused(&mut world));
@@ -323,9 +323,9 @@
     let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
-    world.arrive(poison("failing"));
+    world.submit(poison("failing"));
     let call = world.call();
-    world.replied(call.key, &head(500));
+    world.reply(call.key, &head(500));
     crash(&mut world, "3");
     assert!(consulted(&mut world).is_empty());
 }
@@ -347,9 +347,9 @@
 fn an_instance_says_whether_it_had_a_content_answered() {
     let mut world = world(RequestKind::Once);
     world.advance(ms(1000));
-    world.arrive(poison("1"));
+    world.submit(poison("1"));
     let call = world.call();
-    world.replied(call.key, &head(200));
+    world.reply(call.key, &head(200));
     assert!(world.relay.was_answered(held(), ms(1000)));
     assert!(!world.relay.was_answered(held(), ms(1001)));
 }
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -120,9 +120,9 @@
     let mut world = World::new(config.build());
     world.relay = peatdeck_core::relay::Relay::new(settings, 1);
     world.relay.configure(ConfigBuilder::new(1).build());
-    assert_eq!(world.try_arrive(poison("1")), Err(Refusal::NotReady));
+    assert_eq!(world.try_submit(poison("1")), Err(Refusal::NotReady));
     world.relay.mark_quarantine_read();
-    assert_eq!(world.try_arrive(poison("1")), Err(Refusal::NoRoute));
+    assert_eq!(world.try_submit(poison("1")), Err(Refusal::NoRoute));
 }
 
 #[test]
@@ -175,7 +175,7 @@
     let mut written = 0;
     for id in 0..30 {
         world.advance(Duration::from_secs(60));
-        world.arrive(poison(&id.to_string()));
+        world.submit(poison(&id.to_string()));
         assert!(world.calls().is_empty());
         written += world
             .take(|action| match action {
--- a/crates/core/tests/testsuite/relay/reads.rs
+++ b/crates/core/tests/testsuite/relay/reads.rs
@@ -6,7 +6,7 @@
     model::{Action, Arrival, Handle, Peer, Piece, PieceFailure},
 };
 
-use crate::relay::fixture::{ConfigBuilder, Order, World, arrival, entry, ms, route, stage};
+use crate::relay::fixture::{Batch, ConfigBuilder, World, arrival, entry, ms, route, stage};
 
 /// Size of a result.
 const BYTES: u64 = 50_000;
@@ -25,8 +25,8 @@
         room: 1 << 30,
         lease: ms(4000),
     };
-    let config = ConfigBuilder::new(1).service("desk").maker("first", room * BYTES);
-    let mut world = World::new(config.makers("second", second).route(staged).build());
+    let config = ConfigBuilder::new(1).service("desk").piece_service("first", room * BYTES);
+    let mut world = World::new(config.piece_service_with("second", second).route(staged).build());
     world.put(entry("a", "desk"));
     world.put(entry("m", "first"));
     world.put(entry("n", "second"));
@@ -38,23 +38,23 @@
 }
 
 fn come(world: &mut World, id: &str, pieces: &[u16]) {
-    world.arrive(Arrival { pieces: pieces.to_vec(), ..arrival(id, "r") });
+    world.submit(Arrival { pieces: pieces.to_vec(), ..arrival(id, "r") });
 }
 
-fn order_at(world: &mut World, endpoint: &str) -> Option<Order> {
-    world.orders().into_iter().find(|order| &*order.endpoint == endpoint)
+fn batch_at(world: &mut World, endpoint: &str) -> Option<Batch> {
+    world.batches().into_iter().find(|batch| &*batch.endpoint == endpoint)
 }
 
 /// Both results of a request's first stage are made and its second stage has begun, a
 /// second request waits for room.
-fn waiting_for_room() -> (World, Order) {
+fn waiting_for_room() -> (World, Batch) {
     let mut world = chain(two_stages(), 4, 4);
     come(&mut world, "1", &[4, 1]);
-    let first = order_at(&mut world, "m").unwrap();
-    world.make(&first);
-    let second = order_at(&mut world, "n").unwrap();
+    let first = batch_at(&mut world, "m").unwrap();
+    world.complete(&first);
+    let second = batch_at(&mut world, "n").unwrap();
     come(&mut world, "2", &[4, 1]);
-    assert!(world.orders().is_empty(), "there is no room");
+    assert!(world.batches().is_empty(), "there is no room");
     (world, second)
 }
 
@@ -62,20 +62,20 @@
 fn what_the_next_stage_has_read_gives_way_where_room_is_scarce() {
     let (mut world, _) = waiting_for_room();
     world.advance(ms(59));
-    assert!(world.orders().is_empty());
+    assert!(world.batches().is_empty());
     world.advance(ms(1));
     assert_eq!(world.freed().join(" "), "m:80/1-0-0 m:80/1-0-1 m:80/1-0-2 m:80/1-0-3");
-    assert_eq!(order_at(&mut world, "m").unwrap().pieces.len(), 4);
+    assert_eq!(batch_at(&mut world, "m").unwrap().pieces.len(), 4);
 }
 
 #[test]
 fn what_the_next_stage_has_read_stays_where_there_is_room() {
     let mut world = chain(two_stages(), 8, 4);
     come(&mut world, "1", &[4, 1]);
-    let first = order_at(&mut world, "m").unwrap();
-    world.make(&first);
+    let first = batch_at(&mut world, "m").unwrap();
+    world.complete(&first);
     come(&mut world, "2", &[4, 1]);
-    let again = order_at(&mut world, "m").unwrap();
+    let again = batch_at(&mut world, "m").unwrap();
     world.advance(ms(100));
     assert!(world.freed().is_empty(), "it might be needed again");
     assert_eq!(again.pieces.len(), 4);
@@ -85,15 +85,15 @@
 fn what_another_piece_has_yet_to_read_stays() {
     let mut world = chain(two_stages(), 4, 1);
     come(&mut world, "1", &[4, 2]);
-    let first = order_at(&mut world, "m").unwrap();
-    world.make(&first);
-    let second = order_at(&mut world, "n").unwrap();
+    let first = batch_at(&mut world, "m").unwrap();
+    world.complete(&first);
+    let second = batch_at(&mut world, "n").unwrap();
     assert_eq!(second.names(), ["1/1/0"]);
     come(&mut world, "2", &[4, 1]);
     world.advance(ms(100));
     assert!(world.freed().is_empty(), "the other piece waits");
-    world.make(&second);
-    assert_eq!(order_at(&mut world, "n").unwrap().names(), ["1/1/1"]);
+    world.complete(&second);
+    assert_eq!(batch_at(&mut world, "n").unwrap().names(), ["1/1/1"]);
     world.advance(ms(60));
     assert_eq!(world.freed().len(), 4);
 }
@@ -107,9 +107,9 @@
     ];
     let mut world = chain(stages, 4, 4);
     come(&mut world, "1", &[4, 1, 1]);
-    let first = order_at(&mut world, "m").unwrap();
-    world.make(&first);
-    assert_eq!(order_at(&mut world, "n").unwrap().names(), ["1/1/0"]);
+    let first = batch_at(&mut world, "m").unwrap();
+    world.complete(&first);
+    assert_eq!(batch_at(&mut world, "n").unwrap().names(), ["1/1/0"]);
     come(&mut world, "2", &[4, 1, 1]);
     world.advance(ms(100));
     assert!(world.freed().is_empty());
@@ -122,10 +122,10 @@
     let (mut world, second) = waiting_for_room();
     world.advance(ms(60));
     assert_eq!(world.freed().len(), 4);
-    let first = order_at(&mut world, "m").unwrap();
-    world.made(second.call, second.all(PieceFailure::InputGone));
-    world.make(&first);
-    let second = order_at(&mut world, "n").unwrap();
+    let first = batch_at(&mut world, "m").unwrap();
+    world.complete_with(second.call, second.all_failed(PieceFailure::InputGone));
+    world.complete(&first);
+    let second = batch_at(&mut world, "n").unwrap();
     assert_eq!(second.names(), ["2/1/0"]);
     // What the first request needs once more waits for room; it gave the old up.
     world.freed();
@@ -133,7 +133,7 @@
     assert!(world.freed().is_empty());
     world.advance(ms(1));
     assert_eq!(world.freed().len(), 4);
-    assert_eq!(order_at(&mut world, "m").unwrap().names().len(), 4);
+    assert_eq!(batch_at(&mut world, "m").unwrap().names().len(), 4);
 }
 
 /// This instance makes pieces from results that a peer had made.
@@ -166,8 +166,8 @@
         world.relay.on_handover(world.now, ticket, vec![piece]);
         world.collect();
         world.advance(ms(60));
-        let order = order_at(world, "n").unwrap();
-        world.make(&order);
+        let batch = batch_at(world, "n").unwrap();
+        world.complete(&batch);
         spared(world)
     };
     assert!(made(&mut world, "1").is_empty());
--- a/crates/core/tests/testsuite/relay/rests.rs
+++ b/crates/core/tests/testsuite/relay/rests.rs
@@ -29,7 +29,7 @@
 };
 
 use crate::relay::fixture::{
-    ConfigBuilder, World, arrival, entry, head, ms, prompt, route, stage, unrun,
+    ConfigBuilder, World, arrival, entry, head, ms, not_run, prompt, route, stage,
 };
 
 fn resting(rest: u64, head: ReplyHead) -> ReplyHead {
@@ -38,7 +38,7 @@
 
 fn answer(world: &mut World, call: &Call, head: &ReplyHead) {
     world.relay.on_reply_head(world.now, call.key, head);
-    world.replied(call.key, head);
+    world.reply(call.key, head);
 }
 
 /// Milliseconds that the slower of two endpoints takes: longer than one that has not
@@ -50,7 +50,7 @@
 fn told(told: &ReplyHead) -> World {
     let mut world = World::plain(RequestKind::Idempotent);
     for idx in 0..100 {
-        world.arrive(arrival(&format!("ask-{idx}"), "r"));
+        world.submit(arrival(&format!("ask-{idx}"), "r"));
         for call in world.calls() {
             let is_meant = &*call.endpoint == "a";
             world.advance(ms(if is_meant { 1 } else { SLOW }));
@@ -69,7 +69,7 @@
 fn called(world: &mut World, span: u64) -> Vec<Duration> {
     let (start, mut at) = (world.now, Vec::new());
     while world.now < start + ms(span) {
-        world.arrive(arrival(&format!("{}", world.now.as_micros()), "r"));
+        world.submit(arrival(&format!("{}", world.now.as_micros()), "r"));
         for call in world.calls() {
             let is_meant = &*call.endpoint == "a";
             at.extend(is_meant.then(|| world.now - start));
@@ -83,7 +83,7 @@
 
 #[test]
 fn an_endpoint_that_asked_for_rest_gets_it() {
-    for refusal in [unrun(503), unrun(429), head(503)] {
+    for refusal in [not_run(503), not_run(429), head(503)] {
         let mut world = told(&resting(3000, refusal.clone()));
         let at = called(&mut world, 6000);
         assert!(!at.is_empty(), "it is used again after {refusal:?}");
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_short_rest_is_short() {
-    let at = called(&mut told(&resting(250, unrun(503))), 1000);
+    let at = called(&mut told(&resting(250, not_run(503))), 1000);
     assert!(at[0] >= ms(250 - SLOW) && at[0] <= ms(400), "{:?}", at[0]);
 }
 
@@ -104,14 +104,14 @@
         let mut world = World::plain(RequestKind::Idempotent);
         let mut open = Vec::new();
         for idx in 0..40 {
-            world.arrive(arrival(&idx.to_string(), "r"));
+            world.submit(arrival(&idx.to_string(), "r"));
             open.extend(world.calls());
         }
         let mut rests = [first, second].into_iter();
         for call in open {
             let refusal = (&*call.endpoint == "a").then(|| rests.next()).flatten();
             match refusal {
-                Some(rest) => answer(&mut world, &call, &resting(rest, unrun(503))),
+                Some(rest) => answer(&mut world, &call, &resting(rest, not_run(503))),
                 None => answer(&mut world, &call, &head(200)),
             }
         }
@@ -123,7 +123,7 @@
 
 #[test]
 fn its_next_life_has_asked_for_nothing() {
-    let mut world = told(&resting(3_600_000, unrun(503)));
+    let mut world = told(&resting(3_600_000, not_run(503)));
     assert!(called(&mut world, 5000).is_empty());
     world.put(Entry { incarnation: Incarnation(2), ..entry("a", "desk") });
     world.put(Entry { is_leaving: true, ..entry("b", "desk") });
@@ -133,7 +133,7 @@
 /// A rest binds the instance that was asked for it, and nobody else.
 #[test]
 fn peers_go_on() {
-    let mut world = told(&resting(3000, unrun(503)));
+    let mut world = told(&resting(3000, not_run(503)));
     let notices = world.relay.peer_notices(world.now);
     let mut peer = World::plain(RequestKind::Idempotent);
     peer.relay.on_peer_notices(peer.now, &"own".into(), &notices);
@@ -144,16 +144,16 @@
 /// that was not asked for it.
 #[test]
 fn where_all_rest_callers_are_refused_at_once() {
-    let mut world = told(&resting(3000, unrun(503)));
+    let mut world = told(&resting(3000, not_run(503)));
     for idx in 0..4 {
-        world.arrive(arrival(&format!("b-{idx}"), "r"));
+        world.submit(arrival(&format!("b-{idx}"), "r"));
         for call in world.calls() {
             assert_eq!(&*call.endpoint, "b");
-            answer(&mut world, &call, &resting(3000, unrun(503)));
+            answer(&mut world, &call, &resting(3000, not_run(503)));
         }
     }
     world.refusals();
-    world.arrive(arrival("refused", "r"));
+    world.submit(arrival("refused", "r"));
     assert!(world.calls().is_empty());
     assert_eq!(world.refusals(), ["503 unserved 400ms"]);
 }
@@ -165,11 +165,11 @@
         ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
-    world.arrive(arrival("1", "r"));
+    world.submit(arrival("1", "r"));
     let call = world.call();
-    answer(&mut world, &call, &resting(150, unrun(503)));
+    answer(&mut world, &call, &resting(150, not_run(503)));
     world.refusals();
-    world.arrive(arrival("2", "r"));
+    world.submit(arrival("2", "r"));
     assert!(world.calls().is_empty());
     for _ in 0..20 {
         world.advance(ms(10));
@@ -185,19 +185,19 @@
     world.put(entry("c", "desk"));
     let mut open = Vec::new();
     for idx in 0..20 {
-        world.arrive(arrival(&idx.to_string(), "r"));
+        world.submit(arrival(&idx.to_string(), "r"));
         let call = world.call();
         world.advance(ms(20));
         world.relay.on_reply_head(world.now, call.key, &head(200));
-        world.event(call.key, 1);
+        world.stream_event(call.key, 1);
         open.push(call);
     }
-    world.arrive(arrival("told", "r"));
+    world.submit(arrival("told", "r"));
     let told = world.call();
-    answer(&mut world, &told, &resting(3000, unrun(503)));
+    answer(&mut world, &told, &resting(3000, not_run(503)));
     world.calls();
     for call in open.into_iter().filter(|call| call.endpoint != told.endpoint) {
-        world.failed(call.key, Failure::Cut);
+        world.fail(call.key, Failure::Cut);
     }
     let resumed = world.calls();
     assert!(!resumed.is_empty());
@@ -208,23 +208,23 @@
 fn calls_for_pieces_are_turned_away_as_well() {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
-    let config = ConfigBuilder::new(1).service("desk").maker("maker", 1 << 20);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("maker", 1 << 20);
     let mut world = World::new(config.route(staged).build());
     world.put(entry("d", "desk"));
     world.put(entry("m1", "maker"));
     world.put(entry("m2", "maker"));
-    world.arrive(Arrival { pieces: vec![1], ..arrival("1", "r") });
-    let order = world.orders().remove(0);
-    world.relay.on_reply_terms(world.now, order.call, &resting(3000, unrun(503)));
-    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, true);
+    world.submit(Arrival { pieces: vec![1], ..arrival("1", "r") });
+    let batch = world.batches().remove(0);
+    world.relay.on_reply_terms(world.now, batch.call, &resting(3000, not_run(503)));
+    world.relay.on_pieces_failure(world.now, batch.call, Failure::Cut, true);
     world.collect();
     let told = world.now;
     for idx in 0..20 {
-        world.arrive(Arrival { pieces: vec![2], ..arrival(&format!("l{idx}"), "r") });
+        world.submit(Arrival { pieces: vec![2], ..arrival(&format!("l{idx}"), "r") });
         world.advance(ms(140));
-        for later in world.orders() {
-            assert!(later.endpoint != order.endpoint || world.now >= told + ms(3000));
-            world.make(&later);
+        for later in world.batches() {
+            assert!(later.endpoint != batch.endpoint || world.now >= told + ms(3000));
+            world.complete(&later);
         }
     }
 }
@@ -234,16 +234,16 @@
 #[test]
 fn a_placer_does_not_send_it_there() {
     let engine = Engine { slots: 64, memory: 3_000_000, max_gap: None, transfer: None };
-    let config = ConfigBuilder::new(1).engines("llm", engine);
+    let config = ConfigBuilder::new(1).engine_service("llm", engine);
     let mut world = World::new(config.route(route("r", RequestKind::Resumable, "llm")).build());
     world.put(entry("a", "llm"));
     world.put(entry("b", "llm"));
     let ask = |world: &mut World, id: &str| {
-        world.arrive(Arrival { prompt: Some(prompt(1, 2)), ..arrival(id, "r") })
+        world.submit(Arrival { prompt: Some(prompt(1, 2)), ..arrival(id, "r") })
     };
     ask(&mut world, "1");
     let call = world.call();
-    answer(&mut world, &call, &resting(3000, unrun(503)));
+    answer(&mut world, &call, &resting(3000, not_run(503)));
     world.calls();
     let peer = Peer { name: "peer".into(), millicores: 900 };
     world.relay.set_peers(world.now, vec![peer], 2);
@@ -274,13 +274,13 @@
     let mut world = World::plain(RequestKind::Idempotent);
     let (mut refused, mut served) = (0, 0);
     for idx in 0..200 {
-        world.arrive(arrival(&idx.to_string(), "r"));
+        world.submit(arrival(&idx.to_string(), "r"));
         for _ in 0..2 {
             for call in world.calls() {
                 if &*call.endpoint == "a" {
                     refused += 1;
                     world.advance(ms(1));
-                    answer(&mut world, &call, &unrun(503));
+                    answer(&mut world, &call, &not_run(503));
                 } else {
                     served += 1;
                     world.advance(ms(time));
--- a/crates/core/tests/testsuite/relay/stages.rs
+++ b/crates/core/tests/testsuite/relay/stages.rs
@@ -9,7 +9,7 @@
 };
 
 use super::fixture::{
-    ConfigBuilder, Order, World, arrival, entry, head, ms, prompt, route, stage, unrun,
+    Batch, ConfigBuilder, World, arrival, entry, head, ms, not_run, prompt, route, stage,
 };
 
 const LARGE: u64 = 1_500_000;
@@ -18,8 +18,8 @@
 fn staged(stages: Vec<peatdeck_core::relay::config::Stage>) -> World {
     let config = ConfigBuilder::new(1)
         .service("engine")
-        .maker("ledger", 18_000_000)
-        .maker("mart", 2_800_000)
+        .piece_service("ledger", 18_000_000)
+        .piece_service("mart", 2_800_000)
         .route(Route { stages, ..route("r", RequestKind::Resumable, "engine") });
     let mut world = World::new(config.build());
     for name in ["e1", "e2"] {
@@ -41,18 +41,18 @@
 #[test]
 fn the_call_takes_in_what_the_last_stages_made() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    world.arrive(asking("1", &[1, 2]));
-    let orders = world.orders();
-    assert_eq!(orders[0].names(), ["1/0/0"]);
-    assert_eq!(orders[0].pieces[0].key.as_deref(), Some("key"));
-    world.make(&orders[0]);
-
-    let orders = world.orders();
-    assert_eq!(orders[0].names(), ["1/1/0", "1/1/1"]);
-    let inputs: Vec<_> = orders[0].pieces.iter().map(|piece| piece.inputs.join(" ")).collect();
+    world.submit(asking("1", &[1, 2]));
+    let batches = world.batches();
+    assert_eq!(batches[0].names(), ["1/0/0"]);
+    assert_eq!(batches[0].pieces[0].key.as_deref(), Some("key"));
+    world.complete(&batches[0]);
+
+    let batches = world.batches();
+    assert_eq!(batches[0].names(), ["1/1/0", "1/1/1"]);
+    let inputs: Vec<_> = batches[0].pieces.iter().map(|piece| piece.inputs.join(" ")).collect();
     assert_eq!(inputs, ["l1:80/1-0-0", "l1:80/1-0-0"]);
-    assert_eq!(orders[0].pieces[0].key, None);
-    world.make(&orders[0]);
+    assert_eq!(batches[0].pieces[0].key, None);
+    world.complete(&batches[0]);
 
     assert_eq!(world.call().inputs.join(" "), "m1:80/1-1-0 m1:80/1-1-1");
 }
@@ -60,25 +60,25 @@
 #[test]
 fn results_are_given_up_as_soon_as_nothing_needs_them() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    world.arrive(asking("1", &[1, 1]));
-    let first = world.orders().remove(0);
-    world.make(&first);
+    world.submit(asking("1", &[1, 1]));
+    let first = world.batches().remove(0);
+    world.complete(&first);
     assert!(world.freed().is_empty());
-    let second = world.orders().remove(0);
-    world.make(&second);
+    let second = world.batches().remove(0);
+    world.complete(&second);
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
     let call = world.call();
     world.relay.on_reply_head(world.now, call.key, &head(200));
     assert!(world.freed().is_empty());
-    world.event(call.key, 1);
+    world.stream_event(call.key, 1);
     assert_eq!(world.freed(), [Arc::from("m1:80/1-1-0")]);
 }
 
 /// A request whose large result is made, and that is with an engine now.
 fn called(world: &mut World, id: &str) -> CallKey {
-    world.arrive(without_prompt(id));
-    let order = world.orders().remove(0);
-    world.make(&order);
+    world.submit(without_prompt(id));
+    let batch = world.batches().remove(0);
+    world.complete(&batch);
     world.call().key
 }
 
@@ -88,10 +88,11 @@
 
 /// One endpoint with room for one large result.
 fn with_room_for_one() -> World {
-    let config = ConfigBuilder::new(1).service("engine").maker("ledger", LARGE).route(Route {
-        stages: vec![stage("ledger", &[], LARGE)],
-        ..route("r", RequestKind::Resumable, "engine")
-    });
+    let config =
+        ConfigBuilder::new(1).service("engine").piece_service("ledger", LARGE).route(Route {
+            stages: vec![stage("ledger", &[], LARGE)],
+            ..route("r", RequestKind::Resumable, "engine")
+        });
     let mut world = World::new(config.build());
     world.put(entry("e1", "engine"));
     world.put(entry("l1", "ledger"));
@@ -102,13 +103,13 @@
 fn a_result_that_was_probably_read_makes_room_for_the_next_one() {
     let mut world = with_room_for_one();
     called(&mut world, "1");
-    world.arrive(without_prompt("2"));
+    world.submit(without_prompt("2"));
     world.advance(ms(59));
-    assert!(world.orders().is_empty(), "the engine may still read the first one");
+    assert!(world.batches().is_empty(), "the engine may still read the first one");
     world.advance(ms(1));
     world.advance(ms(0));
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
-    assert_eq!(world.orders()[0].names(), ["2/0/0"]);
+    assert_eq!(world.batches()[0].names(), ["2/0/0"]);
 }
 
 #[test]
@@ -118,7 +119,7 @@
     world.advance(ms(500));
     assert!(world.freed().is_empty());
     world.relay.on_reply_head(world.now, call, &head(200));
-    world.event(call, 1);
+    world.stream_event(call, 1);
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
 }
 
@@ -126,14 +127,14 @@
 fn results_are_held_longer_once_an_engine_missed_one() {
     let mut world = with_room_for_one();
     let call = called(&mut world, "1");
-    world.arrive(without_prompt("2"));
+    world.submit(without_prompt("2"));
     world.advance(ms(60));
     world.advance(ms(0));
     assert_eq!(world.freed().len(), 1);
-    world.replied(call, &unrun(409));
+    world.reply(call, &not_run(409));
     world.freed();
-    let order = world.orders().remove(0);
-    world.make(&order);
+    let batch = world.batches().remove(0);
+    world.complete(&batch);
     world.call();
     world.advance(ms(119));
     assert!(world.freed().is_empty(), "twice as long as before");
@@ -145,10 +146,10 @@
 #[test]
 fn a_stage_without_pieces_is_left_out() {
     let mut world = staged(vec![stage("ledger", &[], LARGE), stage("mart", &[], SMALL)]);
-    world.arrive(asking("1", &[0, 1]));
-    let orders = world.orders();
-    assert_eq!(orders.len(), 1);
-    world.make(&orders[0]);
+    world.submit(asking("1", &[0, 1]));
+    let batches = world.batches();
+    assert_eq!(batches.len(), 1);
+    world.complete(&batches[0]);
     assert_eq!(world.call().inputs.join(" "), "m1:80/1-1-0");
 }
 
@@ -161,11 +162,11 @@
         stage("mart", &[2], SMALL),
     ];
     let mut world = staged(stages);
-    world.arrive(asking("1", &[2, 1, 1, 1]));
-    let first = world.orders().remove(0);
+    world.submit(asking("1", &[2, 1, 1, 1]));
+    let first = world.batches().remove(0);
     assert_eq!(first.names(), ["1/1/0"], "the large ones wait for the chain");
-    world.make(&first);
-    let mut names: Vec<_> = world.orders().iter().flat_map(Order::names).collect();
+    world.complete(&first);
+    let mut names: Vec<_> = world.batches().iter().flat_map(Batch::names).collect();
     names.sort();
     assert_eq!(names, ["1/0/0", "1/0/1", "1/2/0"]);
 }
@@ -175,8 +176,8 @@
     let stages = vec![stage("ledger", &[], 60_000), stage("mart", &[0], SMALL)];
     let config = ConfigBuilder::new(1)
         .service("engine")
-        .maker("ledger", 18_000_000)
-        .maker("mart", 2_800_000)
+        .piece_service("ledger", 18_000_000)
+        .piece_service("mart", 2_800_000)
         .route(Route { stages, ..route("r", RequestKind::Resumable, "engine") });
     let mut world = World::new(config.build());
     world.put(near("e1", "engine", "east"));
@@ -184,37 +185,37 @@
     world.put(near("m1", "mart", "east"));
     world.put(near("m2", "mart", "west"));
     let patient = Arrival { deadline: Some(ms(8000)), ..asking("1", &[2, 4]) };
-    world.arrive(patient);
-    let first = world.orders().remove(0);
-    world.make(&first);
-    assert_eq!(&*world.orders()[0].endpoint, "m2");
+    world.submit(patient);
+    let first = world.batches().remove(0);
+    world.complete(&first);
+    assert_eq!(&*world.batches()[0].endpoint, "m2");
 }
 
 #[test]
 fn results_that_are_gone_are_made_again() {
     let mut world = staged(vec![stage("ledger", &[], SMALL)]);
-    world.arrive(asking("1", &[1]));
-    let first = world.orders().remove(0);
-    world.make(&first);
+    world.submit(asking("1", &[1]));
+    let first = world.batches().remove(0);
+    world.complete(&first);
     let call = world.call();
-    world.replied(call.key, &unrun(409));
-    let again = world.orders().remove(0);
+    world.reply(call.key, &not_run(409));
+    let again = world.batches().remove(0);
     assert_eq!(again.names(), ["1/0/0"]);
     assert!(again.pieces[0].is_repeat);
-    world.make(&again);
+    world.complete(&again);
     assert_eq!(world.call().attempt, 1);
 }
 
 #[test]
 fn inputs_that_are_gone_for_several_pieces_are_made_again_once() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    world.arrive(asking("1", &[1, 3]));
-    let first = world.orders().remove(0);
-    world.make(&first);
-    let second = world.orders().remove(0);
-    world.made(second.call, second.all(PieceFailure::InputGone));
+    world.submit(asking("1", &[1, 3]));
+    let first = world.batches().remove(0);
+    world.complete(&first);
+    let second = world.batches().remove(0);
+    world.complete_with(second.call, second.all_failed(PieceFailure::InputGone));
     assert!(world.refusals().is_empty());
-    let again = world.orders();
+    let again = world.batches();
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].names(), ["1/0/0"]);
 }
@@ -223,12 +224,12 @@
 fn a_piece_that_failed_is_made_elsewhere() {
     let mut world = staged(vec![stage("ledger", &[], SMALL)]);
     world.put(entry("l2", "ledger"));
-    world.arrive(asking("1", &[1]));
-    let first = world.orders().remove(0);
+    world.submit(asking("1", &[1]));
+    let first = world.batches().remove(0);
     let failure = Failure::Cut;
     world.relay.on_pieces_failure(world.now, first.call, failure, false);
     world.collect();
-    let second = world.orders().remove(0);
+    let second = world.batches().remove(0);
     assert_ne!(first.endpoint, second.endpoint);
     assert!(second.pieces[0].is_repeat);
 }
@@ -236,50 +237,50 @@
 #[test]
 fn a_piece_without_room_waits_and_does_not_fail() {
     let mut world = staged(vec![stage("ledger", &[], LARGE)]);
-    world.arrive(Arrival { deadline: Some(ms(8000)), ..asking("1", &[1]) });
+    world.submit(Arrival { deadline: Some(ms(8000)), ..asking("1", &[1]) });
     for _ in 0..5 {
-        let order = world.orders().remove(0);
-        world.made(order.call, order.all(PieceFailure::NoRoom));
-        assert!(world.orders().is_empty(), "the endpoint has no room for it now");
+        let batch = world.batches().remove(0);
+        world.complete_with(batch.call, batch.all_failed(PieceFailure::NoRoom));
+        assert!(world.batches().is_empty(), "the endpoint has no room for it now");
         world.advance(ms(200));
         world.advance(ms(200));
     }
     assert!(world.refusals().is_empty());
-    assert!(!world.orders()[0].pieces[0].is_repeat);
+    assert!(!world.batches()[0].pieces[0].is_repeat);
 }
 
 #[test]
 fn pieces_that_cannot_be_made_in_time_are_not_sent() {
     let mut world = staged(vec![stage("ledger", &[], SMALL)]);
-    world.arrive(asking("busy", &[4]));
-    world.orders();
+    world.submit(asking("busy", &[4]));
+    world.batches();
     let hurried = Arrival { deadline: Some(ms(300)), ..asking("1", &[1]) };
-    world.arrive(hurried);
+    world.submit(hurried);
     world.advance(ms(100));
-    assert!(world.orders().is_empty());
+    assert!(world.batches().is_empty());
     assert_eq!(world.refusals().len(), 1);
 }
 
 #[test]
 fn a_caller_that_leaves_gives_up_results_and_pieces() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    let exchange = world.arrive(asking("1", &[1, 1]));
-    let first = world.orders().remove(0);
-    world.make(&first);
-    let second = world.orders().remove(0);
-    world.leave(exchange);
+    let exchange = world.submit(asking("1", &[1, 1]));
+    let first = world.batches().remove(0);
+    world.complete(&first);
+    let second = world.batches().remove(0);
+    world.disconnect(exchange);
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
-    world.make(&second);
+    world.complete(&second);
     assert_eq!(world.freed(), [Arc::from("m1:80/1-1-0")], "what comes late is given up too");
 }
 
 #[test]
 fn nothing_of_a_request_whose_pieces_were_made_is_called_not_run() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    world.arrive(asking("1", &[1, 1]));
-    let first = world.orders().remove(0);
-    world.make(&first);
-    world.orders();
+    world.submit(asking("1", &[1, 1]));
+    let first = world.batches().remove(0);
+    world.complete(&first);
+    world.batches();
     world.advance(ms(2000));
     assert_eq!(world.refusals(), ["504 timed_out never"]);
 }
@@ -294,11 +295,11 @@
     for id in 0..6_u64 {
         let mut asking = asking(&id.to_string(), &[]);
         asking.prompt = Some(prompt(77, 1000 + id));
-        world.arrive(asking);
+        world.submit(asking);
         let call = world.call();
         engines.push(call.endpoint.clone());
         world.relay.on_reply_head(world.now, call.key, &head(200));
-        world.event(call.key, 1);
+        world.stream_event(call.key, 1);
         world.relay.on_stream_end(world.now, call.key);
         world.collect();
         world.advance(ms(300));
@@ -314,7 +315,7 @@
     for id in 0..40_u64 {
         let mut asking = asking(&id.to_string(), &[]);
         asking.prompt = Some(prompt(77, 1000 + id));
-        world.arrive(asking);
+        world.submit(asking);
         engines.insert(world.call().endpoint);
     }
     assert_eq!(engines.len(), 2);
@@ -324,20 +325,20 @@
 fn every_piece_and_result_is_accounted_for() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
     for id in 0..10 {
-        world.arrive(asking(&id.to_string(), &[2, 3]));
+        world.submit(asking(&id.to_string(), &[2, 3]));
     }
     let (mut made, mut freed) = (Vec::new(), Vec::new());
     for _ in 0..200 {
-        for order in world.orders() {
+        for batch in world.batches() {
             let name = |piece: &Piece| {
-                format!("{}/{}-{}-{}", order.addr, piece.request, piece.stage, piece.number)
+                format!("{}/{}-{}-{}", batch.addr, piece.request, piece.stage, piece.number)
             };
-            made.extend(order.pieces.iter().map(name));
-            world.make(&order);
+            made.extend(batch.pieces.iter().map(name));
+            world.complete(&batch);
         }
         for call in world.calls() {
             world.relay.on_reply_head(world.now, call.key, &head(200));
-            world.event(call.key, 1);
+            world.stream_event(call.key, 1);
             world.relay.on_stream_end(world.now, call.key);
             world.collect();
         }
@@ -356,9 +357,9 @@
 #[test]
 fn a_request_whose_pieces_may_have_been_made_is_not_called_not_run_once_it_is_late() {
     let mut world = world_of_one_maker();
-    world.arrive(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("1", "r") });
-    let order = world.orders().remove(0);
-    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false);
+    world.submit(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("1", "r") });
+    let batch = world.batches().remove(0);
+    world.relay.on_pieces_failure(world.now, batch.call, Failure::Cut, false);
     world.collect();
     world.advance(ms(1900));
     let refusals = world.refusals();
@@ -368,13 +369,13 @@
 #[test]
 fn a_peer_hears_that_its_late_pieces_may_have_been_made() {
     let mut world = world_of_one_maker();
-    world.arrive(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("theirs", "r") });
-    let theirs = world.orders().remove(0).pieces.remove(0);
+    world.submit(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("theirs", "r") });
+    let theirs = world.batches().remove(0).pieces.remove(0);
     let mut world = world_of_one_maker();
     world.relay.on_handover(world.now, 9, vec![theirs]);
     world.collect();
-    let order = world.orders().remove(0);
-    world.relay.on_pieces_failure(world.now, order.call, Failure::Cut, false);
+    let batch = world.batches().remove(0);
+    world.relay.on_pieces_failure(world.now, batch.call, Failure::Cut, false);
     world.collect();
     world.advance(ms(1900));
     let returned = world.take(|action| match action {
@@ -386,7 +387,7 @@
 
 fn world_of_one_maker() -> World {
     let stages = vec![stage("ledger", &[], 10)];
-    let config = ConfigBuilder::new(1).service("desk").maker("ledger", 1 << 30);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", 1 << 30);
     let config = config.route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
     let mut world = World::new(config.build());
     world.put(entry("l1", "ledger"));
