--- a/crates/core/tests/testsuite/relay/batch.rs
+++ b/crates/core/tests/testsuite/relay/batch.rs
@@ -1,4 +1,4 @@
-//! Pieces of several requests put together into calls.
+//! Pieces of several requests are grouped into calls.
 
 use peatdeck_core::relay::{
     config::{RequestKind, Route},
@@ -7,7 +7,7 @@
 
 use super::fixture::{Batch, ConfigBuilder, World, arrival, entry, ms, route, stage};
 
-fn world(room: u64, bytes: u64, endpoints: &[&str]) -> World {
+fn world(memory: u64, bytes: u64, endpoints: &[&str]) -> World {
     let stages = vec![stage("ledger", &[], bytes)];
     let slow = Route { stages, ..route("r", RequestKind::Idempotent, "desk") };
     let quick = Route {
@@ -15,7 +15,7 @@
         objective: ms(400),
         ..route("quick", RequestKind::Idempotent, "desk")
     };
-    let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", room).route(slow);
+    let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", memory).route(slow);
     let mut world = World::new(config.route(quick).build());
     for name in endpoints {
         world.put(entry(name, "ledger"));
@@ -23,7 +23,7 @@
     world
 }
 
-fn asking(id: &str, route: &str, pieces: u16) -> Arrival {
+fn staged_arrival(id: &str, route: &str, pieces: u16) -> Arrival {
     Arrival { pieces: vec![pieces], deadline: Some(ms(8000)), ..arrival(id, route) }
 }
 
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn pieces_wait_here_while_endpoints_are_busy() {
+fn pieces_wait_at_the_batcher_while_endpoints_are_busy() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.submit(asking("1", "r", 1));
+    world.submit(staged_arrival("1", "r", 1));
     let first = world.batches().remove(0);
     for id in ["2", "3", "4"] {
-        world.submit(asking(id, "r", 1));
+        world.submit(staged_arrival(id, "r", 1));
     }
     assert!(world.batches().is_empty());
     world.complete(&first);
@@ -45,33 +45,33 @@
 }
 
 #[test]
-fn a_call_is_full_at_its_batch() {
+fn a_call_contains_no_more_pieces_than_configured() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.submit(asking("1", "r", 1));
+    world.submit(staged_arrival("1", "r", 1));
     let first = world.batches().remove(0);
     for id in ["2", "3", "4", "5", "6"] {
-        world.submit(asking(id, "r", 1));
+        world.submit(staged_arrival(id, "r", 1));
     }
     world.complete(&first);
     assert_eq!(world.batches()[0].pieces.len(), 4);
 }
 
 #[test]
-fn pieces_of_one_stage_are_not_torn_apart() {
+fn pieces_of_one_stage_stay_in_one_call() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.submit(asking("1", "r", 1));
+    world.submit(staged_arrival("1", "r", 1));
     let first = world.batches().remove(0);
-    world.submit(asking("2", "r", 3));
-    world.submit(asking("3", "r", 3));
-    world.submit(asking("4", "r", 1));
+    world.submit(staged_arrival("2", "r", 3));
+    world.submit(staged_arrival("3", "r", 3));
+    world.submit(staged_arrival("4", "r", 1));
     world.complete(&first);
     assert_eq!(names(&world.batches()), [["2/0/0", "2/0/1", "2/0/2", "4/0/0"]]);
 }
 
 #[test]
-fn more_pieces_than_a_call_takes_are_made_in_several() {
+fn more_pieces_than_fit_a_call_run_in_several() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.submit(asking("1", "r", 6));
+    world.submit(staged_arrival("1", "r", 6));
     let first = world.batches().remove(0);
     assert_eq!(first.pieces.len(), 4);
     world.complete(&first);
@@ -79,40 +79,40 @@
 }
 
 #[test]
-fn what_is_sooner_due_goes_first() {
+fn the_earliest_target_time_goes_first() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.submit(asking("1", "r", 4));
+    world.submit(staged_arrival("1", "r", 4));
     let first = world.batches().remove(0);
-    world.submit(asking("slow", "r", 4));
-    world.submit(asking("fast", "quick", 4));
+    world.submit(staged_arrival("slow", "r", 4));
+    world.submit(staged_arrival("fast", "quick", 4));
     world.complete(&first);
     assert_eq!(world.batches()[0].names()[0], "fast/0/0");
 }
 
 #[test]
-fn what_can_still_be_in_good_time_goes_before_what_is_late() {
+fn requests_that_can_meet_their_target_go_before_late_ones() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.submit(asking("1", "r", 4));
+    world.submit(staged_arrival("1", "r", 4));
     let first = world.batches().remove(0);
-    world.submit(asking("late", "quick", 4));
+    world.submit(staged_arrival("late", "quick", 4));
     world.advance(ms(450));
-    world.submit(asking("good", "r", 4));
+    world.submit(staged_arrival("good", "r", 4));
     world.complete(&first);
     assert_eq!(world.batches()[0].names()[0], "good/0/0");
 }
 
 #[test]
-fn a_late_request_behind_others_is_given_up_before_half_of_its_time_is_over() {
+fn a_late_request_behind_others_is_refused_before_half_of_its_time_has_passed() {
     let mut world = world(1 << 30, 1, &["l1"]);
     world.put(entry("d1", "desk"));
-    world.submit(asking("first", "r", 4));
+    world.submit(staged_arrival("first", "r", 4));
     let mut running = world.batches().remove(0);
-    world.submit(asking("late", "quick", 4));
-    // Requests that can be in good time fill every call.
+    world.submit(staged_arrival("late", "quick", 4));
+    // Requests that can meet their target times fill every call.
     for round in 0..12 {
-        assert!(world.refusals().is_empty(), "given up after {round} rounds");
-        world.submit(asking(&format!("good-{round}"), "r", 4));
-        world.submit(asking(&format!("next-{round}"), "r", 4));
+        assert!(world.refusals().is_empty(), "refused after {round} rounds");
+        world.submit(staged_arrival(&format!("good-{round}"), "r", 4));
+        world.submit(staged_arrival(&format!("next-{round}"), "r", 4));
         world.advance(ms(280));
         world.complete(&running);
         running = world.batches().remove(0);
@@ -123,40 +123,41 @@
 }
 
 #[test]
-fn a_late_request_that_gets_into_the_next_call_waits_for_it() {
+fn a_late_request_that_fits_the_next_call_waits_for_it() {
     let mut world = world(1 << 30, 1, &["l1"]);
     world.put(entry("d1", "desk"));
-    world.submit(asking("first", "r", 4));
+    world.submit(staged_arrival("first", "r", 4));
     let running = world.batches().remove(0);
     for id in ["late-1", "late-2"] {
-        world.submit(asking(id, "quick", 4));
+        world.submit(staged_arrival(id, "quick", 4));
     }
-    // As long again as they have waited leaves a turn for the first one only.
+    // They have waited for so long that only the first one is expected to get into a call in
+    // time.
     world.advance(ms(3700));
     assert_eq!(world.refusals().len(), 0);
     world.advance(ms(100));
-    assert_eq!(world.refusals().len(), 1, "only one of them gets into it");
+    assert_eq!(world.refusals().len(), 1, "only one of them fits the next call");
     world.complete(&running);
     assert_eq!(world.batches().len(), 1);
 }
 
 #[test]
-fn results_never_need_more_room_than_there_is() {
+fn results_never_need_more_memory_than_is_free() {
     let mut world = world(10, 4, &["l1"]);
-    world.submit(asking("1", "r", 2));
+    world.submit(staged_arrival("1", "r", 2));
     let first = world.batches().remove(0);
-    world.submit(asking("2", "r", 2));
+    world.submit(staged_arrival("2", "r", 2));
     world.complete(&first);
-    assert!(world.batches().is_empty(), "2 units of room are left");
-    let call = world.call_for_desk();
+    assert!(world.batches().is_empty(), "2 units of memory are left");
+    let call = world.call_after_pieces();
     world.reply(call, &super::fixture::head(200));
-    assert_eq!(world.relay.next_wake(world.now), world.now, "there is room now");
+    assert_eq!(world.relay.next_wake(world.now), world.now, "memory is free now");
     world.advance(ms(0));
     assert_eq!(names(&world.batches()), [["2/0/0", "2/0/1"]]);
 }
 
 #[test]
-fn small_results_are_found_behind_large_ones_that_have_no_room() {
+fn small_results_go_before_large_ones_that_lack_memory() {
     let large = Route {
         stages: vec![stage("ledger", &[], 1_000_000)],
         ..route("large", RequestKind::Idempotent, "desk")
@@ -169,20 +170,20 @@
     let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", 2_500_000);
     let mut world = World::new(config.route(large).route(small).build());
     world.put(entry("l1", "ledger"));
-    world.submit(asking("1", "large", 2));
+    world.submit(staged_arrival("1", "large", 2));
     let first = world.batches().remove(0);
     for idx in 0..40 {
-        world.submit(asking(&format!("large-{idx}"), "large", 1));
+        world.submit(staged_arrival(&format!("large-{idx}"), "large", 1));
     }
-    world.submit(asking("small", "small", 1));
+    world.submit(staged_arrival("small", "small", 1));
     world.complete(&first);
     assert_eq!(names(&world.batches()), [["small/0/0"]]);
 }
 
 #[test]
-fn an_endpoint_that_refuses_again_is_left_alone_for_longer() {
+fn repeated_refusals_lengthen_the_pause_of_an_endpoint() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.submit(asking("1", "r", 1));
+    world.submit(staged_arrival("1", "r", 1));
     for pause in [60, 120, 240, 400, 400] {
         let batch = world.batches().remove(0);
         let failure = peatdeck_core::relay::model::Failure::Cut;
@@ -196,51 +197,51 @@
 #[test]
 fn idle_endpoints_share_a_long_queue() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
-    world.submit(asking("1", "r", 4));
-    world.submit(asking("2", "r", 4));
+    world.submit(staged_arrival("1", "r", 4));
+    world.submit(staged_arrival("2", "r", 4));
     let batches = world.batches();
     assert_eq!(batches.iter().map(|batch| batch.pieces.len()).collect::<Vec<_>>(), [4, 4]);
     assert_ne!(batches[0].endpoint, batches[1].endpoint);
 }
 
 #[test]
-fn pieces_of_a_straggler_are_made_elsewhere_too() {
+fn pieces_of_a_straggler_also_run_elsewhere() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
-    world.submit(asking("1", "r", 2));
+    world.submit(staged_arrival("1", "r", 2));
     let hung = world.batches().remove(0);
     world.advance(ms(1000));
-    assert!(world.batches().is_empty(), "a slow endpoint is waited for");
+    assert!(world.batches().is_empty(), "an endpoint that is merely slow gets more time");
     world.advance(ms(100));
     let second = world.batches().remove(0);
     assert_eq!(second.names(), hung.names());
     assert_ne!(second.endpoint, hung.endpoint);
     assert!(second.pieces[0].is_repeat);
     world.complete(&second);
-    let call = world.call_for_desk();
+    let call = world.call_after_pieces();
     world.reply(call, &super::fixture::head(200));
     assert_eq!(world.freed().len(), 2);
     world.complete(&hung);
-    assert_eq!(world.freed().len(), 2, "what nobody waits for is given up");
+    assert_eq!(world.freed().len(), 2, "results that no request needs are freed");
 }
 
 #[test]
-fn a_straggler_that_comes_first_counts() {
+fn a_straggler_that_finishes_first_counts() {
     let mut world = world(1 << 30, 1, &["l1"]);
-    world.submit(asking("1", "r", 2));
+    world.submit(staged_arrival("1", "r", 2));
     let hung = world.batches().remove(0);
     world.advance(ms(1100));
     assert!(world.batches().is_empty(), "there is no other endpoint");
     world.complete(&hung);
     assert!(world.batches().is_empty());
-    let call = world.call_for_desk();
+    let call = world.call_after_pieces();
     world.reply(call, &super::fixture::head(200));
     assert_eq!(world.relay.open_exchanges(), 0);
 }
 
 #[test]
-fn a_straggler_that_fails_in_the_end_takes_nothing_back() {
+fn a_straggler_that_fails_does_not_affect_its_repeat() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
-    world.submit(asking("1", "r", 1));
+    world.submit(staged_arrival("1", "r", 1));
     let hung = world.batches().remove(0);
     world.advance(ms(1100));
     let second = world.batches().remove(0);
@@ -249,18 +250,18 @@
     world.collect();
     assert!(world.batches().is_empty());
     world.complete(&second);
-    world.call_for_desk();
+    world.call_after_pieces();
 }
 
 #[test]
-fn a_slow_endpoint_is_left_to_the_others_while_they_keep_up() {
+fn a_slow_endpoint_gets_no_pieces_while_the_others_keep_up() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
-    world.submit(asking("1", "r", 1));
+    world.submit(staged_arrival("1", "r", 1));
     let slow = world.batches().remove(0);
     world.advance(ms(1400));
     world.complete(&slow);
     for id in 2..6 {
-        world.submit(asking(&id.to_string(), "r", 1));
+        world.submit(staged_arrival(&id.to_string(), "r", 1));
         let batch = world.batches().remove(0);
         assert_ne!(batch.endpoint, slow.endpoint);
         world.advance(ms(220));
@@ -269,17 +270,17 @@
 }
 
 impl World {
-    /// The call of an exchange whose pieces are made, once there is a desk.
-    fn call_for_desk(&mut self) -> peatdeck_core::relay::model::CallKey {
+    /// The call of an exchange whose pieces are complete; adds the endpoint that it goes to.
+    fn call_after_pieces(&mut self) -> peatdeck_core::relay::model::CallKey {
         self.put(entry("d1", "desk"));
         self.call().key
     }
 }
 
-/// An endpoint that had room for some results of a call is taken to hold just as much
-/// more as lacked room, and not to be full.
+/// When an endpoint lacks memory for some results of a call, the batcher counts just these
+/// results as memory in use and does not consider the endpoint full.
 #[test]
-fn an_endpoint_without_room_for_some_results_gets_the_next_call() {
+fn an_endpoint_without_memory_for_some_results_gets_the_next_call() {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("ledger", &[], 50_000)];
     let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", 8 * 50_000);
@@ -294,6 +295,6 @@
     results[0] = Ok("l:80/x".into());
     world.complete_with(first.call, results);
     let second = world.batches().remove(0);
-    // Eight have room, of which one is held and what lacked room is taken to be.
+    // Eight results fit; one is held, and those that did not fit are counted as held.
     assert!(!second.pieces.is_empty() && second.pieces.len() <= 8 - first.pieces.len());
 }
--- a/crates/core/tests/testsuite/relay/calls.rs
+++ b/crates/core/tests/testsuite/relay/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: what may be repeated, and what callers are told.
+//! Calls: which ones are repeated, and what callers receive.
 
 use expect_test::expect;
 use peatdeck_core::{
@@ -14,7 +14,7 @@
 use super::fixture::{ConfigBuilder, World, arrival, entry, head, ms, not_run, prompt, route};
 
 #[test]
-fn an_answer_is_passed_on() {
+fn an_answer_is_forwarded() {
     let mut world = World::plain(RequestKind::Once);
     let exchange = world.submit(arrival("1", "r"));
     let call = world.call();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_may_not_run_twice_is_not_sent_again_after_silence() {
+fn a_request_that_may_run_once_is_not_repeated_without_an_answer() {
     for failure in [Failure::Cut, Failure::Foreign] {
         let mut world = World::plain(RequestKind::Once);
         world.submit(arrival("1", "r"));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_was_not_sent_goes_to_another_endpoint() {
+fn an_unsent_call_goes_to_another_endpoint() {
     let mut world = World::plain(RequestKind::Once);
     world.submit(arrival("1", "r"));
     let first = world.call();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_certainly_did_not_run_is_told_so_with_a_time_to_come_back() {
+fn a_request_that_did_not_run_is_refused_with_a_retry_time() {
     let mut world = World::plain(RequestKind::Once);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -64,11 +64,11 @@
 }
 
 #[test]
-fn a_time_to_come_back_leaves_time_for_a_second_attempt() {
+fn the_retry_time_leaves_time_for_a_second_attempt() {
     let mut world = World::plain(RequestKind::Once);
-    let mut hurried = arrival("1", "r");
-    hurried.deadline = Some(ms(600));
-    world.submit(hurried);
+    let mut urgent = arrival("1", "r");
+    urgent.deadline = Some(ms(600));
+    world.submit(urgent);
     let call = world.call();
     world.reply(call.key, &not_run(503));
     let call = world.call();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_idempotent_request_is_repeated_after_silence_and_after_a_failure() {
+fn an_idempotent_request_is_repeated_without_an_answer_and_after_a_failure() {
     let mut world = World::plain(RequestKind::Idempotent);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn attempts_end_at_the_routes_number() {
+fn attempts_end_at_the_maximum_of_the_route() {
     let mut world = World::plain(RequestKind::Idempotent);
     world.put(entry("c", "desk"));
     let exchange = world.submit(arrival("1", "r"));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_endpoints_own_failure_is_passed_on_with_its_seal() {
+fn a_sealed_error_response_is_forwarded() {
     let mut world = World::plain(RequestKind::Once);
     let exchange = world.submit(arrival("1", "r"));
     let call = world.call();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn an_answer_without_a_seal_is_no_answer() {
+fn an_unsealed_answer_does_not_count() {
     let mut world = World::plain(RequestKind::Once);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -123,11 +123,11 @@
 }
 
 #[test]
-fn repetition_keeps_its_bound() {
+fn retries_stay_within_the_budget() {
     let config =
         ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
-    let bound = RetryBudgetConfig { ratio: 0.0, slack: 2.5, window: ms(10_000) };
-    let mut world = World::with_budget(config.build(), bound);
+    let budget = RetryBudgetConfig { ratio: 0.0, slack: 2.5, window: ms(10_000) };
+    let mut world = World::with_budget(config.build(), budget);
     world.put(entry("a", "desk"));
     world.put(entry("b", "desk"));
     let mut repeated = 0;
@@ -141,11 +141,11 @@
 }
 
 #[test]
-fn instances_that_are_out_of_sight_keep_their_share_of_the_bound() {
+fn unreachable_instances_keep_their_share_of_the_budget() {
     let config =
         ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Idempotent, "desk"));
-    let bound = RetryBudgetConfig { ratio: 0.0, slack: 100.0, window: ms(10_000) };
-    let mut world = World::with_budget(config.build(), bound);
+    let budget = RetryBudgetConfig { ratio: 0.0, slack: 100.0, window: ms(10_000) };
+    let mut world = World::with_budget(config.build(), budget);
     world.put(entry("a", "desk"));
     world.put(entry("b", "desk"));
     world.relay.set_peers(world.now, Vec::new(), 40);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn another_endpoint_at_the_address_means_that_this_one_is_gone() {
+fn a_misdirected_call_marks_its_endpoint_as_gone() {
     let mut world = World::plain(RequestKind::Once);
     world.submit(arrival("1", "r"));
     let first = world.call();
@@ -174,9 +174,9 @@
 }
 
 #[test]
-fn the_time_is_over_at_the_routes_timeout() {
-    let hasty = Route { timeout: ms(300), ..route("r", RequestKind::Once, "desk") };
-    let config = ConfigBuilder::new(1).service("desk").route(hasty);
+fn a_request_times_out_at_the_timeout_of_its_route() {
+    let short = Route { timeout: ms(300), ..route("r", RequestKind::Once, "desk") };
+    let config = ConfigBuilder::new(1).service("desk").route(short);
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
     world.submit(arrival("1", "r"));
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_call() {
+fn a_caller_that_disconnects_cancels_the_call() {
     let mut world = World::plain(RequestKind::Idempotent);
     let exchange = world.submit(arrival("1", "r"));
     let call = world.call();
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn without_endpoints_a_request_waits_a_moment() {
+fn without_endpoints_a_request_waits_briefly() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.submit(arrival("1", "r"));
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_gets_nothing_new() {
+fn a_leaving_endpoint_gets_no_new_calls() {
     let mut world = World::plain(RequestKind::Idempotent);
     world.put(Entry { is_leaving: true, ..entry("a", "desk") });
     for id in 0..10 {
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_paused_instance_first_looks_at_the_time() {
+fn an_instance_that_was_suspended_checks_timeouts_first() {
     let mut world = World::plain(RequestKind::Stream);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn callers_of_an_instance_that_ends_are_told() {
+fn an_instance_that_exits_refuses_its_callers() {
     let mut world = World::plain(RequestKind::Once);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -252,9 +252,10 @@
     assert_eq!(world.relay.open_exchanges(), 0);
 }
 
-/// Nothing says that a connection is dead whose endpoint died behind a cut.
+/// If an endpoint restarts during a network partition, the connection to its previous
+/// incarnation never reports an error.
 #[test]
-fn a_call_to_a_life_that_is_over_is_given_up_and_repeated() {
+fn a_call_to_an_ended_incarnation_is_cancelled_and_repeated() {
     let mut world = World::plain(RequestKind::Idempotent);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -273,11 +274,11 @@
     let again = world.call();
     assert_eq!(again.attempt, 2);
     world.reply(call.key, &head(200));
-    assert_eq!(world.actions.len(), 0, "what still comes of it belongs to nobody");
+    assert_eq!(world.actions.len(), 0, "a late reply is ignored");
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_ends_with_the_life_that_it_went_to() {
+fn a_call_that_may_run_once_fails_with_the_incarnation_that_it_went_to() {
     let mut world = World::plain(RequestKind::Once);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -286,7 +287,7 @@
     assert_eq!(world.refusals(), ["502 failed never"]);
 }
 
-/// A world whose engines have shown that first tokens take 100 ms.
+/// Three engines whose first tokens have taken 100 ms so far.
 fn engines() -> World {
     let engine = Engine { slots: 64, memory: 300_000, max_gap: None, transfer: None };
     let config = ConfigBuilder::new(1).engine_service("llm", engine);
@@ -300,7 +301,7 @@
         world.put(entry(name, "llm"));
     }
     for idx in 0..30 {
-        world.submit(asking_engine(&format!("before-{idx}"), "resumable"));
+        world.submit(prompt_arrival(&format!("before-{idx}"), "resumable"));
         let call = world.call();
         world.advance(ms(100));
         world.relay.on_reply_head(world.now, call.key, &head(200));
@@ -311,19 +312,19 @@
     world
 }
 
-fn asking_engine(id: &str, route: &str) -> Arrival {
+fn prompt_arrival(id: &str, route: &str) -> Arrival {
     let prompt = Some(prompt(1, xxhash_rust::xxh3::xxh3_64(id.as_bytes())));
     Arrival { prompt, deadline: Some(ms(8000)), ..arrival(id, route) }
 }
 
-/// An engine that hangs, or that drowns for a reason that nobody sees.
+/// An engine may hang or be overloaded without reporting it.
 #[test]
 fn a_call_whose_first_token_is_overdue_moves_to_another_engine() {
     let mut world = engines();
-    world.submit(asking_engine("1", "resumable"));
+    world.submit(prompt_arrival("1", "resumable"));
     let call = world.call();
     world.advance(ms(500));
-    assert!(world.calls().is_empty(), "a slow engine is waited for");
+    assert!(world.calls().is_empty(), "an engine that is merely slow gets more time");
     world.advance(ms(500));
     let moved = world.call();
     assert_ne!(moved.endpoint, call.endpoint);
@@ -332,23 +333,23 @@
         _ => None,
     });
     assert_eq!(cancelled, [call.key]);
-    world.submit(asking_engine("2", "resumable"));
-    assert_ne!(world.call().endpoint, call.endpoint, "nothing new goes where it hung");
+    world.submit(prompt_arrival("2", "resumable"));
+    assert_ne!(world.call().endpoint, call.endpoint, "the engine that hung gets no new calls");
 }
 
 #[test]
-fn a_stream_that_may_run_once_stays_where_it_is() {
+fn a_stream_that_may_run_once_is_not_moved() {
     let mut world = engines();
-    world.submit(asking_engine("1", "stream"));
+    world.submit(prompt_arrival("1", "stream"));
     world.call();
     world.advance(ms(3000));
     assert!(world.calls().is_empty());
 }
 
 #[test]
-fn a_call_whose_first_token_came_stays_where_it_is() {
+fn a_call_whose_first_token_has_arrived_is_not_moved() {
     let mut world = engines();
-    world.submit(asking_engine("1", "resumable"));
+    world.submit(prompt_arrival("1", "resumable"));
     let call = world.call();
     assert!(world.relay.on_reply_head(world.now, call.key, &head(200)));
     world.advance(ms(3000));
@@ -356,30 +357,30 @@
 }
 
 #[test]
-fn overdue_calls_move_within_the_bound_on_repetition() {
+fn overdue_calls_move_within_the_retry_budget() {
     let mut world = engines();
     for idx in 0..200 {
-        world.submit(asking_engine(&format!("{idx}"), "resumable"));
+        world.submit(prompt_arrival(&format!("{idx}"), "resumable"));
     }
     assert_eq!(world.calls().len(), 200);
     world.advance(ms(3000));
     let moved = world.calls().len();
-    // Of 40 repeats on top and a fifth of 230 requests four fifths are used.
+    // The budget is 40 retries plus a fifth of 230 requests, of which four fifths are used.
     assert!((1..=72).contains(&moved), "{moved}");
 }
 
-/// It may even claim to be of a later life.
+/// It is ignored even with a later incarnation.
 #[test]
-fn an_entry_of_a_service_that_is_not_configured_names_nobody() {
+fn an_entry_of_an_unconfigured_service_is_ignored() {
     let mut world = World::plain(RequestKind::Idempotent);
     for incarnation in [1, 7] {
         let incarnation = Incarnation(incarnation);
-        let strange = Entry { incarnation, addr: "c:80".into(), ..entry("a", "unheard-of") };
-        world.put(strange);
+        let foreign = Entry { incarnation, addr: "c:80".into(), ..entry("a", "unheard-of") };
+        world.put(foreign);
         world.submit(arrival("1", "r"));
         assert_eq!(&*world.call().addr, "b:80");
     }
     world.put(entry("a", "desk"));
     let usable = world.relay.directory().usable(world.now, "desk");
-    assert_eq!(usable.len(), 2, "its own next entry holds");
+    assert_eq!(usable.len(), 2, "the next valid entry counts");
 }
--- a/crates/core/tests/testsuite/relay/config.rs
+++ b/crates/core/tests/testsuite/relay/config.rs
@@ -1,4 +1,4 @@
-//! Routes, splits and keys.
+//! Routes, traffic splits and API keys.
 
 use std::sync::Arc;
 
@@ -37,13 +37,13 @@
     let target = |service: &str, weight| Target { service: Arc::from(service), weight };
     let targets = vec![target("a", 9), target("b", 1)];
     let route = Route { targets, ..route("r", RequestKind::Idempotent, "a") };
-    let spread = |idx: u64| (idx << 32).div_ceil(1000) as u32;
-    let to_b = (0..1000).filter(|idx| &**route.target(spread(*idx)).unwrap() == "b").count();
+    let nth_point = |idx: u64| (idx << 32).div_ceil(1000) as u32;
+    let to_b = (0..1000).filter(|idx| &**route.target(nth_point(*idx)).unwrap() == "b").count();
     assert_eq!(to_b, 100);
 }
 
 #[test]
-fn a_relay_that_knows_no_configuration_is_not_ready() {
+fn a_relay_without_a_configuration_is_not_ready() {
     let mut world = World::new(ConfigBuilder::new(1).build());
     world.relay = peatdeck_core::relay::Relay::new(
         peatdeck_core::relay::Settings {
@@ -63,13 +63,13 @@
 }
 
 #[test]
-fn a_key_is_needed_but_on_public_routes() {
-    let open = Route { is_public: true, ..route("open", RequestKind::Idempotent, "desk") };
+fn a_key_is_needed_except_on_public_routes() {
+    let public = Route { is_public: true, ..route("open", RequestKind::Idempotent, "desk") };
     let config = ConfigBuilder::new(1)
         .service("desk")
         .key("k1", "markets")
         .route(route("shut", RequestKind::Idempotent, "desk"))
-        .route(open);
+        .route(public);
     let mut world = World::new(config.build());
     world.put(entry("a", "desk"));
 
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_configuration_never_goes_back() {
+fn an_older_configuration_is_not_applied() {
     let mut world = World::new(ConfigBuilder::new(5).build());
     assert!(!world.relay.configure(ConfigBuilder::new(4).build()));
     assert!(!world.relay.configure(ConfigBuilder::new(5).build()));
--- a/crates/core/tests/testsuite/relay/directory.rs
+++ b/crates/core/tests/testsuite/relay/directory.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may be used.
+//! Which endpoints are usable.
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
     directory
 }
 
-fn life(name: &str, incarnation: u64) -> Entry {
+fn entry_of_incarnation(name: &str, incarnation: u64) -> Entry {
     Entry { incarnation: Incarnation(incarnation), ..entry(name, "desk") }
 }
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn leaving_is_sticky() {
+fn an_endpoint_that_leaves_stays_leaving() {
     let mut directory = directory(&["a", "b"]);
     directory.apply_change(ms(10), leaving("a"));
     directory.apply_change(ms(20), Change::Put(entry("a", "desk")));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_is_a_last_resort_for_a_moment() {
+fn an_expired_entry_is_briefly_a_last_resort() {
     let mut directory = directory(&["a", "b"]);
     directory.apply_change(ms(100), Change::Removed(Arc::from("a")));
     assert_eq!(usable(&directory, 200), ["b"]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_comes_back() {
+fn an_expired_entry_that_is_written_again_is_usable() {
     let mut directory = directory(&["a"]);
     directory.apply_change(ms(100), Change::Removed(Arc::from("a")));
     directory.apply_change(ms(3000), Change::Put(entry("a", "desk")));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_entry_that_left_does_not_come_back_by_being_removed() {
+fn an_endpoint_that_left_is_no_last_resort_after_its_removal() {
     let mut directory = directory(&["a"]);
     directory.apply_change(ms(10), leaving("a"));
     directory.apply_change(ms(20), Change::Removed(Arc::from("a")));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn one_call_at_a_time_finds_out_whether_it_serves_again() {
+fn one_call_at_a_time_tries_an_endpoint_after_its_pause() {
     let mut directory = directory(&["a"]);
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(key).unwrap();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn nothing_of_an_earlier_life_counts_for_a_later_one() {
+fn state_of_an_earlier_incarnation_does_not_carry_over() {
     let mut directory = directory(&["a", "b"]);
     let old = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(old).unwrap();
@@ -110,7 +110,7 @@
         Some(Load { running: 3, queued: 9, places: 4, age_ms: 0 }),
     );
     endpoint.record_failure(ms(0), Failure::Cut);
-    let changed = directory.apply_change(ms(10), Change::Put(life("a", 2)));
+    let changed = directory.apply_change(ms(10), Change::Put(entry_of_incarnation("a", 2)));
     let ended = EndedEndpoint { endpoint: old, is_planned: false };
     assert_eq!((changed.is_new, changed.ended), (true, Some(ended)));
     let key = directory.by_name("a").unwrap();
@@ -118,37 +118,37 @@
     assert!(!endpoint.is_paused(ms(10)));
     assert_eq!((endpoint.calls(ms(10)), endpoint.response_time), (0, None));
     assert_eq!((endpoint.engine.prefill_wait(ms(10)), endpoint.engine.memory_in_use()), (ms(0), 0));
-    // What still comes of the earlier life touches that one only.
+    // Later events of the earlier incarnation do not affect the new one.
     directory.get_mut(old).unwrap().record_end();
     directory.mark_leaving(ms(20), old);
     assert_eq!(usable(&directory, 20), ["b", "a"]);
 }
 
 #[test]
-fn news_of_an_earlier_life_that_come_late_change_nothing() {
+fn a_delayed_entry_of_an_earlier_incarnation_changes_nothing() {
     let mut directory = directory(&["b"]);
-    directory.apply_change(ms(0), Change::Put(life("a", 2)));
+    directory.apply_change(ms(0), Change::Put(entry_of_incarnation("a", 2)));
     let key = directory.by_name("a");
-    let late = Entry { is_leaving: true, ..life("a", 1) };
-    assert_eq!(directory.apply_change(ms(10), Change::Put(late)), Default::default());
+    let delayed = Entry { is_leaving: true, ..entry_of_incarnation("a", 1) };
+    assert_eq!(directory.apply_change(ms(10), Change::Put(delayed)), Default::default());
     assert_eq!(directory.by_name("a"), key);
     assert_eq!(usable(&directory, 20), ["b", "a"]);
 }
 
 #[test]
-fn an_endpoint_that_left_is_used_again_once_it_has_started_again() {
+fn an_endpoint_that_left_is_used_again_after_a_restart() {
     let mut directory = directory(&["a"]);
     directory.apply_change(ms(10), leaving("a"));
-    directory.apply_change(ms(20), Change::Put(life("a", 2)));
+    directory.apply_change(ms(20), Change::Put(entry_of_incarnation("a", 2)));
     assert_eq!(usable(&directory, 30), ["a"]);
-    // The life that is over is forgotten; its name belongs to the other one.
+    // The ended incarnation is removed; the name refers to the new one.
     directory.forget(ms(100_000));
     assert_eq!(usable(&directory, 100_000), ["a"]);
     assert!(directory.by_name("a").is_some());
 }
 
 #[test]
-fn what_is_no_entry_names_no_endpoint_until_it_writes_again() {
+fn an_unreadable_entry_disables_its_endpoint_until_it_is_rewritten() {
     let mut directory = directory(&["a"]);
     directory.apply_change(ms(100), Change::Unreadable(Arc::from("a")));
     directory.apply_change(ms(100), Change::Unreadable(Arc::from("stranger")));
@@ -157,33 +157,37 @@
     assert_eq!(usable(&directory, 310), ["a"]);
 }
 
-/// The store was away and most entries lapsed; those that are back first do
-/// not get the calls of all.
+/// After an outage of the store most entries have expired. The first ones that are written again
+/// must not get the calls of the whole service.
 #[test]
-fn a_service_most_of_whose_entries_lapsed_is_used_on_for_a_moment() {
+fn expired_entries_stay_usable_briefly_if_most_of_a_service_expired() {
     let mut directory = directory(&["a", "b", "c", "d"]);
     for name in ["a", "b", "c", "d"] {
         directory.apply_change(ms(100), Change::Removed(Arc::from(name)));
     }
     directory.apply_change(ms(400), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 500), ["a", "b", "c", "d"]);
-    assert_eq!(usable(&directory, 1700), ["a"], "what is not back then is gone");
+    assert_eq!(
+        usable(&directory, 1700),
+        ["a"],
+        "entries that are not written again by then are gone"
+    );
 }
 
 #[test]
-fn an_entry_that_moves_a_life_to_another_service_is_somebody_elses() {
+fn an_entry_that_moves_an_incarnation_to_another_service_disables_it() {
     let mut directory = directory(&["a", "b"]);
-    let strange = Entry { service: Arc::from("mart"), ..entry("a", "mart") };
-    directory.apply_change(ms(100), Change::Put(strange));
+    let foreign = Entry { service: Arc::from("mart"), ..entry("a", "mart") };
+    directory.apply_change(ms(100), Change::Put(foreign));
     assert_eq!(usable(&directory, 110), ["b"]);
     assert!(directory.usable(ms(110), "mart").is_empty());
     directory.apply_change(ms(300), Change::Put(entry("a", "desk")));
     assert_eq!(usable(&directory, 310), ["a", "b"]);
 }
 
-/// An endpoint may say anything of its load.
+/// An endpoint may report any load.
 #[test]
-fn a_load_beyond_all_numbers_is_taken_for_full() {
+fn a_load_that_overflows_counts_as_full() {
     let mut directory = directory(&["a"]);
     let key = directory.by_name("a").unwrap();
     let endpoint = directory.get_mut(key).unwrap();
--- a/crates/core/tests/testsuite/relay/evacuation.rs
+++ b/crates/core/tests/testsuite/relay/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres whose endpoints get nothing more.
+//! Evacuated data centres: their endpoints get no new work.
 
 use std::sync::Arc;
 
@@ -19,20 +19,20 @@
     ConfigBuilder, World, arrival, entry, head, ms, not_run, prompt, route, stage,
 };
 
-fn entry_in(place: &str, name: &str, service: &str) -> Entry {
-    Entry { data_centre: Arc::from(place), ..entry(name, service) }
+fn entry_in(data_centre: &str, name: &str, service: &str) -> Entry {
+    Entry { data_centre: Arc::from(data_centre), ..entry(name, service) }
 }
 
-fn evacuate(place: &str) -> OperatorCommand {
-    OperatorCommand::Evacuate(Arc::from(place))
+fn evacuate(data_centre: &str) -> OperatorCommand {
+    OperatorCommand::Evacuate(Arc::from(data_centre))
 }
 
-fn restore(place: &str) -> OperatorCommand {
-    OperatorCommand::Restore(Arc::from(place))
+fn restore(data_centre: &str) -> OperatorCommand {
+    OperatorCommand::Restore(Arc::from(data_centre))
 }
 
-/// One plain route before an endpoint in the east and one in the west.
-fn two_places(kind: RequestKind) -> World {
+/// One route without stages, an endpoint in the east and one in the west.
+fn two_data_centres(kind: RequestKind) -> World {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", kind, "desk"));
     let mut world = World::new(config.build());
     world.put(entry_in("east", "a", "desk"));
@@ -40,8 +40,8 @@
     world
 }
 
-/// The endpoints that so many requests are sent to, all of which are answered.
-fn called(world: &mut World, count: usize) -> Vec<String> {
+/// Submits `count` requests, answers their calls and returns the endpoints that were called.
+fn called_endpoints(world: &mut World, count: usize) -> Vec<String> {
     for idx in 0..count {
         world.submit(arrival(&format!("{:?}-{idx}", world.now), "r"));
     }
@@ -50,48 +50,48 @@
     for call in &calls {
         world.reply(call.key, &head(200));
     }
-    let mut called: Vec<_> = calls.iter().map(|call| call.endpoint.to_string()).collect();
-    called.sort_unstable();
-    called.dedup();
-    called
+    let mut called_endpoints: Vec<_> = calls.iter().map(|call| call.endpoint.to_string()).collect();
+    called_endpoints.sort_unstable();
+    called_endpoints.dedup();
+    called_endpoints
 }
 
 #[test]
-fn nothing_goes_to_a_data_centre_until_the_order_is_taken_back() {
-    let mut world = two_places(RequestKind::Idempotent);
-    assert_eq!(called(&mut world, 40), ["a", "b"]);
+fn an_evacuated_data_centre_gets_nothing_until_it_is_restored() {
+    let mut world = two_data_centres(RequestKind::Idempotent);
+    assert_eq!(called_endpoints(&mut world, 40), ["a", "b"]);
     assert!(world.apply_command(evacuate("east")));
-    assert!(!world.apply_command(evacuate("east")), "the same order again says nothing new");
-    assert_eq!(called(&mut world, 40), ["b"]);
+    assert!(!world.apply_command(evacuate("east")), "repeating a command changes nothing");
+    assert_eq!(called_endpoints(&mut world, 40), ["b"]);
     assert!(world.apply_command(restore("east")));
     assert!(!world.apply_command(restore("east")));
-    assert_eq!(called(&mut world, 40), ["a", "b"]);
+    assert_eq!(called_endpoints(&mut world, 40), ["a", "b"]);
 }
 
 #[test]
-fn an_endpoint_that_joins_there_later_gets_nothing_either() {
-    let mut world = two_places(RequestKind::Idempotent);
+fn an_endpoint_that_joins_an_evacuated_data_centre_gets_nothing() {
+    let mut world = two_data_centres(RequestKind::Idempotent);
     world.apply_command(evacuate("east"));
     world.put(entry_in("east", "c", "desk"));
     world.put(Entry { incarnation: Incarnation(2), ..entry_in("east", "a", "desk") });
-    assert_eq!(called(&mut world, 40), ["b"]);
+    assert_eq!(called_endpoints(&mut world, 40), ["b"]);
 }
 
 #[test]
-fn an_order_for_a_place_without_endpoints_holds_for_those_that_come() {
-    let mut world = two_places(RequestKind::Idempotent);
+fn an_evacuation_applies_to_endpoints_that_join_later() {
+    let mut world = two_data_centres(RequestKind::Idempotent);
     assert!(world.apply_command(evacuate("north")));
     world.put(entry_in("north", "c", "desk"));
-    assert_eq!(called(&mut world, 40), ["a", "b"]);
+    assert_eq!(called_endpoints(&mut world, 40), ["a", "b"]);
     world.apply_command(restore("north"));
-    assert_eq!(called(&mut world, 60), ["a", "b", "c"]);
+    assert_eq!(called_endpoints(&mut world, 60), ["a", "b", "c"]);
 }
 
-/// Of orders that come together, as after a cut, nothing holds for a moment that a
-/// later one has taken back.
+/// Several commands may arrive at once, as after a network partition. One that a later one reverts
+/// must not take effect even briefly.
 #[test]
-fn orders_that_come_together_are_in_force_together() {
-    let mut world = two_places(RequestKind::Idempotent);
+fn commands_of_one_batch_take_effect_together() {
+    let mut world = two_data_centres(RequestKind::Idempotent);
     world.apply_command(evacuate("east"));
     world.apply_command(evacuate("west"));
     world.try_submit(arrival("1", "r")).unwrap();
@@ -100,12 +100,12 @@
         vec![restore("east"), restore("west"), evacuate("east")],
     );
     world.collect();
-    assert_eq!(called(&mut world, 40), ["b"]);
+    assert_eq!(called_endpoints(&mut world, 40), ["b"]);
 }
 
 #[test]
-fn what_is_repeated_goes_elsewhere() {
-    let mut world = two_places(RequestKind::Idempotent);
+fn repeated_calls_go_elsewhere() {
+    let mut world = two_data_centres(RequestKind::Idempotent);
     world.apply_command(evacuate("west"));
     world.submit(arrival("1", "r"));
     let first = world.call();
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn what_runs_there_ends_there() {
-    let mut world = two_places(RequestKind::Idempotent);
+fn running_calls_are_not_cancelled() {
+    let mut world = two_data_centres(RequestKind::Idempotent);
     world.apply_command(evacuate("west"));
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -129,8 +129,8 @@
 }
 
 #[test]
-fn a_cut_stream_is_not_resumed_there() {
-    let mut world = two_places(RequestKind::Resumable);
+fn an_interrupted_stream_is_not_resumed_there() {
+    let mut world = two_data_centres(RequestKind::Resumable);
     world.apply_command(evacuate("west"));
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -144,22 +144,22 @@
     assert_eq!((&*resumed.endpoint, resumed.resume), ("b", Some(1)));
 }
 
-/// Nobody knows when operators take an order back: callers hear so at once, and to
-/// come back after a while.
+/// It is unknown when operators restore a data centre, so requests are refused at once, with a
+/// retry time.
 #[test]
-fn callers_hear_at_once_where_all_of_a_service_is_evacuated() {
-    let mut world = two_places(RequestKind::Once);
+fn requests_are_refused_at_once_if_all_of_a_service_is_evacuated() {
+    let mut world = two_data_centres(RequestKind::Once);
     world.apply_command(evacuate("east"));
     world.apply_command(evacuate("west"));
     world.try_submit(arrival("1", "r")).unwrap();
     assert_eq!(world.refusals(), ["503 evacuated 600ms"]);
     assert!(world.calls().is_empty());
     world.apply_command(restore("west"));
-    assert_eq!(called(&mut world, 4), ["b"]);
+    assert_eq!(called_endpoints(&mut world, 4), ["b"]);
 }
 
 #[test]
-fn a_service_without_endpoints_is_not_taken_for_evacuated() {
+fn a_service_without_endpoints_does_not_count_as_evacuated() {
     let config = ConfigBuilder::new(1).service("desk");
     let mut world = World::new(config.route(route("r", RequestKind::Idempotent, "desk")).build());
     world.apply_command(evacuate("east"));
@@ -167,7 +167,7 @@
     assert!(world.refusals().is_empty(), "an endpoint may still join");
 }
 
-/// A route with one stage; a maker in the east and one in the west.
+/// A route with one stage, a piece endpoint in the east and one in the west.
 fn staged() -> World {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1000)];
@@ -185,9 +185,9 @@
 }
 
 #[test]
-fn pieces_that_wait_and_those_that_failed_are_made_elsewhere() {
+fn queued_and_failed_pieces_run_elsewhere() {
     let mut world = staged();
-    // Both makers are busy with two calls' worth each.
+    // Both piece endpoints are busy, with two calls' worth of pieces each.
     for idx in 0..4 {
         world.submit(with_pieces(&format!("{idx}"), 4));
     }
@@ -196,7 +196,7 @@
     let (east, west) = (at("m1").clone(), at("m2").clone());
     world.apply_command(evacuate("east"));
     world.complete_with(east.call, east.all_failed(PieceFailure::Failed));
-    assert!(world.batches().is_empty(), "the maker in the east is idle");
+    assert!(world.batches().is_empty(), "the piece endpoint in the east stays idle");
     world.complete(&west);
     let batch = world.batches().remove(0);
     assert_eq!(&*batch.endpoint, "m2");
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn callers_whose_pieces_nobody_can_make_hear_at_once() {
+fn requests_whose_pieces_cannot_run_are_refused_at_once() {
     let mut world = staged();
     for idx in 0..3 {
         world.submit(with_pieces(&format!("{idx}"), 4));
@@ -213,7 +213,7 @@
     assert_eq!(world.batches().len(), 2);
     world.apply_command(evacuate("east"));
     world.apply_command(evacuate("west"));
-    // The two whose pieces are being made need the service of the call as well.
+    // The two requests whose pieces are running need the final service too, which is evacuated.
     let refusals = world.refusals();
     assert_eq!(refusals.len(), 3, "{refusals:?}");
     assert!(refusals.iter().all(|refusal| refusal.starts_with("50")), "{refusals:?}");
@@ -221,9 +221,9 @@
     assert_eq!(world.refusals(), ["503 evacuated 600ms"]);
 }
 
-/// A result that belongs in a data centre without usable endpoints is made anywhere.
+/// If the destination of a result has no usable endpoints, its piece runs anywhere.
 #[test]
-fn a_large_result_does_not_wait_for_a_place_that_is_evacuated() {
+fn a_large_result_does_not_wait_for_an_evacuated_destination() {
     let mut staged = route("r", RequestKind::Idempotent, "desk");
     staged.stages = vec![stage("maker", &[], 1_500_000)];
     let config =
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn an_engine_that_a_peer_chose_there_is_not_called() {
+fn an_evacuated_engine_that_a_placer_chose_is_not_called() {
     let mut world = engines();
     let peer = Peer { name: "peer".into(), millicores: 500 };
     world.relay.set_peers(world.now, vec![peer], 2);
@@ -265,19 +265,19 @@
 }
 
 #[test]
-fn a_placer_chooses_no_engine_there_and_none_to_fetch_from() {
+fn a_placer_chooses_no_evacuated_engine_and_no_evacuated_source() {
     let mut world = engines();
-    let question = PlacementRequest {
+    let request = PlacementRequest {
         service: "llm".into(),
         prompt: prompt(1, 2),
         inputs: Vec::new(),
         excluded: Vec::new(),
     };
     world.apply_command(evacuate("west"));
-    assert_eq!(&*world.relay.place_prompt(world.now, &question).unwrap().engine.name, "a");
+    assert_eq!(&*world.relay.place_prompt(world.now, &request).unwrap().engine.name, "a");
     world.apply_command(restore("west"));
     world.apply_command(evacuate("east"));
-    let placement = world.relay.place_prompt(world.now, &question).unwrap();
+    let placement = world.relay.place_prompt(world.now, &request).unwrap();
     assert_eq!((&*placement.engine.name, placement.source), ("b", None));
     assert!(world.relay.take_actions().iter().all(|action| match action {
         Action::ListParts { addr, .. } => &**addr != "a:80",
@@ -286,29 +286,29 @@
 }
 
 #[test]
-fn an_endpoint_that_lapsed_there_is_no_last_resort() {
-    let mut world = two_places(RequestKind::Idempotent);
+fn an_expired_entry_of_an_evacuated_endpoint_is_no_last_resort() {
+    let mut world = two_data_centres(RequestKind::Idempotent);
     for name in ["a", "b"] {
         world.relay.apply_change(world.now, Change::Removed(name.into()));
     }
     world.apply_command(evacuate("east"));
-    assert_eq!(called(&mut world, 10), ["b"]);
+    assert_eq!(called_endpoints(&mut world, 10), ["b"]);
 }
 
-/// The store was away: those elsewhere have only lapsed, and are used for a moment.
+/// After an outage of the store the entries elsewhere have only expired and are briefly usable.
 #[test]
-fn what_is_left_elsewhere_is_used_before_callers_are_refused() {
-    let mut world = two_places(RequestKind::Idempotent);
+fn expired_entries_elsewhere_are_used_before_requests_are_refused() {
+    let mut world = two_data_centres(RequestKind::Idempotent);
     world.relay.apply_change(world.now, Change::Removed("b".into()));
     world.apply_command(evacuate("east"));
-    assert_eq!(called(&mut world, 10), ["b"]);
+    assert_eq!(called_endpoints(&mut world, 10), ["b"]);
     world.advance(ms(2000));
     world.try_submit(arrival("late", "r")).unwrap();
     assert_eq!(world.refusals(), ["503 evacuated 600ms"]);
 }
 
 #[test]
-fn a_refusal_says_not_run_only_where_nothing_ran() {
+fn a_refusal_states_not_run_only_if_nothing_ran() {
     assert_eq!(Refusal::Evacuated.after(false).status(), 503);
     assert_eq!(Refusal::Evacuated.after(true).status(), 502);
 }
--- a/crates/core/tests/testsuite/relay/events.rs
+++ b/crates/core/tests/testsuite/relay/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events cut into whole ones.
+//! Splitting a byte stream into server-sent events.
 
 use peatdeck_core::relay::events::Splitter;
 
@@ -16,20 +16,20 @@
 
 #[test]
 fn an_event_ends_with_an_empty_line() {
-    let (events, rest) = split(&["id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\n"]);
+    let (events, incomplete) = split(&["id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\n"]);
     assert_eq!(
         events,
         [(Some(1), "id: 1\ndata: a\n\n".to_owned()), (Some(2), "id: 2\ndata: b\n\n".to_owned())]
     );
-    assert_eq!(rest, "id: 3\n");
+    assert_eq!(incomplete, "id: 3\n");
 }
 
 #[test]
-fn a_cut_anywhere_makes_no_difference() {
+fn chunk_boundaries_make_no_difference() {
     let text = "id: 7\ndata: x\n\ndata: without a number\r\n\r\nid:8\n\n";
     let whole = split(&[text]);
     for at in 0..text.len() {
-        assert_eq!(split(&[&text[..at], &text[at..]]), whole, "cut at {at}");
+        assert_eq!(split(&[&text[..at], &text[at..]]), whole, "split at {at}");
     }
     assert_eq!(whole.0.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [Some(7), None, Some(8)]);
 }
