--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -1,9 +1,9 @@
-//! Random histories against a simple oracle.
+//! Property tests: random histories are checked against a simple oracle.
 //!
-//! Whatever endpoints answer, lose or refuse, and in whatever order: each
-//! exchange ends exactly once, nothing that may run once is called again after
-//! it may have run, "not run" is only said where nothing may have run, nothing
-//! is sent to an endpoint that leaves, and nothing stays behind.
+//! Whatever endpoints answer, lose or refuse, and in whatever order: each exchange ends exactly
+//! once, a request that may run once is not called again after it may have run, a refusal states
+//! "not run" only if nothing may have run, nothing is sent to a leaving endpoint, and no state
+//! remains at the end.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -36,53 +36,53 @@
     Event(u8),
     End(u8),
     Fail(u8, u8),
-    Make(u8, u8),
-    Leave(u8),
-    Drain(u8),
+    Complete(u8, u8),
+    Disconnect(u8),
+    StartLeaving(u8),
     Join,
-    /// An endpoint starts again under its name.
+    /// An endpoint restarts with the same name.
     Restart(u8),
     Wait(u16),
-    /// One of a few contents is sent.
-    Send(u8, u8),
-    /// An endpoint crashes: its calls are cut, and a new connection is refused.
+    /// A request with one of a few contents is submitted.
+    SubmitContent(u8, u8),
+    /// An endpoint crashes: its calls are interrupted, and a new connection is refused.
     Crash(u8),
-    /// The same, but it is found there.
+    /// Its calls are interrupted, but a new connection succeeds.
     Reset(u8),
-    /// A peer or the platform's table says that a content is held back, or is not.
-    Hold(u8, bool),
-    /// Operators evacuate a data centre, or take that back.
+    /// A peer or the platform's table reports that a content is quarantined, or no longer.
+    Quarantine(u8, bool),
+    /// Operators evacuate a data centre, or restore it.
     Evacuate(u8, bool),
-    /// An endpoint says for how long it is cold.
-    Cool(u8, u16),
-    /// A reply says something of its endpoint.
-    Say(u8, Saying),
+    /// An endpoint reports for how many milliseconds it is cold.
+    ReportCold(u8, u16),
+    /// A reply reports something about its endpoint.
+    ReplyWith(u8, Report),
 }
 
-/// What a reply says of its endpoint.
+/// What a reply reports about its endpoint.
 #[derive(Debug, Clone, Copy)]
-enum Saying {
+enum Report {
     Leaving,
-    /// For so many milliseconds it wants nothing.
-    Rest(u16),
-    /// Thousandths of a call a second.
+    /// For how many milliseconds it asks to be sent nothing.
+    Hold(u16),
+    /// Its limit, in thousandths of a call per second.
     Limit(u16),
 }
 
-fn saying() -> impl Strategy<Value = Saying> {
+fn report() -> impl Strategy<Value = Report> {
     prop_oneof![
-        1 => Just(Saying::Leaving),
-        2 => (0_u16..4000).prop_map(Saying::Rest),
-        2 => (0_u16..500).prop_map(Saying::Limit),
+        1 => Just(Report::Leaving),
+        2 => (0_u16..4000).prop_map(Report::Hold),
+        2 => (0_u16..500).prop_map(Report::Limit),
     ]
 }
 
-/// The same while endpoints say in their replies what they bear.
+/// Steps in which endpoints also report holds, limits and leaving in their replies.
 fn step_with_terms() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => step(),
         8 => (0_u8..128).prop_map(Step::Arrive),
-        3 => (any::<u8>(), saying()).prop_map(|(call, saying)| Step::Say(call, saying)),
+        3 => (any::<u8>(), report()).prop_map(|(call, report)| Step::ReplyWith(call, report)),
     ]
 }
 
@@ -93,49 +93,48 @@
         3 => any::<u8>().prop_map(Step::Event),
         2 => any::<u8>().prop_map(Step::End),
         2 => (any::<u8>(), any::<u8>()).prop_map(|(call, how)| Step::Fail(call, how)),
-        5 => (any::<u8>(), any::<u8>()).prop_map(|(call, how)| Step::Make(call, how)),
-        1 => any::<u8>().prop_map(Step::Leave),
-        1 => any::<u8>().prop_map(Step::Drain),
+        5 => (any::<u8>(), any::<u8>()).prop_map(|(call, how)| Step::Complete(call, how)),
+        1 => any::<u8>().prop_map(Step::Disconnect),
+        1 => any::<u8>().prop_map(Step::StartLeaving),
         1 => Just(Step::Join),
         1 => any::<u8>().prop_map(Step::Restart),
         2 => (0_u16..900).prop_map(Step::Wait),
     ]
 }
 
-/// The same among requests that crash endpoints.
+/// Steps with requests that crash endpoints.
 fn step_with_crashes() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => step(),
-        3 => (any::<u8>(), any::<u8>()).prop_map(|(route, content)| Step::Send(route, content)),
+        3 => (any::<u8>(), any::<u8>()).prop_map(|(route, pick)| Step::SubmitContent(route, pick)),
         3 => any::<u8>().prop_map(Step::Crash),
         1 => any::<u8>().prop_map(Step::Reset),
-        1 => (any::<u8>(), any::<bool>()).prop_map(|(content, is_held)| Step::Hold(content, is_held)),
+        1 => (any::<u8>(), any::<bool>()).prop_map(|(content, is_set)| Step::Quarantine(content, is_set)),
     ]
 }
 
-/// The same while data centres are evacuated and endpoints come back cold.
+/// Steps in which data centres are evacuated and endpoints become cold.
 fn step_with_evacuations() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => step(),
-        3 => (any::<u8>(), any::<bool>()).prop_map(|(place, is_empty)| Step::Evacuate(place, is_empty)),
-        2 => (any::<u8>(), 0_u16..3000).prop_map(|(pick, left)| Step::Cool(pick, left)),
+        3 => (any::<u8>(), any::<bool>()).prop_map(|(pick, is_evacuated)| Step::Evacuate(pick, is_evacuated)),
+        2 => (any::<u8>(), 0_u16..3000).prop_map(|(pick, left)| Step::ReportCold(pick, left)),
     ]
 }
 
-/// The data centres of all endpoints.
-const PLACES: [&str; 3] = ["east", "west", "north"];
+const DATA_CENTRES: [&str; 3] = ["east", "west", "north"];
 
-/// Where an endpoint is, by its name.
-fn place(name: &str) -> &'static str {
-    PLACES[name.bytes().last().map_or(0, usize::from) % PLACES.len()]
+/// The data centre of an endpoint, derived from its name.
+fn data_centre_of(name: &str) -> &'static str {
+    DATA_CENTRES[name.bytes().last().map_or(0, usize::from) % DATA_CENTRES.len()]
 }
 
 fn entry_of(name: &str, service: &str) -> Entry {
-    Entry { data_centre: place(name).into(), ..entry(name, service) }
+    Entry { data_centre: data_centre_of(name).into(), ..entry(name, service) }
 }
 
-/// One of the contents that are sent again and again.
-fn common(pick: u8) -> Fingerprint {
+/// One of the few contents that many requests have in common.
+fn common_content(pick: u8) -> Fingerprint {
     Fingerprint(u128::from(pick % 4) + 1)
 }
 
@@ -145,22 +144,22 @@
 #[derive(Default)]
 struct Oracle {
     open: HashMap<ExchangeKey, RequestKind>,
-    /// Exchanges of which something may have run.
+    /// Exchanges whose request may have run, at least in part.
     ran: HashSet<ExchangeKey>,
     calls: Vec<(CallKey, ExchangeKey)>,
-    called: HashMap<CallKey, String>,
-    lives: HashMap<String, u64>,
+    endpoint_of: HashMap<CallKey, String>,
+    incarnations: HashMap<String, u64>,
     batches: Vec<Batch>,
     leaving: HashSet<String>,
     next_event: HashMap<ExchangeKey, u64>,
     contents: HashMap<ExchangeKey, Fingerprint>,
-    held: HashSet<Fingerprint>,
+    quarantined: HashSet<Fingerprint>,
     evacuated: HashSet<&'static str>,
-    /// Until when an endpoint is cold, and when it was called last since it is.
+    /// Until when an endpoint is cold, and when it was last called while cold.
     cold: HashMap<String, (Duration, Option<Duration>)>,
-    /// Until when an endpoint wants nothing.
-    resting: HashMap<String, Duration>,
-    /// The limit that an endpoint names, and when it was called since.
+    /// Until when an endpoint is on hold.
+    on_hold: HashMap<String, Duration>,
+    /// The limit that an endpoint states, and the times of its calls since then.
     limited: HashMap<String, (Rate, Vec<Duration>)>,
 }
 
@@ -169,30 +168,32 @@
 
 impl Oracle {
     fn check(&mut self, world: &mut World) {
-        let mut consults = Vec::new();
+        let mut queries = Vec::new();
         for action in std::mem::take(&mut world.actions) {
             match action {
-                Action::Quarantined { content, .. } => drop(self.held.insert(content)),
-                Action::Released(content) => drop(self.held.remove(&content)),
-                Action::QueryAnswered { content, .. } => consults.push(content),
+                Action::Quarantined { content, .. } => drop(self.quarantined.insert(content)),
+                Action::Released(content) => drop(self.quarantined.remove(&content)),
+                Action::QueryAnswered { content, .. } => queries.push(content),
                 Action::Send(call) => {
                     let content = self.contents.get(&call.exchange);
-                    let is_held = content.is_some_and(|content| self.held.contains(content));
-                    assert!(!is_held, "sent although it is held back");
-                    assert!(!self.leaving.contains(&*call.endpoint), "sent to one that leaves");
+                    let is_quarantined =
+                        content.is_some_and(|content| self.quarantined.contains(content));
+                    assert!(!is_quarantined, "sent although it is quarantined");
+                    assert!(!self.leaving.contains(&*call.endpoint), "sent to a leaving endpoint");
                     let kind = self.open.get(&call.exchange);
                     let is_repeat = self.ran.contains(&call.exchange);
                     let may_repeat = kind.is_none_or(|kind| kind.is_repeatable());
                     assert!(may_repeat || !is_repeat, "{kind:?} was called again");
-                    self.check_sent(world.now, &call.endpoint);
-                    self.called.insert(call.key, call.endpoint.to_string());
+                    self.check_target(world.now, &call.endpoint);
+                    self.endpoint_of.insert(call.key, call.endpoint.to_string());
                     self.calls.push((call.key, call.exchange));
                 }
                 Action::MakePieces { call, endpoint, addr, pieces } => {
-                    let is_held = pieces.iter().any(|piece| self.held.contains(&piece.content));
-                    assert!(!is_held, "made although it is held back");
-                    assert!(!self.leaving.contains(&*endpoint), "made at one that leaves");
-                    self.check_sent(world.now, &endpoint);
+                    let is_quarantined =
+                        pieces.iter().any(|piece| self.quarantined.contains(&piece.content));
+                    assert!(!is_quarantined, "run although it is quarantined");
+                    assert!(!self.leaving.contains(&*endpoint), "run at a leaving endpoint");
+                    self.check_target(world.now, &endpoint);
                     self.batches.push(Batch { call, endpoint, addr, pieces });
                 }
                 Action::Cancel(call) => {
@@ -203,14 +204,17 @@
                 | Action::FinishStream(exchange)
                 | Action::AbortStream(exchange) => self.end(exchange),
                 Action::Refuse { exchange, refusal, .. } => {
-                    let says_unrun = refusal.status() == 503;
-                    assert!(!says_unrun || !self.ran.contains(&exchange), "an untrue refusal");
+                    let states_not_run = refusal.status() == 503;
+                    assert!(
+                        !states_not_run || !self.ran.contains(&exchange),
+                        "refused as not run although it may have run"
+                    );
                     self.end(exchange);
                 }
                 _ => {}
             }
         }
-        for content in consults {
+        for content in queries {
             let was_answered = content.0 % 2 == 0;
             world.relay.on_query_result(world.now, content, was_answered);
             world.collect();
@@ -218,14 +222,17 @@
         }
     }
 
-    /// Whether an endpoint may be sent something now.
-    fn check_sent(&mut self, now: Duration, name: &str) {
-        assert!(!self.evacuated.contains(place(name)), "sent where nothing is to be sent");
-        assert!(self.resting.get(name).is_none_or(|until| now >= *until), "sent to one that rests");
+    /// Checks that an endpoint may be sent something now.
+    fn check_target(&mut self, now: Duration, name: &str) {
+        assert!(!self.evacuated.contains(data_centre_of(name)), "sent to an evacuated data centre");
+        assert!(
+            self.on_hold.get(name).is_none_or(|until| now >= *until),
+            "sent to an endpoint on hold"
+        );
         if let Some((rate, calls)) = self.limited.get_mut(name) {
             calls.push(now);
             let span = calls.iter().filter(|at| **at + ms(4000) > now).count();
-            // Alone it is the only caller, and makes up for one missed slot.
+            // This instance is the only caller, and may make up for one missed slot.
             assert!(span as f64 <= 4.0 * rate.calls() + 2.0, "{span} calls at {rate:?}");
         }
         let Some((until, last)) = self.cold.get_mut(name).filter(|(until, _)| now < *until) else {
@@ -233,23 +240,23 @@
         };
         assert!(
             last.is_none_or(|last| now >= last + COLD_INTERVAL),
-            "too much for a cold one: {until:?}"
+            "sent to a cold endpoint too early: {until:?}"
         );
         *last = Some(now);
     }
 
-    /// The calls that are open at an endpoint.
+    /// The open calls to an endpoint.
     fn calls_at(&self, name: &str) -> Vec<(CallKey, ExchangeKey)> {
-        self.calls.iter().filter(|(call, _)| self.called[call] == name).copied().collect()
+        self.calls.iter().filter(|(call, _)| self.endpoint_of[call] == name).copied().collect()
     }
 
-    /// Whatever an endpoint was sent may have run.
+    /// An endpoint restarts; everything that it was sent may have run.
     fn restart(&mut self, name: &str) {
         self.leaving.remove(name);
-        self.resting.remove(name);
+        self.on_hold.remove(name);
         self.limited.remove(name);
-        *self.lives.entry(name.to_owned()).or_insert(1) += 1;
-        let open = self.calls.iter().filter(|(call, _)| self.called[call] == name);
+        *self.incarnations.entry(name.to_owned()).or_insert(1) += 1;
+        let open = self.calls.iter().filter(|(call, _)| self.endpoint_of[call] == name);
         self.ran.extend(open.map(|(_, exchange)| *exchange));
     }
 
@@ -295,7 +302,7 @@
     world
 }
 
-fn play(steps: Vec<Step>) {
+fn run(steps: Vec<Step>) {
     let (mut world, mut oracle) = (world(), Oracle::default());
     let mut joined = 0;
     for (idx, step) in steps.into_iter().enumerate() {
@@ -306,8 +313,8 @@
                 let name = if is_staged { "staged" } else { "plain" };
                 let pieces = if is_staged { vec![u16::from(pick % 3), 1, 2] } else { Vec::new() };
                 let id = idx.to_string();
-                let asking = Arrival { pieces, ..arrival(&id, &format!("{name}{kind}")) };
-                let key = world.relay.on_request(world.now, asking).unwrap();
+                let request = Arrival { pieces, ..arrival(&id, &format!("{name}{kind}")) };
+                let key = world.relay.on_request(world.now, request).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
                 world.collect();
             }
@@ -321,7 +328,7 @@
                     _ => head(200),
                 };
                 if head.status != 421 {
-                    oracle.limited.remove(&oracle.called[&call]);
+                    oracle.limited.remove(&oracle.endpoint_of[&call]);
                 }
                 if world.relay.on_reply_head(world.now, call, &head) {
                     oracle.ran.insert(exchange);
@@ -367,7 +374,7 @@
                 oracle.forget(call);
                 world.fail(call, failure);
             }
-            Step::Make(pick, how) => {
+            Step::Complete(pick, how) => {
                 if oracle.batches.is_empty() {
                     continue;
                 }
@@ -383,7 +390,7 @@
                 }
                 world.collect();
             }
-            Step::Leave(pick) => {
+            Step::Disconnect(pick) => {
                 let mut open: Vec<_> = oracle.open.keys().copied().collect();
                 open.sort();
                 if open.is_empty() {
@@ -393,18 +400,18 @@
                 oracle.open.remove(&key);
                 world.disconnect(key);
             }
-            Step::Drain(pick) => {
+            Step::StartLeaving(pick) => {
                 let name = format!("d{}", pick % 3);
                 oracle.leaving.insert(name.clone());
-                let incarnation = Incarnation(oracle.lives.get(&name).copied().unwrap_or(1));
+                let incarnation = Incarnation(oracle.incarnations.get(&name).copied().unwrap_or(1));
                 world.put(Entry { is_leaving: true, incarnation, ..entry_of(&name, "desk") });
             }
             Step::Restart(pick) => {
-                let makers = [("l0", "ledger"), ("l1", "ledger"), ("m0", "mart")];
+                let piece_endpoints = [("l0", "ledger"), ("l1", "ledger"), ("m0", "mart")];
                 let desks = [("d0", "desk"), ("d1", "desk"), ("d2", "desk")];
-                let (name, service) = [makers, desks].concat()[usize::from(pick) % 6];
+                let (name, service) = [piece_endpoints, desks].concat()[usize::from(pick) % 6];
                 oracle.restart(name);
-                let incarnation = Incarnation(oracle.lives[name]);
+                let incarnation = Incarnation(oracle.incarnations[name]);
                 oracle.cold.remove(name);
                 world.put(Entry { incarnation, ..entry_of(name, service) });
             }
@@ -413,18 +420,18 @@
                 world.put(entry_of(&format!("new{joined}"), "desk"));
             }
             Step::Wait(millis) => world.advance(ms(millis.into())),
-            Step::Send(route, content) => {
+            Step::SubmitContent(route, content) => {
                 let kind = usize::from(route) % KINDS.len();
-                let content = common(content);
-                let asking =
+                let content = common_content(content);
+                let request =
                     Arrival { content, ..arrival(&idx.to_string(), &format!("plain{kind}")) };
-                let key = world.relay.on_request(world.now, asking).unwrap();
+                let key = world.relay.on_request(world.now, request).unwrap();
                 oracle.open.insert(key, KINDS[kind]);
                 oracle.contents.insert(key, content.for_team(None));
                 world.collect();
             }
             Step::Crash(pick) | Step::Reset(pick) => {
-                let probed = match step {
+                let result = match step {
                     Step::Crash(_) => ProbeResult::Gone,
                     _ => ProbeResult::There,
                 };
@@ -438,26 +445,26 @@
                     _ => None,
                 });
                 for endpoint in probes {
-                    world.relay.on_probe(world.now, endpoint, probed);
+                    world.relay.on_probe(world.now, endpoint, result);
                     world.collect();
                 }
             }
-            Step::Evacuate(pick, is_empty) => {
-                let name = PLACES[usize::from(pick) % PLACES.len()];
-                let act = match is_empty {
+            Step::Evacuate(pick, is_evacuated) => {
+                let name = DATA_CENTRES[usize::from(pick) % DATA_CENTRES.len()];
+                let command = match is_evacuated {
                     true => OperatorCommand::Evacuate(name.into()),
                     false => OperatorCommand::Restore(name.into()),
                 };
-                let is_new = match is_empty {
+                let is_new = match is_evacuated {
                     true => oracle.evacuated.insert(name),
                     false => oracle.evacuated.remove(name),
                 };
-                assert_eq!(world.apply_command(act), is_new);
+                assert_eq!(world.apply_command(command), is_new);
             }
-            Step::Cool(pick, left) => {
+            Step::ReportCold(pick, left) => {
                 let all = [("d0", "desk"), ("d1", "desk"), ("l0", "ledger"), ("m0", "mart")];
                 let (name, service) = all[usize::from(pick) % all.len()];
-                let incarnation = Incarnation(oracle.lives.get(name).copied().unwrap_or(1));
+                let incarnation = Incarnation(oracle.incarnations.get(name).copied().unwrap_or(1));
                 let cold_left = Some(ms(left.into()));
                 if !oracle.leaving.contains(name) {
                     let known = oracle.cold.entry(name.to_owned()).or_default();
@@ -465,10 +472,10 @@
                     world.put(Entry { incarnation, cold_left, ..entry_of(name, service) });
                 }
             }
-            Step::Say(pick, saying) => say(&mut world, &mut oracle, pick, saying),
-            Step::Hold(content, is_held) => {
-                let content = common(content).for_team(None);
-                match is_held {
+            Step::ReplyWith(pick, report) => reply_with(&mut world, &mut oracle, pick, report),
+            Step::Quarantine(content, is_quarantined) => {
+                let content = common_content(content).for_team(None);
+                match is_quarantined {
                     true => world.relay.on_quarantine_record(world.now, content, 3),
                     false => world.relay.on_quarantine_removal(content),
                 }
@@ -485,32 +492,32 @@
         world.advance(ms(250));
         oracle.check(&mut world);
     }
-    assert!(oracle.open.is_empty(), "exchanges without an end: {:?}", oracle.open);
+    assert!(oracle.open.is_empty(), "exchanges that never ended: {:?}", oracle.open);
     assert_eq!(world.relay.open_exchanges(), 0);
 }
 
-/// A reply comes whose head says something of its endpoint: a refusal where it asks for
-/// rest, otherwise an answer.
-fn say(world: &mut World, oracle: &mut Oracle, pick: u8, saying: Saying) {
+/// Delivers a reply that reports something about its endpoint: a refusal if it asks for a hold,
+/// otherwise an answer.
+fn reply_with(world: &mut World, oracle: &mut Oracle, pick: u8, report: Report) {
     let Some((call, exchange)) = oracle.call(pick) else { return };
-    let name = oracle.called[&call].clone();
+    let name = oracle.endpoint_of[&call].clone();
     let mut terms = Terms::default();
     let mut head = head(200);
-    if !matches!(saying, Saying::Limit(_)) {
+    if !matches!(report, Report::Limit(_)) {
         oracle.limited.remove(&name);
     }
-    match saying {
-        Saying::Leaving => {
+    match report {
+        Report::Leaving => {
             terms.is_leaving = true;
             oracle.leaving.insert(name);
         }
-        Saying::Rest(millis) => {
+        Report::Hold(millis) => {
             head = not_run(503);
             terms.hold = Some(ms(millis.into()));
-            let until = oracle.resting.entry(name).or_default();
+            let until = oracle.on_hold.entry(name).or_default();
             *until = (*until).max(world.now + ms(millis.into()));
         }
-        Saying::Limit(millis) => {
+        Report::Limit(millis) => {
             let rate = Rate(millis.into());
             terms.limit = Some(rate);
             let is_known = oracle.limited.get(&name).is_some_and(|(known, _)| *known == rate);
@@ -529,30 +536,31 @@
     }
 }
 
-/// An engine sends an event and says then that it did not run the request, since its
-/// inputs are gone. A history that a longer run found (seed 77, 30,000 cases): the
-/// stream was called again.
+/// An engine sends an event and then states that it did not run the request because its inputs are
+/// gone. The stream was called again. Found by a longer run (seed 77, 30,000 cases).
 #[test]
-fn what_has_sent_events_has_run() {
-    let mut steps = vec![Step::Arrive(142), Step::Make(0, 4), Step::Make(0, 4)];
-    steps.extend([Step::Make(0, 4), Step::Event(0), Step::Reply(0, 3)]);
-    play(steps);
+fn a_stream_that_sent_events_has_run() {
+    let mut steps = vec![Step::Arrive(142), Step::Complete(0, 4), Step::Complete(0, 4)];
+    steps.extend([Step::Complete(0, 4), Step::Event(0), Step::Reply(0, 3)]);
+    run(steps);
 }
 
-/// An endpoint takes too long with a piece of a request that has ended meanwhile: it
-/// was made again elsewhere, for nobody. A history that a longer run found (seed 79).
+/// A call takes too long for a piece whose request has ended meanwhile. The piece was repeated
+/// elsewhere although no request needed it. Found by a longer run (seed 79).
 #[test]
-fn pieces_of_requests_that_have_ended_are_not_made_again() {
-    use Step::{Arrive, Leave, Make, Reply, Restart, Wait};
-    let begin = [Reply(0, 0), Arrive(0), Arrive(128), Make(0, 4), Reply(0, 0), Arrive(0)];
+fn pieces_of_ended_requests_are_not_repeated() {
+    use Step::{Arrive, Complete, Disconnect, Reply, Restart, Wait};
+    let begin = [Reply(0, 0), Arrive(0), Arrive(128), Complete(0, 4), Reply(0, 0), Arrive(0)];
     let replies = [Arrive(0), Arrive(0), Reply(0, 0), Reply(0, 0), Reply(0, 0), Arrive(0)];
-    let disconnect = [Reply(0, 0), Reply(0, 0), Leave(0), Leave(0), Arrive(128), Leave(7)];
-    let complete = [Arrive(255), Make(32, 68), Make(71, 35), Wait(60), Arrive(135), Make(76, 44)];
-    let wait = [Wait(88), Wait(133), Arrive(136), Reply(0, 0), Make(109, 44), Restart(247)];
-    let crash = [Arrive(0), Restart(6), Leave(3), Arrive(0), Restart(174), Wait(406)];
+    let disconnect =
+        [Reply(0, 0), Reply(0, 0), Disconnect(0), Disconnect(0), Arrive(128), Disconnect(7)];
+    let complete =
+        [Arrive(255), Complete(32, 68), Complete(71, 35), Wait(60), Arrive(135), Complete(76, 44)];
+    let wait = [Wait(88), Wait(133), Arrive(136), Reply(0, 0), Complete(109, 44), Restart(247)];
+    let crash = [Arrive(0), Restart(6), Disconnect(3), Arrive(0), Restart(174), Wait(406)];
     let late = [Restart(198), Wait(574)];
     let steps = [&begin[..], &replies, &disconnect, &complete, &wait, &crash, &late].concat();
-    play(steps);
+    run(steps);
 }
 
 proptest! {
@@ -564,32 +572,31 @@
     })]
 
     #[test]
-    fn every_exchange_ends_once_and_truthfully(steps in proptest::collection::vec(step(), 1..120)) {
-        play(steps);
+    fn every_exchange_ends_once_with_a_correct_outcome(steps in proptest::collection::vec(step(), 1..120)) {
+        run(steps);
     }
 
-    /// Nothing gets to an endpoint that is evacuated, and not too much to a cold one,
-    /// whatever was under way.
+    /// Holds whatever was in progress when an endpoint was evacuated or became cold.
     #[test]
-    fn what_is_evacuated_gets_nothing_and_what_is_cold_little(
+    fn evacuated_endpoints_get_nothing_and_cold_ones_a_limited_rate(
         steps in proptest::collection::vec(step_with_evacuations(), 1..160)
     ) {
-        play(steps);
+        run(steps);
     }
 
-    /// What endpoints say of themselves is kept, whatever was under way.
+    /// Holds whatever was in progress when an endpoint reported its terms.
     #[test]
-    fn what_endpoints_say_of_themselves_is_kept(
+    fn holds_limits_and_leaving_are_respected(
         steps in proptest::collection::vec(step_with_terms(), 1..160)
     ) {
-        play(steps);
+        run(steps);
     }
 
-    /// Nothing that is held back gets to an endpoint, whatever was under way.
+    /// Holds whatever was in progress when the content was quarantined.
     #[test]
-    fn what_crashes_endpoints_is_not_sent_once_it_is_held_back(
+    fn quarantined_content_is_not_sent(
         steps in proptest::collection::vec(step_with_crashes(), 1..160)
     ) {
-        play(steps);
+        run(steps);
     }
 }
--- a/crates/core/tests/testsuite/relay/intake.rs
+++ b/crates/core/tests/testsuite/relay/intake.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused as they come, since their stages take too long.
+//! Requests that are refused on arrival because their stages take too long.
 
 use peatdeck_core::relay::{
     config::{RequestKind, Route},
@@ -7,7 +7,7 @@
 
 use crate::relay::fixture::{ConfigBuilder, World, arrival, entry, ms, route, stage};
 
-/// Two stages, one after the other, for an urgent and for another route.
+/// An urgent and a less urgent route with two dependent stages, and a route with a single stage.
 fn world() -> World {
     let stages = vec![stage("ledger", &[], 1), stage("mart", &[0], 1)];
     let chain = |name, priority| Route {
@@ -26,23 +26,24 @@
     world
 }
 
-fn asking(id: &str, route: &str, pieces: &[u16]) -> Arrival {
+fn staged_arrival(id: &str, route: &str, pieces: &[u16]) -> Arrival {
     Arrival { pieces: pieces.to_vec(), deadline: Some(ms(8000)), ..arrival(id, route) }
 }
 
-/// A request whose first stage takes that long.
+/// Submits a request whose first stage takes `millis`.
 fn slow_stage(world: &mut World, millis: u64) {
-    world.submit(asking("slow", "r", &[1, 1]));
+    world.submit(staged_arrival("slow", "r", &[1, 1]));
     let batch = world.batches().remove(0);
     world.advance(ms(millis));
     world.complete(&batch);
     world.batches();
 }
 
-/// How many of a hundred requests are refused, without anything being done.
-fn refused(world: &mut World, route: &str, pieces: &[u16]) -> usize {
+/// Submits a hundred requests and disconnects their callers at once; returns how many were
+/// refused.
+fn refused_count(world: &mut World, route: &str, pieces: &[u16]) -> usize {
     for idx in 0..100 {
-        let key = world.submit(asking(&format!("{route}-{idx}"), route, pieces));
+        let key = world.submit(staged_arrival(&format!("{route}-{idx}"), route, pieces));
         world.disconnect(key);
     }
     let refusals = world.refusals();
@@ -51,33 +52,33 @@
 }
 
 #[test]
-fn nobody_is_refused_while_stages_keep_up() {
+fn nothing_is_refused_while_stages_keep_up() {
     let mut world = world();
     slow_stage(&mut world, 220);
-    assert_eq!(refused(&mut world, "r", &[1, 1]), 0);
+    assert_eq!(refused_count(&mut world, "r", &[1, 1]), 0);
 }
 
 #[test]
-fn part_is_refused_once_stages_take_too_long_the_less_urgent_more() {
+fn slow_stages_refuse_a_part_of_the_requests_and_more_of_the_less_urgent() {
     let mut world = world();
     slow_stage(&mut world, 1500);
     let (urgent, other) =
-        (refused(&mut world, "urgent", &[1, 1]), refused(&mut world, "r", &[1, 1]));
+        (refused_count(&mut world, "urgent", &[1, 1]), refused_count(&mut world, "r", &[1, 1]));
     assert!(urgent > 40 && urgent < 95, "{urgent}");
     assert!(other > urgent && other >= 95, "{urgent} {other}");
 }
 
 #[test]
-fn a_single_stage_is_left_to_its_queue() {
+fn requests_with_a_single_stage_are_not_refused_on_arrival() {
     let mut world = world();
     slow_stage(&mut world, 1500);
-    assert_eq!(refused(&mut world, "single", &[1]), 0);
+    assert_eq!(refused_count(&mut world, "single", &[1]), 0);
 }
 
 #[test]
-fn what_stages_took_is_forgotten() {
+fn old_stage_times_no_longer_count() {
     let mut world = world();
     slow_stage(&mut world, 1500);
     world.advance(ms(2000));
-    assert_eq!(refused(&mut world, "r", &[1, 1]), 0);
+    assert_eq!(refused_count(&mut world, "r", &[1, 1]), 0);
 }
