--- a/crates/core/tests/testsuite/relay/quarantine.rs
+++ b/crates/core/tests/testsuite/relay/quarantine.rs
@@ -1,10 +1,10 @@
-//! Requests that crash whatever runs them.
+//! Requests that crash the endpoints that run them.
 //!
-//! The story stands with the test of whole instances (`crashes` in the relay's
-//! tests): one content ended endpoint after endpoint, since what an exchange had
-//! learned of it ended with the exchange. Here: what counts as a crash, how many are
-//! enough, and who is not to be blamed. `work`: what becomes of work that is under way.
-//! `keeping`: who counts crashes and is told, and how long content is held back.
+//! Guards against a content that crashes one endpoint after another because nothing is remembered
+//! of it after its exchange has ended; `crashes` in the relay's tests describes the incident and
+//! tests whole instances. This module: what counts as a crash, how many are enough, and which
+//! content is not suspected. `work`: what happens to work in progress. `keeping`: who collects
+//! crashes, who is notified, and how long content stays quarantined.
 
 mod keeping;
 mod work;
@@ -24,13 +24,13 @@
 
 use super::fixture::{ConfigBuilder, World, arrival, entry, head, ms, route};
 
-/// Endpoints of a world: more than any test ends.
-const DESKS: usize = 12;
+/// Number of endpoints; more than any test crashes.
+const ENDPOINTS: usize = 12;
 
 fn world(kind: RequestKind) -> World {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", kind, "desk"));
     let mut world = World::new(config.build());
-    for idx in 0..DESKS {
+    for idx in 0..ENDPOINTS {
         world.put(entry(&format!("d{idx}"), "desk"));
     }
     world
@@ -44,8 +44,8 @@
     Fingerprint::of("POST", "fleet.example", "/r/x", b"poison")
 }
 
-/// The same as instances keep it: no team sent it.
-fn held() -> Fingerprint {
+/// The fingerprint under which instances track the content, which is sent without a team.
+fn team_content() -> Fingerprint {
     content().for_team(None)
 }
 
@@ -56,32 +56,32 @@
     })
 }
 
-/// The call is cut, and the probe of its endpoint tells this.
-fn cut(world: &mut World, call: &Call, probed: ProbeResult) {
+/// Interrupts a call and lets the probe of its endpoint return `result`.
+fn interrupt(world: &mut World, call: &Call, result: ProbeResult) {
     world.fail(call.key, Failure::Cut);
     for endpoint in probes(world) {
-        world.relay.on_probe(world.now, endpoint, probed);
+        world.relay.on_probe(world.now, endpoint, result);
         world.collect();
     }
 }
 
-/// The content is sent and ends its endpoint.
+/// Submits the content, which crashes its endpoint.
 fn crash(world: &mut World, id: &str) {
     world.submit(poison(id));
     let call = world.call();
-    cut(world, &call, ProbeResult::Gone);
+    interrupt(world, &call, ProbeResult::Gone);
     world.refusals();
 }
 
-fn consulted(world: &mut World) -> Vec<Fingerprint> {
+fn queries(world: &mut World) -> Vec<Fingerprint> {
     world.take(|action| match action {
         Action::QueryAnswered { content, .. } => Some(*content),
         _ => None,
     })
 }
 
-fn answer_consult(world: &mut World, was_answered: bool) {
-    for content in consulted(world) {
+fn answer_queries(world: &mut World, was_answered: bool) {
+    for content in queries(world) {
         world.relay.on_query_result(world.now, content, was_answered);
         world.collect();
     }
@@ -95,54 +95,54 @@
     !is_sent
 }
 
-/// A content that has ended three endpoints, and is held back.
-fn held_world(kind: RequestKind) -> World {
+/// A world in which the content has crashed three endpoints and is quarantined.
+fn quarantined_world(kind: RequestKind) -> World {
     let mut world = world(kind);
     for id in ["1", "2", "3"] {
         crash(&mut world, id);
     }
-    answer_consult(&mut world, false);
+    answer_queries(&mut world, false);
     world
 }
 
 #[test]
-fn content_that_ended_three_endpoints_is_held_back() {
+fn content_that_crashed_three_endpoints_is_quarantined() {
     let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
-    assert!(consulted(&mut world).is_empty());
+    assert!(queries(&mut world).is_empty());
     crash(&mut world, "3");
-    answer_consult(&mut world, false);
-    let told = world.take(|action| match action {
+    answer_queries(&mut world, false);
+    let announced = world.take(|action| match action {
         Action::AnnounceQuarantine { content, crashes } => Some((*content, *crashes)),
         _ => None,
     });
-    assert_eq!(told, [(held(), 3)]);
+    assert_eq!(announced, [(team_content(), 3)]);
     world.submit(poison("4"));
     assert!(world.calls().is_empty());
 }
 
 #[test]
-fn its_caller_hears_at_once_that_nothing_ran_and_how_long_that_lasts() {
-    let mut world = held_world(RequestKind::Once);
+fn quarantined_content_is_refused_as_not_run_with_the_remaining_time() {
+    let mut world = quarantined_world(RequestKind::Once);
     world.advance(ms(60_000));
     world.submit(poison("4"));
     let refusal = world.refusals().remove(0);
-    let away = refusal.strip_prefix("503 quarantined ").unwrap().to_owned();
-    let seconds: f64 = away.strip_suffix('s').unwrap().parse().unwrap();
-    // Each request that is refused prolongs it.
+    let retry_after = refusal.strip_prefix("503 quarantined ").unwrap().to_owned();
+    let seconds: f64 = retry_after.strip_suffix('s').unwrap().parse().unwrap();
+    // Each refused request prolongs the quarantine.
     assert!((WINDOW.as_secs_f64()..WINDOW.as_secs_f64() + 61.0).contains(&seconds), "{seconds}");
 }
 
 #[test]
-fn what_is_asked_for_by_others_is_served() {
-    let mut world = held_world(RequestKind::Once);
+fn other_content_is_served() {
+    let mut world = quarantined_world(RequestKind::Once);
     world.submit(arrival("other", "r"));
     assert_eq!(world.calls().len(), 1);
 }
 
 #[test]
-fn a_content_is_its_teams_own() {
+fn a_fingerprint_depends_on_the_team() {
     let same = content();
     assert_ne!(same.for_team(Some("one")), same.for_team(Some("other")));
     assert_ne!(same.for_team(Some("one")), same.for_team(None));
@@ -159,33 +159,33 @@
 }
 
 #[test]
-fn a_fingerprint_is_read_as_it_is_written() {
-    let one = held();
+fn a_fingerprint_is_parsed_as_it_is_printed() {
+    let one = team_content();
     assert_eq!(Fingerprint::parse(&one.to_string()), Some(one));
     for wrong in ["", "12", "g0000000000000000000000000000000"] {
         assert_eq!(Fingerprint::parse(wrong), None);
     }
 }
 
-/// Networks cut calls too, and machines that do not answer cannot be told from
-/// networks that do not.
+/// Networks interrupt calls too, and an unresponsive machine cannot be distinguished from an
+/// unresponsive network.
 #[test]
-fn cut_connections_alone_are_no_crashes() {
-    for probed in [ProbeResult::There, ProbeResult::Unknown] {
+fn interrupted_connections_alone_are_no_crashes() {
+    for result in [ProbeResult::There, ProbeResult::Unknown] {
         let mut world = world(RequestKind::Once);
         for id in 0..9 {
             world.submit(poison(&id.to_string()));
             let call = world.call();
-            cut(&mut world, &call, probed);
+            interrupt(&mut world, &call, result);
             world.refusals();
             world.advance(ms(5000));
         }
-        assert!(!is_refused(&mut world), "{probed:?}");
+        assert!(!is_refused(&mut world), "{result:?}");
     }
 }
 
 #[test]
-fn a_planned_end_is_no_crash() {
+fn a_planned_shutdown_is_no_crash() {
     let mut world = world(RequestKind::Once);
     for id in 0..6 {
         world.submit(poison(&id.to_string()));
@@ -198,9 +198,9 @@
     assert!(!is_refused(&mut world));
 }
 
-/// Its entry is there for some seconds yet.
+/// The entry of a crashed endpoint remains for some seconds.
 #[test]
-fn an_endpoint_that_has_ended_gets_nothing_until_its_entry_is_written_anew() {
+fn a_crashed_endpoint_gets_nothing_until_its_entry_is_rewritten() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("only", "desk"));
@@ -212,9 +212,9 @@
     assert_eq!(world.calls().len(), 1);
 }
 
-/// Calls that this instance gives up itself say nothing of their endpoints.
+/// Calls that this instance cancels itself show nothing about their endpoints.
 #[test]
-fn calls_that_are_given_up_are_no_crashes() {
+fn cancelled_calls_are_no_crashes() {
     let mut world = world(RequestKind::Once);
     let key = world.submit(poison("1"));
     world.call();
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn one_life_counts_once_however_many_runs_end_with_it() {
+fn an_incarnation_counts_once_however_many_runs_it_interrupts() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("only", "desk"));
@@ -236,16 +236,16 @@
     for call in &calls {
         world.fail(call.key, Failure::Cut);
     }
-    let probed = probes(&mut world);
-    assert_eq!(probed.len(), 1, "one probe tells for all");
-    world.relay.on_probe(world.now, probed[0], ProbeResult::Gone);
+    let result = probes(&mut world);
+    assert_eq!(result.len(), 1, "one probe is enough for all calls");
+    world.relay.on_probe(world.now, result[0], ProbeResult::Gone);
     world.collect();
-    assert!(consulted(&mut world).is_empty());
+    assert!(queries(&mut world).is_empty());
 }
 
-/// The connection may be noticed late, behind the probe's answer.
+/// An interrupted connection may be detected only after the probe has returned.
 #[test]
-fn runs_that_are_cut_after_the_end_is_known_count() {
+fn runs_that_are_interrupted_after_the_crash_was_detected_count() {
     let config = ConfigBuilder::new(1).service("desk").route(route("r", RequestKind::Once, "desk"));
     let mut world = World::new(config.build());
     world.put(entry("only", "desk"));
@@ -253,60 +253,60 @@
     let bystander = world.call();
     world.submit(poison("1"));
     let call = world.call();
-    cut(&mut world, &bystander, ProbeResult::Gone);
+    interrupt(&mut world, &bystander, ProbeResult::Gone);
     world.fail(call.key, Failure::Cut);
     assert!(probes(&mut world).is_empty());
     let crashed = world.take(|action| match action {
         Action::EndpointCrashed { crashes, .. } => Some(crashes[0].content),
         _ => None,
     });
-    assert_eq!(crashed[1..], [held()]);
+    assert_eq!(crashed[1..], [team_content()]);
 }
 
-/// The address itself may show nothing: the next life listens there already.
+/// The probe may find nothing wrong because the next incarnation listens at the address already.
 #[test]
-fn an_endpoint_that_started_again_has_crashed_with_what_it_was_sent() {
+fn a_restart_counts_as_a_crash_of_interrupted_calls() {
     let mut world = world(RequestKind::Once);
     for id in ["1", "2", "3"] {
         world.submit(poison(id));
         let call = world.call();
-        cut(&mut world, &call, ProbeResult::There);
+        interrupt(&mut world, &call, ProbeResult::There);
         world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
     }
-    assert_eq!(consulted(&mut world), [held()]);
+    assert_eq!(queries(&mut world), [team_content()]);
 }
 
 #[test]
-fn calls_that_are_open_when_an_endpoint_starts_again_have_crashed_with_it() {
+fn a_restart_counts_as_a_crash_of_open_calls() {
     let mut world = world(RequestKind::Once);
     for id in ["1", "2", "3"] {
         world.submit(poison(id));
         let call = world.call();
         world.put(Entry { incarnation: Incarnation(2), ..entry(&call.endpoint, "desk") });
-        assert!(probes(&mut world).is_empty(), "nothing is left to find out");
+        assert!(probes(&mut world).is_empty(), "no probe is needed");
     }
-    assert_eq!(consulted(&mut world), [held()]);
+    assert_eq!(queries(&mut world), [team_content()]);
 }
 
-/// Streams that have gone on for a while when their engine ends are bystanders.
+/// A stream that has run for a while when its engine crashes is probably not the cause.
 #[test]
-fn crashes_of_runs_that_had_gone_on_for_a_while_weigh_half() {
+fn crashes_late_in_a_run_count_half() {
     let mut world = world(RequestKind::Stream);
     for id in 0..6 {
-        assert!(consulted(&mut world).is_empty(), "{id} crashes");
+        assert!(queries(&mut world).is_empty(), "{id} crashes");
         world.submit(poison(&id.to_string()));
         let call = world.call();
         world.relay.on_reply_head(world.now, call.key, &head(200));
         world.stream_event(call.key, 1);
         world.advance(EARLY_PERIOD);
-        cut(&mut world, &call, ProbeResult::Gone);
+        interrupt(&mut world, &call, ProbeResult::Gone);
     }
-    assert_eq!(consulted(&mut world), [held()]);
+    assert_eq!(queries(&mut world), [team_content()]);
 }
 
-/// Popular content is in many crashes by chance.
+/// Frequent content is involved in many crashes by chance.
 #[test]
-fn content_that_was_answered_meanwhile_is_not_held_back() {
+fn content_that_was_answered_meanwhile_is_not_quarantined() {
     let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
@@ -314,12 +314,12 @@
     let call = world.call();
     world.reply(call.key, &head(200));
     crash(&mut world, "3");
-    assert!(consulted(&mut world).is_empty());
+    assert!(queries(&mut world).is_empty());
     assert!(!is_refused(&mut world));
 }
 
 #[test]
-fn an_endpoints_own_failure_is_an_answer_too() {
+fn an_error_response_counts_as_an_answer() {
     let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
@@ -327,41 +327,41 @@
     let call = world.call();
     world.reply(call.key, &head(500));
     crash(&mut world, "3");
-    assert!(consulted(&mut world).is_empty());
+    assert!(queries(&mut world).is_empty());
 }
 
 #[test]
-fn content_that_another_instance_had_answered_is_not_held_back() {
+fn content_that_another_instance_got_answered_is_not_quarantined() {
     let mut world = world(RequestKind::Once);
     for id in ["1", "2", "3"] {
         crash(&mut world, id);
     }
-    answer_consult(&mut world, true);
+    answer_queries(&mut world, true);
     assert!(!is_refused(&mut world));
-    // It takes as many crashes again.
+    // The count of crashes starts over.
     crash(&mut world, "4");
-    assert!(consulted(&mut world).is_empty());
+    assert!(queries(&mut world).is_empty());
 }
 
 #[test]
-fn an_instance_says_whether_it_had_a_content_answered() {
+fn an_instance_reports_whether_a_content_was_answered() {
     let mut world = world(RequestKind::Once);
     world.advance(ms(1000));
     world.submit(poison("1"));
     let call = world.call();
     world.reply(call.key, &head(200));
-    assert!(world.relay.was_answered(held(), ms(1000)));
-    assert!(!world.relay.was_answered(held(), ms(1001)));
+    assert!(world.relay.was_answered(team_content(), ms(1000)));
+    assert!(!world.relay.was_answered(team_content(), ms(1001)));
 }
 
 #[test]
-fn crashes_count_for_a_while_only() {
+fn crashes_count_for_a_limited_time() {
     let mut world = world(RequestKind::Once);
     crash(&mut world, "1");
     crash(&mut world, "2");
     world.advance(WINDOW);
     crash(&mut world, "3");
-    assert!(consulted(&mut world).is_empty());
+    assert!(queries(&mut world).is_empty());
 }
 
 fn peer(name: &str) -> Peer {
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -1,4 +1,4 @@
-//! Who counts crashes, who is told, how long content is held back, and who ends it.
+//! Who collects crashes, who is notified, how long content stays quarantined, and who releases it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,10 +12,13 @@
     },
 };
 
-use super::{answer_consult, consulted, crash, held, held_world, is_refused, peer, poison, world};
+use super::{
+    answer_queries, crash, is_refused, peer, poison, quarantined_world, queries, team_content,
+    world,
+};
 use crate::relay::fixture::{ConfigBuilder, World, ms, route};
 
-fn accused(world: &mut World) -> Vec<Arc<str>> {
+fn report_receivers(world: &mut World) -> Vec<Arc<str>> {
     let mut peers = world.take(|action| match action {
         Action::ReportCrashes { peer, .. } => Some(peer.clone()),
         _ => None,
@@ -24,36 +27,36 @@
     peers
 }
 
-/// Crashes that different instances see have to meet somewhere.
+/// Crashes that different instances detect have to be counted together.
 #[test]
-fn all_instances_tell_the_same_peers_of_a_contents_crashes() {
+fn crashes_of_a_content_are_reported_to_the_same_peers() {
     let names = ["own", "a", "b", "c", "d"];
     let mut world = world(RequestKind::Once);
     let others = names[1..].iter().map(|name| peer(name)).collect();
     world.relay.set_peers(world.now, others, names.len());
     crash(&mut world, "1");
-    let told = accused(&mut world);
-    assert!((1..=2).contains(&told.len()), "{told:?}");
+    let announcements = report_receivers(&mut world);
+    assert!((1..=2).contains(&announcements.len()), "{announcements:?}");
     crash(&mut world, "2");
-    assert_eq!(accused(&mut world), told);
+    assert_eq!(report_receivers(&mut world), announcements);
 }
 
 #[test]
-fn a_keeper_counts_what_peers_saw() {
+fn a_collector_counts_crashes_that_peers_report() {
     let mut world = world(RequestKind::Once);
     for (idx, name) in ["x", "y", "z"].into_iter().enumerate() {
-        assert!(consulted(&mut world).is_empty(), "after {idx}");
-        let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
-        let crash = Crash { content: held(), endpoint: life, age: ms(5), is_late: false };
+        assert!(queries(&mut world).is_empty(), "after {idx}");
+        let id = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
+        let crash = Crash { content: team_content(), endpoint: id, age: ms(5), is_late: false };
         world.relay.on_crash(world.now, &crash);
         world.relay.on_crash(world.now, &crash);
         world.collect();
     }
-    answer_consult(&mut world, false);
+    answer_queries(&mut world, false);
     assert!(is_refused(&mut world));
 }
 
-fn told(world: &mut World) -> usize {
+fn announcements(world: &mut World) -> usize {
     world
         .take(|action| match action {
             Action::AnnounceQuarantine { content, .. } => Some(*content),
@@ -62,49 +65,49 @@
         .len()
 }
 
-/// Whoever reports a crash of what is held back has not heard of it.
+/// An instance that reports a crash of quarantined content has not received the announcement.
 #[test]
-fn peers_are_told_again_where_it_is_still_sent_to_endpoints() {
-    let mut world = held_world(RequestKind::Once);
-    assert_eq!(told(&mut world), 1);
-    let life = EndpointId { name: Arc::from("x"), incarnation: Incarnation(1) };
-    let crash = Crash { content: held(), endpoint: life, age: ms(5), is_late: false };
+fn a_quarantine_is_announced_again_if_the_content_still_crashes_endpoints() {
+    let mut world = quarantined_world(RequestKind::Once);
+    assert_eq!(announcements(&mut world), 1);
+    let id = EndpointId { name: Arc::from("x"), incarnation: Incarnation(1) };
+    let crash = Crash { content: team_content(), endpoint: id, age: ms(5), is_late: false };
     world.relay.on_crash(world.now, &crash);
     world.collect();
-    assert_eq!(told(&mut world), 1);
+    assert_eq!(announcements(&mut world), 1);
 }
 
-/// The store may be away: then its table tells nothing to whoever starts.
+/// While the store is unreachable, instances that start cannot read the table.
 #[test]
-fn peers_that_join_are_told_of_what_the_table_lacks() {
-    let mut world = held_world(RequestKind::Once);
-    told(&mut world);
+fn quarantines_without_a_record_are_announced_to_new_peers() {
+    let mut world = quarantined_world(RequestKind::Once);
+    announcements(&mut world);
     world.relay.set_peers(world.now, vec![peer("x")], 2);
     world.collect();
-    assert_eq!(told(&mut world), 1);
+    assert_eq!(announcements(&mut world), 1);
     world.relay.set_peers(world.now, vec![peer("x")], 2);
-    world.relay.on_quarantine_record(world.now, held(), 3);
+    world.relay.on_quarantine_record(world.now, team_content(), 3);
     world.relay.set_peers(world.now, vec![peer("x"), peer("y")], 3);
     world.collect();
-    assert_eq!(told(&mut world), 0);
+    assert_eq!(announcements(&mut world), 0);
 }
 
 #[test]
-fn nothing_is_blamed_on_content_that_was_not_told() {
+fn unknown_content_is_not_suspected() {
     let mut world = world(RequestKind::Once);
     for name in ["x", "y", "z"] {
-        let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
+        let id = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
         let content = Fingerprint::UNKNOWN;
-        let crash = Crash { content, endpoint: life, age: ms(5), is_late: false };
+        let crash = Crash { content, endpoint: id, age: ms(5), is_late: false };
         world.relay.on_crash(world.now, &crash);
     }
     world.collect();
-    assert!(consulted(&mut world).is_empty());
+    assert!(queries(&mut world).is_empty());
 }
 
-/// An instance that has just started must not try again what others hold back.
+/// An instance that has just started must not send content that others have quarantined.
 #[test]
-fn nothing_is_sent_before_it_is_known_what_is_held_back() {
+fn nothing_is_sent_before_the_quarantine_table_has_been_read() {
     let settings = peatdeck_core::relay::Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("east"),
@@ -126,52 +129,52 @@
 }
 
 #[test]
-fn what_the_table_holds_back_is_held_back_until_its_record_is_gone() {
+fn content_with_a_record_is_quarantined_until_the_record_is_deleted() {
     let mut world = world(RequestKind::Once);
-    world.relay.on_quarantine_record(world.now, held(), 3);
+    world.relay.on_quarantine_record(world.now, team_content(), 3);
     assert!(is_refused(&mut world));
-    world.relay.on_quarantine_removal(held());
+    world.relay.on_quarantine_removal(team_content());
     assert!(!is_refused(&mut world));
 }
 
-fn unrecorded(world: &mut World) -> Vec<Fingerprint> {
+fn deleted_records(world: &mut World) -> Vec<Fingerprint> {
     world.take(|action| match action {
         Action::DeleteQuarantine(content) => Some(*content),
         _ => None,
     })
 }
 
-/// Instances agree on what is held back by what the table has, so an old record is
-/// removed, and not only forgotten by each at a time of its own.
+/// The table makes instances agree on what is quarantined. An old record is therefore deleted,
+/// rather than expired by each instance at a different time.
 #[test]
-fn content_that_nobody_sends_any_more_has_its_record_removed() {
+fn the_record_of_content_that_is_no_longer_sent_is_deleted() {
     let mut world = world(RequestKind::Once);
-    world.relay.on_quarantine_record(world.now, held(), 3);
+    world.relay.on_quarantine_record(world.now, team_content(), 3);
     world.advance(WINDOW - ms(1));
-    assert!(unrecorded(&mut world).is_empty());
+    assert!(deleted_records(&mut world).is_empty());
     for _ in 0..20 {
         world.advance(ms(5000));
     }
-    assert_eq!(unrecorded(&mut world)[0], held());
-    assert!(is_refused(&mut world), "its record is still there");
-    world.relay.on_quarantine_removal(held());
+    assert_eq!(deleted_records(&mut world)[0], team_content());
+    assert!(is_refused(&mut world), "its record still exists");
+    world.relay.on_quarantine_removal(team_content());
     assert!(!is_refused(&mut world));
 }
 
 #[test]
-fn content_without_a_record_is_forgotten_after_a_while() {
+fn content_without_a_record_is_released_after_a_while() {
     let mut world = world(RequestKind::Once);
-    world.relay.quarantine_content(world.now, held(), 3);
+    world.relay.quarantine_content(world.now, team_content(), 3);
     world.advance(WINDOW + ms(70_000));
     world.advance(ms(5000));
     assert!(!is_refused(&mut world));
 }
 
-/// Whoever goes on sending it keeps it held back, here and elsewhere.
+/// Further requests with the content prolong its quarantine at all instances.
 #[test]
-fn its_record_is_written_anew_while_it_is_still_sent() {
+fn a_record_is_renewed_while_its_content_is_still_sent() {
     let mut world = world(RequestKind::Once);
-    world.relay.on_quarantine_record(world.now, held(), 3);
+    world.relay.on_quarantine_record(world.now, team_content(), 3);
     let mut written = 0;
     for id in 0..30 {
         world.advance(Duration::from_secs(60));
@@ -185,25 +188,25 @@
             .len();
     }
     assert_eq!(written, 6, "once each five minutes");
-    assert!(unrecorded(&mut world).is_empty());
+    assert!(deleted_records(&mut world).is_empty());
 }
 
 #[test]
 fn an_operator_releases_a_content() {
-    let mut world = held_world(RequestKind::Once);
+    let mut world = quarantined_world(RequestKind::Once);
     let shown: Vec<_> =
-        world.relay.quarantined().map(|(content, hold)| (content, hold.crashes)).collect();
-    assert_eq!(shown, [(held(), 3)]);
-    assert!(world.relay.release_content(held()));
+        world.relay.quarantined().map(|(content, entry)| (content, entry.crashes)).collect();
+    assert_eq!(shown, [(team_content(), 3)]);
+    assert!(world.relay.release_content(team_content()));
     world.collect();
-    assert_eq!(unrecorded(&mut world), [held()]);
+    assert_eq!(deleted_records(&mut world), [team_content()]);
     assert!(!is_refused(&mut world));
-    assert!(!world.relay.release_content(held()));
+    assert!(!world.relay.release_content(team_content()));
 }
 
-/// Any number of contents may be in crashes, and any number of endpoints may end.
+/// Any number of contents may be involved in crashes, and any number of endpoints may crash.
 #[test]
-fn what_is_remembered_of_crashes_is_bounded() {
+fn the_number_of_tracked_crashes_is_bounded() {
     let mut world = world(RequestKind::Once);
     world.advance(ms(60_000));
     let crash = |content: u128, name: &str, age| Crash {
@@ -215,27 +218,27 @@
     for content in 1..=6000 {
         world.relay.on_crash(world.now, &crash(content, "x", 6000 - content as u64));
     }
-    // The newest are remembered, the oldest are not.
+    // The newest crashes are kept, the oldest are dropped.
     for name in ["y", "z"] {
         world.relay.on_crash(world.now, &crash(6000, name, 0));
         world.relay.on_crash(world.now, &crash(1, name, 0));
     }
     world.collect();
-    assert_eq!(consulted(&mut world), [Fingerprint(6000)]);
+    assert_eq!(queries(&mut world), [Fingerprint(6000)]);
 }
 
 #[test]
-fn many_contents_can_be_held_back_at_once_but_not_any_number() {
+fn the_number_of_quarantined_contents_is_bounded() {
     let mut world = world(RequestKind::Once);
     for content in 1..=3000 {
         for name in ["x", "y", "z"] {
-            let life = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
+            let id = EndpointId { name: Arc::from(name), incarnation: Incarnation(1) };
             let crash =
-                Crash { content: Fingerprint(content), endpoint: life, age: ms(0), is_late: false };
+                Crash { content: Fingerprint(content), endpoint: id, age: ms(0), is_late: false };
             world.relay.on_crash(world.now, &crash);
         }
         world.collect();
-        answer_consult(&mut world, false);
+        answer_queries(&mut world, false);
     }
     assert_eq!(world.relay.quarantined().count(), 1024);
 }
--- a/crates/core/tests/testsuite/relay/stages.rs
+++ b/crates/core/tests/testsuite/relay/stages.rs
@@ -1,4 +1,4 @@
-//! Stages: what is made when, from what, and given up when.
+//! Stages: when their pieces run, with which inputs, and when results are freed.
 
 use std::sync::Arc;
 
@@ -30,18 +30,18 @@
     world
 }
 
-fn asking(id: &str, pieces: &[u16]) -> Arrival {
+fn staged_arrival(id: &str, pieces: &[u16]) -> Arrival {
     Arrival { pieces: pieces.to_vec(), prompt: Some(prompt(1, 2)), ..arrival(id, "r") }
 }
 
-fn near(name: &str, service: &str, place: &str) -> Entry {
-    Entry { data_centre: Arc::from(place), ..entry(name, service) }
+fn entry_in(name: &str, service: &str, data_centre: &str) -> Entry {
+    Entry { data_centre: Arc::from(data_centre), ..entry(name, service) }
 }
 
 #[test]
-fn the_call_takes_in_what_the_last_stages_made() {
+fn the_call_gets_the_results_of_the_last_stages() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    world.submit(asking("1", &[1, 2]));
+    world.submit(staged_arrival("1", &[1, 2]));
     let batches = world.batches();
     assert_eq!(batches[0].names(), ["1/0/0"]);
     assert_eq!(batches[0].pieces[0].key.as_deref(), Some("key"));
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn results_are_given_up_as_soon_as_nothing_needs_them() {
+fn results_are_freed_as_soon_as_nothing_needs_them() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    world.submit(asking("1", &[1, 1]));
+    world.submit(staged_arrival("1", &[1, 1]));
     let first = world.batches().remove(0);
     world.complete(&first);
     assert!(world.freed().is_empty());
@@ -74,20 +74,20 @@
     assert_eq!(world.freed(), [Arc::from("m1:80/1-1-0")]);
 }
 
-/// A request whose large result is made, and that is with an engine now.
-fn called(world: &mut World, id: &str) -> CallKey {
-    world.submit(without_prompt(id));
+/// Submits a request, completes its large result and returns its call to the engine.
+fn call_with_result(world: &mut World, id: &str) -> CallKey {
+    world.submit(arrival_without_prompt(id));
     let batch = world.batches().remove(0);
     world.complete(&batch);
     world.call().key
 }
 
-fn without_prompt(id: &str) -> Arrival {
-    Arrival { prompt: None, ..asking(id, &[1]) }
+fn arrival_without_prompt(id: &str) -> Arrival {
+    Arrival { prompt: None, ..staged_arrival(id, &[1]) }
 }
 
-/// One endpoint with room for one large result.
-fn with_room_for_one() -> World {
+/// One piece endpoint with memory for one large result.
+fn with_memory_for_one() -> World {
     let config =
         ConfigBuilder::new(1).service("engine").piece_service("ledger", LARGE).route(Route {
             stages: vec![stage("ledger", &[], LARGE)],
@@ -100,10 +100,10 @@
 }
 
 #[test]
-fn a_result_that_was_probably_read_makes_room_for_the_next_one() {
-    let mut world = with_room_for_one();
-    called(&mut world, "1");
-    world.submit(without_prompt("2"));
+fn a_result_that_was_probably_read_is_evicted_for_the_next_one() {
+    let mut world = with_memory_for_one();
+    call_with_result(&mut world, "1");
+    world.submit(arrival_without_prompt("2"));
     world.advance(ms(59));
     assert!(world.batches().is_empty(), "the engine may still read the first one");
     world.advance(ms(1));
@@ -113,9 +113,9 @@
 }
 
 #[test]
-fn a_result_that_is_in_nobodys_way_is_held_until_the_first_event() {
-    let mut world = with_room_for_one();
-    let call = called(&mut world, "1");
+fn a_result_is_held_until_the_first_event_if_memory_suffices() {
+    let mut world = with_memory_for_one();
+    let call = call_with_result(&mut world, "1");
     world.advance(ms(500));
     assert!(world.freed().is_empty());
     world.relay.on_reply_head(world.now, call, &head(200));
@@ -124,10 +124,10 @@
 }
 
 #[test]
-fn results_are_held_longer_once_an_engine_missed_one() {
-    let mut world = with_room_for_one();
-    let call = called(&mut world, "1");
-    world.submit(without_prompt("2"));
+fn results_are_held_longer_after_an_engine_missed_one() {
+    let mut world = with_memory_for_one();
+    let call = call_with_result(&mut world, "1");
+    world.submit(arrival_without_prompt("2"));
     world.advance(ms(60));
     world.advance(ms(0));
     assert_eq!(world.freed().len(), 1);
@@ -144,9 +144,9 @@
 }
 
 #[test]
-fn a_stage_without_pieces_is_left_out() {
+fn a_stage_without_pieces_is_skipped() {
     let mut world = staged(vec![stage("ledger", &[], LARGE), stage("mart", &[], SMALL)]);
-    world.submit(asking("1", &[0, 1]));
+    world.submit(staged_arrival("1", &[0, 1]));
     let batches = world.batches();
     assert_eq!(batches.len(), 1);
     world.complete(&batches[0]);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn large_results_are_made_late() {
+fn large_results_are_produced_late() {
     let stages = vec![
         stage("ledger", &[], LARGE),
         stage("ledger", &[], SMALL),
@@ -162,9 +162,9 @@
         stage("mart", &[2], SMALL),
     ];
     let mut world = staged(stages);
-    world.submit(asking("1", &[2, 1, 1, 1]));
+    world.submit(staged_arrival("1", &[2, 1, 1, 1]));
     let first = world.batches().remove(0);
-    assert_eq!(first.names(), ["1/1/0"], "the large ones wait for the chain");
+    assert_eq!(first.names(), ["1/1/0"], "the large results wait for the dependent stages");
     world.complete(&first);
     let mut names: Vec<_> = world.batches().iter().flat_map(Batch::names).collect();
     names.sort();
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_stage_is_done_where_its_inputs_lie() {
+fn a_stage_runs_in_the_data_centre_of_its_inputs() {
     let stages = vec![stage("ledger", &[], 60_000), stage("mart", &[0], SMALL)];
     let config = ConfigBuilder::new(1)
         .service("engine")
@@ -180,11 +180,11 @@
         .piece_service("mart", 2_800_000)
         .route(Route { stages, ..route("r", RequestKind::Resumable, "engine") });
     let mut world = World::new(config.build());
-    world.put(near("e1", "engine", "east"));
-    world.put(near("l1", "ledger", "west"));
-    world.put(near("m1", "mart", "east"));
-    world.put(near("m2", "mart", "west"));
-    let patient = Arrival { deadline: Some(ms(8000)), ..asking("1", &[2, 4]) };
+    world.put(entry_in("e1", "engine", "east"));
+    world.put(entry_in("l1", "ledger", "west"));
+    world.put(entry_in("m1", "mart", "east"));
+    world.put(entry_in("m2", "mart", "west"));
+    let patient = Arrival { deadline: Some(ms(8000)), ..staged_arrival("1", &[2, 4]) };
     world.submit(patient);
     let first = world.batches().remove(0);
     world.complete(&first);
@@ -192,9 +192,9 @@
 }
 
 #[test]
-fn results_that_are_gone_are_made_again() {
+fn lost_results_are_produced_again() {
     let mut world = staged(vec![stage("ledger", &[], SMALL)]);
-    world.submit(asking("1", &[1]));
+    world.submit(staged_arrival("1", &[1]));
     let first = world.batches().remove(0);
     world.complete(&first);
     let call = world.call();
@@ -207,9 +207,9 @@
 }
 
 #[test]
-fn inputs_that_are_gone_for_several_pieces_are_made_again_once() {
+fn lost_inputs_of_several_pieces_are_produced_again_once() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    world.submit(asking("1", &[1, 3]));
+    world.submit(staged_arrival("1", &[1, 3]));
     let first = world.batches().remove(0);
     world.complete(&first);
     let second = world.batches().remove(0);
@@ -221,10 +221,10 @@
 }
 
 #[test]
-fn a_piece_that_failed_is_made_elsewhere() {
+fn a_failed_piece_runs_elsewhere() {
     let mut world = staged(vec![stage("ledger", &[], SMALL)]);
     world.put(entry("l2", "ledger"));
-    world.submit(asking("1", &[1]));
+    world.submit(staged_arrival("1", &[1]));
     let first = world.batches().remove(0);
     let failure = Failure::Cut;
     world.relay.on_pieces_failure(world.now, first.call, failure, false);
@@ -235,13 +235,13 @@
 }
 
 #[test]
-fn a_piece_without_room_waits_and_does_not_fail() {
+fn a_piece_without_result_memory_waits_and_does_not_fail() {
     let mut world = staged(vec![stage("ledger", &[], LARGE)]);
-    world.submit(Arrival { deadline: Some(ms(8000)), ..asking("1", &[1]) });
+    world.submit(Arrival { deadline: Some(ms(8000)), ..staged_arrival("1", &[1]) });
     for _ in 0..5 {
         let batch = world.batches().remove(0);
         world.complete_with(batch.call, batch.all_failed(PieceFailure::NoRoom));
-        assert!(world.batches().is_empty(), "the endpoint has no room for it now");
+        assert!(world.batches().is_empty(), "the endpoint has no memory for its result");
         world.advance(ms(200));
         world.advance(ms(200));
     }
@@ -250,34 +250,34 @@
 }
 
 #[test]
-fn pieces_that_cannot_be_made_in_time_are_not_sent() {
+fn pieces_that_cannot_finish_in_time_are_not_sent() {
     let mut world = staged(vec![stage("ledger", &[], SMALL)]);
-    world.submit(asking("busy", &[4]));
+    world.submit(staged_arrival("busy", &[4]));
     world.batches();
-    let hurried = Arrival { deadline: Some(ms(300)), ..asking("1", &[1]) };
-    world.submit(hurried);
+    let urgent = Arrival { deadline: Some(ms(300)), ..staged_arrival("1", &[1]) };
+    world.submit(urgent);
     world.advance(ms(100));
     assert!(world.batches().is_empty());
     assert_eq!(world.refusals().len(), 1);
 }
 
 #[test]
-fn a_caller_that_leaves_gives_up_results_and_pieces() {
+fn results_and_pieces_are_dropped_when_their_caller_disconnects() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    let exchange = world.submit(asking("1", &[1, 1]));
+    let exchange = world.submit(staged_arrival("1", &[1, 1]));
     let first = world.batches().remove(0);
     world.complete(&first);
     let second = world.batches().remove(0);
     world.disconnect(exchange);
     assert_eq!(world.freed(), [Arc::from("l1:80/1-0-0")]);
     world.complete(&second);
-    assert_eq!(world.freed(), [Arc::from("m1:80/1-1-0")], "what comes late is given up too");
+    assert_eq!(world.freed(), [Arc::from("m1:80/1-1-0")], "late results are freed too");
 }
 
 #[test]
-fn nothing_of_a_request_whose_pieces_were_made_is_called_not_run() {
+fn a_request_whose_pieces_ran_is_not_refused_as_not_run() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
-    world.submit(asking("1", &[1, 1]));
+    world.submit(staged_arrival("1", &[1, 1]));
     let first = world.batches().remove(0);
     world.complete(&first);
     world.batches();
@@ -293,9 +293,9 @@
     }
     let mut engines = Vec::new();
     for id in 0..6_u64 {
-        let mut asking = asking(&id.to_string(), &[]);
-        asking.prompt = Some(prompt(77, 1000 + id));
-        world.submit(asking);
+        let mut request = staged_arrival(&id.to_string(), &[]);
+        request.prompt = Some(prompt(77, 1000 + id));
+        world.submit(request);
         let call = world.call();
         engines.push(call.endpoint.clone());
         world.relay.on_reply_head(world.now, call.key, &head(200));
@@ -309,13 +309,13 @@
 }
 
 #[test]
-fn an_engine_that_is_crowded_is_passed_over() {
+fn a_busy_engine_shares_its_prompts_with_another_one() {
     let mut world = staged(Vec::new());
     let mut engines = std::collections::BTreeSet::new();
     for id in 0..40_u64 {
-        let mut asking = asking(&id.to_string(), &[]);
-        asking.prompt = Some(prompt(77, 1000 + id));
-        world.submit(asking);
+        let mut request = staged_arrival(&id.to_string(), &[]);
+        request.prompt = Some(prompt(77, 1000 + id));
+        world.submit(request);
         engines.insert(world.call().endpoint);
     }
     assert_eq!(engines.len(), 2);
@@ -325,15 +325,15 @@
 fn every_piece_and_result_is_accounted_for() {
     let mut world = staged(vec![stage("ledger", &[], SMALL), stage("mart", &[0], SMALL)]);
     for id in 0..10 {
-        world.submit(asking(&id.to_string(), &[2, 3]));
+        world.submit(staged_arrival(&id.to_string(), &[2, 3]));
     }
-    let (mut made, mut freed) = (Vec::new(), Vec::new());
+    let (mut produced, mut freed) = (Vec::new(), Vec::new());
     for _ in 0..200 {
         for batch in world.batches() {
             let name = |piece: &Piece| {
                 format!("{}/{}-{}-{}", batch.addr, piece.request, piece.stage, piece.number)
             };
-            made.extend(batch.pieces.iter().map(name));
+            produced.extend(batch.pieces.iter().map(name));
             world.complete(&batch);
         }
         for call in world.calls() {
@@ -345,18 +345,18 @@
         freed.extend(world.freed());
         world.advance(ms(50));
     }
-    made.sort();
+    produced.sort();
     freed.sort();
     let freed: Vec<_> = freed.iter().map(ToString::to_string).collect();
-    assert_eq!(made.len(), 50);
-    assert_eq!(freed, made);
+    assert_eq!(produced.len(), 50);
+    assert_eq!(freed, produced);
     let finished = |action: &&Action| matches!(action, Action::FinishStream(_));
     assert_eq!(world.actions.iter().filter(finished).count(), 10);
 }
 
 #[test]
-fn a_request_whose_pieces_may_have_been_made_is_not_called_not_run_once_it_is_late() {
-    let mut world = world_of_one_maker();
+fn a_late_request_whose_pieces_may_have_run_is_not_refused_as_not_run() {
+    let mut world = with_one_piece_endpoint();
     world.submit(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("1", "r") });
     let batch = world.batches().remove(0);
     world.relay.on_pieces_failure(world.now, batch.call, Failure::Cut, false);
@@ -367,11 +367,11 @@
 }
 
 #[test]
-fn a_peer_hears_that_its_late_pieces_may_have_been_made() {
-    let mut world = world_of_one_maker();
+fn late_pieces_of_a_peer_are_returned_as_failed_if_they_may_have_run() {
+    let mut world = with_one_piece_endpoint();
     world.submit(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("theirs", "r") });
     let theirs = world.batches().remove(0).pieces.remove(0);
-    let mut world = world_of_one_maker();
+    let mut world = with_one_piece_endpoint();
     world.relay.on_handover(world.now, 9, vec![theirs]);
     world.collect();
     let batch = world.batches().remove(0);
@@ -385,7 +385,7 @@
     assert_eq!(returned, [vec![Err(PieceFailure::Failed)]]);
 }
 
-fn world_of_one_maker() -> World {
+fn with_one_piece_endpoint() -> World {
     let stages = vec![stage("ledger", &[], 10)];
     let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", 1 << 30);
     let config = config.route(Route { stages, ..route("r", RequestKind::Idempotent, "desk") });
--- a/crates/core/tests/testsuite/relay/streams.rs
+++ b/crates/core/tests/testsuite/relay/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events: passed on once each, resumed behind the last.
+//! Streams: each event is forwarded once, and interrupted streams resume after the last event.
 
 use peatdeck_core::relay::{
     config::RequestKind,
@@ -7,7 +7,7 @@
 
 use super::fixture::{World, arrival, head};
 
-fn begun(kind: RequestKind) -> (World, peatdeck_core::relay::model::Call) {
+fn started_stream(kind: RequestKind) -> (World, peatdeck_core::relay::model::Call) {
     let mut world = World::plain(kind);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_head_goes_with_the_first_event() {
+fn the_head_is_forwarded_with_the_first_event() {
     let mut world = World::plain(RequestKind::Stream);
     let exchange = world.submit(arrival("1", "r"));
     let call = world.call().key;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_failure_of_a_stream_is_read_whole() {
+fn an_error_response_to_a_stream_request_is_no_stream() {
     let mut world = World::plain(RequestKind::Stream);
     world.submit(arrival("1", "r"));
     let call = world.call().key;
@@ -41,20 +41,20 @@
 }
 
 #[test]
-fn a_cut_stream_goes_on_behind_the_last_event() {
-    let (mut world, call) = begun(RequestKind::Resumable);
+fn an_interrupted_stream_is_resumed_after_the_last_event() {
+    let (mut world, call) = started_stream(RequestKind::Resumable);
     world.fail(call.key, Failure::Cut);
     let second = world.call();
     assert_eq!(second.resume, Some(2));
     assert_ne!(second.endpoint, call.endpoint);
     world.relay.on_reply_head(world.now, second.key, &head(200));
-    assert!(!world.stream_event(second.key, 2), "an event that the caller holds is not sent again");
+    assert!(!world.stream_event(second.key, 2), "an event that the caller has is not sent again");
     assert!(world.stream_event(second.key, 3));
 }
 
 #[test]
-fn a_stream_that_may_not_run_twice_ends_visibly_incomplete() {
-    let (mut world, call) = begun(RequestKind::Stream);
+fn an_interrupted_stream_that_may_run_once_is_aborted() {
+    let (mut world, call) = started_stream(RequestKind::Stream);
     world.fail(call.key, Failure::Cut);
     assert!(world.calls().is_empty());
     let actions = &world.actions[..];
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_stream_that_was_cut_before_its_first_event_is_refused() {
+fn a_stream_that_is_interrupted_before_its_first_event_is_refused() {
     let mut world = World::plain(RequestKind::Stream);
     world.submit(arrival("1", "r"));
     let call = world.call();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_caller_goes_on_with_a_stream_that_it_holds_a_part_of() {
+fn a_caller_can_resume_a_stream_after_the_events_it_has() {
     let mut world = World::plain(RequestKind::Resumable);
     let mut again = arrival("1", "r");
     again.resume = Some(5);
