--- a/crates/core/tests/testsuite/relay/evacuation.rs
+++ b/crates/core/tests/testsuite/relay/evacuation.rs
@@ -50,10 +50,10 @@
     for call in &calls {
         world.reply(call.key, &head(200));
     }
-    let mut called_endpoints: Vec<_> = calls.iter().map(|call| call.endpoint.to_string()).collect();
-    called_endpoints.sort_unstable();
-    called_endpoints.dedup();
-    called_endpoints
+    let mut names: Vec<_> = calls.iter().map(|call| call.endpoint.to_string()).collect();
+    names.sort_unstable();
+    names.dedup();
+    names
 }
 
 #[test]
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -50,14 +50,14 @@
         self
     }
 
-    pub fn piece_service(self, name: &str, memory: u64) -> ConfigBuilder {
+    pub fn piece_service(self, name: &str, room: u64) -> ConfigBuilder {
         let pieces = Pieces {
             slots: 1,
             queue: 2,
             batch: 4,
             call_time: ms(200),
             piece_time: ms(20),
-            room: memory,
+            room,
             lease: ms(4000),
         };
         self.piece_service_with(name, pieces)
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -109,7 +109,7 @@
         3 => (any::<u8>(), any::<u8>()).prop_map(|(route, pick)| Step::SubmitContent(route, pick)),
         3 => any::<u8>().prop_map(Step::Crash),
         1 => any::<u8>().prop_map(Step::Reset),
-        1 => (any::<u8>(), any::<bool>()).prop_map(|(content, is_set)| Step::Quarantine(content, is_set)),
+        1 => (any::<u8>(), any::<bool>()).prop_map(|(pick, is_set)| Step::Quarantine(pick, is_set)),
     ]
 }
 
@@ -117,7 +117,7 @@
 fn step_with_evacuations() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => step(),
-        3 => (any::<u8>(), any::<bool>()).prop_map(|(pick, is_evacuated)| Step::Evacuate(pick, is_evacuated)),
+        3 => (any::<u8>(), any::<bool>()).prop_map(|(pick, is_set)| Step::Evacuate(pick, is_set)),
         2 => (any::<u8>(), 0_u16..3000).prop_map(|(pick, left)| Step::ReportCold(pick, left)),
     ]
 }
@@ -572,7 +572,7 @@
     })]
 
     #[test]
-    fn every_exchange_ends_once_with_a_correct_outcome(steps in proptest::collection::vec(step(), 1..120)) {
+    fn every_exchange_ends_once_and_correctly(steps in proptest::collection::vec(step(), 1..120)) {
         run(steps);
     }
 
--- a/crates/core/tests/testsuite/relay/quarantine/keeping.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/keeping.rs
@@ -35,10 +35,10 @@
     let others = names[1..].iter().map(|name| peer(name)).collect();
     world.relay.set_peers(world.now, others, names.len());
     crash(&mut world, "1");
-    let announcements = report_receivers(&mut world);
-    assert!((1..=2).contains(&announcements.len()), "{announcements:?}");
+    let receivers = report_receivers(&mut world);
+    assert!((1..=2).contains(&receivers.len()), "{receivers:?}");
     crash(&mut world, "2");
-    assert_eq!(report_receivers(&mut world), announcements);
+    assert_eq!(report_receivers(&mut world), receivers);
 }
 
 #[test]
--- a/crates/core/tests/testsuite/relay/rests.rs
+++ b/crates/core/tests/testsuite/relay/rests.rs
@@ -40,7 +40,7 @@
 /// endpoint that has not answered yet.
 const SLOW: u64 = 30;
 
-/// An instance and two endpoints, of which the first has replied with `reply`. The second is slower.
+/// An instance and two endpoints. The first one has replied with `reply`; the second one is slower.
 fn world_after(reply: &ReplyHead) -> World {
     let mut world = World::plain(RequestKind::Idempotent);
     for idx in 0..100 {
@@ -282,5 +282,5 @@
         }
         world.advance(ms(20));
     }
-    assert!(refused <= served / 2, "{refused} calls to one that serves nobody, {served} served");
+    assert!(refused <= served / 2, "{refused} calls to the refusing endpoint, {served} served");
 }
