--- a/crates/core/tests/testsuite/relay/batch.rs
+++ b/crates/core/tests/testsuite/relay/batch.rs
@@ -131,8 +131,7 @@
     for id in ["late-1", "late-2"] {
         world.submit(staged_arrival(id, "quick", 4));
     }
-    // They have waited for so long that only the first one is expected to get into a call in
-    // time.
+    // If they wait as long again as they have already waited, only the first one gets into a call.
     world.advance(ms(3700));
     assert_eq!(world.refusals().len(), 0);
     world.advance(ms(100));
--- a/crates/core/tests/testsuite/relay/catch_up.rs
+++ b/crates/core/tests/testsuite/relay/catch_up.rs
@@ -171,7 +171,7 @@
     copies: Vec<(Table, CatchUp)>,
 }
 
-/// The number of copies that read the log; the others only catch up from copies.
+/// The number of copies that read the log; the others only catch up from other copies.
 const READERS: usize = 2;
 
 impl World {
--- a/crates/core/tests/testsuite/relay/cold.rs
+++ b/crates/core/tests/testsuite/relay/cold.rs
@@ -132,7 +132,7 @@
         placed
     };
     let placed = placed_by("own", "peer");
-    // The shares of both placers have forty engines, each of which is called once.
+    // The engines form two shares of forty, and each engine is called once.
     let mut distinct = placed.clone();
     distinct.dedup();
     assert_eq!((placed.len(), distinct.len()), (80, 80));
--- a/crates/core/tests/testsuite/relay/forgotten.rs
+++ b/crates/core/tests/testsuite/relay/forgotten.rs
@@ -47,7 +47,7 @@
 #[test]
 fn an_endpoint_that_was_slow_once_gets_calls_again() {
     let mut world = two_endpoints();
-    // Each endpoint is called while the other one appears slower.
+    // Endpoint `a` is slow during these requests.
     submit_in_turn(&mut world, 20, |name| if name == "a" { 150 } else { 16 }, |_| head(200));
     let calls = submit_in_turn(&mut world, 375, |_| 16, |_| head(200));
     assert!(calls.get("a").is_some_and(|count| *count >= 50), "{calls:?}");
--- a/crates/core/tests/testsuite/relay/quarantine.rs
+++ b/crates/core/tests/testsuite/relay/quarantine.rs
@@ -236,9 +236,9 @@
     for call in &calls {
         world.fail(call.key, Failure::Cut);
     }
-    let result = probes(&mut world);
-    assert_eq!(result.len(), 1, "one probe is enough for all calls");
-    world.relay.on_probe(world.now, result[0], ProbeResult::Gone);
+    let probed = probes(&mut world);
+    assert_eq!(probed.len(), 1, "one probe is enough for all calls");
+    world.relay.on_probe(world.now, probed[0], ProbeResult::Gone);
     world.collect();
     assert!(queries(&mut world).is_empty());
 }
