--- a/crates/core/tests/testsuite/relay/batch.rs
+++ b/crates/core/tests/testsuite/relay/batch.rs
@@ -10,13 +10,13 @@
 fn world(memory: u64, bytes: u64, endpoints: &[&str]) -> World {
     let stages = vec![stage("ledger", &[], bytes)];
     let slow = Route { stages, ..route("r", RequestKind::Idempotent, "desk") };
-    let quick = Route {
+    let fast = Route {
         stages: vec![stage("ledger", &[], bytes)],
         objective: ms(400),
         ..route("quick", RequestKind::Idempotent, "desk")
     };
     let config = ConfigBuilder::new(1).service("desk").piece_service("ledger", memory).route(slow);
-    let mut world = World::new(config.route(quick).build());
+    let mut world = World::new(config.route(fast).build());
     for name in endpoints {
         world.put(entry(name, "ledger"));
     }
@@ -207,19 +207,19 @@
 fn pieces_of_a_straggler_also_run_elsewhere() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
     world.submit(staged_arrival("1", "r", 2));
-    let hung = world.batches().remove(0);
+    let straggler = world.batches().remove(0);
     world.advance(ms(1000));
     assert!(world.batches().is_empty(), "an endpoint that is merely slow gets more time");
     world.advance(ms(100));
     let second = world.batches().remove(0);
-    assert_eq!(second.names(), hung.names());
-    assert_ne!(second.endpoint, hung.endpoint);
+    assert_eq!(second.names(), straggler.names());
+    assert_ne!(second.endpoint, straggler.endpoint);
     assert!(second.pieces[0].is_repeat);
     world.complete(&second);
     let call = world.call_after_pieces();
     world.reply(call, &super::fixture::head(200));
     assert_eq!(world.freed().len(), 2);
-    world.complete(&hung);
+    world.complete(&straggler);
     assert_eq!(world.freed().len(), 2, "results that no request needs are freed");
 }
 
@@ -227,10 +227,10 @@
 fn a_straggler_that_finishes_first_counts() {
     let mut world = world(1 << 30, 1, &["l1"]);
     world.submit(staged_arrival("1", "r", 2));
-    let hung = world.batches().remove(0);
+    let straggler = world.batches().remove(0);
     world.advance(ms(1100));
     assert!(world.batches().is_empty(), "there is no other endpoint");
-    world.complete(&hung);
+    world.complete(&straggler);
     assert!(world.batches().is_empty());
     let call = world.call_after_pieces();
     world.reply(call, &super::fixture::head(200));
@@ -241,11 +241,11 @@
 fn a_straggler_that_fails_does_not_affect_its_repeat() {
     let mut world = world(1 << 30, 1, &["l1", "l2"]);
     world.submit(staged_arrival("1", "r", 1));
-    let hung = world.batches().remove(0);
+    let straggler = world.batches().remove(0);
     world.advance(ms(1100));
     let second = world.batches().remove(0);
     let failure = peatdeck_core::relay::model::Failure::Cut;
-    world.relay.on_pieces_failure(world.now, hung.call, failure, false);
+    world.relay.on_pieces_failure(world.now, straggler.call, failure, false);
     world.collect();
     assert!(world.batches().is_empty());
     world.complete(&second);
--- a/crates/core/tests/testsuite/relay/fixture.rs
+++ b/crates/core/tests/testsuite/relay/fixture.rs
@@ -222,9 +222,9 @@
 
     /// Applies an operator command; returns whether it changed anything.
     pub fn apply_command(&mut self, act: OperatorCommand) -> bool {
-        let taken = self.relay.apply_operator_changes(self.now, vec![act]);
+        let changes = self.relay.apply_operator_changes(self.now, vec![act]);
         self.collect();
-        taken[0]
+        changes[0]
     }
 
     pub fn try_submit(&mut self, arrival: Arrival) -> Result<ExchangeKey, Refusal> {
--- a/crates/core/tests/testsuite/relay/fuzz.rs
+++ b/crates/core/tests/testsuite/relay/fuzz.rs
@@ -231,9 +231,9 @@
         );
         if let Some((rate, calls)) = self.limited.get_mut(name) {
             calls.push(now);
-            let span = calls.iter().filter(|at| **at + ms(4000) > now).count();
+            let recent = calls.iter().filter(|at| **at + ms(4000) > now).count();
             // This instance is the only caller, and may make up for one missed slot.
-            assert!(span as f64 <= 4.0 * rate.calls() + 2.0, "{span} calls at {rate:?}");
+            assert!(recent as f64 <= 4.0 * rate.calls() + 2.0, "{recent} calls at {rate:?}");
         }
         let Some((until, last)) = self.cold.get_mut(name).filter(|(until, _)| now < *until) else {
             return;
@@ -576,7 +576,7 @@
         run(steps);
     }
 
-    /// Holds whatever was in progress when an endpoint was evacuated or became cold.
+    /// The property includes work in progress when an endpoint is evacuated or becomes cold.
     #[test]
     fn evacuated_endpoints_get_nothing_and_cold_ones_a_limited_rate(
         steps in proptest::collection::vec(step_with_evacuations(), 1..160)
@@ -584,7 +584,7 @@
         run(steps);
     }
 
-    /// Holds whatever was in progress when an endpoint reported its terms.
+    /// The property includes work in progress when an endpoint reports its terms.
     #[test]
     fn holds_limits_and_leaving_are_respected(
         steps in proptest::collection::vec(step_with_terms(), 1..160)
@@ -592,7 +592,7 @@
         run(steps);
     }
 
-    /// Holds whatever was in progress when the content was quarantined.
+    /// The property includes work in progress when the content is quarantined.
     #[test]
     fn quarantined_content_is_not_sent(
         steps in proptest::collection::vec(step_with_crashes(), 1..160)
--- a/crates/core/tests/testsuite/relay/limits.rs
+++ b/crates/core/tests/testsuite/relay/limits.rs
@@ -274,10 +274,10 @@
             group.run(pause);
             let (peak, allowed) = (group.peak(), (1.5 * limit * 4.0 + 5.0) as usize);
             assert!(peak <= allowed, "{instances} instances, {limit}: {peak} of {allowed}");
-            let asked = instances * (10_000 / pause as usize);
+            let submitted = instances * (10_000 / pause as usize);
             assert!(
-                group.answered * 100 > asked * 95,
-                "{instances}: {} of {asked}",
+                group.answered * 100 > submitted * 95,
+                "{instances}: {} of {submitted}",
                 group.answered
             );
         }
@@ -312,9 +312,9 @@
     let notice = Notice { endpoint: id, limit, is_leaving: false, age: ms(0) };
     world.relay.on_peer_notices(world.now, &"peer".into(), &[notice]);
     world.submit(Arrival { prompt: Some(prompt(1, 2)), ..arrival("1", "r") });
-    let asked = world.take(|action| match action {
+    let listings = world.take(|action| match action {
         Action::ListParts { addr, .. } => Some(addr.to_string()),
         _ => None,
     });
-    assert_eq!(asked, ["b:80"]);
+    assert_eq!(listings, ["b:80"]);
 }
--- a/crates/core/tests/testsuite/relay/load/limits.rs
+++ b/crates/core/tests/testsuite/relay/load/limits.rs
@@ -39,8 +39,8 @@
     assert!(outcome.on_time_ratio() > 0.97, "{outcome:?}");
 }
 
-/// Each of a hundred instances makes at most one call or so per second, so the replies that one
-/// instance gets show little of what all of them send.
+/// Each of a hundred instances makes one call or none per second, so the replies that a single
+/// instance receives show little of what all of them send.
 #[test]
 fn a_hundred_instances_together_respect_a_limit() {
     let outcome = run(100, 40, 120, &[0.5, 1.0, 2.5]);
--- a/crates/core/tests/testsuite/relay/placing.rs
+++ b/crates/core/tests/testsuite/relay/placing.rs
@@ -131,11 +131,11 @@
     let mut world = with_placer_peer();
     world.relay.set_peers(world.now, Vec::new(), 1);
     let listings = |world: &mut World| {
-        let asked = world.take(|action| match action {
+        let requested = world.take(|action| match action {
             Action::ListParts { endpoint, .. } => Some(*endpoint),
             _ => None,
         });
-        asked.len()
+        requested.len()
     };
     world.submit(prompt_arrival("1"));
     world.submit(prompt_arrival("2"));
--- a/crates/core/tests/testsuite/relay/quarantine/work.rs
+++ b/crates/core/tests/testsuite/relay/quarantine/work.rs
@@ -140,8 +140,8 @@
         world.submit(Arrival { pieces: vec![4], ..arrival(&format!("full-{idx}"), "r") });
     }
     let piece = world.batches().remove(0).pieces.remove(0);
-    let theirs = peatdeck_core::relay::model::Piece { content: team_content(), ..piece };
-    world.relay.on_handover(world.now, 7, vec![theirs]);
+    let peer_piece = peatdeck_core::relay::model::Piece { content: team_content(), ..piece };
+    world.relay.on_handover(world.now, 7, vec![peer_piece]);
     world.collect();
     world.relay.quarantine_content(world.now, team_content(), 3);
     world.collect();
@@ -191,8 +191,8 @@
     }
     let blocking = world.batches();
     let piece = blocking[0].pieces[0].clone();
-    let theirs = peatdeck_core::relay::model::Piece { content: team_content(), ..piece };
-    world.relay.on_handover(world.now, 7, vec![theirs]);
+    let peer_piece = peatdeck_core::relay::model::Piece { content: team_content(), ..piece };
+    world.relay.on_handover(world.now, 7, vec![peer_piece]);
     world.complete(&blocking[0]);
     let batch = world.batches().remove(0);
     world.relay.quarantine_content(world.now, team_content(), 3);
--- a/crates/core/tests/testsuite/relay/stages.rs
+++ b/crates/core/tests/testsuite/relay/stages.rs
@@ -184,8 +184,8 @@
     world.put(entry_in("l1", "ledger", "west"));
     world.put(entry_in("m1", "mart", "east"));
     world.put(entry_in("m2", "mart", "west"));
-    let patient = Arrival { deadline: Some(ms(8000)), ..staged_arrival("1", &[2, 4]) };
-    world.submit(patient);
+    let request = Arrival { deadline: Some(ms(8000)), ..staged_arrival("1", &[2, 4]) };
+    world.submit(request);
     let first = world.batches().remove(0);
     world.complete(&first);
     assert_eq!(&*world.batches()[0].endpoint, "m2");
@@ -370,9 +370,9 @@
 fn late_pieces_of_a_peer_are_returned_as_failed_if_they_may_have_run() {
     let mut world = with_one_piece_endpoint();
     world.submit(Arrival { pieces: vec![1], deadline: Some(ms(2000)), ..arrival("theirs", "r") });
-    let theirs = world.batches().remove(0).pieces.remove(0);
+    let peer_piece = world.batches().remove(0).pieces.remove(0);
     let mut world = with_one_piece_endpoint();
-    world.relay.on_handover(world.now, 9, vec![theirs]);
+    world.relay.on_handover(world.now, 9, vec![peer_piece]);
     world.collect();
     let batch = world.batches().remove(0);
     world.relay.on_pieces_failure(world.now, batch.call, Failure::Cut, false);
