--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -142,11 +142,11 @@
     pub fn reply_head(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> ReplyHead {
         let names = &self.names;
         let echo = text(headers, &names.request);
-        let is_not_run = headers.contains_key(&names.not_run) || status.as_u16() == 421;
+        let was_not_run = headers.contains_key(&names.not_run) || status.as_u16() == 421;
         ReplyHead {
             status: status.as_u16(),
-            has_request_id: echo.map_or(is_not_run, |echo| echo == id),
-            is_not_run,
+            has_request_id: echo.map_or(was_not_run, |echo| echo == id),
+            is_not_run: was_not_run,
             is_sealed: headers.contains_key(&names.seal)
                 && !headers.contains_key(header::CONTENT_ENCODING),
             load: text(headers, &names.load).and_then(load),
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -202,9 +202,9 @@
 
     /// An instance with its announced CPU share; 0 if it has no announcement.
     fn peer(&self, name: InstanceName) -> Peer {
-        let millicores =
+        let cpu_share =
             self.announced.borrow().get(&name).map_or(0, |instance| instance.millicores);
-        Peer { name, millicores }
+        Peer { name, millicores: cpu_share }
     }
 
     /// Logs which peers have become able to batch pieces, and which no longer are.
