--- a/crates/relay/src/tables.rs
+++ b/crates/relay/src/tables.rs
@@ -140,7 +140,9 @@
     /// The portions that answer a peer's requests, in the order of [`TABLES`].
     pub fn read_portions(&self, requests: &[PortionRequest]) -> Vec<Portion> {
         let pairs = self.copies.iter().zip(requests);
-        pairs.map(|(copy, ask)| copy.table.borrow().read_portion(ask, PORTION_BYTES)).collect()
+        pairs
+            .map(|(copy, request)| copy.table.borrow().read_portion(request, PORTION_BYTES))
+            .collect()
     }
 
     /// The requests to send to a peer, in the order of [`TABLES`].
