--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -15,7 +15,7 @@
     model::{DataCentre, EndpointName, Incarnation, InstanceName},
     record::Version,
 };
-use peatdeck_wire::admin::{ApiError, ErrorDetail, Winner};
+use peatdeck_wire::admin::{ApiError, ErrorDetail, VersionInForce};
 
 /// When an operator should come back after a failure of the platform.
 const RETRY_AFTER: Duration = Duration::from_secs(5);
@@ -44,7 +44,7 @@
         /// The version that the publish was made from.
         base: Version,
         /// The version that it met.
-        winner: Winner,
+        winner: VersionInForce,
     },
     /// Another document was published under the same id.
     #[error("publish `{0}` stands in the log with another document, base or author")]
@@ -78,7 +78,7 @@
     NoState,
     /// The log tells what is in force, so there is nothing to restore.
     #[error("version {} is in force, so there is nothing to restore; this restore has no effect", .0.version)]
-    NotLost(Winner),
+    NotLost(VersionInForce),
     /// A listed instance still has a version in force.
     #[error(
         "instance `{instance}` still has version {version} in force, so it is not lost; nothing was appended"
@@ -258,7 +258,7 @@
     problems.first().map_or_else(String::new, |p| format!("{}: {}", p.path, p.message))
 }
 
-fn in_force(winner: &Winner) -> String {
+fn in_force(winner: &VersionInForce) -> String {
     match &winner.author {
         Some(author) => format!("version {}, published by {author}, is in force", winner.version),
         None => format!("version {} is in force", winner.version),
--- a/crates/admin/src/history.rs
+++ b/crates/admin/src/history.rs
@@ -13,7 +13,7 @@
     config_log::{ConfigReader, Verdict},
     record::{Batch, ConfigRecord, Drain, Entry, Evacuation, Offset, Publish, Snapshot, Version},
 };
-use peatdeck_wire::admin::{Act, ActKind, HistoryReply, PublishVerdict};
+use peatdeck_wire::admin::{HistoryEntry, HistoryReply, OperatorAction, PublishVerdict};
 use xxhash_rust::xxh3;
 
 /// Acts kept at the most; the oldest go first. Some days of 2,000 changes.
@@ -22,7 +22,7 @@
 /// Who did what, oldest first.
 #[derive(Debug, Default)]
 pub struct History {
-    acts: VecDeque<Act>,
+    acts: VecDeque<HistoryEntry>,
     publishes: HashMap<Arc<str>, Known>,
     /// Offsets of publishes that the fold has not decided yet.
     undecided: Vec<Offset>,
@@ -66,7 +66,7 @@
     }
 
     /// The act of a publish, if its record was read.
-    pub fn act(&self, id: &str) -> Option<&Act> {
+    pub fn act(&self, id: &str) -> Option<&HistoryEntry> {
         let known = self.publishes.get(id)?;
         let idx = self.acts.binary_search_by_key(&known.offset, |act| act.offset).ok()?;
         self.acts.get(idx)
@@ -75,9 +75,11 @@
     /// What became of a publish, if its record was read and decided.
     pub fn verdict(&self, id: &str) -> Option<PublishVerdict> {
         match &self.act(id)?.what {
-            ActKind::Publish { verdict: PublishVerdict::Forgotten, .. } => None,
-            ActKind::Publish { verdict, .. } => Some(verdict.clone()),
-            ActKind::Restore { .. } | ActKind::Drain { .. } | ActKind::Evacuation { .. } => None,
+            OperatorAction::Publish { verdict: PublishVerdict::Forgotten, .. } => None,
+            OperatorAction::Publish { verdict, .. } => Some(verdict.clone()),
+            OperatorAction::Restore { .. }
+            | OperatorAction::Drain { .. }
+            | OperatorAction::Evacuation { .. } => None,
         }
     }
 
@@ -90,12 +92,10 @@
     /// The publish or restore that made a version and its author, if the log keeps it.
     pub fn maker(&self, wanted: Version) -> Option<(Arc<str>, Arc<str>)> {
         self.acts.iter().rev().find_map(|act| match &act.what {
-            ActKind::Publish { id, verdict: PublishVerdict::Accepted { version }, .. }
-                if *version == wanted =>
-            {
-                Some((Arc::clone(id), Arc::clone(&act.author)))
-            }
-            ActKind::Restore { id, version } if *version == wanted => {
+            OperatorAction::Publish {
+                id, verdict: PublishVerdict::Accepted { version }, ..
+            } if *version == wanted => Some((Arc::clone(id), Arc::clone(&act.author))),
+            OperatorAction::Restore { id, version } if *version == wanted => {
                 Some((Arc::clone(id), Arc::clone(&act.author)))
             }
             _ => None,
@@ -109,7 +109,7 @@
         let known = Known { offset: entry.offset, digest: digest(publish) };
         self.publishes.insert(Arc::clone(&publish.id), known);
         self.undecided.push(entry.offset);
-        let what = ActKind::Publish {
+        let what = OperatorAction::Publish {
             id: Arc::clone(&publish.id),
             base: publish.base,
             verdict: PublishVerdict::Forgotten,
@@ -118,7 +118,7 @@
     }
 
     fn drain(&mut self, entry: &Entry<ConfigRecord>, drain: &Drain) {
-        let what = ActKind::Drain {
+        let what = OperatorAction::Drain {
             endpoint: Arc::clone(&drain.endpoint),
             incarnation: drain.incarnation,
         };
@@ -126,7 +126,7 @@
     }
 
     fn evacuation(&mut self, entry: &Entry<ConfigRecord>, order: &Evacuation) {
-        let what = ActKind::Evacuation {
+        let what = OperatorAction::Evacuation {
             data_centre: Arc::clone(&order.data_centre),
             is_over: order.is_over,
         };
@@ -136,18 +136,27 @@
     /// Later snapshots of the same state name the restore again.
     fn restore(&mut self, entry: &Entry<ConfigRecord>, snapshot: &Snapshot) {
         let (Some(author), Some(id)) = (&snapshot.restorer, &snapshot.publish) else { return };
-        let is_known =
-            |act: &Act| matches!(&act.what, ActKind::Restore { id: known, .. } if known == id);
+        let is_known = |act: &HistoryEntry| {
+            matches!(
+                &act.what,
+                OperatorAction::Restore { id: known, .. } if known == id
+            )
+        };
         if self.acts.iter().any(is_known) {
             return;
         }
-        let what = ActKind::Restore { id: Arc::clone(id), version: snapshot.version };
+        let what = OperatorAction::Restore { id: Arc::clone(id), version: snapshot.version };
         self.push(entry, author, what);
     }
 
-    fn push(&mut self, entry: &Entry<ConfigRecord>, author: &Arc<str>, what: ActKind) {
+    fn push(&mut self, entry: &Entry<ConfigRecord>, author: &Arc<str>, what: OperatorAction) {
         let author = Arc::clone(author);
-        self.acts.push_back(Act { offset: entry.offset, time_ms: entry.time_ms, author, what });
+        self.acts.push_back(HistoryEntry {
+            offset: entry.offset,
+            time_ms: entry.time_ms,
+            author,
+            what,
+        });
     }
 
     /// Asks the fold for what it had not decided before. A fold that lost
@@ -156,7 +165,9 @@
         let acts = &mut self.acts;
         self.undecided.retain(|offset| {
             let Ok(idx) = acts.binary_search_by_key(offset, |act| act.offset) else { return false };
-            let ActKind::Publish { id, verdict, .. } = &mut acts[idx].what else { return false };
+            let OperatorAction::Publish { id, verdict, .. } = &mut acts[idx].what else {
+                return false;
+            };
             let Some(decided) = fold.verdict(id) else { return true };
             *verdict = to_wire(decided);
             false
@@ -165,7 +176,7 @@
 
     fn forget_oldest(&mut self) {
         let Some(act) = self.acts.pop_front() else { return };
-        if let ActKind::Publish { id, .. } = act.what {
+        if let OperatorAction::Publish { id, .. } = act.what {
             self.publishes.remove(&id);
         }
     }
--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -9,7 +9,7 @@
     let flags = settings::options().run();
     let token = std::env::var(settings::TOKEN_VARIABLE).ok();
     let settings = settings::check(&flags, token)?;
-    logging::start(settings.log_format, &settings.log_filter);
+    logging::init(settings.log_format, &settings.log_filter);
     let listener = server::bind(settings.listen)
         .into_diagnostic()
         .wrap_err_with(|| format!("cannot listen on {}; choose a free one", settings.listen))?;
--- a/crates/admin/src/ops/publish.rs
+++ b/crates/admin/src/ops/publish.rs
@@ -12,7 +12,7 @@
     model::MAX_ID_BYTES,
     record::{ConfigRecord, Publish, Version},
 };
-use peatdeck_wire::admin::{PublishBody, PublishReply, PublishVerdict, Winner};
+use peatdeck_wire::admin::{PublishBody, PublishReply, PublishVerdict, VersionInForce};
 
 use crate::{
     context::Context,
@@ -115,7 +115,7 @@
 }
 
 /// A version with who made it, for an operator who met it.
-pub fn winner(state: &State, version: Version) -> Winner {
+pub fn winner(state: &State, version: Version) -> VersionInForce {
     let (publish, author) = state.history.maker(version).unzip();
-    Winner { version, publish, author }
+    VersionInForce { version, publish, author }
 }
--- a/crates/admin/src/ops/show.rs
+++ b/crates/admin/src/ops/show.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use peatdeck_core::{document::Document, record::Offset};
-use peatdeck_wire::admin::{ActKind, ConfigReply, HistoryReply, VerdictReply};
+use peatdeck_wire::admin::{ConfigReply, HistoryReply, OperatorAction, VerdictReply};
 
 use crate::{context::Context, error::Error, reader::State};
 
@@ -40,7 +40,7 @@
     ctx.reader.catch_up().await.map_err(|cause| Error::LogOut(cause.to_string()))?;
     let act = ctx.reader.look(|state| state.history.act(&id).cloned());
     match act.map(|act| (act.author, act.what)) {
-        Some((author, ActKind::Publish { verdict, .. })) => {
+        Some((author, OperatorAction::Publish { verdict, .. })) => {
             Ok(VerdictReply { id, author, verdict })
         }
         _ => Err(Error::UnknownPublish(id)),
--- a/crates/admin/src/ops/status.rs
+++ b/crates/admin/src/ops/status.rs
@@ -12,7 +12,9 @@
     record::Version,
 };
 use peatdeck_macros::id;
-use peatdeck_wire::admin::{EntryStatus, Missing, OutcomeCount, OutcomesReply, StatusReply};
+use peatdeck_wire::admin::{
+    EntryStatus, MissingInstance, OutcomeCount, OutcomesReply, StatusReply,
+};
 
 use crate::{context::Context, error::Error};
 
@@ -32,7 +34,7 @@
     /// Instances that have it or a later one.
     pub in_force: Vec<InstanceName>,
     /// Live instances of the list that did not say so.
-    pub missing: Vec<Missing>,
+    pub missing: Vec<MissingInstance>,
 }
 
 /// The status of every listed instance.
@@ -46,7 +48,7 @@
     while let Some((instance, answer)) = answers.next().await {
         match answer {
             Ok(status) => reply.entries.push(status),
-            Err(reason) => reply.missing.push(Missing { instance, reason: reason.into() }),
+            Err(reason) => reply.missing.push(MissingInstance { instance, reason: reason.into() }),
         }
     }
     reply.entries.sort_by(|a, b| a.instance.cmp(&b.instance));
@@ -68,7 +70,7 @@
                 instances.push(instance);
                 add(&mut sums, status.outcomes);
             }
-            Err(reason) => missing.push(Missing { instance, reason: reason.into() }),
+            Err(reason) => missing.push(MissingInstance { instance, reason: reason.into() }),
         }
     }
     instances.sort();
@@ -125,7 +127,7 @@
 async fn round(ctx: &Context, version: Version, spread: &mut Spread) -> bool {
     let Ok(listing) = ctx.list.read().await else {
         let reason = "the platform's list is out; it is not known who should answer";
-        spread.missing = vec![Missing { instance: "*".into(), reason: reason.into() }];
+        spread.missing = vec![MissingInstance { instance: "*".into(), reason: reason.into() }];
         return false;
     };
     let is_asked = |instance: &InstanceEntry| {
@@ -144,7 +146,7 @@
     }
     spread.missing = missing
         .into_iter()
-        .map(|(instance, reason)| Missing { instance, reason: reason.into() })
+        .map(|(instance, reason)| MissingInstance { instance, reason: reason.into() })
         .collect();
     spread.missing.is_empty()
 }
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -112,8 +112,8 @@
     let default = Bounds::default();
     let settings = Settings {
         listen: check.addr("--listen", Some(flags.listen.as_deref().unwrap_or(DEFAULT_LISTEN))),
-        log: check.remote("--log", flags.log.as_deref()),
-        list: check.remote("--list", flags.list.as_deref()),
+        log: check.remote_addr("--log", flags.log.as_deref()),
+        list: check.remote_addr("--list", flags.list.as_deref()),
         statsd: flags.statsd.as_deref().map(|text| check.addr("--statsd", Some(text))),
         bounds: Bounds {
             in_force: Duration::from_millis(check.number(
--- a/crates/cli/src/commands/evacuations.rs
+++ b/crates/cli/src/commands/evacuations.rs
@@ -1,7 +1,7 @@
 //! `peatdeck evacuations`: data centres whose endpoints get nothing.
 
 use bpaf::{OptionParser, Parser, construct};
-use peatdeck_wire::operators::{EVACUATIONS, Evacuated};
+use peatdeck_wire::operators::{EVACUATIONS, EvacuatedDataCentre};
 
 use crate::{
     commands,
@@ -40,7 +40,7 @@
     }))
 }
 
-fn table(evacuated: &[Evacuated]) -> String {
+fn table(evacuated: &[EvacuatedDataCentre]) -> String {
     if evacuated.is_empty() {
         return "no data centre is evacuated\n".to_owned();
     }
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -1,7 +1,7 @@
 //! `peatdeck quarantine`: requests that are held back, since endpoints crash under them.
 
 use bpaf::{OptionParser, Parser, construct, long};
-use peatdeck_wire::operators::Held;
+use peatdeck_wire::operators::QuarantinedContent;
 
 use crate::{
     commands,
@@ -50,7 +50,7 @@
     }))
 }
 
-fn table(held: &[Held]) -> String {
+fn table(held: &[QuarantinedContent]) -> String {
     if held.is_empty() {
         return "nothing is held back\n".to_owned();
     }
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -7,7 +7,7 @@
 
 use bpaf::{OptionParser, Parser, construct, long};
 use peatdeck_core::record::Offset;
-use peatdeck_wire::admin::{ActKind, ConfigReply, HistoryReply, PublishVerdict};
+use peatdeck_wire::admin::{ConfigReply, HistoryReply, OperatorAction, PublishVerdict};
 
 use crate::{
     commands,
@@ -142,18 +142,18 @@
     text
 }
 
-fn describe(what: &ActKind) -> (String, String) {
+fn describe(what: &OperatorAction) -> (String, String) {
     match what {
-        ActKind::Publish { id, base, verdict } => {
+        OperatorAction::Publish { id, base, verdict } => {
             (format!("publish {id} on {base}"), describe_verdict(verdict))
         }
-        ActKind::Restore { id, version } => {
+        OperatorAction::Restore { id, version } => {
             (format!("restore {id}"), format!("accepted as {version}"))
         }
-        ActKind::Drain { endpoint, incarnation } => {
+        OperatorAction::Drain { endpoint, incarnation } => {
             (format!("drain {endpoint} (incarnation {})", incarnation.0), "in force".to_owned())
         }
-        ActKind::Evacuation { data_centre, is_over } => {
+        OperatorAction::Evacuation { data_centre, is_over } => {
             let order = if *is_over { "evacuation over" } else { "evacuate" };
             (format!("{order} {data_centre}"), "in force".to_owned())
         }
--- a/crates/cli/src/ops/burn.rs
+++ b/crates/cli/src/ops/burn.rs
@@ -23,7 +23,7 @@
 };
 use peatdeck_macros::{id, message};
 use peatdeck_wire::{
-    admin::{Missing, OutcomeCount, OutcomesReply},
+    admin::{MissingInstance, OutcomeCount, OutcomesReply},
     caller::ANSWERED,
 };
 use serde::de::DeserializeOwned;
@@ -61,7 +61,7 @@
     /// Instances whose counts are in the report.
     pub instances: Vec<Arc<str>>,
     /// Instances that did not answer.
-    pub missing: Vec<Missing>,
+    pub missing: Vec<MissingInstance>,
 }
 
 /// One pipeline, or one team's part of it.
--- a/crates/cli/src/ops/quarantine.rs
+++ b/crates/cli/src/ops/quarantine.rs
@@ -1,7 +1,7 @@
 //! What relay instances hold back, asked at the metrics address of one of them.
 
 use ntex::http::{Method, StatusCode};
-use peatdeck_wire::operators::{Held, QUARANTINE};
+use peatdeck_wire::operators::{QUARANTINE, QuarantinedContent};
 
 use crate::{
     error::Error,
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// [`Error::Instance`], [`Error::Unreadable`].
-pub async fn list(instance: &str) -> Result<Vec<Held>, Error> {
+pub async fn list(instance: &str) -> Result<Vec<QuarantinedContent>, Error> {
     relay::list(instance, QUARANTINE).await
 }
 
--- a/crates/cli/tests/testsuite/burn.rs
+++ b/crates/cli/tests/testsuite/burn.rs
@@ -3,7 +3,7 @@
 use expect_test::{Expect, expect};
 use peatdeck::ops::burn::{self, Kind, page, plot};
 use peatdeck_core::document::Document;
-use peatdeck_wire::admin::{Missing, OutcomeCount, OutcomesReply};
+use peatdeck_wire::admin::{MissingInstance, OutcomeCount, OutcomesReply};
 
 use crate::support::{Bench, NOW};
 
@@ -44,7 +44,8 @@
 fn report(lines: &[(u64, u64, &str)]) -> burn::Report {
     let document: Document = toml::from_str(FLEET).expect("the test writes TOML");
     let instances = vec!["entry-1".into()];
-    let missing = vec![Missing { instance: "entry-<2>".into(), reason: "no \"answer\"".into() }];
+    let missing =
+        vec![MissingInstance { instance: "entry-<2>".into(), reason: "no \"answer\"".into() }];
     burn::report(NOW, &document, OutcomesReply { outcomes: rows(lines), instances, missing })
 }
 
--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -20,10 +20,10 @@
         model::Piece,
     },
 };
-use peatdeck_util::cost::{self, Effort};
+use peatdeck_util::cost::{self, Sampling};
 
 /// How each figure is measured.
-const EFFORT: Effort = Effort { spend: Duration::from_millis(500), rounds: 200 };
+const EFFORT: Sampling = Sampling { cpu_time: Duration::from_millis(500), max_batch: 200 };
 /// Endpoints of the service, as on the grown deployments.
 const ENDPOINTS: usize = 18;
 /// Data centres of these.
@@ -55,7 +55,7 @@
     }
     relay.take_actions();
     let mut ticket = 1_000_000;
-    cost::of(EFFORT, || {
+    cost::cpu_micros(EFFORT, || {
         ticket += 1;
         relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
         relay.on_handover_recall(ticket);
--- a/crates/core/examples/instance_cost.rs
+++ b/crates/core/examples/instance_cost.rs
@@ -25,10 +25,10 @@
     },
     record::{Batch, ClaimBatch, ClaimFact, ConfigRecord, Entry, Publish},
 };
-use peatdeck_util::cost::{self, Effort};
+use peatdeck_util::cost::{self, Sampling};
 
 /// How each figure is measured.
-const EFFORT: Effort = Effort { spend: Duration::from_millis(500), rounds: 500 };
+const EFFORT: Sampling = Sampling { cpu_time: Duration::from_millis(500), max_batch: 500 };
 /// Pools of the document, and stages of its one pipeline.
 const POOLS: usize = 4;
 /// Pieces that the last stage generates.
@@ -60,9 +60,9 @@
 
 fn memory() {
     println!("{:<40} {:>10}", "memory of one", "bytes");
-    let start = cost::resident();
+    let start = cost::resident_bytes();
     let mut bench = Bench::new(0, 30, 5);
-    let empty = cost::resident();
+    let empty = cost::resident_bytes();
     println!("{:<40} {:>10.0}", "instance, 30 endpoints, 5 teams", empty - start);
 
     let input: Text = "x".repeat(2048).into();
@@ -70,39 +70,39 @@
         bench.submit(idx, &input);
     }
     assert_eq!(u64::from(bench.instance.status().running), HELD, "none should be refused");
-    let per = (cost::resident() - empty) / HELD as f64;
+    let per = (cost::resident_bytes() - empty) / HELD as f64;
     println!("{:<40} {per:>10.0}", "held request (input of 2 kB shared)");
     std::mem::forget(bench);
 
-    let start = cost::resident();
+    let start = cost::resident_bytes();
     let peers = 5_000;
     let mut bench = Bench::new(0, 0, 5);
     bench.feed(Input::Listed(listing(peers, 0)));
-    println!("{:<40} {:>10.0}", "listed peer", (cost::resident() - start) / peers as f64);
+    println!("{:<40} {:>10.0}", "listed peer", (cost::resident_bytes() - start) / peers as f64);
     std::mem::forget(bench);
 
-    let start = cost::resident();
+    let start = cost::resident_bytes();
     let endpoints = 10_000;
     let bench = Bench::new(0, endpoints, 5);
-    println!("{:<40} {:>10.0}", "endpoint", (cost::resident() - start) / endpoints as f64);
+    println!("{:<40} {:>10.0}", "endpoint", (cost::resident_bytes() - start) / endpoints as f64);
     std::mem::forget(bench);
 
     claims_memory();
 }
 
 fn claims_memory() {
-    let start = cost::resident();
+    let start = cost::resident_bytes();
     let mut claims = Claims::new(identity(), claims::Settings::default());
     claims.read(Duration::from_secs(1), &claims_batch(0, 0));
-    let before = cost::processor_time();
+    let before = cost::cpu_seconds();
     for idx in 0..CLAIMS / 100 {
         black_box(claims.read(Duration::from_secs(1), &claims_batch(idx, 100)));
     }
-    let spent = (cost::processor_time() - before) / CLAIMS as f64;
+    let spent = (cost::cpu_seconds() - before) / CLAIMS as f64;
     println!(
         "{:<40} {:>10.0}",
         "claim with its outcome",
-        (cost::resident() - start) / CLAIMS as f64
+        (cost::resident_bytes() - start) / CLAIMS as f64
     );
     println!("{:<40} {:>10.2}", "  its fold, in µs (making it included)", spent * 1e6);
     std::mem::forget(claims);
@@ -133,7 +133,7 @@
     println!("\n{:<40} {:>10}", "compile of a document", "µs");
     for teams in [5, 1000, 2800] {
         let document = Arc::new(document(teams));
-        let us = cost::of(EFFORT, || {
+        let us = cost::cpu_micros(EFFORT, || {
             black_box(Plan::new(1, document.clone()).expect("it has no policy"));
         });
         println!("{:<40} {us:>10.1}", format!("{teams} teams"));
@@ -145,14 +145,14 @@
     let input: Text = "x".repeat(2048).into();
     let (request_us, piece_us) = bench.requests(&input);
     let listed = listing(peers, endpoints);
-    let list_us = cost::of(EFFORT, || bench.feed(Input::Listed(listed.clone())));
+    let list_us = cost::cpu_micros(EFFORT, || bench.feed(Input::Listed(listed.clone())));
     let mut heartbeat = 0;
-    let gossip_us = cost::of(EFFORT, || {
+    let gossip_us = cost::cpu_micros(EFFORT, || {
         heartbeat += 1;
         let message = gossip(peers, endpoints, heartbeat);
         bench.feed(Input::Gossip(message));
     });
-    let round_us = cost::of(EFFORT, || {
+    let round_us = cost::cpu_micros(EFFORT, || {
         bench.now += Duration::from_millis(500);
         bench.feed(Input::Tick);
     });
@@ -203,7 +203,7 @@
     fn requests(&mut self, input: &Text) -> (f64, f64) {
         let (mut plain, mut idx) = (0.0, 0);
         for pieces in [0, PIECES] {
-            let us = cost::of(EFFORT, || {
+            let us = cost::cpu_micros(EFFORT, || {
                 idx += 1;
                 self.request(idx, input, pieces);
             });
--- a/crates/core/examples/record_cost.rs
+++ b/crates/core/examples/record_cost.rs
@@ -20,10 +20,10 @@
     model::{EndpointEntry, Incarnation, InstanceEntry, Listing, Presence, RequestId},
     record::{ClaimBatch, ClaimFact, ConfigRecord, Publish},
 };
-use peatdeck_util::cost::{self, Effort};
+use peatdeck_util::cost::{self, Sampling};
 
 /// How each figure is measured.
-const EFFORT: Effort = Effort { spend: Duration::from_secs(1), rounds: 20_000 };
+const EFFORT: Sampling = Sampling { cpu_time: Duration::from_secs(1), max_batch: 20_000 };
 /// Copies of a document held to measure its memory.
 const COPIES: usize = 50;
 /// A policy of the usual length.
@@ -55,8 +55,8 @@
         let record = publish(pipelines, teams);
         let text = json(&record);
         let append = serde_json::to_string(&text).expect("a string is JSON");
-        let write_us = cost::of(EFFORT, || json(&record).len());
-        let parse_us = cost::of(EFFORT, || match parse(&text) {
+        let write_us = cost::cpu_micros(EFFORT, || json(&record).len());
+        let parse_us = cost::cpu_micros(EFFORT, || match parse(&text) {
             ConfigRecord::Publish(publish) => publish.document.teams.len(),
             _ => 0,
         });
@@ -79,8 +79,8 @@
             let batch = batch(kind, count);
             let text = json(&batch);
             let append = serde_json::to_string(&text).expect("a string is JSON");
-            let write_us = cost::of(EFFORT, || json(&batch).len());
-            let parse_us = cost::of(EFFORT, || {
+            let write_us = cost::cpu_micros(EFFORT, || json(&batch).len());
+            let parse_us = cost::cpu_micros(EFFORT, || {
                 let batch: ClaimBatch = serde_json::from_str(&text).expect("written above");
                 batch.facts.len()
             });
@@ -102,7 +102,7 @@
             endpoints: (0..endpoints).map(endpoint).collect(),
         };
         let text = json(&listing);
-        let parse_us = cost::of(EFFORT, || {
+        let parse_us = cost::cpu_micros(EFFORT, || {
             let listing: Listing = serde_json::from_str(&text).expect("written above");
             listing.endpoints.len()
         });
@@ -219,9 +219,9 @@
 /// Memory of one value, in bytes, from what many copies add to the process.
 fn memory<T>(mut make: impl FnMut() -> T) -> f64 {
     drop(make());
-    let start = cost::resident();
+    let start = cost::resident_bytes();
     let copies: Vec<T> = (0..COPIES).map(|_| make()).collect();
-    let grown = cost::resident() - start;
+    let grown = cost::resident_bytes() - start;
     // Kept, so that the next value cannot take their place.
     std::mem::forget(copies);
     grown / COPIES as f64
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -13,7 +13,7 @@
         Ok(settings) => settings,
         Err(problems) => return process::fail(problems.into()),
     };
-    logging::start(settings.log_format, &settings.log_filter);
+    logging::init(settings.log_format, &settings.log_filter);
     match server::run(settings).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => process::fail(report),
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -116,8 +116,8 @@
             },
             listen: check.addr("--listen", self.listen.as_deref()),
             peer_listen: check.addr("--peer-listen", self.peer_listen.as_deref()),
-            log: check.remote("--log", self.log.as_deref()),
-            list: check.remote("--list", self.list.as_deref()),
+            log: check.remote_addr("--log", self.log.as_deref()),
+            list: check.remote_addr("--list", self.list.as_deref()),
             limits: Limits {
                 body: check.number(
                     "--max-body",
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -5,6 +5,6 @@
 
 fn main() -> miette::Result<()> {
     let command = cli::options().run();
-    logging::start(logging::Format::Text, "warn");
+    logging::init(logging::Format::Text, "warn");
     Ok(cli::exec(&command)?)
 }
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -2,9 +2,9 @@
 //!
 //! | request | answer |
 //! | --- | --- |
-//! | `GET /quarantine` | what is held back here, as JSON ([`Held`]) |
+//! | `GET /quarantine` | what is held back here, as JSON ([`QuarantinedContent`]) |
 //! | `DELETE /quarantine/FINGERPRINT` | releases that content at all instances |
-//! | `GET /evacuations` | data centres that are evacuated, as JSON ([`Evacuated`]) |
+//! | `GET /evacuations` | data centres that are evacuated, as JSON ([`EvacuatedDataCentre`]) |
 //! | `GET /terms` | what endpoints say of themselves, as JSON ([`EndpointTerms`]) |
 //! | anything else | counters and timings, as text |
 //!
@@ -20,7 +20,9 @@
 use ntex::http::{Method, Request, Response, StatusCode};
 use peatdeck_core::relay::{directory::Endpoint, fingerprint::Fingerprint, terms::Rate};
 use peatdeck_util::metrics::Registry;
-use peatdeck_wire::operators::{EVACUATIONS, EndpointTerms, Evacuated, Held, QUARANTINE, TERMS};
+use peatdeck_wire::operators::{
+    EVACUATIONS, EndpointTerms, EvacuatedDataCentre, QUARANTINE, QuarantinedContent, TERMS,
+};
 use serde::Serialize;
 
 use crate::{driver::Driver, records};
@@ -29,9 +31,9 @@
 #[derive(Debug)]
 pub enum Question {
     /// What is held back?
-    Held(oneshot::Sender<Vec<Held>>),
+    Held(oneshot::Sender<Vec<QuarantinedContent>>),
     /// Which data centres are evacuated?
-    Evacuated(oneshot::Sender<Vec<Evacuated>>),
+    Evacuated(oneshot::Sender<Vec<EvacuatedDataCentre>>),
     /// What do endpoints say of themselves?
     Terms(oneshot::Sender<Vec<EndpointTerms>>),
     /// Release this content. The answer says whether it was held back.
@@ -127,10 +129,10 @@
     }
 }
 
-fn evacuated(driver: &Driver) -> Vec<Evacuated> {
+fn evacuated(driver: &Driver) -> Vec<EvacuatedDataCentre> {
     driver.look(|machine| {
         let directory = machine.directory();
-        let listed = directory.evacuated().map(|name| Evacuated {
+        let listed = directory.evacuated().map(|name| EvacuatedDataCentre {
             data_centre: name.clone(),
             endpoints: directory.ready_count_in(name),
         });
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -198,7 +198,7 @@
         let mut request = client.learn_request();
         let mut list = request.get().init_asks(asks.len() as u32);
         for (idx, ask) in (0..).zip(&asks) {
-            wire::write_ask(ask, list.reborrow().get(idx));
+            wire::write_portion_request(ask, list.reborrow().get(idx));
         }
         let response = request.send().promise.await?;
         let response = response.get()?;
--- a/crates/relay/src/peers/service.rs
+++ b/crates/relay/src/peers/service.rs
@@ -73,7 +73,8 @@
         mut results: relay::LearnResults,
     ) -> Result<(), capnp::Error> {
         let driver = &self.driver;
-        let asks: Vec<_> = params.get()?.get_asks()?.iter().map(wire::read_ask).collect();
+        let asks: Vec<_> =
+            params.get()?.get_asks()?.iter().map(wire::read_portion_request).collect();
         let portions = driver.peers.tables.tell(&asks);
         let bytes = portions.iter().map(Portion::bytes).sum::<usize>() as u64;
         driver.metrics.count("relay.told_bytes", bytes);
@@ -129,7 +130,8 @@
         params: relay::PlaceParams,
         mut results: relay::PlaceResults,
     ) -> Result<(), capnp::Error> {
-        let question = wire::read_question(params.get()?.get_question()?).map_err(failed)?;
+        let question =
+            wire::read_placement_request(params.get()?.get_question()?).map_err(failed)?;
         let placement = self.driver.feed(|machine, now| machine.place_prompt(now, &question));
         if let Some(placement) = placement {
             wire::write_placement(&placement, results.get().init_placement());
--- a/crates/relay/src/peers/work.rs
+++ b/crates/relay/src/peers/work.rs
@@ -203,7 +203,7 @@
     let addr = driver.peers.members.borrow().addr(peer).ok_or(Error::TimedOut)?;
     let exchange = async |client: relay::Client| {
         let mut request = client.place_request();
-        wire::write_question(question, request.get().init_question());
+        wire::write_placement_request(question, request.get().init_question());
         let response = request.send().promise.await?;
         Ok(wire::read_placement(response.get()?.get_placement()?)?)
     };
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -279,7 +279,7 @@
 }
 
 async fn begin(addr: &Arc<str>, stream: TcpStream) -> Result<Lease, Error> {
-    socket::watch_for_death(&stream).map_err(|error| unsent(addr, error))?;
+    socket::set_dead_peer_detection(&stream).map_err(|error| unsent(addr, error))?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|error| unsent(addr, error))?;
     let (task, registration) = AbortHandle::new_pair();
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use peatdeck_core::relay::{fingerprint::Fingerprint, quarantine::QuarantineEntry, table::Record};
 use peatdeck_macros::message;
-use peatdeck_wire::operators::Held;
+use peatdeck_wire::operators::QuarantinedContent;
 
 use crate::{driver::Driver, follow, repair, surroundings::TableName, tables};
 
@@ -40,10 +40,10 @@
 }
 
 /// What an instance holds back, as an operator is shown it, oldest first.
-pub fn list(driver: &Driver) -> Vec<Held> {
+pub fn list(driver: &Driver) -> Vec<QuarantinedContent> {
     let now = driver.now();
     let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    let listed = |(content, hold): (Fingerprint, &QuarantineEntry)| Held {
+    let listed = |(content, hold): (Fingerprint, &QuarantineEntry)| QuarantinedContent {
         content: Arc::from(content.to_string()),
         crashes: hold.crashes,
         held_ms: millis(now.saturating_sub(hold.since)),
--- a/crates/relay/tests/relay/crashes.rs
+++ b/crates/relay/tests/relay/crashes.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 
 use peatdeck_relay::{server::Told, surroundings::TableName};
-use peatdeck_wire::operators::Held;
+use peatdeck_wire::operators::QuarantinedContent;
 
 use crate::standins::{Desk, MemoryStore, Relay, ask, get, send, wait_for};
 
@@ -145,7 +145,7 @@
     wait_for("it is recorded", || store.len(TableName::Quarantine) > 0);
     wait_for("all know", || relays[1].counter("peatdeck.relay.quarantined") == 1);
     let listed = get(relays[1].metrics, "/quarantine").body;
-    let listed: Vec<Held> = serde_json::from_str(&listed).unwrap();
+    let listed: Vec<QuarantinedContent> = serde_json::from_str(&listed).unwrap();
     assert!(listed[0].crashes >= 3);
     let path = format!("/quarantine/{}", listed[0].content);
     assert_eq!(send(relays[1].metrics, "DELETE", &path).status, 202);
--- a/crates/util/src/cost.rs
+++ b/crates/util/src/cost.rs
@@ -14,33 +14,33 @@
 
 /// How a figure is measured.
 #[derive(Debug, Clone, Copy)]
-pub struct Effort {
+pub struct Sampling {
     /// Processor time to spend. The kernel's resolution is 10 ms, so this
     /// should be a good multiple of it.
-    pub spend: Duration,
+    pub cpu_time: Duration,
     /// Rounds between two looks at the processor time, at the most.
-    pub rounds: u32,
+    pub max_batch: u32,
 }
 
 /// Processor time of one round, in microseconds.
-pub fn of<T>(effort: Effort, mut round: impl FnMut() -> T) -> f64 {
-    let start = processor_time();
+pub fn cpu_micros<T>(effort: Sampling, mut round: impl FnMut() -> T) -> f64 {
+    let start = cpu_seconds();
     let (mut rounds, mut step) = (0_u32, 1_u32);
     loop {
         for _ in 0..step {
             black_box(round());
         }
         rounds += step;
-        let spent = processor_time() - start;
-        if spent >= effort.spend.as_secs_f64() {
+        let spent = cpu_seconds() - start;
+        if spent >= effort.cpu_time.as_secs_f64() {
             return spent / f64::from(rounds) * MICROS;
         }
-        step = step.saturating_mul(2).min(effort.rounds);
+        step = step.saturating_mul(2).min(effort.max_batch);
     }
 }
 
 /// Processor time of this process in user space, in seconds.
-pub fn processor_time() -> f64 {
+pub fn cpu_seconds() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").expect("Linux has this file");
     let (_, fields) = stat.rsplit_once(") ").expect("the command stands in parentheses");
     let ticks = fields.split(' ').nth(USER).expect("the file has 52 fields");
@@ -48,7 +48,7 @@
 }
 
 /// Resident memory of this process, in bytes.
-pub fn resident() -> f64 {
+pub fn resident_bytes() -> f64 {
     let statm = fs::read_to_string("/proc/self/statm").expect("Linux has this file");
     let pages = statm.split(' ').nth(1).expect("the file has 7 fields");
     pages.parse::<f64>().expect("pages are a number") * PAGE
--- a/crates/util/src/logging.rs
+++ b/crates/util/src/logging.rs
@@ -1,7 +1,7 @@
 //! Structured logs, as text or JSON.
 //!
-//! [`start`] is for programs whose lines are few: changes of state, on standard
-//! error. [`start_bounded`] is for those that write a line for each decision,
+//! [`init`] is for programs whose lines are few: changes of state, on standard
+//! error. [`init_bounded`] is for those that write a line for each decision,
 //! on standard output. No line holds a caller's content.
 
 use std::{
@@ -55,7 +55,7 @@
 
 /// Starts logging for the process. `filter` is a directive such as `info` or
 /// `peatdeck_entry=debug,warn`; one that cannot be read counts as `info`.
-pub fn start(format: Format, filter: &str) {
+pub fn init(format: Format, filter: &str) {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = fmt::fmt().with_env_filter(filter).with_writer(io::stderr);
     let builder = builder.with_ansi(io::stderr().is_terminal());
@@ -73,19 +73,19 @@
 
 /// Logs that are written by a thread of their own. Dropping it writes what
 /// still waits.
-pub struct Bounded {
-    dropped: Dropped,
+pub struct BoundedLog {
+    dropped: DroppedLines,
     _guard: WorkerGuard,
 }
 
 /// How many lines were dropped.
 #[derive(Clone)]
-pub struct Dropped {
+pub struct DroppedLines {
     unwritten: ErrorCounter,
-    budget: Arc<LineBudget>,
+    budget: Arc<LineLimiter>,
 }
 
-impl Dropped {
+impl DroppedLines {
     /// Lines that were dropped since the start, because too many waited or too
     /// many came within a second.
     pub fn count(&self) -> u64 {
@@ -93,16 +93,16 @@
     }
 }
 
-impl Bounded {
+impl BoundedLog {
     /// How many lines were dropped.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedLines {
         self.dropped.clone()
     }
 }
 
 /// Counts the lines of the current second.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LineLimiter {
     start: Instant,
     limit: u64,
     second: AtomicU64,
@@ -110,15 +110,15 @@
     dropped: AtomicU64,
 }
 
-impl LineBudget {
+impl LineLimiter {
     /// A budget of so many lines a second.
-    pub fn new(limit: u64) -> LineBudget {
+    pub fn new(limit: u64) -> LineLimiter {
         let (second, lines, dropped) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
-        LineBudget { start: Instant::now(), limit, second, lines, dropped }
+        LineLimiter { start: Instant::now(), limit, second, lines, dropped }
     }
 
     /// Whether one more line may be written, `second` seconds after the start.
-    pub fn take(&self, second: u64) -> bool {
+    pub fn try_acquire(&self, second: u64) -> bool {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
@@ -133,7 +133,7 @@
 /// Writes lines while the budget allows it.
 struct Limited {
     writer: NonBlocking,
-    budget: Arc<LineBudget>,
+    budget: Arc<LineLimiter>,
 }
 
 impl<'a> MakeWriter<'a> for Limited {
@@ -141,7 +141,7 @@
 
     fn make_writer(&'a self) -> Self::Writer {
         let second = self.budget.start.elapsed().as_secs();
-        match self.budget.take(second) {
+        match self.budget.try_acquire(second) {
             true => Box::new(self.writer.clone()),
             false => Box::new(io::sink()),
         }
@@ -155,13 +155,13 @@
 /// Starts logging for the process as JSON on standard output. Whoever logs
 /// never waits: a line that finds the buffer full, or that is one too many in
 /// its second, is dropped and counted.
-pub fn start_bounded(filter: &str) -> Bounded {
+pub fn init_bounded(filter: &str) -> BoundedLog {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING_LINES);
     let (writer, guard) = builder.finish(io::stdout());
-    let budget = Arc::new(LineBudget::new(LINES_A_SECOND));
-    let dropped = Dropped { unwritten: writer.error_counter(), budget: budget.clone() };
+    let budget = Arc::new(LineLimiter::new(LINES_A_SECOND));
+    let dropped = DroppedLines { unwritten: writer.error_counter(), budget: budget.clone() };
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let fields = fmt::fmt().with_env_filter(filter).with_writer(Limited { writer, budget }).json();
     fields.flatten_event(true).with_target(false).init();
-    Bounded { dropped, _guard: guard }
+    BoundedLog { dropped, _guard: guard }
 }
--- a/crates/util/src/settings.rs
+++ b/crates/util/src/settings.rs
@@ -41,23 +41,23 @@
 /// Text that is no address.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("`{}` is not an address; {ADDRESS_REMEDY}", .0.escape_debug())]
-pub struct NotAddress(String);
+pub struct InvalidAddress(String);
 
 /// Reads `ip:port` or `http://ip:port`.
 ///
 /// # Errors
-/// [`NotAddress`] if the text is neither.
-pub fn address(text: &str) -> Result<SocketAddr, NotAddress> {
+/// [`InvalidAddress`] if the text is neither.
+pub fn address(text: &str) -> Result<SocketAddr, InvalidAddress> {
     let bare = text.strip_prefix(SCHEME).unwrap_or(text);
     let bare = bare.strip_suffix('/').unwrap_or(bare);
-    bare.parse().map_err(|_| NotAddress(text.to_owned()))
+    bare.parse().map_err(|_| InvalidAddress(text.to_owned()))
 }
 
 /// Reads an address as [`address`] does and gives it as `http://ip:port`.
 ///
 /// # Errors
-/// [`NotAddress`].
-pub fn base_url(text: &str) -> Result<String, NotAddress> {
+/// [`InvalidAddress`].
+pub fn base_url(text: &str) -> Result<String, InvalidAddress> {
     address(text).map(|addr| format!("{SCHEME}{addr}"))
 }
 
@@ -138,7 +138,7 @@
     }
 
     /// The address of another process, which must be given.
-    pub fn remote(&mut self, flag: &str, value: Option<&str>) -> Arc<str> {
+    pub fn remote_addr(&mut self, flag: &str, value: Option<&str>) -> Arc<str> {
         let before = self.problems.len();
         let addr = self.addr(flag, value);
         if addr.port() == 0 && self.problems.len() == before {
--- a/crates/wire/examples/gossip_cost.rs
+++ b/crates/wire/examples/gossip_cost.rs
@@ -13,11 +13,11 @@
     membership::{ConfigMark, EndpointState, Gossip, LeavingMark, MemberState},
     model::{Incarnation, Load},
 };
-use peatdeck_util::cost::{self, Effort};
+use peatdeck_util::cost::{self, Sampling};
 use peatdeck_wire::{peer, peer_capnp};
 
 /// How each figure is measured.
-const EFFORT: Effort = Effort { spend: Duration::from_secs(1), rounds: 500 };
+const EFFORT: Sampling = Sampling { cpu_time: Duration::from_secs(1), max_batch: 500 };
 
 fn main() {
     println!("{:<24} {:>8} {:>10} {:>10}", "content", "bytes", "write_us", "read_us");
@@ -35,8 +35,8 @@
 
 fn report(name: &str, gossip: &Gossip) {
     let bytes = write(gossip);
-    let write_us = cost::of(EFFORT, || write(gossip).len());
-    let read_us = cost::of(EFFORT, || read(&bytes).members.len());
+    let write_us = cost::cpu_micros(EFFORT, || write(gossip).len());
+    let read_us = cost::cpu_micros(EFFORT, || read(&bytes).members.len());
     println!("{name:<24} {:>8} {write_us:>10.2} {read_us:>10.2}", bytes.len());
 }
 
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -113,7 +113,7 @@
         problems: Vec<Problem>,
     },
     /// Another publish came first.
-    Conflict(Winner),
+    Conflict(VersionInForce),
     /// The record of this id may stand in the log.
     Unknown {
         /// The publish's id.
@@ -123,7 +123,7 @@
 
 /// The version that a conflicting publish met.
 #[message]
-pub struct Winner {
+pub struct VersionInForce {
     /// The version that was in force.
     pub version: Version,
     /// The publish that made it; `None` for the empty document.
@@ -188,12 +188,12 @@
     /// Instances that have this version or a later one in force.
     pub in_force: Vec<Arc<str>>,
     /// Listed instances that did not say so in time.
-    pub missing: Vec<Missing>,
+    pub missing: Vec<MissingInstance>,
 }
 
 /// An instance that did not say what was asked of it.
 #[message]
-pub struct Missing {
+pub struct MissingInstance {
     /// The instance.
     pub instance: Arc<str>,
     /// Why.
@@ -224,7 +224,7 @@
 #[message]
 pub struct HistoryReply {
     /// The acts.
-    pub acts: Vec<Act>,
+    pub acts: Vec<HistoryEntry>,
     /// `from` of the next page; `None` on the last one.
     pub next: Option<Offset>,
     /// The oldest offset that the log still kept.
@@ -233,7 +233,7 @@
 
 /// One thing that an operator did to the configuration.
 #[message]
-pub struct Act {
+pub struct HistoryEntry {
     /// Where its first record stands in the log.
     pub offset: Offset,
     /// When the log took it, in milliseconds of the log's own clock.
@@ -241,13 +241,13 @@
     /// Who did it.
     pub author: Arc<str>,
     /// What was done.
-    pub what: ActKind,
+    pub what: OperatorAction,
 }
 
 /// What an operator did.
 #[message]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum ActKind {
+pub enum OperatorAction {
     /// Published a document.
     Publish {
         /// The publish.
@@ -359,7 +359,7 @@
     /// What the instances say, by name; without outcomes.
     pub entries: Vec<EntryStatus>,
     /// Listed instances that did not answer.
-    pub missing: Vec<Missing>,
+    pub missing: Vec<MissingInstance>,
 }
 
 /// Outcomes of all instances together.
@@ -370,5 +370,5 @@
     /// Instances that answered.
     pub instances: Vec<Arc<str>>,
     /// Listed instances that did not answer.
-    pub missing: Vec<Missing>,
+    pub missing: Vec<MissingInstance>,
 }
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -152,7 +152,7 @@
 }
 
 fn network(stream: TcpStream, side: Side) -> std::io::Result<Box<Network>> {
-    socket::watch_for_death(&stream)?;
+    socket::set_dead_peer_detection(&stream)?;
     let (read, write) = stream.into_split();
     Ok(Box::new(twoparty::VatNetwork::new(
         BufReader::new(read.compat()),
--- a/crates/wire/src/operators.rs
+++ b/crates/wire/src/operators.rs
@@ -13,7 +13,7 @@
 
 /// A data centre whose endpoints get nothing, as an instance knows it.
 #[message]
-pub struct Evacuated {
+pub struct EvacuatedDataCentre {
     /// Its name.
     pub data_centre: Arc<str>,
     /// Endpoints there that would take new work.
@@ -40,7 +40,7 @@
 
 /// A content that is held back, since endpoints crashed under it.
 #[message]
-pub struct Held {
+pub struct QuarantinedContent {
     /// Its fingerprint.
     pub content: Arc<str>,
     /// Endpoints that ended under it.
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -24,7 +24,7 @@
 use crate::{peer::Error, relay_capnp};
 
 /// Writes what is asked of a peer for a table.
-pub fn write_ask(ask: &PortionRequest, mut to: relay_capnp::ask::Builder<'_>) {
+pub fn write_portion_request(ask: &PortionRequest, mut to: relay_capnp::ask::Builder<'_>) {
     to.set_timeline(ask.timeline.0);
     to.set_from(ask.from);
     to.set_is_listing(ask.listing.is_some());
@@ -37,7 +37,7 @@
 }
 
 /// Reads what a peer asks for.
-pub fn read_ask(from: relay_capnp::ask::Reader<'_>) -> PortionRequest {
+pub fn read_portion_request(from: relay_capnp::ask::Reader<'_>) -> PortionRequest {
     let begun = PartialRecord { offset: from.get_begun_offset(), len: from.get_begun_len() };
     PortionRequest {
         timeline: Timeline(from.get_timeline()),
@@ -172,7 +172,10 @@
 }
 
 /// Writes a question to a placer.
-pub fn write_question(question: &PlacementRequest, mut to: relay_capnp::question::Builder<'_>) {
+pub fn write_placement_request(
+    question: &PlacementRequest,
+    mut to: relay_capnp::question::Builder<'_>,
+) {
     to.set_service(&*question.service);
     to.set_input(question.prompt.input);
     to.set_output(question.prompt.output);
@@ -202,7 +205,9 @@
 ///
 /// # Errors
 /// Any [`Error`].
-pub fn read_question(from: relay_capnp::question::Reader<'_>) -> Result<PlacementRequest, Error> {
+pub fn read_placement_request(
+    from: relay_capnp::question::Reader<'_>,
+) -> Result<PlacementRequest, Error> {
     let parts = from.get_parts()?.iter();
     let prompt = Prompt {
         parts: parts.map(|part| Part { id: part.get_id(), tokens: part.get_tokens() }).collect(),
--- a/crates/wire/src/socket.rs
+++ b/crates/wire/src/socket.rs
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// If the system does not know an option.
-pub fn watch_for_death(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(DEAD_AFTER))?;
