--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -38,13 +38,13 @@
 
 /// Outcomes of the last day by minute.
 #[derive(Debug, Default)]
-pub struct Burn {
+pub struct OutcomeHistory {
     slots: VecDeque<Slot>,
 }
 
-impl Burn {
+impl OutcomeHistory {
     /// Counts one outcome.
-    pub fn count(
+    pub fn record(
         &mut self,
         wall: SystemTime,
         pipeline: &PipelineName,
@@ -55,7 +55,7 @@
         let rows = &mut self.slot(wall).rows;
         let row = match rows.contains_key(&row) || rows.len() < MAX_ROWS {
             true => row,
-            false => Row { pipeline: nameless(), team: nameless(), stage: None, ..row },
+            false => Row { pipeline: empty_name(), team: empty_name(), stage: None, ..row },
         };
         *rows.entry(row).or_default() += 1;
     }
@@ -86,7 +86,7 @@
 fn row(pipeline: &PipelineName, team: &TeamName, outcome: &Outcome) -> Row {
     let (pipeline, team) = match outcome {
         Outcome::Invalid(Invalid::UnknownPipeline | Invalid::UnknownTeam) => {
-            (nameless(), nameless())
+            (empty_name(), empty_name())
         }
         _ => (pipeline.clone(), team.clone()),
     };
@@ -112,6 +112,6 @@
     (row.slot, &row.pipeline, &row.team, &row.outcome, row.stage.as_deref())
 }
 
-fn nameless() -> Arc<str> {
+fn empty_name() -> Arc<str> {
     Arc::from("")
 }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -27,7 +27,7 @@
 
 /// What is sent to a caller.
 #[derive(Debug)]
-pub enum Part {
+pub enum ReplyPart {
     /// A piece of text; only if it asked for a stream.
     Text(Text),
     /// Its one outcome. Nothing follows.
@@ -41,7 +41,7 @@
     pub pipeline: PipelineName,
     /// Its team.
     pub team: TeamName,
-    parts: mpsc::UnboundedSender<Part>,
+    parts: mpsc::UnboundedSender<ReplyPart>,
 }
 
 /// All callers that wait.
@@ -56,7 +56,7 @@
         &mut self,
         pipeline: PipelineName,
         team: TeamName,
-    ) -> (CallerKey, mpsc::UnboundedReceiver<Part>) {
+    ) -> (CallerKey, mpsc::UnboundedReceiver<ReplyPart>) {
         let (parts, rx) = mpsc::unbounded();
         (self.waiting.insert(Caller { pipeline, team, parts }), rx)
     }
@@ -64,13 +64,13 @@
     /// Sends a piece of text. False if the caller is gone.
     pub fn send_text(&self, key: CallerKey, text: Text) -> bool {
         let Some(caller) = self.waiting.get(key) else { return false };
-        caller.parts.unbounded_send(Part::Text(text)).is_ok()
+        caller.parts.unbounded_send(ReplyPart::Text(text)).is_ok()
     }
 
     /// Sends the outcome and forgets the caller. `None` if it is gone.
-    pub fn send_end(&mut self, key: CallerKey, outcome: Outcome) -> Option<Caller> {
+    pub fn send_outcome(&mut self, key: CallerKey, outcome: Outcome) -> Option<Caller> {
         let caller = self.waiting.remove(key)?;
-        caller.parts.unbounded_send(Part::End(outcome)).ok()?;
+        caller.parts.unbounded_send(ReplyPart::End(outcome)).ok()?;
         Some(caller)
     }
 
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -13,7 +13,7 @@
 
 /// A call that runs.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningCall {
     /// The endpoint's address.
     pub addr: Arc<str>,
     /// What the endpoint knows the call by.
@@ -25,17 +25,17 @@
 /// All calls that run.
 #[derive(Debug, Default)]
 pub struct Calls {
-    running: HashMap<CallId, Running>,
+    running: HashMap<CallId, RunningCall>,
 }
 
 impl Calls {
     /// Adds a call.
-    pub fn add(&mut self, id: CallId, call: Running) {
+    pub fn add(&mut self, id: CallId, call: RunningCall) {
         self.running.insert(id, call);
     }
 
     /// Whether the event is still wanted. An end takes the call out.
-    pub fn takes(&mut self, id: CallId, event: &CallEvent) -> bool {
+    pub fn accept(&mut self, id: CallId, event: &CallEvent) -> bool {
         match event {
             CallEvent::Chunk { .. } => self.running.contains_key(&id),
             CallEvent::Reply { .. } | CallEvent::Refused { .. } | CallEvent::Failed(_) => {
@@ -45,7 +45,7 @@
     }
 
     /// Takes out a call that is cancelled; `None` if it has ended.
-    pub fn remove(&mut self, id: CallId) -> Option<Running> {
+    pub fn remove(&mut self, id: CallId) -> Option<RunningCall> {
         self.running.remove(&id)
     }
 }
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -33,9 +33,9 @@
 use tokio::sync::Notify;
 
 use crate::{
-    burn::Burn,
-    callers::{CallerKey, Callers, Part},
-    calls::{Calls, Running},
+    burn::OutcomeHistory,
+    callers::{CallerKey, Callers, ReplyPart},
+    calls::{Calls, RunningCall},
     counts::Counts,
     peers::Peers,
     platform_tasks,
@@ -44,7 +44,7 @@
 
 slotmap::new_key_type! {
     /// A peer's question that waits for the machine's answer.
-    struct QuestionKey;
+    struct QueryKey;
 }
 
 /// Clients of the platform and the endpoints.
@@ -65,8 +65,8 @@
     clock: Rc<dyn Clock>,
     callers: RefCell<Callers>,
     calls: RefCell<Calls>,
-    questions: RefCell<SlotMap<QuestionKey, oneshot::Sender<PeerOutcome>>>,
-    burn: RefCell<Burn>,
+    queries: RefCell<SlotMap<QueryKey, oneshot::Sender<PeerOutcome>>>,
+    outcomes: RefCell<OutcomeHistory>,
     peers: Peers,
     rearm: Notify,
     exit: Notify,
@@ -91,8 +91,8 @@
             clock,
             callers: RefCell::default(),
             calls: RefCell::default(),
-            questions: RefCell::default(),
-            burn: RefCell::default(),
+            queries: RefCell::default(),
+            outcomes: RefCell::default(),
             peers: Peers::default(),
             rearm: Notify::new(),
             exit: Notify::new(),
@@ -130,10 +130,10 @@
     }
 
     /// Hands a request to the machine. Its parts come through the waiter.
-    pub fn submit(self: &Rc<Self>, request: Request) -> Waiter {
+    pub fn submit(self: &Rc<Self>, request: Request) -> ReplyReceiver {
         let (key, parts) =
             self.callers.borrow_mut().add(request.pipeline.clone(), request.id.team.clone());
-        let waiter = Waiter { parts, _guard: Guard { driver: self.clone(), key } };
+        let waiter = ReplyReceiver { parts, _guard: DisconnectGuard { driver: self.clone(), key } };
         match self.is_closed.get() {
             true => self.answer(key.id(), admit::outcome_after_exit(&request)),
             false => self.feed(Input::Submit { caller: key.id(), request }),
@@ -142,9 +142,9 @@
     }
 
     /// Asks the machine a peer's question.
-    pub async fn ask(self: &Rc<Self>, key: RequestId) -> PeerOutcome {
+    pub async fn query_outcome(self: &Rc<Self>, key: RequestId) -> PeerOutcome {
         let (tx, rx) = oneshot::channel();
-        let question = self.questions.borrow_mut().insert(tx);
+        let question = self.queries.borrow_mut().insert(tx);
         self.feed(Input::OutcomeAsked { question: question.data().as_ffi(), key });
         rx.await.unwrap_or(PeerOutcome::Unknown)
     }
@@ -176,7 +176,7 @@
     }
 
     /// Where the next read of a stream starts.
-    pub fn read_from(&self, stream: Stream) -> Offset {
+    pub fn next_offset(&self, stream: Stream) -> Offset {
         match stream {
             Stream::Config => self.machine.borrow().next_config_offset(),
             Stream::Claims => self.machine.borrow().next_claims_offset(),
@@ -189,8 +189,8 @@
     }
 
     /// Reads the outcomes by minute.
-    pub fn with_burn<T>(&self, read: impl FnOnce(&Burn) -> T) -> T {
-        read(&self.burn.borrow())
+    pub fn with_outcomes<T>(&self, read: impl FnOnce(&OutcomeHistory) -> T) -> T {
+        read(&self.outcomes.borrow())
     }
 
     /// The clock.
@@ -230,37 +230,37 @@
                 self.start_append(append, Stream::Claims, batch);
             }
             Action::Gossip { to, addr, message } => self.start_gossip(to, addr, message),
-            Action::AskOutcome { to, addr, key } => self.start_question(to, addr, key),
-            Action::TellOutcome { question, answer } => self.tell(question, answer),
+            Action::AskOutcome { to, addr, key } => self.start_outcome_query(to, addr, key),
+            Action::TellOutcome { question, answer } => self.answer_query(question, answer),
             Action::Exit => self.exit.notify_one(),
         }
     }
 
     fn answer(&self, caller: CallerId, outcome: Outcome) {
-        let mut burn = self.burn.borrow_mut();
+        let mut outcomes = self.outcomes.borrow_mut();
         let ended = outcome.clone();
-        let Some(caller) = self.callers.borrow_mut().send_end(caller.into(), outcome) else {
-            self.counts.unclaimed.add();
+        let Some(caller) = self.callers.borrow_mut().send_outcome(caller.into(), outcome) else {
+            self.counts.unclaimed_outcomes.increment();
             return;
         };
-        burn.count(self.clock.wall(), &caller.pipeline, &caller.team, &ended);
+        outcomes.record(self.clock.wall(), &caller.pipeline, &caller.team, &ended);
     }
 
     fn start_call(self: &Rc<Self>, call: Call) {
         let (abort, registration) = AbortHandle::new_pair();
-        let running = Running { addr: call.addr.clone(), echo: call.echo.clone(), abort };
+        let running = RunningCall { addr: call.addr.clone(), echo: call.echo.clone(), abort };
         self.calls.borrow_mut().add(call.id, running);
         let driver = self.clone();
         let task = async move {
             let client = driver.clients.endpoints.clone();
-            client.call(&call, |event| driver.call_event(call.id, event)).await;
+            client.call(&call, |event| driver.on_call_event(call.id, event)).await;
         };
         ntex::rt::spawn(Abortable::new(task, registration));
     }
 
-    fn call_event(self: &Rc<Self>, call: CallId, event: CallEvent) {
-        if !self.calls.borrow_mut().takes(call, &event) {
-            self.counts.stale.add();
+    fn on_call_event(self: &Rc<Self>, call: CallId, event: CallEvent) {
+        if !self.calls.borrow_mut().accept(call, &event) {
+            self.counts.stale_events.increment();
             return;
         }
         self.feed(Input::Call { call, event });
@@ -271,9 +271,9 @@
         running.abort.abort();
         let driver = self.clone();
         ntex::rt::spawn(async move {
-            let Running { addr, echo, .. } = running;
+            let RunningCall { addr, echo, .. } = running;
             if driver.clients.endpoints.cancel(&addr, echo).await.is_err() {
-                driver.counts.cancels_failed.add();
+                driver.counts.cancels_failed.increment();
             }
         });
     }
@@ -298,35 +298,35 @@
                 Ok(Some(reply)) => driver.feed(Input::Gossip(reply)),
                 Ok(None) => {}
                 Err(_) => {
-                    driver.counts.peers_failed.add();
+                    driver.counts.peers_failed.increment();
                     driver.feed(Input::PeerFailed(to));
                 }
             }
         });
     }
 
-    fn start_question(self: &Rc<Self>, peer: InstanceName, addr: Arc<str>, key: RequestId) {
+    fn start_outcome_query(self: &Rc<Self>, peer: InstanceName, addr: Arc<str>, key: RequestId) {
         let driver = self.clone();
         ntex::rt::spawn(async move {
             let answer = driver.peers.outcome(&addr, &key).await.ok();
             if answer.is_none() {
-                driver.counts.peers_failed.add();
+                driver.counts.peers_failed.increment();
             }
             driver.feed(Input::OutcomeTold { key, peer, answer });
         });
     }
 
-    fn tell(&self, question: u64, answer: PeerOutcome) {
-        let key = QuestionKey::from(KeyData::from_ffi(question));
-        if let Some(tx) = self.questions.borrow_mut().remove(key) {
+    fn answer_query(&self, question: u64, answer: PeerOutcome) {
+        let key = QueryKey::from(KeyData::from_ffi(question));
+        if let Some(tx) = self.queries.borrow_mut().remove(key) {
             tx.send(answer).ok();
         }
     }
 
-    fn caller_gone(self: &Rc<Self>, key: CallerKey) {
+    fn on_caller_gone(self: &Rc<Self>, key: CallerKey) {
         let was_waiting = self.callers.borrow_mut().remove(key);
         if was_waiting {
-            self.counts.gone.add();
+            self.counts.callers_gone.increment();
             self.feed(Input::CallerGone(key.id()));
         }
     }
@@ -334,25 +334,25 @@
 
 /// One caller's side: what it is sent. Dropping it before the outcome tells
 /// the machine that the caller has gone.
-pub struct Waiter {
-    parts: mpsc::UnboundedReceiver<Part>,
-    _guard: Guard,
+pub struct ReplyReceiver {
+    parts: mpsc::UnboundedReceiver<ReplyPart>,
+    _guard: DisconnectGuard,
 }
 
-impl Waiter {
+impl ReplyReceiver {
     /// The parts as they come; the last one is [`Part::End`].
-    pub fn parts(&mut self) -> &mut mpsc::UnboundedReceiver<Part> {
+    pub fn parts(&mut self) -> &mut mpsc::UnboundedReceiver<ReplyPart> {
         &mut self.parts
     }
 }
 
-struct Guard {
+struct DisconnectGuard {
     driver: Rc<Driver>,
     key: CallerKey,
 }
 
-impl Drop for Guard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        self.driver.caller_gone(self.key);
+        self.driver.on_caller_gone(self.key);
     }
 }
--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -12,34 +12,34 @@
 use peatdeck_wire::caller::TextEvent;
 use serde::Serialize;
 
-use crate::{callers::Part, driver::Waiter, outcome};
+use crate::{callers::ReplyPart, driver::ReplyReceiver, outcome};
 
 /// Everything that a stream needs to go on.
-pub struct Source {
+pub struct StreamState {
     /// The request's id.
     pub id: Arc<str>,
     /// What the caller is sent.
-    pub waiter: Waiter,
+    pub waiter: ReplyReceiver,
     /// The part that was taken to find out whether to stream.
-    pub first: Option<Part>,
+    pub first_part: Option<ReplyPart>,
 }
 
 /// The events of one answer.
-pub fn stream(source: Source) -> impl Stream<Item = Result<Bytes, Infallible>> {
-    futures::stream::unfold(Some(source), async |source| {
-        let mut source = source?;
-        match next_part(&mut source).await? {
-            Part::Text(text) => {
+pub fn stream(state: StreamState) -> impl Stream<Item = Result<Bytes, Infallible>> {
+    futures::stream::unfold(Some(state), async |state| {
+        let mut state = state?;
+        match next_part(&mut state).await? {
+            ReplyPart::Text(text) => {
                 let event = encode("text", &TextEvent { text });
-                Some((Ok(event), Some(source)))
+                Some((Ok(event), Some(state)))
             }
-            Part::End(outcome) => Some((Ok(end(&source.id, outcome)), None)),
+            ReplyPart::End(outcome) => Some((Ok(final_event(&state.id, outcome)), None)),
         }
     })
 }
 
 /// The event that ends a stream.
-fn end(id: &Arc<str>, outcome: Outcome) -> Bytes {
+fn final_event(id: &Arc<str>, outcome: Outcome) -> Bytes {
     match outcome::render(id, outcome) {
         Ok(body) => encode("answer", &body),
         Err(failure) => encode("error", &failure.body),
@@ -47,10 +47,10 @@
 }
 
 /// The next part; `None` if the machine ended without an outcome.
-async fn next_part(source: &mut Source) -> Option<Part> {
-    match source.first.take() {
+async fn next_part(state: &mut StreamState) -> Option<ReplyPart> {
+    match state.first_part.take() {
         Some(part) => Some(part),
-        None => source.waiter.parts().next().await,
+        None => state.waiter.parts().next().await,
     }
 }
 
--- a/crates/entry/src/flush.rs
+++ b/crates/entry/src/flush.rs
@@ -13,31 +13,31 @@
 use ntex::io::IoRef;
 
 /// How often the write buffers are looked at while the process stops.
-const CHECK_PERIOD: Duration = Duration::from_millis(5);
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// How many connections are tracked before those with nothing to write are
 /// forgotten.
 const MAX_TRACKED: usize = 256;
 
 /// Tracks responses from the request's arrival to its last byte.
 #[derive(Debug, Default)]
-pub struct Flush {
-    open: Cell<usize>,
-    written: RefCell<Vec<IoRef>>,
+pub struct FlushTracker {
+    pending: Cell<usize>,
+    connections: RefCell<Vec<IoRef>>,
 }
 
 /// One response that is not yet handed over to ntex.
 #[derive(Debug)]
-pub struct Response {
-    flush: Rc<Flush>,
+pub struct PendingResponse {
+    flush: Rc<FlushTracker>,
     io: Option<IoRef>,
 }
 
-impl Flush {
+impl FlushTracker {
     /// Begins a response on that connection. Drop it when all of its body was
     /// handed over.
-    pub fn begin(self: &Rc<Self>, io: Option<IoRef>) -> Response {
-        self.open.set(self.open.get() + 1);
-        Response { flush: self.clone(), io }
+    pub fn track(self: &Rc<Self>, io: Option<IoRef>) -> PendingResponse {
+        self.pending.set(self.pending.get() + 1);
+        PendingResponse { flush: self.clone(), io }
     }
 
     /// Returns when all responses are written, or after `limit`. False if
@@ -45,30 +45,30 @@
     pub async fn wait(&self, limit: Duration) -> bool {
         let flushed = async {
             while !self.is_flushed() {
-                tokio::time::sleep(CHECK_PERIOD).await;
+                tokio::time::sleep(CHECK_INTERVAL).await;
             }
         };
         tokio::time::timeout(limit, flushed).await.is_ok()
     }
 
     fn is_flushed(&self) -> bool {
-        self.forget_written();
-        self.open.get() == 0 && self.written.borrow().is_empty()
+        self.remove_written();
+        self.pending.get() == 0 && self.connections.borrow().is_empty()
     }
 
-    fn forget_written(&self) {
-        self.written.borrow_mut().retain(has_unwritten);
+    fn remove_written(&self) {
+        self.connections.borrow_mut().retain(has_unwritten);
     }
 }
 
-impl Drop for Response {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
-        self.flush.open.set(self.flush.open.get() - 1);
+        self.flush.pending.set(self.flush.pending.get() - 1);
         let Some(io) = self.io.take() else { return };
-        if self.flush.written.borrow().len() >= MAX_TRACKED {
-            self.flush.forget_written();
+        if self.flush.connections.borrow().len() >= MAX_TRACKED {
+            self.flush.remove_written();
         }
-        self.flush.written.borrow_mut().push(io);
+        self.flush.connections.borrow_mut().push(io);
     }
 }
 
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/intake.rs
@@ -16,14 +16,14 @@
 const MAX_NAME_BYTES: usize = 128;
 /// The fields that a body must have, the error's code where one is missing,
 /// and what it should hold.
-const REQUIRED: [(&str, &str, &str); 4] = [
+const REQUIRED_FIELDS: [(&str, &str, &str); 4] = [
     ("id", "id_missing", "the request's id, unique within the team"),
     ("team", "team_missing", "the team's name"),
     ("deadline_ms", "deadline_missing", "how long the caller waits, in milliseconds"),
     ("input", "input_missing", "the first stage's input"),
 ];
 /// The fields that a body may have.
-const OPTIONAL: [&str; 3] = ["idempotent", "repeat", "stream"];
+const OPTIONAL_FIELDS: [&str; 3] = ["idempotent", "repeat", "stream"];
 
 /// Parses and checks a body.
 ///
@@ -36,7 +36,7 @@
     };
     check_id(&body.id)?;
     let id = body.id.clone();
-    check_rest(pipeline, body).map_err(|failure| failure.with_id(id))
+    check_fields(pipeline, body).map_err(|failure| failure.with_id(id))
 }
 
 /// The error for a body over the limit.
@@ -51,14 +51,14 @@
 
 /// The error for a body that ended early or came too slowly.
 pub fn unreadable(cause: &dyn std::fmt::Display) -> Failure {
-    bad(
+    bad_request(
         "body_unreadable",
         format!("the body could not be read ({cause}); nothing ran"),
         "send the whole body with its right length",
     )
 }
 
-fn check_rest(pipeline: &str, body: RequestBody) -> Result<Request, Failure> {
+fn check_fields(pipeline: &str, body: RequestBody) -> Result<Request, Failure> {
     check_name("team", &body.team)?;
     check_name("pipeline", pipeline)?;
     let deadline = check_deadline(body.deadline_ms)?;
@@ -75,21 +75,21 @@
 
 fn check_id(id: &str) -> Result<(), Failure> {
     if id.is_empty() {
-        return Err(bad(
+        return Err(bad_request(
             "id_missing",
             "the field `id` is empty; nothing ran",
             "give each request an id that is unique within its team",
         ));
     }
     if id.len() > MAX_ID_BYTES {
-        return Err(bad(
+        return Err(bad_request(
             "id_too_long",
             format!("the field `id` is over {MAX_ID_BYTES} bytes; nothing ran"),
             "use a shorter id, such as a UUID",
         ));
     }
     if id.chars().any(char::is_control) {
-        return Err(bad(
+        return Err(bad_request(
             "id_control",
             "the field `id` holds a control character; nothing ran",
             "use printable characters only",
@@ -100,14 +100,14 @@
 
 fn check_name(field: &str, name: &str) -> Result<(), Failure> {
     if name.is_empty() {
-        return Err(bad(
+        return Err(bad_request(
             &format!("{field}_missing"),
             format!("the {field} is empty; nothing ran"),
             format!("name a {field} of the configuration in force"),
         ));
     }
     if name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
-        return Err(bad(
+        return Err(bad_request(
             &format!("{field}_invalid"),
             format!(
                 "the {field}'s name is over {MAX_NAME_BYTES} bytes or holds a control character; nothing ran"
@@ -120,14 +120,14 @@
 
 fn check_deadline(deadline_ms: i64) -> Result<Duration, Failure> {
     if deadline_ms == 0 {
-        return Err(bad(
+        return Err(bad_request(
             "deadline_zero",
             "the deadline is zero, so no answer could come in time; nothing ran",
             "give in `deadline_ms` how long the caller waits",
         ));
     }
     let Ok(millis) = u64::try_from(deadline_ms) else {
-        return Err(bad(
+        return Err(bad_request(
             "deadline_passed",
             "the deadline is negative: it has already passed; nothing ran",
             "give in `deadline_ms` how long the caller still waits",
@@ -135,13 +135,13 @@
     };
     let deadline = Duration::from_millis(millis);
     if deadline > MAX_DEADLINE {
-        return Err(deadline_absurd());
+        return Err(deadline_too_long());
     }
     Ok(deadline)
 }
 
-fn deadline_absurd() -> Failure {
-    bad(
+fn deadline_too_long() -> Failure {
+    bad_request(
         "deadline_absurd",
         format!("the deadline is over {} ms; nothing ran", MAX_DEADLINE.as_millis()),
         "give `deadline_ms` in milliseconds from now, not as a point in time",
@@ -151,29 +151,29 @@
 /// Finds out what is wrong with a body that did not parse.
 fn diagnose(body: &[u8], error: &serde_json::Error) -> Failure {
     let Ok(value) = serde_json::from_slice::<Value>(body) else {
-        return bad(
+        return bad_request(
             "malformed_json",
             format!("the body is not JSON: {error}; nothing ran"),
             "send one JSON object",
         );
     };
     let Value::Object(fields) = value else {
-        return bad(
+        return bad_request(
             "malformed_json",
             "the body is JSON, but not an object; nothing ran",
             "send one JSON object",
         );
     };
     if let Some(field) = fields.keys().find(|field| !is_known(field)) {
-        return bad(
+        return bad_request(
             "unknown_field",
             format!("the body has the unknown field `{}`; nothing ran", shortened(field)),
             "remove the field, or correct its name",
         );
     }
-    for (field, code, holds) in REQUIRED {
+    for (field, code, holds) in REQUIRED_FIELDS {
         if fields.get(field).is_none_or(Value::is_null) {
-            return bad(
+            return bad_request(
                 code,
                 format!("the field `{field}` is missing; nothing ran"),
                 format!("give `{field}`: {holds}"),
@@ -181,9 +181,9 @@
         }
     }
     if is_huge(&fields["deadline_ms"]) {
-        return deadline_absurd();
+        return deadline_too_long();
     }
-    bad(
+    bad_request(
         "field_type",
         format!("a field has the wrong type: {error}; nothing ran"),
         "correct the field's type",
@@ -191,7 +191,7 @@
 }
 
 fn is_known(field: &str) -> bool {
-    OPTIONAL.contains(&field) || REQUIRED.iter().any(|(name, ..)| *name == field)
+    OPTIONAL_FIELDS.contains(&field) || REQUIRED_FIELDS.iter().any(|(name, ..)| *name == field)
 }
 
 /// Whether a number is too large for the field's type.
@@ -207,6 +207,6 @@
 /// How much of a caller's own text is repeated in an error.
 const MAX_ECHOED_CHARS: usize = 64;
 
-fn bad(code: &str, message: impl Into<Arc<str>>, remedy: impl Into<Arc<str>>) -> Failure {
+fn bad_request(code: &str, message: impl Into<Arc<str>>, remedy: impl Into<Arc<str>>) -> Failure {
     Failure::invalid(StatusCode::BAD_REQUEST, code, message, remedy)
 }
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -14,7 +14,7 @@
 };
 
 /// A code, and the sentences that go with it.
-struct Words {
+struct ErrorText {
     code: &'static str,
     message: &'static str,
     remedy: &'static str,
@@ -69,18 +69,18 @@
     match outcome {
         Outcome::Answered(answer) => Ok(answer_body(id, answer)),
         Outcome::NotRun(refusal) => Err(not_run(id, &refusal)),
-        Outcome::MayHaveRun(doubt) => Err(may_have_run(id, doubt)),
+        Outcome::MayHaveRun(uncertainty) => Err(may_have_run(id, uncertainty)),
         Outcome::Invalid(kind) => Err(invalid(kind).with_id(id.clone())),
     }
 }
 
-/// The outcome's stable code: `answered`, or that of the refusal or doubt.
+/// The outcome's stable code: `answered`, or that of the refusal or uncertainty.
 pub fn code(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Answered(_) => ANSWERED,
-        Outcome::NotRun(refusal) => refusal_words(refusal.kind).code,
-        Outcome::MayHaveRun(doubt) => doubt_words(doubt.kind).code,
-        Outcome::Invalid(kind) => invalid_words(*kind).code,
+        Outcome::NotRun(refusal) => refusal_text(refusal.kind).code,
+        Outcome::MayHaveRun(uncertainty) => uncertainty_text(uncertainty.kind).code,
+        Outcome::Invalid(kind) => invalid_text(*kind).code,
     }
 }
 
@@ -103,7 +103,7 @@
 }
 
 fn not_run(id: &Arc<str>, refusal: &Refusal) -> Failure {
-    let words = refusal_words(refusal.kind);
+    let text = refusal_text(refusal.kind);
     let status = match refusal.kind {
         RefusalKind::OverShare | RefusalKind::Policy => StatusCode::TOO_MANY_REQUESTS,
         _ => StatusCode::SERVICE_UNAVAILABLE,
@@ -111,33 +111,33 @@
     let body = ErrorBody {
         id: Some(id.clone()),
         outcome: Arc::from(NOT_RUN),
-        code: Arc::from(words.code),
-        message: Arc::from(words.message),
-        remedy: Arc::from(words.remedy),
+        code: Arc::from(text.code),
+        message: Arc::from(text.message),
+        remedy: Arc::from(text.remedy),
         stage: None,
-        retry_after_ms: Some(millis_up(refusal.retry_after)),
+        retry_after_ms: Some(ceil_millis(refusal.retry_after)),
     };
     Failure { status, body }
 }
 
-fn may_have_run(id: &Arc<str>, doubt: Uncertainty) -> Failure {
-    let words = doubt_words(doubt.kind);
-    let status = match doubt.kind {
+fn may_have_run(id: &Arc<str>, uncertainty: Uncertainty) -> Failure {
+    let text = uncertainty_text(uncertainty.kind);
+    let status = match uncertainty.kind {
         UncertaintyKind::TimedOut | UncertaintyKind::InProgress => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     };
-    let remedy = match doubt.retry_after {
-        Some(_) => words.remedy,
+    let remedy = match uncertainty.retry_after {
+        Some(_) => text.remedy,
         None => "do not send the request again; find out whether its effect took place",
     };
     let body = ErrorBody {
         id: Some(id.clone()),
         outcome: Arc::from(MAY_HAVE_RUN),
-        code: Arc::from(words.code),
-        message: Arc::from(words.message),
+        code: Arc::from(text.code),
+        message: Arc::from(text.message),
         remedy: Arc::from(remedy),
-        stage: doubt.stage,
-        retry_after_ms: doubt.retry_after.map(millis_up),
+        stage: uncertainty.stage,
+        retry_after_ms: uncertainty.retry_after.map(ceil_millis),
     };
     Failure { status, body }
 }
@@ -148,11 +148,11 @@
         Invalid::KeyReused => StatusCode::CONFLICT,
         Invalid::UnknownTeam => StatusCode::BAD_REQUEST,
     };
-    let words = invalid_words(kind);
-    Failure::invalid(status, words.code, words.message, words.remedy)
+    let text = invalid_text(kind);
+    Failure::invalid(status, text.code, text.message, text.remedy)
 }
 
-fn refusal_words(kind: RefusalKind) -> Words {
+fn refusal_text(kind: RefusalKind) -> ErrorText {
     let (code, message, remedy) = match kind {
         RefusalKind::Infeasible => (
             "infeasible",
@@ -200,10 +200,10 @@
             "check whether the request already took effect, then use a new id",
         ),
     };
-    Words { code, message, remedy }
+    ErrorText { code, message, remedy }
 }
 
-fn doubt_words(kind: UncertaintyKind) -> Words {
+fn uncertainty_text(kind: UncertaintyKind) -> ErrorText {
     let (code, message, remedy) = match kind {
         UncertaintyKind::TimedOut => (
             "timed_out",
@@ -236,10 +236,10 @@
             "send it again with the same id and `repeat` true after the given time",
         ),
     };
-    Words { code, message, remedy }
+    ErrorText { code, message, remedy }
 }
 
-fn invalid_words(kind: Invalid) -> Words {
+fn invalid_text(kind: Invalid) -> ErrorText {
     let (code, message, remedy) = match kind {
         Invalid::UnknownPipeline => (
             "unknown_pipeline",
@@ -257,9 +257,9 @@
             "use a new id for a new request, or send the earlier request unchanged",
         ),
     };
-    Words { code, message, remedy }
+    ErrorText { code, message, remedy }
 }
 
-fn millis_up(duration: Duration) -> u64 {
+fn ceil_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -22,7 +22,7 @@
 /// Time that the machine has to answer a peer's question.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause after a failed accept, as when no file descriptor is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Connections to peers, by address.
 #[derive(Default)]
@@ -86,7 +86,7 @@
             Ok((stream, _)) => {
                 ntex::rt::spawn(link::serve(service.clone(), stream));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -105,7 +105,7 @@
         let message = match wire::read_gossip(params.get()?.get_message()?) {
             Ok(message) => message,
             Err(error) => {
-                self.driver.counts.peers_damaged.add();
+                self.driver.counts.malformed_peer_messages.increment();
                 return Err(capnp::Error::failed(error.to_string()));
             }
         };
@@ -124,7 +124,7 @@
             team: Arc::from(params.get_team()?.to_str()?),
             id: Arc::from(params.get_id()?.to_str()?),
         };
-        let answer = tokio::time::timeout(ANSWER_TIMEOUT, self.driver.ask(key))
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT, self.driver.query_outcome(key))
             .await
             .unwrap_or(PeerOutcome::Unknown);
         let json =
--- a/crates/entry/src/platform_tasks.rs
+++ b/crates/entry/src/platform_tasks.rs
@@ -25,11 +25,11 @@
 const MAX_RECORDS: u32 = 1_000;
 /// Pause after an empty read that came back at once, as from a service that
 /// does not wait.
-const EMPTY_PAUSE: Duration = Duration::from_millis(100);
+const EMPTY_READ_DELAY: Duration = Duration::from_millis(100);
 /// Time after which an append counts as unanswered.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two reads of the list.
-const LIST_PERIOD: Duration = Duration::from_secs(1);
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// First pause after a failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest pause after a failure.
@@ -47,20 +47,20 @@
 
 /// Reads the list for as long as the process runs.
 pub async fn read_list(driver: Rc<Driver>) {
-    let mut health = Health::new("list");
+    let mut health = SourceHealth::new("list");
     loop {
         match driver.clients.list.read().await {
             Ok(listing) => {
-                health.succeeded();
+                health.record_success();
                 driver.feed(Input::Listed(listing));
             }
             Err(error) => {
-                driver.counts.lists_failed.add();
-                health.failed(&error);
+                driver.counts.lists_failed.increment();
+                health.record_failure(&error);
                 driver.feed(Input::ListFailed);
             }
         }
-        tokio::time::sleep(jittered(LIST_PERIOD)).await;
+        tokio::time::sleep(jittered(LIST_INTERVAL)).await;
     }
 }
 
@@ -74,7 +74,7 @@
     match driver.clients.log.append(stream, record, APPEND_TIMEOUT).await {
         Ok(offset) => Input::Appended { append, offset },
         Err(error) => {
-            driver.counts.appends_failed.add();
+            driver.counts.appends_failed.increment();
             tracing::debug!(stream = stream.name(), %error, "append failed");
             Input::AppendFailed(append)
         }
@@ -86,27 +86,27 @@
     stream: Stream,
     to_input: impl Fn(Batch<R>) -> Input,
 ) {
-    let mut health = Health::new(stream.name());
+    let mut health = SourceHealth::new(stream.name());
     let mut backoff = MIN_BACKOFF;
     loop {
-        let from = driver.read_from(stream);
+        let from = driver.next_offset(stream);
         let at_end = driver.with_machine(|machine| machine.has_reached_end(stream));
         let wait = if at_end { POLL_WAIT } else { Duration::ZERO };
         let range = log::Range { from, max: MAX_RECORDS, wait };
         let start = driver.now();
         match driver.clients.log.read(stream, range).await {
             Ok(batch) => {
-                health.succeeded();
+                health.record_success();
                 backoff = MIN_BACKOFF;
                 let is_empty = batch.entries.is_empty();
                 driver.feed(to_input(batch));
-                if is_empty && driver.now() - start < EMPTY_PAUSE {
-                    tokio::time::sleep(EMPTY_PAUSE).await;
+                if is_empty && driver.now() - start < EMPTY_READ_DELAY {
+                    tokio::time::sleep(EMPTY_READ_DELAY).await;
                 }
             }
             Err(error) => {
-                driver.counts.reads_failed.add();
-                health.failed(&error);
+                driver.counts.reads_failed.increment();
+                health.record_failure(&error);
                 driver.feed(Input::ReadFailed(stream));
                 tokio::time::sleep(jittered(backoff)).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
@@ -121,23 +121,23 @@
 }
 
 /// Whether a source answers; logs a line when that changes.
-struct Health {
+struct SourceHealth {
     source: &'static str,
     is_failing: bool,
 }
 
-impl Health {
-    fn new(source: &'static str) -> Health {
-        Health { source, is_failing: false }
+impl SourceHealth {
+    fn new(source: &'static str) -> SourceHealth {
+        SourceHealth { source, is_failing: false }
     }
 
-    fn succeeded(&mut self) {
+    fn record_success(&mut self) {
         if std::mem::replace(&mut self.is_failing, false) {
             tracing::info!(source = self.source, "answers again");
         }
     }
 
-    fn failed(&mut self, error: &dyn std::error::Error) {
+    fn record_failure(&mut self, error: &dyn std::error::Error) {
         if !std::mem::replace(&mut self.is_failing, true) {
             tracing::warn!(source = self.source, %error, "does not answer");
         }
--- a/crates/entry/src/report.rs
+++ b/crates/entry/src/report.rs
@@ -14,7 +14,7 @@
 use crate::driver::Driver;
 
 /// Time between two sendings of the counters.
-const METRICS_PERIOD: Duration = Duration::from_secs(1);
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An hour, in seconds.
 const HOUR_SECONDS: u64 = 60 * 60;
@@ -42,7 +42,7 @@
         peers: status.peers,
         endpoints: endpoints.collect(),
         counters: totals(driver).into_iter().map(|(name, n)| (Arc::from(name), n)).collect(),
-        outcomes: driver.with_burn(|burn| burn.rows(since)),
+        outcomes: driver.with_outcomes(|burn| burn.rows(since)),
     }
 }
 
@@ -58,13 +58,13 @@
 pub async fn send_metrics(driver: Rc<Driver>, metrics: Metrics) {
     let mut sent = BTreeMap::new();
     loop {
-        tokio::time::sleep(METRICS_PERIOD).await;
-        send_growth(&driver, &metrics, &mut sent);
+        tokio::time::sleep(METRICS_INTERVAL).await;
+        send_increments(&driver, &metrics, &mut sent);
     }
 }
 
 /// Sends what each counter grew by since it was last sent.
-pub fn send_growth(driver: &Driver, metrics: &Metrics, sent: &mut BTreeMap<&'static str, u64>) {
+pub fn send_increments(driver: &Driver, metrics: &Metrics, sent: &mut BTreeMap<&'static str, u64>) {
     for (name, total) in totals(driver) {
         let before = sent.insert(name, total).unwrap_or(0);
         if total > before {
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -16,10 +16,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    callers::Part,
+    callers::ReplyPart,
     driver::Driver,
     events,
-    flush::{self, Flush},
+    flush::{self, FlushTracker},
     intake,
     outcome::{self, Failure},
     report,
@@ -37,7 +37,7 @@
     /// Who this instance is.
     pub identity: Rc<Identity>,
     /// Responses on their way.
-    pub flush: Rc<Flush>,
+    pub flush: Rc<FlushTracker>,
     /// The longest body that is accepted, in bytes.
     pub max_body: usize,
 }
@@ -104,11 +104,11 @@
     pipeline: types::Path<String>,
     payload: types::Payload,
 ) -> HttpResponse {
-    let response = app.flush.begin(http.io().cloned());
+    let response = app.flush.track(http.io().cloned());
     let request = match read_request(&app, &http, &pipeline, payload).await {
         Ok(request) => request,
         Err(failure) => {
-            app.driver.counts.rejected.add();
+            app.driver.counts.rejected_requests.increment();
             return error_response(&failure);
         }
     };
@@ -123,8 +123,8 @@
     let mut waiter = app.driver.submit(request);
     loop {
         match waiter.parts().next().await {
-            Some(Part::Text(_)) => {}
-            Some(Part::End(outcome)) => return end_response(&id, outcome),
+            Some(ReplyPart::Text(_)) => {}
+            Some(ReplyPart::End(outcome)) => return end_response(&id, outcome),
             None => return lost_response(),
         }
     }
@@ -132,18 +132,22 @@
 
 /// A request that ends before any text came gets its plain status; only from
 /// the first text on the response is a stream.
-async fn answer_stream(app: &App, request: Request, response: flush::Response) -> HttpResponse {
+async fn answer_stream(
+    app: &App,
+    request: Request,
+    response: flush::PendingResponse,
+) -> HttpResponse {
     let id = request.id.id.clone();
     let mut waiter = app.driver.submit(request);
     let first = match waiter.parts().next().await {
-        Some(Part::End(outcome)) if !matches!(outcome, Outcome::Answered(_)) => {
+        Some(ReplyPart::End(outcome)) if !matches!(outcome, Outcome::Answered(_)) => {
             return end_response(&id, outcome);
         }
         Some(part) => part,
         None => return lost_response(),
     };
-    let source = events::Source { id, waiter, first: Some(first) };
-    let events = events::stream(source).map(move |event| {
+    let state = events::StreamState { id, waiter, first_part: Some(first) };
+    let events = events::stream(state).map(move |event| {
         // Held until the stream is dropped, behind its last event.
         let _ = &response;
         event
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -33,7 +33,7 @@
 
 use crate::{
     driver::{Clients, Driver},
-    flush::Flush,
+    flush::FlushTracker,
     peers, platform_tasks, report, routes,
     settings::{Limits, Settings},
     timer,
@@ -67,7 +67,7 @@
     let listener = bind("--listen", settings.listen)?;
     let peers = bind("--peer-listen", settings.peer_listen)?;
     let stops = watch_signals()?;
-    announce(&listener, &peers).into_diagnostic()?;
+    print_addresses(&listener, &peers).into_diagnostic()?;
 
     let limits = settings.limits.clone();
     let (exited, on_exit) = oneshot::channel();
@@ -98,8 +98,8 @@
 /// Starts the event loop on the current thread.
 async fn start(setup: Setup) -> routes::App {
     let Setup { settings, peers, stops, exited } = setup;
-    let driver = driver(&settings).await;
-    let flush = Rc::new(Flush::default());
+    let driver = create_driver(&settings).await;
+    let flush = Rc::new(FlushTracker::default());
     ntex::rt::spawn(timer::run(driver.clone()));
     ntex::rt::spawn(platform_tasks::read_config(driver.clone()));
     ntex::rt::spawn(platform_tasks::read_claims(driver.clone()));
@@ -114,7 +114,7 @@
     routes::App { driver, identity, flush, max_body: settings.limits.body }
 }
 
-async fn driver(settings: &Settings) -> Rc<Driver> {
+async fn create_driver(settings: &Settings) -> Rc<Driver> {
     let http = http::client(settings.connect_timeout)
         .await
         .expect("a client without TLS has nothing that can fail to build");
@@ -142,7 +142,7 @@
 }
 
 /// Waits for the machine to finish and the last responses to leave.
-async fn finish(driver: Rc<Driver>, flush: Rc<Flush>, exited: oneshot::Sender<()>) {
+async fn finish(driver: Rc<Driver>, flush: Rc<FlushTracker>, exited: oneshot::Sender<()>) {
     driver.exited().await;
     if !flush.wait(FLUSH_TIMEOUT).await {
         tracing::warn!("some callers did not take their last response in time");
@@ -200,7 +200,7 @@
 }
 
 /// Tells on standard output where the instance listens.
-fn announce(callers: &TcpListener, peers: &TcpListener) -> std::io::Result<()> {
+fn print_addresses(callers: &TcpListener, peers: &TcpListener) -> std::io::Result<()> {
     let mut out = std::io::stdout().lock();
     writeln!(out, "listening {}", callers.local_addr()?)?;
     writeln!(out, "peers {}", peers.local_addr()?)?;
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -40,7 +40,7 @@
 /// The largest value of `--connect-timeout`, in milliseconds.
 const MAX_CONNECT_MS: u64 = 60_000;
 /// The largest value of `--retention` and `--horizon`, in seconds: a year.
-const MAX_KEEP_SECONDS: u64 = 366 * 24 * 60 * 60;
+const MAX_RETENTION_SECONDS: u64 = 366 * 24 * 60 * 60;
 /// The largest value of `--grace`, in milliseconds.
 const MAX_GRACE_MS: u64 = 600_000;
 /// The longest body, in bytes, where none is set.
@@ -156,7 +156,7 @@
             log_format: check.format("--log-format", self.log_format.as_deref()),
             log_filter: self.log_filter.clone().unwrap_or_else(default_filter),
         };
-        check::distinct(&mut check, &settings);
+        check::distinct_addresses(&mut check, &settings);
         check.finish(settings)
     }
 
@@ -173,7 +173,7 @@
                 flag,
                 value.as_deref(),
                 default.as_secs(),
-                1..=MAX_KEEP_SECONDS,
+                1..=MAX_RETENTION_SECONDS,
             ))
         };
         instance::settings::Settings {
--- a/crates/entry/src/settings/check.rs
+++ b/crates/entry/src/settings/check.rs
@@ -41,7 +41,7 @@
 }
 
 /// Callers and peers connect to different addresses.
-pub(super) fn distinct(check: &mut Check, settings: &Settings) {
+pub(super) fn distinct_addresses(check: &mut Check, settings: &Settings) {
     let is_fixed = settings.listen.port() != 0;
     if is_fixed && settings.listen == settings.peer_listen {
         check.report(
--- a/crates/entry/src/timer.rs
+++ b/crates/entry/src/timer.rs
@@ -8,11 +8,11 @@
 
 /// The shortest time between two ticks, so that a wake that stays in the past
 /// cannot starve the event loop.
-const MIN_GAP: Duration = Duration::from_millis(1);
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The longest sleep. The operating system's timers do not count the time that the
 /// machine was suspended, so this is how late a wake is noticed after that.
-const MAX_GAP: Duration = Duration::from_millis(250);
+const MAX_SLEEP: Duration = Duration::from_millis(250);
 
 /// Runs for as long as the process does.
 pub async fn run(driver: Rc<Driver>) {
@@ -24,11 +24,11 @@
         let left = wake.saturating_sub(driver.now());
         if left.is_zero() {
             driver.feed(Input::Tick);
-            tokio::time::sleep(MIN_GAP).await;
+            tokio::time::sleep(MIN_TICK_INTERVAL).await;
             continue;
         }
         tokio::select! {
-            () = tokio::time::sleep(left.min(MAX_GAP)) => {}
+            () = tokio::time::sleep(left.min(MAX_SLEEP)) => {}
             () = driver.rearmed() => {}
         }
     }
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -20,7 +20,7 @@
 use peatdeck_macros::data;
 
 /// Who may read a trace: the user that the process runs as.
-const MODE: u32 = 0o600;
+const FILE_MODE: u32 = 0o600;
 
 /// What is recorded, and where.
 #[data]
@@ -41,7 +41,7 @@
     /// Starts a trace.
     pub fn start(settings: &Settings, header: &trace::Header) -> Trace {
         let mut options = OpenOptions::new();
-        let file = options.write(true).create_new(true).mode(MODE).open(&settings.file);
+        let file = options.write(true).create_new(true).mode(FILE_MODE).open(&settings.file);
         match file.and_then(|file| trace::Recorder::new(file, header)) {
             Ok(recorder) => Trace { recorder: Some(recorder) },
             Err(error) => {
--- a/crates/entry/tests/entry/burn.rs
+++ b/crates/entry/tests/entry/burn.rs
@@ -7,7 +7,7 @@
 use peatdeck_core::model::{
     Answer, Invalid, Outcome, Refusal, RefusalKind, Uncertainty, UncertaintyKind,
 };
-use peatdeck_entry::burn::{Burn, MAX_ROWS, MAX_SLOTS, SLOT_SECONDS};
+use peatdeck_entry::burn::{MAX_ROWS, MAX_SLOTS, OutcomeHistory, SLOT_SECONDS};
 
 fn at(seconds: u64) -> SystemTime {
     UNIX_EPOCH + Duration::from_secs(seconds)
@@ -17,11 +17,11 @@
     Outcome::Answered(Answer { output: Arc::from(""), stages: Vec::new() })
 }
 
-fn count(burn: &mut Burn, seconds: u64, pipeline: &str, team: &str, outcome: &Outcome) {
-    burn.count(at(seconds), &Arc::from(pipeline), &Arc::from(team), outcome);
+fn count(burn: &mut OutcomeHistory, seconds: u64, pipeline: &str, team: &str, outcome: &Outcome) {
+    burn.record(at(seconds), &Arc::from(pipeline), &Arc::from(team), outcome);
 }
 
-fn check(burn: &Burn, since: u64, expected: Expect) {
+fn check(burn: &OutcomeHistory, since: u64, expected: Expect) {
     let rows = burn.rows(since);
     let lines: Vec<_> = rows
         .iter()
@@ -36,7 +36,7 @@
 
 #[test]
 fn outcomes_are_counted_by_minute_and_kind() {
-    let mut burn = Burn::default();
+    let mut burn = OutcomeHistory::default();
     let refusal = Refusal { kind: RefusalKind::Infeasible, retry_after: Duration::ZERO };
     let stage = Some(Arc::from("generate"));
     let doubt = Uncertainty { kind: UncertaintyKind::TimedOut, stage, retry_after: None };
@@ -57,7 +57,7 @@
 
 #[test]
 fn names_that_callers_made_up_are_not_kept() {
-    let mut burn = Burn::default();
+    let mut burn = OutcomeHistory::default();
     count(&mut burn, 0, "made-up-1", "t", &Outcome::Invalid(Invalid::UnknownPipeline));
     count(&mut burn, 0, "p", "made-up-2", &Outcome::Invalid(Invalid::UnknownTeam));
     check(
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_clock_that_jumps_back_counts_in_the_newest_slot() {
-    let mut burn = Burn::default();
+    let mut burn = OutcomeHistory::default();
     count(&mut burn, 600, "p", "t", &answered());
     count(&mut burn, 10, "p", "t", &answered());
     check(&burn, 0, expect!["600 [p] [t] answered - 2"]);
@@ -79,7 +79,7 @@
 
 #[test]
 fn only_the_last_day_is_kept() {
-    let mut burn = Burn::default();
+    let mut burn = OutcomeHistory::default();
     for slot in 0..=MAX_SLOTS as u64 {
         count(&mut burn, slot * SLOT_SECONDS, "p", "t", &answered());
     }
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_minute_holds_a_bounded_number_of_rows_and_loses_no_count() {
-    let mut burn = Burn::default();
+    let mut burn = OutcomeHistory::default();
     let total = 2 * MAX_ROWS;
     for idx in 0..total {
         count(&mut burn, 0, "p", &format!("t{idx}"), &answered());
--- a/crates/entry/tests/entry/flush.rs
+++ b/crates/entry/tests/entry/flush.rs
@@ -6,7 +6,7 @@
     io::{Io, testing::IoTest},
     service::cfg::SharedCfg,
 };
-use peatdeck_entry::flush::Flush;
+use peatdeck_entry::flush::FlushTracker;
 
 /// Long enough to pass on any machine; a wait that ends does so at once.
 const LONG: Duration = Duration::from_secs(60);
@@ -20,13 +20,13 @@
 
 #[ntex::test]
 async fn without_responses_there_is_nothing_to_wait_for() {
-    assert!(Flush::default().wait(LONG).await);
+    assert!(FlushTracker::default().wait(LONG).await);
 }
 
 #[ntex::test]
 async fn a_response_in_the_making_is_waited_for() {
-    let flush = Rc::new(Flush::default());
-    let response = flush.begin(None);
+    let flush = Rc::new(FlushTracker::default());
+    let response = flush.track(None);
     assert!(!flush.wait(Duration::ZERO).await);
     drop(response);
     assert!(flush.wait(LONG).await);
@@ -34,9 +34,9 @@
 
 #[ntex::test]
 async fn a_response_in_the_write_buffer_is_waited_for() {
-    let flush = Rc::new(Flush::default());
+    let flush = Rc::new(FlushTracker::default());
     let (near, far) = connection();
-    let response = flush.begin(Some(near.get_ref()));
+    let response = flush.track(Some(near.get_ref()));
     near.encode_slice(b"answer").unwrap();
     drop(response);
     assert!(!flush.wait(Duration::ZERO).await);
@@ -47,9 +47,9 @@
 
 #[ntex::test]
 async fn a_connection_that_closed_is_not_waited_for() {
-    let flush = Rc::new(Flush::default());
+    let flush = Rc::new(FlushTracker::default());
     let (near, far) = connection();
-    let response = flush.begin(Some(near.get_ref()));
+    let response = flush.track(Some(near.get_ref()));
     near.encode_slice(b"answer").unwrap();
     drop(response);
     far.close().await;
--- a/crates/util/src/logging.rs
+++ b/crates/util/src/logging.rs
@@ -66,10 +66,10 @@
 }
 
 /// Lines that may wait to be written. At 400 bytes a line this is 1.6 MB.
-const WAITING_LINES: usize = 4096;
+const MAX_BUFFERED_LINES: usize = 4096;
 /// Lines of one second at the most. The size to design for needs about 10 a
 /// request, at 62 requests a second; twice that is left for trouble.
-const LINES_A_SECOND: u64 = 1500;
+const MAX_LINES_PER_SECOND: u64 = 1500;
 
 /// Logs that are written by a thread of their own. Dropping it writes what
 /// still waits.
@@ -82,14 +82,14 @@
 #[derive(Clone)]
 pub struct DroppedLines {
     unwritten: ErrorCounter,
-    budget: Arc<LineLimiter>,
+    limiter: Arc<LineLimiter>,
 }
 
 impl DroppedLines {
     /// Lines that were dropped since the start, because too many waited or too
     /// many came within a second.
     pub fn count(&self) -> u64 {
-        self.unwritten.dropped_lines() as u64 + self.budget.dropped.load(Ordering::Relaxed)
+        self.unwritten.dropped_lines() as u64 + self.limiter.dropped.load(Ordering::Relaxed)
     }
 }
 
@@ -122,26 +122,26 @@
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        let may_write = self.lines.fetch_add(1, Ordering::Relaxed) < self.limit;
-        if !may_write {
+        let is_allowed = self.lines.fetch_add(1, Ordering::Relaxed) < self.limit;
+        if !is_allowed {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        may_write
+        is_allowed
     }
 }
 
 /// Writes lines while the budget allows it.
-struct Limited {
+struct RateLimitedWriter {
     writer: NonBlocking,
-    budget: Arc<LineLimiter>,
+    limiter: Arc<LineLimiter>,
 }
 
-impl<'a> MakeWriter<'a> for Limited {
+impl<'a> MakeWriter<'a> for RateLimitedWriter {
     type Writer = Box<dyn Write + 'a>;
 
     fn make_writer(&'a self) -> Self::Writer {
-        let second = self.budget.start.elapsed().as_secs();
-        match self.budget.try_acquire(second) {
+        let second = self.limiter.start.elapsed().as_secs();
+        match self.limiter.try_acquire(second) {
             true => Box::new(self.writer.clone()),
             false => Box::new(io::sink()),
         }
@@ -156,12 +156,16 @@
 /// never waits: a line that finds the buffer full, or that is one too many in
 /// its second, is dropped and counted.
 pub fn init_bounded(filter: &str) -> BoundedLog {
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING_LINES);
+    let builder =
+        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LINES);
     let (writer, guard) = builder.finish(io::stdout());
-    let budget = Arc::new(LineLimiter::new(LINES_A_SECOND));
-    let dropped = DroppedLines { unwritten: writer.error_counter(), budget: budget.clone() };
+    let limiter = Arc::new(LineLimiter::new(MAX_LINES_PER_SECOND));
+    let dropped = DroppedLines { unwritten: writer.error_counter(), limiter: limiter.clone() };
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
-    let fields = fmt::fmt().with_env_filter(filter).with_writer(Limited { writer, budget }).json();
+    let fields = fmt::fmt()
+        .with_env_filter(filter)
+        .with_writer(RateLimitedWriter { writer, limiter })
+        .json();
     fields.flatten_event(true).with_target(false).init();
     BoundedLog { dropped, _guard: guard }
 }
--- a/crates/util/src/metrics.rs
+++ b/crates/util/src/metrics.rs
@@ -67,7 +67,7 @@
 /// Quantiles of a timing that are shown.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 /// Longest timing that is told apart from longer ones, in milliseconds.
-const LONGEST_TIMING: u64 = 600_000;
+const MAX_TIMING_MS: u64 = 600_000;
 
 /// Counters, gauges and timings since the start of the process.
 #[derive(Debug, Default)]
@@ -108,7 +108,7 @@
     }
 
     /// Takes in one metric in the statsd format, `name:value|kind`.
-    fn take(&self, metric: &str) -> Option<()> {
+    fn record(&self, metric: &str) -> Option<()> {
         let (name, rest) = metric.split_once(':')?;
         let (value, kind) = rest.split_once('|')?;
         let value: u64 = value.parse().ok()?;
@@ -130,7 +130,7 @@
 }
 
 fn new_timing() -> Histogram<u32> {
-    Histogram::new_with_max(LONGEST_TIMING, 2).expect("the bounds are right")
+    Histogram::new_with_max(MAX_TIMING_MS, 2).expect("the bounds are right")
 }
 
 #[derive(Debug)]
@@ -140,7 +140,7 @@
 
 impl MetricSink for RegistrySink {
     fn emit(&self, metric: &str) -> io::Result<usize> {
-        self.registry.take(metric);
+        self.registry.record(metric);
         Ok(metric.len())
     }
 }
--- a/crates/util/src/settings.rs
+++ b/crates/util/src/settings.rs
@@ -114,7 +114,7 @@
 
     /// A name, which must be given.
     pub fn name(&mut self, flag: &str, value: Option<&str>) -> Arc<str> {
-        let Some(name) = self.present(flag, value) else { return Arc::from("") };
+        let Some(name) = self.required(flag, value) else { return Arc::from("") };
         let is_plain = name.chars().all(|char| char.is_ascii_graphic());
         if name.len() > MAX_NAME_BYTES || !is_plain {
             self.report(
@@ -129,7 +129,7 @@
     /// An address to listen on, which must be given.
     pub fn addr(&mut self, flag: &str, value: Option<&str>) -> SocketAddr {
         let any = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
-        let Some(text) = self.present(flag, value) else { return any };
+        let Some(text) = self.required(flag, value) else { return any };
         address(text).unwrap_or_else(|_| {
             let message = format!("`{}` is not an address", text.escape_debug());
             self.report(flag, message, ADDRESS_REMEDY);
@@ -186,16 +186,16 @@
         })
     }
 
-    fn present<'a>(&mut self, flag: &str, value: Option<&'a str>) -> Option<&'a str> {
+    fn required<'a>(&mut self, flag: &str, value: Option<&'a str>) -> Option<&'a str> {
         let given = value.filter(|text| !text.is_empty());
         if given.is_none() {
-            self.report(flag, "is missing", format!("give {flag} or set {}", variable(flag)));
+            self.report(flag, "is missing", format!("give {flag} or set {}", env_variable(flag)));
         }
         given
     }
 }
 
 /// The environment variable of a flag.
-fn variable(flag: &str) -> String {
+fn env_variable(flag: &str) -> String {
     format!("PEATDECK_{}", flag.trim_start_matches('-').replace('-', "_").to_uppercase())
 }
--- a/crates/wire/examples/peer_cost/gossip.rs
+++ b/crates/wire/examples/peer_cost/gossip.rs
@@ -25,28 +25,28 @@
 };
 
 /// How often it is looked at who takes whom for dead.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Runs `count` members that tell of so many endpoints.
 pub fn run(count: usize, endpoints: usize) -> Figures {
-    let mut world = World::new(count, endpoints);
-    let mut next_look = WARM_UP;
-    while let Some((member, event)) = world.network.next() {
+    let mut simulation = Simulation::new(count, endpoints);
+    let mut next_check = WARM_UP;
+    while let Some((member, event)) = simulation.network.next() {
         match event {
-            Event::Tick => world.tick(member),
-            Event::Message(bytes) => world.hear(member, &bytes),
+            Event::Tick => simulation.tick(member),
+            Event::Message(bytes) => simulation.receive(member, &bytes),
         }
-        if world.network.now >= next_look {
-            next_look = world.network.now + LOOK;
-            world.look();
+        if simulation.network.now >= next_check {
+            next_check = simulation.network.now + CHECK_INTERVAL;
+            simulation.check_views();
         }
     }
-    world.figures.wrong_short = world.wrong_short.len();
-    world.figures.wrong_long = world.wrong_long.len();
-    world.figures
+    simulation.figures.wrong_short = simulation.wrong_short.len();
+    simulation.figures.wrong_long = simulation.wrong_long.len();
+    simulation.figures
 }
 
-struct World {
+struct Simulation {
     network: Network<Vec<u8>>,
     members: Vec<Members>,
     endpoints: Vec<EndpointState>,
@@ -55,8 +55,8 @@
     wrong_long: HashSet<(usize, usize)>,
 }
 
-impl World {
-    fn new(count: usize, endpoints: usize) -> World {
+impl Simulation {
+    fn new(count: usize, endpoints: usize) -> Simulation {
         let entries: Vec<_> = (0..count).map(entry).collect();
         let member = |idx: usize| {
             let identity = Identity {
@@ -73,7 +73,7 @@
             in_flight: 0,
             load: None,
         };
-        World {
+        Simulation {
             network: Network::new(count),
             members: (0..count).map(member).collect(),
             endpoints: (0..endpoints).map(state).collect(),
@@ -93,7 +93,7 @@
         let now = self.network.now;
         let envelopes = self.members[member].tick(now, &local(&self.endpoints));
         let bytes: Vec<_> = envelopes.iter().map(encode).collect();
-        self.spend(started);
+        self.add_processor_time(started);
         for bytes in bytes {
             self.send(bytes);
         }
@@ -101,13 +101,13 @@
         self.network.wake(wake.max(now), member);
     }
 
-    fn hear(&mut self, member: usize, bytes: &[u8]) {
+    fn receive(&mut self, member: usize, bytes: &[u8]) {
         let started = Instant::now();
         let now = self.network.now;
         let gossip = decode(bytes);
         let reply = self.members[member].receive(now, &gossip, &local(&self.endpoints));
         let reply = reply.as_ref().map(encode);
-        self.spend(started);
+        self.add_processor_time(started);
         if let Some(reply) = reply {
             self.send(reply);
         }
@@ -115,19 +115,19 @@
 
     fn send(&mut self, (to, bytes): (usize, Vec<u8>)) {
         if self.is_measured() {
-            self.figures.sent(bytes.len());
+            self.figures.record_sent(bytes.len());
         }
         self.network.send(to, bytes);
     }
 
-    fn spend(&mut self, started: Instant) {
+    fn add_processor_time(&mut self, started: Instant) {
         if self.is_measured() {
             self.figures.processor += started.elapsed();
         }
     }
 
     /// Looks at who takes whom for dead.
-    fn look(&mut self) {
+    fn check_views(&mut self) {
         let now = self.network.now;
         for (observer, members) in self.members.iter().enumerate() {
             if !self.network.is_running(observer) {
@@ -138,9 +138,9 @@
                 if alive.contains(&name(other)) {
                     continue;
                 }
-                if other == self.network.victim && now >= self.network.dies_at {
-                    self.figures.detected[observer].get_or_insert(now - self.network.dies_at);
-                } else if self.network.is_well(other, DEAD_AFTER) {
+                if other == self.network.crashing_member && now >= self.network.crashes_at {
+                    self.figures.detected[observer].get_or_insert(now - self.network.crashes_at);
+                } else if self.network.is_healthy(other, DEAD_AFTER) {
                     self.wrong_short.insert((observer, other));
                 } else {
                     self.wrong_long.insert((observer, other));
--- a/crates/wire/examples/peer_cost/heartbeats.rs
+++ b/crates/wire/examples/peer_cost/heartbeats.rs
@@ -28,79 +28,81 @@
 };
 
 /// Heartbeats written and read to find the time that one takes.
-const TIMED: u32 = 50_000;
+const TIMED_HEARTBEATS: u32 = 50_000;
 /// A step of a member's timer over more than this is a pause of its own.
-const PAUSE: Duration = Duration::from_secs(2);
+const OWN_PAUSE: Duration = Duration::from_secs(2);
 
 /// Each member sends to every other.
 pub fn all_to_all(count: usize) -> Figures {
-    let mut world = World::new(count);
-    while let Some((member, event)) = world.network.next() {
+    let mut simulation = Simulation::new(count);
+    while let Some((member, event)) = simulation.network.next() {
         match event {
             Event::Tick => {
-                world.forgive_own_pause(member);
+                simulation.discount_own_pause(member);
                 for to in (0..count).filter(|&to| to != member) {
-                    world.send(to, Message::Beat(member));
+                    simulation.send(to, Message::Heartbeat(member));
                 }
                 for other in (0..count).filter(|&other| other != member) {
-                    if world.is_silent(member, other) {
-                        world.suspect(member, other);
+                    if simulation.is_silent(member, other) {
+                        simulation.suspect(member, other);
                     }
                 }
-                world.wake(member);
+                simulation.wake(member);
             }
-            Event::Message(Message::Beat(from)) => world.hear(member, from),
+            Event::Message(Message::Heartbeat(from)) => simulation.receive(member, from),
             Event::Message(_) => {}
         }
     }
-    world.finish()
+    simulation.finish()
 }
 
 /// Each member sends to the next one that it does not suspect.
 pub fn ring(count: usize) -> Figures {
-    let mut world = World::new(count);
-    while let Some((member, event)) = world.network.next() {
+    let mut simulation = Simulation::new(count);
+    while let Some((member, event)) = simulation.network.next() {
         match event {
             Event::Tick => {
-                world.forgive_own_pause(member);
-                let next = world.neighbour(member, 1);
-                world.send(next, Message::Beat(member));
-                let previous = world.neighbour(member, count - 1);
-                if previous != member && world.is_silent(member, previous) {
-                    world.suspect(member, previous);
-                    world.tell_all(member, Message::Suspect(previous));
+                simulation.discount_own_pause(member);
+                let next = simulation.neighbour(member, 1);
+                simulation.send(next, Message::Heartbeat(member));
+                let previous = simulation.neighbour(member, count - 1);
+                if previous != member && simulation.is_silent(member, previous) {
+                    simulation.suspect(member, previous);
+                    simulation.broadcast(member, Message::Suspect(previous));
                     // The next one back has a whole timeout to show itself.
-                    let watched = world.neighbour(member, count - 1);
-                    world.heard_at[member][watched] = world.network.now;
+                    let watched = simulation.neighbour(member, count - 1);
+                    simulation.received_at[member][watched] = simulation.network.now;
                 }
-                world.wake(member);
+                simulation.wake(member);
             }
-            Event::Message(Message::Beat(from)) => {
-                if world.suspects[member].contains(&from) {
-                    world.tell_all(member, Message::Trust(from));
+            Event::Message(Message::Heartbeat(from)) => {
+                if simulation.suspects[member].contains(&from) {
+                    simulation.broadcast(member, Message::Trust(from));
                 }
-                world.hear(member, from);
+                simulation.receive(member, from);
+            }
+            Event::Message(Message::Suspect(who)) if who != member => {
+                simulation.suspect(member, who)
             }
-            Event::Message(Message::Suspect(who)) if who != member => world.suspect(member, who),
             // A member that is suspected goes on sending to its successor,
             // which then takes the suspicion back.
             Event::Message(Message::Suspect(_)) => {}
-            Event::Message(Message::Trust(who)) => world.hear(member, who),
+            Event::Message(Message::Trust(who)) => simulation.receive(member, who),
         }
     }
-    world.finish()
+    simulation.finish()
 }
 
 #[derive(Clone, Copy)]
 enum Message {
-    Beat(usize),
+    Heartbeat(usize),
     Suspect(usize),
     Trust(usize),
 }
 
-struct World {
+struct Simulation {
     network: Network<Message>,
-    heard_at: Vec<Vec<Duration>>,
+    received_at: Vec<Vec<Duration>>,
     ticked_at: Vec<Duration>,
     suspects: Vec<HashSet<usize>>,
     wrong_short: HashSet<(usize, usize)>,
@@ -110,12 +112,12 @@
     cost: Duration,
 }
 
-impl World {
-    fn new(count: usize) -> World {
-        let (size, cost) = beat_cost();
-        World {
+impl Simulation {
+    fn new(count: usize) -> Simulation {
+        let (size, cost) = heartbeat_cost();
+        Simulation {
             network: Network::new(count),
-            heard_at: vec![vec![Duration::ZERO; count]; count],
+            received_at: vec![vec![Duration::ZERO; count]; count],
             ticked_at: vec![Duration::ZERO; count],
             suspects: vec![HashSet::new(); count],
             wrong_short: HashSet::new(),
@@ -128,14 +130,14 @@
 
     fn send(&mut self, to: usize, message: Message) {
         if (WARM_UP..WARM_UP + MEASURED).contains(&self.network.now) {
-            self.figures.sent(self.size);
+            self.figures.record_sent(self.size);
             self.figures.processor += self.cost;
         }
         self.network.send(to, message);
     }
 
-    fn tell_all(&mut self, from: usize, message: Message) {
-        for to in (0..self.heard_at.len()).filter(|&to| to != from) {
+    fn broadcast(&mut self, from: usize, message: Message) {
+        for to in (0..self.received_at.len()).filter(|&to| to != from) {
             self.send(to, message);
         }
     }
@@ -144,29 +146,29 @@
         self.network.wake(self.network.now + TICK, member);
     }
 
-    fn hear(&mut self, member: usize, from: usize) {
-        self.heard_at[member][from] = self.network.now;
+    fn receive(&mut self, member: usize, from: usize) {
+        self.received_at[member][from] = self.network.now;
         self.suspects[member].remove(&from);
     }
 
     /// As gossip does: one's own pause does not count against the others.
-    fn forgive_own_pause(&mut self, member: usize) {
+    fn discount_own_pause(&mut self, member: usize) {
         let step = self.network.now - self.ticked_at[member];
-        if step > PAUSE {
-            for heard_at in &mut self.heard_at[member] {
-                *heard_at += step;
+        if step > OWN_PAUSE {
+            for received_at in &mut self.received_at[member] {
+                *received_at += step;
             }
         }
         self.ticked_at[member] = self.network.now;
     }
 
     fn is_silent(&self, member: usize, other: usize) -> bool {
-        self.network.now.saturating_sub(self.heard_at[member][other]) > DEAD_AFTER
+        self.network.now.saturating_sub(self.received_at[member][other]) > DEAD_AFTER
     }
 
     /// The next member in a direction that is not suspected.
     fn neighbour(&self, member: usize, step: usize) -> usize {
-        let count = self.heard_at.len();
+        let count = self.received_at.len();
         let mut next = (member + step) % count;
         while self.suspects[member].contains(&next) {
             next = (next + step) % count;
@@ -177,9 +179,9 @@
     fn suspect(&mut self, member: usize, other: usize) {
         let now = self.network.now;
         self.suspects[member].insert(other);
-        if other == self.network.victim && now >= self.network.dies_at {
-            self.figures.detected[member].get_or_insert(now - self.network.dies_at);
-        } else if self.network.is_well(other, DEAD_AFTER) {
+        if other == self.network.crashing_member && now >= self.network.crashes_at {
+            self.figures.detected[member].get_or_insert(now - self.network.crashes_at);
+        } else if self.network.is_healthy(other, DEAD_AFTER) {
             self.wrong_short.insert((member, other));
         } else {
             self.wrong_long.insert((member, other));
@@ -194,7 +196,7 @@
 }
 
 /// Bytes of a heartbeat, and the time to write and read one.
-fn beat_cost() -> (usize, Duration) {
+fn heartbeat_cost() -> (usize, Duration) {
     let state = MemberState {
         name: Arc::from("instance-100"),
         incarnation: Incarnation(1),
@@ -202,7 +204,7 @@
         version: 3,
         ready: true,
     };
-    let beat = Gossip {
+    let heartbeat = Gossip {
         from: state.name.clone(),
         wants_reply: false,
         mark: ConfigMark { version: 3, offset: Some(9) },
@@ -214,9 +216,9 @@
     };
     let started = Instant::now();
     let mut size = 0;
-    for _ in 0..TIMED {
+    for _ in 0..TIMED_HEARTBEATS {
         let mut message = message::Builder::new_default();
-        peer::write_gossip(&beat, message.init_root()).expect("no snapshot to fail");
+        peer::write_gossip(&heartbeat, message.init_root()).expect("no snapshot to fail");
         let bytes = serialize::write_message_to_words(&message);
         size = bytes.len();
         let options = ReaderOptions::new();
@@ -225,5 +227,5 @@
         let root = message.get_root::<peer_capnp::gossip::Reader<'_>>().expect("a gossip");
         peer::read_gossip(root).expect("a gossip");
     }
-    (size, started.elapsed() / TIMED)
+    (size, started.elapsed() / TIMED_HEARTBEATS)
 }
--- a/crates/wire/examples/peer_cost/network.rs
+++ b/crates/wire/examples/peer_cost/network.rs
@@ -39,9 +39,9 @@
     next_event: u64,
     pauses: Vec<Vec<(Duration, Duration)>>,
     /// The member that dies.
-    pub victim: usize,
+    pub crashing_member: usize,
     /// When it dies.
-    pub dies_at: Duration,
+    pub crashes_at: Duration,
 }
 
 impl<M> Network<M> {
@@ -56,8 +56,8 @@
             events: HashMap::new(),
             next_event: 0,
             pauses,
-            victim: members - 1,
-            dies_at: WARM_UP + MEASURED + MEASURED,
+            crashing_member: members - 1,
+            crashes_at: WARM_UP + MEASURED + MEASURED,
         };
         for member in 0..members {
             let phase = network.rng.random_range(Duration::ZERO..TICK);
@@ -68,7 +68,7 @@
 
     /// When everything ends.
     pub fn end(&self) -> Duration {
-        self.dies_at + MEASURED
+        self.crashes_at + MEASURED
     }
 
     /// Sends a message.
@@ -91,7 +91,7 @@
             }
             let (member, event) = self.events.remove(&id).expect("it was queued");
             self.now = at;
-            if member == self.victim && at >= self.dies_at {
+            if member == self.crashing_member && at >= self.crashes_at {
                 continue;
             }
             match self.paused_until(member, at) {
@@ -103,17 +103,17 @@
 
     /// Whether a member lives and was not paused for long lately, so that taking
     /// it for dead is wrong.
-    pub fn is_well(&self, member: usize, lately: Duration) -> bool {
-        let is_dead = member == self.victim && self.now >= self.dies_at;
+    pub fn is_healthy(&self, member: usize, recent: Duration) -> bool {
+        let has_crashed = member == self.crashing_member && self.now >= self.crashes_at;
         let pauses = self.pauses[member].iter();
         let mut long = pauses.filter(|(from, until)| *until - *from > SHORT_PAUSE);
-        !is_dead && !long.any(|&(from, until)| from <= self.now && self.now < until + lately)
+        !has_crashed && !long.any(|&(from, until)| from <= self.now && self.now < until + recent)
     }
 
     /// Whether a member runs now.
     pub fn is_running(&self, member: usize) -> bool {
-        let is_dead = member == self.victim && self.now >= self.dies_at;
-        !is_dead && self.paused_until(member, self.now).is_none()
+        let has_crashed = member == self.crashing_member && self.now >= self.crashes_at;
+        !has_crashed && self.paused_until(member, self.now).is_none()
     }
 
     fn paused_until(&self, member: usize, at: Duration) -> Option<Duration> {
--- a/crates/wire/examples/peer_cost/report.rs
+++ b/crates/wire/examples/peer_cost/report.rs
@@ -31,7 +31,7 @@
 
 impl Figures {
     /// Counts a message.
-    pub fn sent(&mut self, bytes: usize) {
+    pub fn record_sent(&mut self, bytes: usize) {
         self.bytes += bytes as u64;
         self.messages += 1;
         self.largest = self.largest.max(bytes as u64);
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -51,7 +51,7 @@
 /// A connection to a peer. Dropping it closes it.
 struct Link<C> {
     client: C,
-    used: Instant,
+    last_used: Instant,
     abort: AbortHandle,
 }
 
@@ -126,9 +126,9 @@
     fn cached(&self, addr: &Arc<str>) -> Option<C> {
         let now = Instant::now();
         let mut links = self.links.borrow_mut();
-        links.retain(|_, link| now - link.used < IDLE_TIMEOUT);
+        links.retain(|_, link| now - link.last_used < IDLE_TIMEOUT);
         let link = links.get_mut(addr)?;
-        link.used = now;
+        link.last_used = now;
         Some(link.client.clone())
     }
 }
@@ -148,7 +148,7 @@
     let client = rpc.bootstrap(Side::Server);
     let (abort, registration) = AbortHandle::new_pair();
     tokio::task::spawn_local(Abortable::new(rpc, registration));
-    Ok(Link { client, used: Instant::now(), abort })
+    Ok(Link { client, last_used: Instant::now(), abort })
 }
 
 fn network(stream: TcpStream, side: Side) -> std::io::Result<Box<Network>> {
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -110,8 +110,8 @@
         to.set_number(piece.number);
         to.set_key(piece.key.as_deref().unwrap_or_default());
         to.set_bytes(piece.bytes);
-        to.set_due_micros(left(now, piece.deadline));
-        to.set_aim_micros(left(now, piece.target));
+        to.set_due_micros(micros_left(now, piece.deadline));
+        to.set_aim_micros(micros_left(now, piece.target));
         to.set_priority(piece.priority);
         to.set_home(piece.destination.as_deref().unwrap_or_default());
         to.set_is_repeat(piece.is_repeat);
@@ -233,7 +233,7 @@
     to.set_incarnation(placement.engine.incarnation.0);
     to.set_source(placement.source.as_deref().unwrap_or_default());
     to.set_tokens(placement.tokens);
-    to.set_wait_micros(left(Duration::ZERO, placement.wait));
+    to.set_wait_micros(micros_left(Duration::ZERO, placement.wait));
     to.set_number(placement.number);
 }
 
@@ -463,7 +463,7 @@
     }
 }
 
-fn left(now: Duration, at: Duration) -> u64 {
+fn micros_left(now: Duration, at: Duration) -> u64 {
     u64::try_from(at.saturating_sub(now).as_micros()).unwrap_or(u64::MAX)
 }
 
--- a/crates/wire/src/socket.rs
+++ b/crates/wire/src/socket.rs
@@ -12,10 +12,10 @@
 
 /// Silence after which bytes that were not acknowledged mean a dead peer. A
 /// packet that was lost is sent again several times within it.
-const DEAD_AFTER: Duration = Duration::from_millis(1200);
+const ACK_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Pause before and between probes of a silent connection; the kernel counts
 /// in seconds.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Has the kernel end a connection that has gone silent, and send small
 /// messages at once.
@@ -25,7 +25,8 @@
 pub fn set_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(DEAD_AFTER))?;
-    let probes = TcpKeepalive::new().with_time(PROBE_PAUSE).with_interval(PROBE_PAUSE);
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
+    let probes =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes)
 }
