--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -80,7 +80,7 @@
         if self.slots.len() > MAX_SLOTS {
             self.slots.pop_front();
         }
-        self.slots.back_mut().expect("a slot was pushed if there was none")
+        self.slots.back_mut().expect("a slot has been pushed if there was none")
     }
 }
 
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -175,7 +175,8 @@
         self.exit.notified().await;
     }
 
-    /// Ignores all later inputs. New requests are refused as not run.
+    /// Ignores all later inputs. New requests get the outcome of
+    /// [`admit::outcome_after_exit`].
     pub fn close(&self) {
         self.is_closed.set(true);
     }
@@ -346,7 +347,7 @@
 }
 
 impl ReplyReceiver {
-    /// The channel of reply parts; the last one is [`Part::End`].
+    /// The channel of reply parts; the last one is [`ReplyPart::End`].
     pub fn parts(&mut self) -> &mut mpsc::UnboundedReceiver<ReplyPart> {
         &mut self.parts
     }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -119,7 +119,7 @@
 async fn create_driver(settings: &Settings) -> Rc<Driver> {
     let http = http::client(settings.connect_timeout)
         .await
-        .expect("a client without TLS has nothing that can fail to build");
+        .expect("building a client without TLS cannot fail");
     let clients = Clients {
         log: log::Client::new(http.clone(), settings.log.clone()),
         list: list::Client::new(http.clone(), settings.list.clone()),
@@ -188,7 +188,7 @@
 }
 
 fn into_tokio(listener: TcpListener) -> tokio::net::TcpListener {
-    listener.set_nonblocking(true).expect("a listening socket takes the flag");
+    listener.set_nonblocking(true).expect("a listening socket can be made non-blocking");
     tokio::net::TcpListener::from_std(listener).expect("the event loop runs on this thread")
 }
 
--- a/crates/macros/src/lib.rs
+++ b/crates/macros/src/lib.rs
@@ -37,12 +37,12 @@
     let keyword = tokens.iter().position(|token| token.to_string() == "fn");
     let name = keyword.and_then(|idx| tokens.get(idx + 1)).expect("a function has a name");
     let body = tokens.last().expect("a function has a body").clone();
-    let mut test: TokenStream = "|| async move".parse().expect("it is a constant");
+    let mut test: TokenStream = "|| async move".parse().expect("the constant parses");
     test.extend([body]);
     let mut call: TokenStream =
-        "::peatdeck_test_support::system::run".parse().expect("it is a constant");
+        "::peatdeck_test_support::system::run".parse().expect("the constant parses");
     call.extend([TokenTree::from(Group::new(Delimiter::Parenthesis, test))]);
-    let mut out: TokenStream = "#[test] fn".parse().expect("it is a constant");
+    let mut out: TokenStream = "#[test] fn".parse().expect("the constant parses");
     out.extend([
         name.clone(),
         Group::new(Delimiter::Parenthesis, TokenStream::new()).into(),
@@ -52,7 +52,7 @@
 }
 
 fn derive(attribute: &str, item: TokenStream) -> TokenStream {
-    let mut out: TokenStream = attribute.parse().expect("the attribute is a constant");
+    let mut out: TokenStream = attribute.parse().expect("the attribute parses");
     out.extend(item);
     out
 }
--- a/crates/util/src/cost.rs
+++ b/crates/util/src/cost.rs
@@ -42,7 +42,7 @@
 /// CPU time of this process in user space, in seconds.
 pub fn cpu_seconds() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").expect("Linux has this file");
-    let (_, fields) = stat.rsplit_once(") ").expect("the command stands in parentheses");
+    let (_, fields) = stat.rsplit_once(") ").expect("the command name is in parentheses");
     let ticks = fields.split(' ').nth(USER_TIME_FIELD).expect("the file has 52 fields");
     ticks.parse::<f64>().expect("ticks are a number") / TICKS_PER_SECOND
 }
--- a/crates/util/src/metrics.rs
+++ b/crates/util/src/metrics.rs
@@ -94,14 +94,15 @@
         let values = self.lock();
         let mut text = String::new();
         for (name, value) in values.counters.iter().chain(&values.gauges) {
-            writeln!(text, "{name} {value}").expect("a string takes all text");
+            writeln!(text, "{name} {value}").expect("writing to a string cannot fail");
         }
         for (name, timing) in &values.timings {
-            writeln!(text, "{name}.count {}", timing.len()).expect("a string takes all text");
+            writeln!(text, "{name}.count {}", timing.len())
+                .expect("writing to a string cannot fail");
             for quantile in QUANTILES {
                 let value = timing.value_at_quantile(quantile);
                 writeln!(text, "{name}.p{} {value}", quantile * 100.0)
-                    .expect("a string takes all text");
+                    .expect("writing to a string cannot fail");
             }
         }
         text
@@ -131,7 +132,7 @@
 }
 
 fn new_timing() -> Histogram<u32> {
-    Histogram::new_with_max(MAX_TIMING_MS, 2).expect("the bounds are right")
+    Histogram::new_with_max(MAX_TIMING_MS, 2).expect("the bounds are valid")
 }
 
 #[derive(Debug)]
--- a/crates/wire/examples/gossip_cost.rs
+++ b/crates/wire/examples/gossip_cost.rs
@@ -80,14 +80,13 @@
 fn write(gossip: &Gossip) -> Vec<u8> {
     let mut message = capnp::message::Builder::new_default();
     peer::write_gossip(gossip, message.init_root::<peer_capnp::gossip::Builder<'_>>())
-        .expect("the message can be written");
+        .expect("the message can be encoded");
     capnp::serialize::write_message_to_words(&message)
 }
 
 fn read(bytes: &[u8]) -> Gossip {
     let options = capnp::message::ReaderOptions::new();
-    let message =
-        capnp::serialize::read_message(bytes, options).expect("the message was written above");
+    let message = capnp::serialize::read_message(bytes, options).expect("the message is valid");
     let root = message.get_root().expect("the message has a root");
-    peer::read_gossip(root).expect("the message was written above")
+    peer::read_gossip(root).expect("the message is valid")
 }
--- a/crates/wire/examples/peer_cost/gossip.rs
+++ b/crates/wire/examples/peer_cost/gossip.rs
@@ -168,17 +168,20 @@
 /// Receiver and encoded message of an envelope.
 fn encode(envelope: &Envelope) -> (usize, Vec<u8>) {
     let mut message = message::Builder::new_default();
-    peer::write_gossip(&envelope.message, message.init_root()).expect("no snapshot to fail");
-    let to = envelope.to.trim_start_matches("instance-").parse().expect("a number");
+    peer::write_gossip(&envelope.message, message.init_root())
+        .expect("a message without a snapshot can be encoded");
+    let to =
+        envelope.to.trim_start_matches("instance-").parse().expect("the name ends in a number");
     (to, serialize::write_message_to_words(&message))
 }
 
 fn decode(mut bytes: &[u8]) -> Gossip {
     let options = ReaderOptions::new();
-    let message =
-        serialize::read_message_from_flat_slice(&mut bytes, options).expect("it was whole");
-    let root = message.get_root::<peer_capnp::gossip::Reader<'_>>().expect("a gossip");
-    peer::read_gossip(root).expect("a gossip")
+    let message = serialize::read_message_from_flat_slice(&mut bytes, options)
+        .expect("the message is complete");
+    let root =
+        message.get_root::<peer_capnp::gossip::Reader<'_>>().expect("the message is valid gossip");
+    peer::read_gossip(root).expect("the message is valid gossip")
 }
 
 fn name(idx: usize) -> Arc<str> {
--- a/crates/wire/examples/peer_cost/heartbeats.rs
+++ b/crates/wire/examples/peer_cost/heartbeats.rs
@@ -222,14 +222,17 @@
     let mut size = 0;
     for _ in 0..TIMED_HEARTBEATS {
         let mut message = message::Builder::new_default();
-        peer::write_gossip(&heartbeat, message.init_root()).expect("no snapshot to fail");
+        peer::write_gossip(&heartbeat, message.init_root())
+            .expect("a message without a snapshot can be encoded");
         let bytes = serialize::write_message_to_words(&message);
         size = bytes.len();
         let options = ReaderOptions::new();
-        let message =
-            serialize::read_message_from_flat_slice(&mut &bytes[..], options).expect("whole");
-        let root = message.get_root::<peer_capnp::gossip::Reader<'_>>().expect("a gossip");
-        peer::read_gossip(root).expect("a gossip");
+        let message = serialize::read_message_from_flat_slice(&mut &bytes[..], options)
+            .expect("the message is complete");
+        let root = message
+            .get_root::<peer_capnp::gossip::Reader<'_>>()
+            .expect("the message is valid gossip");
+        peer::read_gossip(root).expect("the message is valid gossip");
     }
     (size, started.elapsed() / TIMED_HEARTBEATS)
 }
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -24,26 +24,26 @@
 use crate::{peer::Error, relay_capnp};
 
 /// Encodes a request for a portion of a table.
-pub fn write_portion_request(ask: &PortionRequest, mut to: relay_capnp::ask::Builder<'_>) {
-    to.set_timeline(ask.timeline.0);
-    to.set_from(ask.from);
-    to.set_is_listing(ask.listing.is_some());
-    to.set_base(ask.listing.unwrap_or_default());
-    if let Some(begun) = ask.partial {
+pub fn write_portion_request(request: &PortionRequest, mut to: relay_capnp::ask::Builder<'_>) {
+    to.set_timeline(request.timeline.0);
+    to.set_from(request.from);
+    to.set_is_listing(request.listing.is_some());
+    to.set_base(request.listing.unwrap_or_default());
+    if let Some(partial) = request.partial {
         to.set_is_begun(true);
-        to.set_begun_offset(begun.offset);
-        to.set_begun_len(begun.len);
+        to.set_begun_offset(partial.offset);
+        to.set_begun_len(partial.len);
     }
 }
 
 /// Decodes a request for a portion of a table.
 pub fn read_portion_request(from: relay_capnp::ask::Reader<'_>) -> PortionRequest {
-    let begun = PartialRecord { offset: from.get_begun_offset(), len: from.get_begun_len() };
+    let partial = PartialRecord { offset: from.get_begun_offset(), len: from.get_begun_len() };
     PortionRequest {
         timeline: Timeline(from.get_timeline()),
         from: from.get_from(),
         listing: from.get_is_listing().then_some(from.get_base()),
-        partial: from.get_is_begun().then_some(begun),
+        partial: from.get_is_begun().then_some(partial),
     }
 }
 
@@ -174,31 +174,31 @@
 
 /// Encodes a placement request.
 pub fn write_placement_request(
-    question: &PlacementRequest,
+    request: &PlacementRequest,
     mut to: relay_capnp::question::Builder<'_>,
 ) {
-    to.set_service(&*question.service);
-    to.set_input(question.prompt.input);
-    to.set_output(question.prompt.output);
-    let mut parts = to.reborrow().init_parts(len(&question.prompt.parts));
-    for (idx, part) in (0..).zip(&question.prompt.parts) {
+    to.set_service(&*request.service);
+    to.set_input(request.prompt.input);
+    to.set_output(request.prompt.output);
+    let mut parts = to.reborrow().init_parts(len(&request.prompt.parts));
+    for (idx, part) in (0..).zip(&request.prompt.parts) {
         let mut to = parts.reborrow().get(idx);
         to.set_id(part.id);
         to.set_tokens(part.tokens);
     }
-    let mut inputs = to.reborrow().init_inputs(len(&question.inputs));
-    for (idx, (place, bytes)) in (0..).zip(&question.inputs) {
+    let mut inputs = to.reborrow().init_inputs(len(&request.inputs));
+    for (idx, (data_centre, bytes)) in (0..).zip(&request.inputs) {
         let mut to = inputs.reborrow().get(idx);
-        to.set_place(&**place);
+        to.set_place(&**data_centre);
         to.set_bytes(*bytes);
     }
-    let mut names = to.reborrow().init_avoided(len(&question.excluded));
-    for (idx, life) in (0..).zip(&question.excluded) {
-        names.set(idx, &*life.name);
+    let mut names = to.reborrow().init_avoided(len(&request.excluded));
+    for (idx, endpoint) in (0..).zip(&request.excluded) {
+        names.set(idx, &*endpoint.name);
     }
-    let mut lives = to.init_avoided_lives(len(&question.excluded));
-    for (idx, life) in (0..).zip(&question.excluded) {
-        lives.set(idx, life.incarnation.0);
+    let mut incarnations = to.init_avoided_lives(len(&request.excluded));
+    for (idx, endpoint) in (0..).zip(&request.excluded) {
+        incarnations.set(idx, endpoint.incarnation.0);
     }
 }
 
@@ -217,14 +217,15 @@
     };
     let inputs = from.get_inputs()?.iter();
     let inputs = inputs.map(|input| Ok((text(input.get_place()?)?, input.get_bytes())));
-    let avoided = from.get_avoided()?.iter().zip(from.get_avoided_lives()?.iter());
-    let avoided = avoided
-        .map(|(name, life)| Ok(EndpointId { name: text(name?)?, incarnation: Incarnation(life) }));
+    let excluded = from.get_avoided()?.iter().zip(from.get_avoided_lives()?.iter());
+    let excluded = excluded.map(|(name, incarnation)| {
+        Ok(EndpointId { name: text(name?)?, incarnation: Incarnation(incarnation) })
+    });
     Ok(PlacementRequest {
         service: text(from.get_service()?)?,
         prompt,
         inputs: inputs.collect::<Result<_, Error>>()?,
-        excluded: avoided.collect::<Result<_, Error>>()?,
+        excluded: excluded.collect::<Result<_, Error>>()?,
     })
 }
 
@@ -479,5 +480,5 @@
 }
 
 fn len<T>(list: &[T]) -> u32 {
-    u32::try_from(list.len()).expect("a message is bounded")
+    u32::try_from(list.len()).expect("messages are bounded far below 2^32 items")
 }
