--- a/crates/entry/src/report.rs
+++ b/crates/entry/src/report.rs
@@ -43,7 +43,7 @@
         peers: status.peers,
         endpoints: endpoints.collect(),
         counters: totals(driver).into_iter().map(|(name, n)| (Arc::from(name), n)).collect(),
-        outcomes: driver.with_outcomes(|burn| burn.rows(since)),
+        outcomes: driver.with_outcomes(|outcomes| outcomes.rows(since)),
     }
 }
 
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -132,15 +132,15 @@
 }
 
 fn start_trace(settings: &Settings, seed: u64) -> Trace {
-    let Some(wanted) = &settings.trace else { return Trace::default() };
+    let Some(options) = &settings.trace else { return Trace::default() };
     let header = Header {
         peatdeck_inputs: VERSION,
-        content: wanted.content,
+        content: options.content,
         identity: settings.identity.clone(),
         settings: settings.instance.clone(),
         seed,
     };
-    Trace::start(wanted, &header)
+    Trace::start(options, &header)
 }
 
 /// Waits until the state machine has finished and the last responses are written.
--- a/crates/wire/examples/gossip_cost.rs
+++ b/crates/wire/examples/gossip_cost.rs
@@ -2,7 +2,7 @@
 //!
 //! Prints one line per kind of content: the size in bytes, and the CPU time to
 //! encode it as Cap'n Proto and to decode it. The CPU time of the process is
-//! read from `/proc/self/stat`, over so many rounds that its resolution of 10 ms
+//! read from `/proc/self/stat`, over enough rounds that its resolution of 10 ms
 //! is at most 1 % of the total.
 //!
 //! `cargo run --release -p peatdeck-wire --example gossip_cost`
@@ -17,7 +17,7 @@
 use peatdeck_wire::{peer, peer_capnp};
 
 /// For how long each figure is measured.
-const EFFORT: Sampling = Sampling { cpu_time: Duration::from_secs(1), max_batch: 500 };
+const SAMPLING: Sampling = Sampling { cpu_time: Duration::from_secs(1), max_batch: 500 };
 
 fn main() {
     println!("{:<24} {:>8} {:>10} {:>10}", "content", "bytes", "write_us", "read_us");
@@ -35,8 +35,8 @@
 
 fn report(name: &str, gossip: &Gossip) {
     let bytes = write(gossip);
-    let write_us = cost::cpu_micros(EFFORT, || write(gossip).len());
-    let read_us = cost::cpu_micros(EFFORT, || read(&bytes).members.len());
+    let write_us = cost::cpu_micros(SAMPLING, || write(gossip).len());
+    let read_us = cost::cpu_micros(SAMPLING, || read(&bytes).members.len());
     println!("{name:<24} {:>8} {write_us:>10.2} {read_us:>10.2}", bytes.len());
 }
 
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -126,9 +126,9 @@
 pub struct VersionInForce {
     /// The version that was in force.
     pub version: Version,
-    /// The publish that made it; `None` for the empty document.
+    /// Id of the publish that created it; `None` for the empty document.
     pub publish: Option<Arc<str>>,
-    /// Who published it; `None` where the log no longer keeps the record.
+    /// Who published it; `None` if the log no longer holds its record.
     pub author: Option<Arc<str>>,
 }
 
@@ -159,7 +159,7 @@
     pub base: Version,
     /// Who publishes.
     pub author: Arc<str>,
-    /// The whole document.
+    /// The complete document.
     pub document: Arc<Document>,
 }
 
@@ -174,7 +174,7 @@
     pub version: Version,
     /// Who restores.
     pub author: Arc<str>,
-    /// The whole document.
+    /// The complete document.
     pub document: Arc<Document>,
 }
 
@@ -205,9 +205,9 @@
 pub struct ConfigReply {
     /// Version of the configuration.
     pub version: Version,
-    /// The publish that made it; `None` for the empty document.
+    /// Id of the publish that created it; `None` for the empty document.
     pub publish: Option<Arc<str>>,
-    /// Who published it; `None` where the log no longer keeps the record.
+    /// Who published it; `None` if the log no longer holds its record.
     pub author: Option<Arc<str>>,
     /// Whether the log was read for this response. If not, a later version may exist.
     pub confirmed: bool,
