--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -31,7 +31,7 @@
 
 impl Failure {
     /// The value of the `Retry-After` header: whole seconds, rounded up. `None` if
-    /// the request must not be retried.
+    /// a retry is not safe or would not help.
     pub fn retry_after(&self) -> Option<u64> {
         self.body.retry_after_ms.map(|ms| ms.div_ceil(1_000))
     }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -3,8 +3,8 @@
 //! This instance keeps one connection to each peer for the requests that it
 //! sends; peers open their own connections for theirs. A connection that fails
 //! is closed, and the next message opens a new one. Nothing is retried here:
-//! the next gossip round replaces a lost gossip message, and the state machine
-//! repeats a lost outcome query.
+//! the next gossip round makes up for a lost gossip message, and it is up to the
+//! state machine to repeat a lost outcome query.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
--- a/crates/util/src/cost.rs
+++ b/crates/util/src/cost.rs
@@ -12,7 +12,7 @@
 const PAGE_BYTES: f64 = 4096.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// For how long a function is measured.
+/// How long a function is measured, and in what batches.
 #[derive(Debug, Clone, Copy)]
 pub struct Sampling {
     /// CPU time to spend at least. The kernel's resolution is 10 ms, so this
--- a/crates/wire/examples/peer_cost/network.rs
+++ b/crates/wire/examples/peer_cost/network.rs
@@ -103,7 +103,7 @@
     }
 
     /// Whether considering the member dead would be wrong: it has not crashed and
-    /// is not in a long pause, nor was it within the time `lately`.
+    /// is not in a long pause, nor was it within the time `recent`.
     pub fn is_healthy(&self, member: usize, recent: Duration) -> bool {
         let has_crashed = member == self.crashing_member && self.now >= self.crashes_at;
         let pauses = self.pauses[member].iter();
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -86,7 +86,7 @@
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub stage: Option<Arc<str>>,
     /// When to retry, in milliseconds; the header rounds it up to seconds. `None` if
-    /// the request must not be retried.
+    /// a retry is not safe or would not help.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/wire/src/operators.rs
+++ b/crates/wire/src/operators.rs
@@ -4,8 +4,8 @@
 
 use peatdeck_macros::message;
 
-/// Path of the list of quarantined contents. A path below it with a content's
-/// fingerprint releases that content.
+/// Path of the list of quarantined contents. `DELETE` on the path below it that ends
+/// in a content's fingerprint releases that content.
 pub const QUARANTINE: &str = "/quarantine";
 
 /// Path of the list of evacuated data centres.
@@ -31,7 +31,7 @@
     /// Service of the endpoint.
     pub service: Arc<str>,
     /// Calls per second that the endpoint accepts from all instances together; `None`
-    /// if it has no limit.
+    /// if it has announced no limit.
     pub limit: Option<f64>,
     /// Remaining time of the hold that the endpoint asked this instance for, in
     /// milliseconds.
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,9 +1,9 @@
 //! The platform's log service and instance list.
 //!
 //! - `POST /v1/streams/{stream}/records` with [`AppendBody`]: 200 with
-//!   [`AppendReply`]; 429 over the rate limit, 503 in an outage. If no answer
-//!   arrives, or an error after the record was stored, the client cannot know
-//!   whether it was.
+//!   [`AppendReply`]; 429 over the rate limit, 503 in an outage. Without an
+//!   answer, or after an error that may follow the storing of the record, the client
+//!   does not know whether the record is in the stream.
 //! - `GET /v1/streams/{stream}/records?from=N&max=M&wait_ms=W`: 200 with
 //!   [`ReadReply`]. If there is no record at or after `from`, the service waits up
 //!   to `wait_ms` for one. If `from` has expired, the reply starts at `earliest`.
