--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -1,8 +1,8 @@
-//! Outcomes by minute, for the report on service-level burn.
+//! Outcomes by minute, for the error budget burn report.
 //!
-//! Memory is bounded in two ways: only the last day is kept, and a minute
-//! holds a bounded number of distinct rows. Names that the configuration does
-//! not know are not kept, since callers could make up any number of them.
+//! Memory is bounded in two ways: only the last day is kept, and each minute
+//! has a bounded number of distinct rows. Names that are not in the
+//! configuration are not kept, since callers could send any number of them.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -15,11 +15,12 @@
 
 use crate::outcome;
 
-/// Length of a slot, in seconds.
+/// Length of a time slot, in seconds.
 pub const SLOT_SECONDS: u64 = 60;
-/// How many slots are kept: a day.
+/// Maximum number of slots kept: one day.
 pub const MAX_SLOTS: usize = 24 * 60;
-/// The most rows in one slot; further ones are added to a row without names.
+/// Maximum number of distinct rows in a slot; counts beyond it go to a row
+/// without names.
 pub const MAX_ROWS: usize = 512;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -36,15 +37,15 @@
     rows: HashMap<Row, u64>,
 }
 
-/// Outcomes of the last day by minute.
+/// Number of outcomes of each kind by minute, for the last day.
 #[derive(Debug, Default)]
-pub struct Burn {
+pub struct OutcomeHistory {
     slots: VecDeque<Slot>,
 }
 
-impl Burn {
-    /// Counts one outcome.
-    pub fn count(
+impl OutcomeHistory {
+    /// Counts one outcome in the slot of the time `wall`.
+    pub fn record(
         &mut self,
         wall: SystemTime,
         pipeline: &PipelineName,
@@ -55,7 +56,7 @@
         let rows = &mut self.slot(wall).rows;
         let row = match rows.contains_key(&row) || rows.len() < MAX_ROWS {
             true => row,
-            false => Row { pipeline: nameless(), team: nameless(), stage: None, ..row },
+            false => Row { pipeline: empty_name(), team: empty_name(), stage: None, ..row },
         };
         *rows.entry(row).or_default() += 1;
     }
@@ -68,8 +69,8 @@
         rows
     }
 
-    /// The slot of that time. A wall clock that jumped back counts in the
-    /// newest slot, so that slots stay in order.
+    /// The slot of the time `wall`. After the wall clock jumped back, outcomes
+    /// are counted in the newest slot, so that slots stay in order.
     fn slot(&mut self, wall: SystemTime) -> &mut Slot {
         let seconds = wall.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs());
         let start = seconds - seconds % SLOT_SECONDS;
@@ -79,14 +80,14 @@
         if self.slots.len() > MAX_SLOTS {
             self.slots.pop_front();
         }
-        self.slots.back_mut().expect("a slot was pushed if there was none")
+        self.slots.back_mut().expect("a slot has been pushed if there was none")
     }
 }
 
 fn row(pipeline: &PipelineName, team: &TeamName, outcome: &Outcome) -> Row {
     let (pipeline, team) = match outcome {
         Outcome::Invalid(Invalid::UnknownPipeline | Invalid::UnknownTeam) => {
-            (nameless(), nameless())
+            (empty_name(), empty_name())
         }
         _ => (pipeline.clone(), team.clone()),
     };
@@ -112,6 +113,6 @@
     (row.slot, &row.pipeline, &row.team, &row.outcome, row.stage.as_deref())
 }
 
-fn nameless() -> Arc<str> {
+fn empty_name() -> Arc<str> {
     Arc::from("")
 }
--- a/crates/relay/src/peers/learn.rs
+++ b/crates/relay/src/peers/learn.rs
@@ -204,7 +204,7 @@
         let mut request = client.learn_request();
         let mut list = request.get().init_asks(requests.len() as u32);
         for (idx, ask) in (0..).zip(&requests) {
-            wire::write_ask(ask, list.reborrow().get(idx));
+            wire::write_portion_request(ask, list.reborrow().get(idx));
         }
         let response = request.send().promise.await?;
         let response = response.get()?;
--- a/crates/relay/src/peers/service.rs
+++ b/crates/relay/src/peers/service.rs
@@ -74,7 +74,8 @@
         mut results: relay::LearnResults,
     ) -> Result<(), capnp::Error> {
         let driver = &self.driver;
-        let requests: Vec<_> = params.get()?.get_asks()?.iter().map(wire::read_ask).collect();
+        let requests: Vec<_> =
+            params.get()?.get_asks()?.iter().map(wire::read_portion_request).collect();
         let portions = driver.peers.tables.read_portions(&requests);
         let bytes = portions.iter().map(Portion::bytes).sum::<usize>() as u64;
         driver.metrics.count("relay.told_bytes", bytes);
@@ -130,7 +131,8 @@
         params: relay::PlaceParams,
         mut results: relay::PlaceResults,
     ) -> Result<(), capnp::Error> {
-        let request = wire::read_question(params.get()?.get_question()?).map_err(to_capnp_error)?;
+        let request =
+            wire::read_placement_request(params.get()?.get_question()?).map_err(to_capnp_error)?;
         let placement = self.driver.feed(|machine, now| machine.place_prompt(now, &request));
         if let Some(placement) = placement {
             wire::write_placement(&placement, results.get().init_placement());
--- a/crates/wire/examples/peer_cost/gossip.rs
+++ b/crates/wire/examples/peer_cost/gossip.rs
@@ -1,4 +1,5 @@
-//! The members of the product, with messages in their wire form.
+//! Gossip as instances run it: the state machine of `peatdeck-core`, with encoded
+//! messages.
 
 use std::{
     collections::HashSet,
@@ -24,29 +25,29 @@
     report::Figures,
 };
 
-/// How often it is looked at who takes whom for dead.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which the members' views of each other are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Runs `count` members that tell of so many endpoints.
+/// Runs `count` members that each report the state of `endpoints` endpoints.
 pub fn run(count: usize, endpoints: usize) -> Figures {
-    let mut world = World::new(count, endpoints);
-    let mut next_look = WARM_UP;
-    while let Some((member, event)) = world.network.next() {
+    let mut simulation = Simulation::new(count, endpoints);
+    let mut next_check = WARM_UP;
+    while let Some((member, event)) = simulation.network.next() {
         match event {
-            Event::Tick => world.tick(member),
-            Event::Message(bytes) => world.hear(member, &bytes),
+            Event::Tick => simulation.tick(member),
+            Event::Message(bytes) => simulation.receive(member, &bytes),
         }
-        if world.network.now >= next_look {
-            next_look = world.network.now + LOOK;
-            world.look();
+        if simulation.network.now >= next_check {
+            next_check = simulation.network.now + CHECK_INTERVAL;
+            simulation.check_views();
         }
     }
-    world.figures.wrong_short = world.wrong_short.len();
-    world.figures.wrong_long = world.wrong_long.len();
-    world.figures
+    simulation.figures.wrong_short = simulation.wrong_short.len();
+    simulation.figures.wrong_long = simulation.wrong_long.len();
+    simulation.figures
 }
 
-struct World {
+struct Simulation {
     network: Network<Vec<u8>>,
     members: Vec<Members>,
     endpoints: Vec<EndpointState>,
@@ -55,8 +56,8 @@
     wrong_long: HashSet<(usize, usize)>,
 }
 
-impl World {
-    fn new(count: usize, endpoints: usize) -> World {
+impl Simulation {
+    fn new(count: usize, endpoints: usize) -> Simulation {
         let entries: Vec<_> = (0..count).map(entry).collect();
         let member = |idx: usize| {
             let identity = Identity {
@@ -73,7 +74,7 @@
             in_flight: 0,
             load: None,
         };
-        World {
+        Simulation {
             network: Network::new(count),
             members: (0..count).map(member).collect(),
             endpoints: (0..endpoints).map(state).collect(),
@@ -93,7 +94,7 @@
         let now = self.network.now;
         let envelopes = self.members[member].tick(now, &local(&self.endpoints));
         let bytes: Vec<_> = envelopes.iter().map(encode).collect();
-        self.spend(started);
+        self.add_processor_time(started);
         for bytes in bytes {
             self.send(bytes);
         }
@@ -101,13 +102,13 @@
         self.network.wake(wake.max(now), member);
     }
 
-    fn hear(&mut self, member: usize, bytes: &[u8]) {
+    fn receive(&mut self, member: usize, bytes: &[u8]) {
         let started = Instant::now();
         let now = self.network.now;
         let gossip = decode(bytes);
         let reply = self.members[member].receive(now, &gossip, &local(&self.endpoints));
         let reply = reply.as_ref().map(encode);
-        self.spend(started);
+        self.add_processor_time(started);
         if let Some(reply) = reply {
             self.send(reply);
         }
@@ -115,19 +116,19 @@
 
     fn send(&mut self, (to, bytes): (usize, Vec<u8>)) {
         if self.is_measured() {
-            self.figures.sent(bytes.len());
+            self.figures.record_sent(bytes.len());
         }
         self.network.send(to, bytes);
     }
 
-    fn spend(&mut self, started: Instant) {
+    fn add_processor_time(&mut self, started: Instant) {
         if self.is_measured() {
             self.figures.processor += started.elapsed();
         }
     }
 
-    /// Looks at who takes whom for dead.
-    fn look(&mut self) {
+    /// Records which members are considered dead by others, correctly or not.
+    fn check_views(&mut self) {
         let now = self.network.now;
         for (observer, members) in self.members.iter().enumerate() {
             if !self.network.is_running(observer) {
@@ -138,9 +139,9 @@
                 if alive.contains(&name(other)) {
                     continue;
                 }
-                if other == self.network.victim && now >= self.network.dies_at {
-                    self.figures.detected[observer].get_or_insert(now - self.network.dies_at);
-                } else if self.network.is_well(other, DEAD_AFTER) {
+                if other == self.network.crashing_member && now >= self.network.crashes_at {
+                    self.figures.detected[observer].get_or_insert(now - self.network.crashes_at);
+                } else if self.network.is_healthy(other, DEAD_AFTER) {
                     self.wrong_short.insert((observer, other));
                 } else {
                     self.wrong_long.insert((observer, other));
@@ -150,7 +151,7 @@
     }
 }
 
-/// Changes some in-flight counts and loads, as traffic does.
+/// Randomises the in-flight counts and loads, as traffic would change them.
 fn shuffle(rng: &mut SmallRng, endpoints: &mut [EndpointState]) {
     for endpoint in endpoints {
         endpoint.in_flight = rng.random_range(0..4);
@@ -164,20 +165,23 @@
     LocalState { mark, snapshot: None, ready: true, leaving: &[], endpoints }
 }
 
-/// The receiver and the bytes of an envelope.
+/// Receiver and encoded message of an envelope.
 fn encode(envelope: &Envelope) -> (usize, Vec<u8>) {
     let mut message = message::Builder::new_default();
-    peer::write_gossip(&envelope.message, message.init_root()).expect("no snapshot to fail");
-    let to = envelope.to.trim_start_matches("instance-").parse().expect("a number");
+    peer::write_gossip(&envelope.message, message.init_root())
+        .expect("a message without a snapshot can be encoded");
+    let to =
+        envelope.to.trim_start_matches("instance-").parse().expect("the name ends in a number");
     (to, serialize::write_message_to_words(&message))
 }
 
 fn decode(mut bytes: &[u8]) -> Gossip {
     let options = ReaderOptions::new();
-    let message =
-        serialize::read_message_from_flat_slice(&mut bytes, options).expect("it was whole");
-    let root = message.get_root::<peer_capnp::gossip::Reader<'_>>().expect("a gossip");
-    peer::read_gossip(root).expect("a gossip")
+    let message = serialize::read_message_from_flat_slice(&mut bytes, options)
+        .expect("the message is complete");
+    let root =
+        message.get_root::<peer_capnp::gossip::Reader<'_>>().expect("the message is valid gossip");
+    peer::read_gossip(root).expect("the message is valid gossip")
 }
 
 fn name(idx: usize) -> Arc<str> {
