--- a/crates/admin/src/context.rs
+++ b/crates/admin/src/context.rs
@@ -24,7 +24,7 @@
     /// The operators' token.
     pub token: Token,
     /// How long things may take.
-    pub bounds: Bounds,
+    pub timeouts: Timeouts,
     /// Whether a policy's source compiles.
     pub compile: Compile,
     /// The clock.
@@ -50,22 +50,22 @@
 /// How long things may take.
 #[data]
 #[derive(Copy)]
-pub struct Bounds {
+pub struct Timeouts {
     /// One append.
     pub append: Duration,
     /// Reading a record back, appends included.
-    pub settle: Duration,
+    pub confirm: Duration,
     /// Waiting for the instances to have a version in force.
     pub in_force: Duration,
     /// One instance's status.
     pub status: Duration,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
+impl Default for Timeouts {
+    fn default() -> Timeouts {
+        Timeouts {
             append: Duration::from_secs(2),
-            settle: Duration::from_secs(6),
+            confirm: Duration::from_secs(6),
             in_force: Duration::from_secs(8),
             status: Duration::from_secs(1),
         }
@@ -86,7 +86,7 @@
         };
         Ok(Context {
             token: Token::new(&settings.token),
-            bounds: settings.bounds,
+            timeouts: settings.timeouts,
             compile: check::compile,
             clock: Rc::new(SystemClock::new()),
             list: list::Client::new(http.clone(), settings.list.clone()),
--- a/crates/admin/src/ops/settle.rs
+++ b/crates/admin/src/ops/settle.rs
@@ -32,7 +32,7 @@
     record: &ConfigRecord,
     see: impl Fn(&State) -> Option<T>,
 ) -> Result<T, Failure> {
-    let end = ctx.clock.now() + ctx.bounds.settle;
+    let end = ctx.clock.now() + ctx.timeouts.confirm;
     let mut in_doubt = false;
     loop {
         let left = end.saturating_sub(ctx.clock.now());
@@ -40,7 +40,7 @@
             ctx.metrics.count("admin.append.unknown", 1);
             return Err(Failure::Unknown);
         }
-        let appended = ctx.log.append(Stream::Config, record, left.min(ctx.bounds.append)).await;
+        let appended = ctx.log.append(Stream::Config, record, left.min(ctx.timeouts.append)).await;
         let left = end.saturating_sub(ctx.clock.now());
         let patience = match appended {
             Ok(_) => left,
--- a/crates/admin/src/ops/status.rs
+++ b/crates/admin/src/ops/status.rs
@@ -105,7 +105,7 @@
 /// bounded time. Only those that haven't said so are asked again. One that is
 /// leaving ends with what it holds and is not waited for.
 pub async fn wait_in_force(ctx: &Context, version: Version) -> Spread {
-    let end = ctx.clock.now() + ctx.bounds.in_force;
+    let end = ctx.clock.now() + ctx.timeouts.in_force;
     let mut spread = Spread::default();
     let mut pause = FIRST_PAUSE;
     loop {
@@ -168,7 +168,7 @@
     stream::iter(instances)
         .map(move |instance| async move {
             let answer =
-                entry::status(&ctx.http, &instance.http_addr, since, ctx.bounds.status).await;
+                entry::status(&ctx.http, &instance.http_addr, since, ctx.timeouts.status).await;
             (instance.name.clone(), answer.map_err(|cause| cause.to_string()))
         })
         .buffer_unordered(PARALLEL)
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -13,7 +13,7 @@
     settings::{Check, Problems, text},
 };
 
-use crate::{auth::MIN_TOKEN_BYTES, context::Bounds};
+use crate::{auth::MIN_TOKEN_BYTES, context::Timeouts};
 
 /// The environment variable that holds the operators' token.
 pub const TOKEN_VARIABLE: &str = "PEATDECK_ADMIN_TOKEN";
@@ -54,7 +54,7 @@
     /// The operators' token.
     pub token: Arc<str>,
     /// How long things may take.
-    pub bounds: Bounds,
+    pub timeouts: Timeouts,
     /// Where metrics go; off if not set.
     pub statsd: Option<SocketAddr>,
     /// How log lines are written.
@@ -109,13 +109,13 @@
 /// [`Problems`] with everything that is wrong.
 pub fn check(flags: &Flags, token: Option<String>) -> Result<Settings, Problems> {
     let mut check = Check::new("peatdeck-admin");
-    let default = Bounds::default();
+    let default = Timeouts::default();
     let settings = Settings {
         listen: check.addr("--listen", Some(flags.listen.as_deref().unwrap_or(DEFAULT_LISTEN))),
         log: check.remote("--log", flags.log.as_deref()),
         list: check.remote("--list", flags.list.as_deref()),
         statsd: flags.statsd.as_deref().map(|text| check.addr("--statsd", Some(text))),
-        bounds: Bounds {
+        timeouts: Timeouts {
             in_force: Duration::from_millis(check.number(
                 "--in-force-ms",
                 flags.in_force_ms.as_deref(),
--- a/crates/admin/tests/testsuite/support.rs
+++ b/crates/admin/tests/testsuite/support.rs
@@ -9,7 +9,7 @@
     http::Method,
 };
 use peatdeck_admin::{
-    context::Bounds,
+    context::Timeouts,
     server,
     settings::{self, Settings},
 };
@@ -85,9 +85,9 @@
     let args = ["--listen", "127.0.0.1:0", "--log", platform, "--list", platform];
     let flags = settings::options().run_inner(&args[..]).expect("right settings");
     let mut settings = settings::check(&flags, Some(TOKEN.to_owned())).expect("right settings");
-    settings.bounds = Bounds {
+    settings.timeouts = Timeouts {
         append: Duration::from_millis(500),
-        settle: Duration::from_millis(1500),
+        confirm: Duration::from_millis(1500),
         in_force: Duration::from_millis(200),
         // No test waits for an instance that is silent.
         status: Duration::from_secs(20),
--- a/crates/cli/src/app.rs
+++ b/crates/cli/src/app.rs
@@ -8,7 +8,7 @@
         show, status, terms,
     },
     error::Error,
-    shell::{Output, Shell},
+    shell::{Environment, Output},
 };
 
 /// A command with its flags.
@@ -94,20 +94,20 @@
 ///
 /// # Errors
 /// Any [`Error`].
-pub async fn exec(shell: &Shell, command: Command) -> Result<Output, Error> {
+pub async fn exec(env: &Environment, command: Command) -> Result<Output, Error> {
     match command {
-        Command::Check(args) => check::exec(shell, args).await,
-        Command::Publish(args) => publish::exec(shell, args).await,
-        Command::Restore(args) => restore::exec(shell, args).await,
-        Command::Show(args) => show::exec(shell, args).await,
-        Command::Drain(args) => drain::exec(shell, args).await,
-        Command::Status(args) => status::exec(shell, args).await,
-        Command::Burn(args) => burn::exec(shell, args).await,
-        Command::Replay(args) => replay::exec(shell, args).await,
-        Command::Explain(args) => explain::exec(shell, args).await,
-        Command::Evacuate(args) => evacuate::exec(shell, args).await,
-        Command::Evacuations(args) => evacuations::exec(shell, args).await,
-        Command::Quarantine(args) => quarantine::exec(shell, args).await,
-        Command::Terms(args) => terms::exec(shell, args).await,
+        Command::Check(args) => check::exec(env, args).await,
+        Command::Publish(args) => publish::exec(env, args).await,
+        Command::Restore(args) => restore::exec(env, args).await,
+        Command::Show(args) => show::exec(env, args).await,
+        Command::Drain(args) => drain::exec(env, args).await,
+        Command::Status(args) => status::exec(env, args).await,
+        Command::Burn(args) => burn::exec(env, args).await,
+        Command::Replay(args) => replay::exec(env, args).await,
+        Command::Explain(args) => explain::exec(env, args).await,
+        Command::Evacuate(args) => evacuate::exec(env, args).await,
+        Command::Evacuations(args) => evacuations::exec(env, args).await,
+        Command::Quarantine(args) => quarantine::exec(env, args).await,
+        Command::Terms(args) => terms::exec(env, args).await,
     }
 }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -3,7 +3,7 @@
 use bpaf::{Parser, construct, long};
 use peatdeck_util::settings;
 
-use crate::{error::Error, ops::client, shell::Format, shell::Shell};
+use crate::{error::Error, ops::client, shell::Environment, shell::Format};
 
 pub mod burn;
 pub mod check;
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// [`Error::NoToken`], [`Error::Unreachable`].
-pub async fn connect(shell: &Shell, admin: &str) -> Result<client::Client, Error> {
-    let token = shell.token.clone().ok_or(Error::NoToken)?;
+pub async fn connect(env: &Environment, admin: &str) -> Result<client::Client, Error> {
+    let token = env.token.clone().ok_or(Error::NoToken)?;
     client::Client::new(client::Remote { admin: admin.to_owned(), token }).await
 }
--- a/crates/cli/src/commands/burn.rs
+++ b/crates/cli/src/commands/burn.rs
@@ -11,7 +11,7 @@
     commands,
     error::Error,
     ops::burn::{self, Alert, Report, page},
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
     table::{self, Table},
 };
 
@@ -44,9 +44,9 @@
 ///
 /// # Errors
 /// Any [`Error`] of the API; [`Error::Write`].
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
-    let client = commands::connect(shell, &args.admin).await?;
-    let now = shell.now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
+    let client = commands::connect(env, &args.admin).await?;
+    let now = env.now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
     let config = client.config().await?;
     let outcomes = client.outcomes(now.saturating_sub(burn::LONG)).await?;
     let report = burn::report(now, &config.document, outcomes);
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -6,7 +6,7 @@
     commands,
     error::Error,
     ops::source,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
 };
 
 /// The flags.
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// [`Error::File`], [`Error::Source`].
-pub async fn exec(_: &Shell, args: Args) -> Result<Output, Error> {
+pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let document = source::load(&args.file)?;
     let text = match args.format {
         Format::Json => shell::json(&document)?,
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -7,7 +7,7 @@
 use crate::{
     commands::{self, Change},
     error::Error,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
 };
 
 /// The flags.
@@ -37,8 +37,8 @@
 ///
 /// # Errors
 /// Any [`Error`] of the API.
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
-    let client = commands::connect(shell, &args.change.admin).await?;
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
+    let client = commands::connect(env, &args.change.admin).await?;
     let body = DrainBody {
         author: args.change.author.into(),
         incarnation: args.incarnation.map(Incarnation),
--- a/crates/cli/src/commands/evacuate.rs
+++ b/crates/cli/src/commands/evacuate.rs
@@ -6,7 +6,7 @@
 use crate::{
     commands::{self, Change},
     error::Error,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
 };
 
 /// The flags.
@@ -33,8 +33,8 @@
 ///
 /// # Errors
 /// Any [`Error`] of the API.
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
-    let client = commands::connect(shell, &args.change.admin).await?;
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
+    let client = commands::connect(env, &args.change.admin).await?;
     let body = EvacuationBody { author: args.change.author.into(), is_over: args.over };
     let reply = client.evacuate(&args.data_centre, &body).await?;
     Ok(Output::done(match args.change.format {
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -6,7 +6,7 @@
     commands,
     error::Error,
     ops::explain,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
 };
 
 /// The flags.
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// [`Error::File`], [`Error::NoTrace`].
-pub async fn exec(_: &Shell, args: Args) -> Result<Output, Error> {
+pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let lines = explain::story(&args.id, &args.files)?;
     if lines.is_empty() {
         return Err(Error::NoTrace { id: args.id });
--- a/crates/cli/src/commands/publish.rs
+++ b/crates/cli/src/commands/publish.rs
@@ -10,7 +10,7 @@
     commands::{self, Change},
     error::Error,
     ops::source,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
 };
 
 /// The flags.
@@ -48,9 +48,9 @@
 ///
 /// # Errors
 /// Any [`Error`].
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
     let document = source::load(&args.file)?;
-    let client = commands::connect(shell, &args.change.admin).await?;
+    let client = commands::connect(env, &args.change.admin).await?;
     let (base, base_line) = match args.base {
         Some(base) => (base, String::new()),
         None => {
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -7,7 +7,7 @@
     commands,
     error::Error,
     ops::quarantine,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
     table::Table,
 };
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// [`Error::Instance`], [`Error::NotHeld`].
-pub async fn exec(_: &Shell, args: Args) -> Result<Output, Error> {
+pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     if let Some(content) = &args.release {
         quarantine::release(&args.instance, content).await?;
         let text = format!("released {content}; all instances know within seconds\n");
--- a/crates/cli/src/commands/replay.rs
+++ b/crates/cli/src/commands/replay.rs
@@ -10,7 +10,7 @@
     commands,
     error::Error,
     exit,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
     table::Table,
 };
 
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// [`Error::File`], [`Error::Trace`].
-pub async fn exec(_: &Shell, args: Args) -> Result<Output, Error> {
+pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let path = args.file;
     let file = File::open(&path).map_err(|cause| Error::File { path: path.clone(), cause })?;
     let report = trace::replay(BufReader::new(file));
--- a/crates/cli/src/commands/restore.rs
+++ b/crates/cli/src/commands/restore.rs
@@ -10,7 +10,7 @@
     commands::{self, Change, publish},
     error::Error,
     ops::source,
-    shell::{Output, Shell},
+    shell::{Environment, Output},
 };
 
 /// The flags.
@@ -47,9 +47,9 @@
 ///
 /// # Errors
 /// Any [`Error`].
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
     let document = source::load(&args.file)?;
-    let client = commands::connect(shell, &args.change.admin).await?;
+    let client = commands::connect(env, &args.change.admin).await?;
     let id = args.id.unwrap_or_else(|| publish::new_id("r"));
     let body = RestoreBody {
         id: id.into(),
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -13,7 +13,7 @@
     commands,
     error::Error,
     ops::client::Client,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
     table::{self, Table},
 };
 
@@ -57,8 +57,8 @@
 ///
 /// # Errors
 /// Any [`Error`] of the API.
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
-    let client = commands::connect(shell, &args.admin).await?;
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
+    let client = commands::connect(env, &args.admin).await?;
     if let Some(id) = &args.verdict {
         return verdict(&client, args.format, id).await;
     }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -8,7 +8,7 @@
 use crate::{
     commands,
     error::Error,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
     table::Table,
 };
 
@@ -35,8 +35,8 @@
 ///
 /// # Errors
 /// Any [`Error`] of the API.
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
-    let client = commands::connect(shell, &args.admin).await?;
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
+    let client = commands::connect(env, &args.admin).await?;
     let status = client.status().await?;
     let text = match args.format {
         Format::Json => shell::json(&status)?,
--- a/crates/cli/src/commands/terms.rs
+++ b/crates/cli/src/commands/terms.rs
@@ -7,7 +7,7 @@
     commands,
     error::Error,
     ops::relay,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
     table::Table,
 };
 
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// [`Error::Instance`], [`Error::Unreadable`].
-pub async fn exec(_: &Shell, args: Args) -> Result<Output, Error> {
+pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let terms = relay::list(&args.instance, TERMS).await?;
     Ok(Output::done(match args.format {
         Format::Json => shell::json(&terms)?,
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`commands`] holds a file per command: its flags (`cli()`) beside what it
 //! does (`exec()`). A command only words questions and answers; the work is in
-//! [`ops`], which know nothing of flags. [`Shell`](shell::Shell) carries what a
+//! [`ops`], which know nothing of flags. [`Environment`](shell::Environment) carries what a
 //! command gets from its surroundings, so that tests can run one as the
 //! process would.
 //!
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,7 +3,7 @@
 use std::{process::ExitCode, time::SystemTime};
 
 use bpaf::{Args, ParseFailure};
-use peatdeck::{app, exit, shell::Shell};
+use peatdeck::{app, exit, shell::Environment};
 
 /// Columns that help texts are wrapped at.
 const HELP_WIDTH: usize = 100;
@@ -14,8 +14,9 @@
         Ok(command) => command,
         Err(failure) => return refuse(failure),
     };
-    let shell = Shell { token: std::env::var("PEATDECK_ADMIN_TOKEN").ok(), now: SystemTime::now() };
-    match app::exec(&shell, command).await {
+    let env =
+        Environment { token: std::env::var("PEATDECK_ADMIN_TOKEN").ok(), now: SystemTime::now() };
+    match app::exec(&env, command).await {
         Ok(output) => {
             print!("{}", output.text);
             output.code.into()
--- a/crates/cli/src/shell.rs
+++ b/crates/cli/src/shell.rs
@@ -8,7 +8,7 @@
 
 /// What a command gets besides its flags.
 #[derive(Debug, Clone)]
-pub struct Shell {
+pub struct Environment {
     /// The operators' token, if one is set.
     pub token: Option<String>,
     /// The wall clock at the start.
--- a/crates/cli/tests/testsuite/support.rs
+++ b/crates/cli/tests/testsuite/support.rs
@@ -12,8 +12,8 @@
 };
 
 use miette::{Diagnostic, GraphicalReportHandler, GraphicalTheme};
-use peatdeck::{app, shell::Shell};
-use peatdeck_admin::{context::Bounds, server, settings};
+use peatdeck::{app, shell::Environment};
+use peatdeck_admin::{context::Timeouts, server, settings};
 use peatdeck_test_support::platform::Platform;
 
 /// When commands run: 2026-03-01T06:30:00Z.
@@ -75,8 +75,8 @@
         Ok(command) => command,
         Err(failure) => return format!("exit 2\n{}", failure.unwrap_stderr()),
     };
-    let shell = Shell { token, now: SystemTime::UNIX_EPOCH + Duration::from_secs(NOW) };
-    match app::exec(&shell, command).await {
+    let env = Environment { token, now: SystemTime::UNIX_EPOCH + Duration::from_secs(NOW) };
+    match app::exec(&env, command).await {
         Ok(output) => format!("exit {}\n{}", output.code as u8, output.text),
         Err(error) => format!("exit {}\n{}", error.code() as u8, report(&error)),
     }
@@ -94,9 +94,9 @@
     let args = ["--listen", "127.0.0.1:0", "--log", platform, "--list", platform];
     let flags = settings::options().run_inner(&args[..]).expect("right settings");
     let mut settings = settings::check(&flags, Some(TOKEN.to_owned())).expect("right settings");
-    settings.bounds = Bounds {
+    settings.timeouts = Timeouts {
         append: Duration::from_millis(500),
-        settle: Duration::from_millis(500),
+        confirm: Duration::from_millis(500),
         in_force: Duration::from_millis(200),
         status: Duration::from_millis(500),
     };
--- a/crates/client/src/lines.rs
+++ b/crates/client/src/lines.rs
@@ -16,7 +16,7 @@
 /// A line that is longer than the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a line is longer than {0} bytes; raise the limit or shorten the pieces sent")]
-pub struct TooLong(pub usize);
+pub struct LineTooLong(pub usize);
 
 impl Lines {
     /// A cutter for lines of at most `limit` bytes, their end not counted.
@@ -35,13 +35,13 @@
     /// The next whole line without its end; empty lines are skipped.
     ///
     /// # Errors
-    /// [`TooLong`] as soon as a line is known to be over the limit.
-    pub fn next_line(&mut self) -> Result<Option<&[u8]>, TooLong> {
+    /// [`LineTooLong`] as soon as a line is known to be over the limit.
+    pub fn next_line(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
         loop {
             let Some(len) = self.buf[self.scanned..].iter().position(|&byte| byte == b'\n') else {
                 self.scanned = self.buf.len();
                 return match self.is_too_long(self.start..self.scanned) {
-                    true => Err(TooLong(self.limit)),
+                    true => Err(LineTooLong(self.limit)),
                     false => Ok(None),
                 };
             };
@@ -49,7 +49,7 @@
             self.start = line.end + 1;
             self.scanned = self.start;
             if self.is_too_long(line.clone()) {
-                return Err(TooLong(self.limit));
+                return Err(LineTooLong(self.limit));
             }
             if !self.buf[line.clone()].trim_ascii().is_empty() {
                 return Ok(Some(self.buf[line].trim_ascii()));
@@ -58,7 +58,7 @@
     }
 
     /// Whether bytes of an unfinished line are held.
-    pub fn is_torn(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         self.start < self.buf.len()
     }
 
--- a/crates/client/tests/client/lines.rs
+++ b/crates/client/tests/client/lines.rs
@@ -19,7 +19,7 @@
             }
         }
     }
-    if lines.is_torn() {
+    if lines.has_partial_line() {
         seen.push("(torn)".to_owned());
     }
     expected.assert_eq(&seen.join(" "));
