--- a/crates/admin/src/auth.rs
+++ b/crates/admin/src/auth.rs
@@ -19,9 +19,9 @@
 pub const MIN_TOKEN_BYTES: usize = 16;
 
 /// The most that is read of a body that came without the token, in bytes.
-const MAX_DISCARDED: usize = 1 << 20;
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// A secret that admits an operator. Never printed.
+/// A secret that matches an operator. Never printed.
 #[derive(Clone)]
 pub struct Token(Rc<str>);
 
@@ -33,7 +33,7 @@
 
     /// Whether `given` is the token. The time it takes tells nothing of the
     /// bytes, only whether the lengths are equal.
-    pub fn admits(&self, given: &str) -> bool {
+    pub fn matches(&self, given: &str) -> bool {
         self.0.as_bytes().ct_eq(given.as_bytes()).into()
     }
 }
@@ -56,7 +56,7 @@
 
     async fn from_request(req: &HttpRequest, payload: &mut Payload) -> Result<Operator, Error> {
         let ctx = req.app_state::<Rc<Context>>().expect("the server sets the context");
-        if !bearer(req).is_some_and(|given| ctx.token.admits(given)) {
+        if !bearer(req).is_some_and(|given| ctx.token.matches(given)) {
             ctx.metrics.count("admin.unauthorized", 1);
             discard(payload).await;
             return Err(Error::Unauthorized);
@@ -71,7 +71,7 @@
     let mut total = 0;
     while let Some(Ok(chunk)) = payload.next().await {
         total += chunk.len();
-        if total > MAX_DISCARDED {
+        if total > MAX_DISCARDED_BYTES {
             return;
         }
     }
--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -54,7 +54,7 @@
     UnknownEndpoint(EndpointName),
     /// The endpoint was started again since.
     #[error("endpoint `{endpoint}` is in incarnation {listed}, not {given}", listed = .listed.0, given = .given.0)]
-    OtherIncarnation {
+    OutdatedIncarnation {
         /// The endpoint.
         endpoint: EndpointName,
         /// The incarnation in the platform's list.
@@ -67,10 +67,10 @@
     UnknownPublish(Arc<str>),
     /// The log is out; nothing was appended.
     #[error("this request appended nothing: {0}")]
-    LogOut(String),
+    LogUnavailable(String),
     /// The list is out; nothing was appended.
     #[error("nothing was done: {0}")]
-    ListOut(String),
+    ListUnavailable(String),
     /// The log no longer holds what makes up the configuration in force.
     #[error(
         "the log keeps neither a snapshot nor its first record, so nobody can tell from it what is in force; nothing was appended"
@@ -83,7 +83,7 @@
     #[error(
         "instance `{instance}` still has version {version} in force, so it is not lost; nothing was appended"
     )]
-    StillHeld {
+    StillInForce {
         /// The instance.
         instance: InstanceName,
         /// Its version.
@@ -125,13 +125,13 @@
             Error::Conflict { .. } => "conflict",
             Error::IdReused(_) => "id_reused",
             Error::UnknownEndpoint(_) => "unknown_endpoint",
-            Error::OtherIncarnation { .. } => "other_incarnation",
+            Error::OutdatedIncarnation { .. } => "other_incarnation",
             Error::UnknownPublish(_) => "unknown_publish",
-            Error::LogOut(_) => "log_out",
-            Error::ListOut(_) => "list_out",
+            Error::LogUnavailable(_) => "log_out",
+            Error::ListUnavailable(_) => "list_out",
             Error::NoState => "no_state",
             Error::NotLost(_) => "not_lost",
-            Error::StillHeld { .. } => "still_held",
+            Error::StillInForce { .. } => "still_held",
             Error::OldVersion { .. } => "old_version",
             Error::Unknown(_)
             | Error::RestoreUnknown(_)
@@ -157,12 +157,12 @@
             Error::UnknownEndpoint(_) => {
                 "check the name; a new endpoint shows in the list after some seconds".into()
             }
-            Error::OtherIncarnation { .. } => "leave the incarnation out to drain the present one".into(),
+            Error::OutdatedIncarnation { .. } => "leave the incarnation out to drain the present one".into(),
             Error::UnknownPublish(_) => {
                 "if an append of it may still be on its way, publish again with the same id: it counts once".into()
             }
-            Error::LogOut(_) => "send it again when the platform's log is back".into(),
-            Error::ListOut(_) => "send it again when the platform's list is back".into(),
+            Error::LogUnavailable(_) => "send it again when the platform's log is back".into(),
+            Error::ListUnavailable(_) => "send it again when the platform's list is back".into(),
             Error::NoState => {
                 "wait for an entry that still has the configuration: it appends a snapshot; then send it again. If none has it any more, restore it (`peatdeck restore FILE --version N`)".into()
             }
@@ -172,7 +172,7 @@
             Error::NotLost(winner) => {
                 format!("publish on base {} instead", winner.version).into()
             }
-            Error::StillHeld { .. } => {
+            Error::StillInForce { .. } => {
                 "wait for its snapshot, or stop it if its version is not the one to go on from; then send it again".into()
             }
             Error::OldVersion { known, .. } => format!("restore with version {known} or a newer one").into(),
@@ -219,12 +219,12 @@
             Error::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
             Error::Conflict { .. }
             | Error::IdReused(_)
-            | Error::OtherIncarnation { .. }
+            | Error::OutdatedIncarnation { .. }
             | Error::NotLost(_)
-            | Error::StillHeld { .. }
+            | Error::StillInForce { .. }
             | Error::OldVersion { .. } => StatusCode::CONFLICT,
-            Error::LogOut(_)
-            | Error::ListOut(_)
+            Error::LogUnavailable(_)
+            | Error::ListUnavailable(_)
             | Error::NoState
             | Error::Unknown(_)
             | Error::RestoreUnknown(_)
--- a/crates/admin/src/history.rs
+++ b/crates/admin/src/history.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct History {
     acts: VecDeque<Act>,
-    publishes: HashMap<Arc<str>, Known>,
+    publishes: HashMap<Arc<str>, PublishSummary>,
     /// Offsets of publishes that the fold has not decided yet.
     undecided: Vec<Offset>,
     earliest: Offset,
@@ -31,26 +31,26 @@
 
 /// What is kept of a publish, to tell its repeat from another one.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct PublishSummary {
     offset: Offset,
     digest: u64,
 }
 
 impl History {
     /// Takes in a batch that `fold` has just read.
-    pub fn read(&mut self, batch: &Batch<ConfigRecord>, fold: &ConfigReader) {
+    pub fn apply(&mut self, batch: &Batch<ConfigRecord>, config: &ConfigReader) {
         self.earliest = batch.earliest;
         for entry in &batch.entries {
             match &entry.record {
-                ConfigRecord::Publish(publish) => self.publish(entry, publish),
-                ConfigRecord::Drain(drain) => self.drain(entry, drain),
-                ConfigRecord::Evacuation(order) => self.evacuation(entry, order),
-                ConfigRecord::Snapshot(snapshot) => self.restore(entry, snapshot),
+                ConfigRecord::Publish(publish) => self.add_publish(entry, publish),
+                ConfigRecord::Drain(drain) => self.add_drain(entry, drain),
+                ConfigRecord::Evacuation(order) => self.add_evacuation(entry, order),
+                ConfigRecord::Snapshot(snapshot) => self.add_restore(entry, snapshot),
             }
         }
-        self.decide(fold);
+        self.decide(config);
         while self.acts.len() > MAX_ACTS {
-            self.forget_oldest();
+            self.drop_oldest();
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// The publish or restore that made a version and its author, if the log keeps it.
-    pub fn maker(&self, wanted: Version) -> Option<(Arc<str>, Arc<str>)> {
+    pub fn origin(&self, wanted: Version) -> Option<(Arc<str>, Arc<str>)> {
         self.acts.iter().rev().find_map(|act| match &act.what {
             ActKind::Publish { id, verdict: PublishVerdict::Accepted { version }, .. }
                 if *version == wanted =>
@@ -102,11 +102,11 @@
         })
     }
 
-    fn publish(&mut self, entry: &Entry<ConfigRecord>, publish: &Publish) {
+    fn add_publish(&mut self, entry: &Entry<ConfigRecord>, publish: &Publish) {
         if self.publishes.contains_key(&publish.id) {
             return;
         }
-        let known = Known { offset: entry.offset, digest: digest(publish) };
+        let known = PublishSummary { offset: entry.offset, digest: digest(publish) };
         self.publishes.insert(Arc::clone(&publish.id), known);
         self.undecided.push(entry.offset);
         let what = ActKind::Publish {
@@ -117,7 +117,7 @@
         self.push(entry, &publish.author, what);
     }
 
-    fn drain(&mut self, entry: &Entry<ConfigRecord>, drain: &Drain) {
+    fn add_drain(&mut self, entry: &Entry<ConfigRecord>, drain: &Drain) {
         let what = ActKind::Drain {
             endpoint: Arc::clone(&drain.endpoint),
             incarnation: drain.incarnation,
@@ -125,7 +125,7 @@
         self.push(entry, &drain.author, what);
     }
 
-    fn evacuation(&mut self, entry: &Entry<ConfigRecord>, order: &Evacuation) {
+    fn add_evacuation(&mut self, entry: &Entry<ConfigRecord>, order: &Evacuation) {
         let what = ActKind::Evacuation {
             data_centre: Arc::clone(&order.data_centre),
             is_over: order.is_over,
@@ -134,7 +134,7 @@
     }
 
     /// Later snapshots of the same state name the restore again.
-    fn restore(&mut self, entry: &Entry<ConfigRecord>, snapshot: &Snapshot) {
+    fn add_restore(&mut self, entry: &Entry<ConfigRecord>, snapshot: &Snapshot) {
         let (Some(author), Some(id)) = (&snapshot.restorer, &snapshot.publish) else { return };
         let is_known =
             |act: &Act| matches!(&act.what, ActKind::Restore { id: known, .. } if known == id);
@@ -152,18 +152,18 @@
 
     /// Asks the fold for what it had not decided before. A fold that lost
     /// records decides only once it has joined the stream again.
-    fn decide(&mut self, fold: &ConfigReader) {
+    fn decide(&mut self, config: &ConfigReader) {
         let acts = &mut self.acts;
         self.undecided.retain(|offset| {
             let Ok(idx) = acts.binary_search_by_key(offset, |act| act.offset) else { return false };
             let ActKind::Publish { id, verdict, .. } = &mut acts[idx].what else { return false };
-            let Some(decided) = fold.verdict(id) else { return true };
+            let Some(decided) = config.verdict(id) else { return true };
             *verdict = to_wire(decided);
             false
         });
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest(&mut self) {
         let Some(act) = self.acts.pop_front() else { return };
         if let ActKind::Publish { id, .. } = act.what {
             self.publishes.remove(&id);
--- a/crates/admin/src/ops/drain.rs
+++ b/crates/admin/src/ops/drain.rs
@@ -18,7 +18,7 @@
     reader::State,
 };
 
-/// Drains the endpoint. A drain that already stands is not appended again.
+/// Drains the endpoint. A drain that already is_in_force is not appended again.
 ///
 /// # Errors
 /// Any [`Error`] but those of publishes.
@@ -31,8 +31,8 @@
     publish::check_text("author", &body.author)?;
     let incarnation = incarnation_of(ctx, &endpoint, body.incarnation).await?;
     let drain = Drain { endpoint, incarnation, author: body.author };
-    ctx.reader.catch_up().await.map_err(|cause| Error::LogOut(cause.to_string()))?;
-    if !ctx.reader.look(|state| stands(state, &drain)) {
+    ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
+    if !ctx.reader.inspect(|state| is_in_force(state, &drain)) {
         append(ctx, &drain).await?;
     }
     ctx.metrics.count("admin.drain.accepted", 1);
@@ -47,9 +47,9 @@
 
 async fn append(ctx: &Context, drain: &Drain) -> Result<(), Error> {
     let record = ConfigRecord::Drain(drain.clone());
-    let see = |state: &State| stands(state, drain).then_some(());
-    settle::settle(ctx, &record, see).await.map_err(|failure| match failure {
-        Failure::NotAppended(cause) => Error::LogOut(cause.to_string()),
+    let is_confirmed = |state: &State| is_in_force(state, drain).then_some(());
+    settle::append_and_confirm(ctx, &record, is_confirmed).await.map_err(|failure| match failure {
+        Failure::NotAppended(cause) => Error::LogUnavailable(cause.to_string()),
         Failure::Unknown => Error::DrainUnknown(Arc::clone(&drain.endpoint)),
     })
 }
@@ -60,12 +60,13 @@
     endpoint: &EndpointName,
     given: Option<Incarnation>,
 ) -> Result<Incarnation, Error> {
-    let listing = ctx.list.read().await.map_err(|cause| Error::ListOut(cause.to_string()))?;
+    let listing =
+        ctx.list.read().await.map_err(|cause| Error::ListUnavailable(cause.to_string()))?;
     let entry = listing.endpoints.iter().find(|entry| entry.name == *endpoint);
     let listed = entry.ok_or_else(|| Error::UnknownEndpoint(Arc::clone(endpoint)))?.incarnation;
     match given {
         Some(given) if given < listed => {
-            Err(Error::OtherIncarnation { endpoint: Arc::clone(endpoint), listed, given })
+            Err(Error::OutdatedIncarnation { endpoint: Arc::clone(endpoint), listed, given })
         }
         Some(given) => Ok(given),
         None => Ok(listed),
@@ -73,7 +74,7 @@
 }
 
 /// Whether the drain is in force, or one of a later incarnation.
-fn stands(state: &State, wanted: &Drain) -> bool {
+fn is_in_force(state: &State, wanted: &Drain) -> bool {
     let drains = state.current().map(|snapshot| snapshot.drains.as_slice()).unwrap_or_default();
     drains
         .iter()
--- a/crates/admin/src/ops/evacuate.rs
+++ b/crates/admin/src/ops/evacuate.rs
@@ -35,8 +35,8 @@
     }
     publish::check_text("author", &body.author)?;
     let order = Evacuation { data_centre, is_over: body.is_over, author: body.author };
-    ctx.reader.catch_up().await.map_err(|cause| Error::LogOut(cause.to_string()))?;
-    if !ctx.reader.look(|state| stands(state, &order)) {
+    ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
+    if !ctx.reader.inspect(|state| is_in_force(state, &order)) {
         append(ctx, &order).await?;
     }
     ctx.metrics.count("admin.evacuation.accepted", 1);
@@ -48,15 +48,15 @@
 
 async fn append(ctx: &Context, order: &Evacuation) -> Result<(), Error> {
     let record = ConfigRecord::Evacuation(order.clone());
-    let see = |state: &State| stands(state, order).then_some(());
-    settle::settle(ctx, &record, see).await.map_err(|failure| match failure {
-        Failure::NotAppended(cause) => Error::LogOut(cause.to_string()),
+    let is_confirmed = |state: &State| is_in_force(state, order).then_some(());
+    settle::append_and_confirm(ctx, &record, is_confirmed).await.map_err(|failure| match failure {
+        Failure::NotAppended(cause) => Error::LogUnavailable(cause.to_string()),
         Failure::Unknown => Error::EvacuationUnknown(Arc::clone(&order.data_centre)),
     })
 }
 
 /// Whether the order is in force.
-fn stands(state: &State, order: &Evacuation) -> bool {
+fn is_in_force(state: &State, order: &Evacuation) -> bool {
     let evacuated = state.current().map_or(&[][..], |snapshot| &snapshot.evacuated);
     let is_evacuated = evacuated.iter().any(|known| known.data_centre == order.data_centre);
     state.current().is_some() && is_evacuated != order.is_over
--- a/crates/admin/src/ops/publish.rs
+++ b/crates/admin/src/ops/publish.rs
@@ -33,12 +33,17 @@
     check_document(ctx, &body.document)?;
     let publish =
         Publish { id: body.id, base: body.base, author: body.author, document: body.document };
-    let verdict = decide(ctx, &publish).await?;
-    let version = accepted(ctx, &publish, verdict)?;
+    let verdict = append_or_find(ctx, &publish).await?;
+    let version = accepted_version(ctx, &publish, verdict)?;
     ctx.metrics.count("admin.publish.accepted", 1);
     tracing::info!(version, publish = &*publish.id, author = &*publish.author, "accepted");
-    let spread = status::wait_in_force(ctx, version).await;
-    Ok(PublishReply { id: publish.id, version, in_force: spread.in_force, missing: spread.missing })
+    let rollout = status::wait_in_force(ctx, version).await;
+    Ok(PublishReply {
+        id: publish.id,
+        version,
+        in_force: rollout.in_force,
+        missing: rollout.missing,
+    })
 }
 
 /// Checks a name or an id that comes with a request.
@@ -72,34 +77,39 @@
 }
 
 /// What the log makes of the publish; appends it if it isn't there yet.
-async fn decide(ctx: &Context, publish: &Publish) -> Result<PublishVerdict, Error> {
-    ctx.reader.catch_up().await.map_err(|cause| Error::LogOut(cause.to_string()))?;
-    match ctx.reader.look(|state| state.history.is_same(publish)) {
+async fn append_or_find(ctx: &Context, publish: &Publish) -> Result<PublishVerdict, Error> {
+    ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
+    match ctx.reader.inspect(|state| state.history.is_same(publish)) {
         Some(true) => {
-            let verdict = ctx.reader.look(|state| state.history.verdict(&publish.id));
+            let verdict = ctx.reader.inspect(|state| state.history.verdict(&publish.id));
             return verdict.ok_or_else(|| Error::Unknown(Arc::clone(&publish.id)));
         }
         Some(false) => return Err(Error::IdReused(Arc::clone(&publish.id))),
         None => {}
     }
-    let current = ctx.reader.look(current_version).ok_or(Error::NoState)?;
+    let current = ctx.reader.inspect(current_version).ok_or(Error::NoState)?;
     if current != publish.base {
         return Ok(PublishVerdict::Conflict { current });
     }
     let record = ConfigRecord::Publish(publish.clone());
-    let settled = settle::settle(ctx, &record, |state| state.history.verdict(&publish.id));
+    let settled =
+        settle::append_and_confirm(ctx, &record, |state| state.history.verdict(&publish.id));
     settled.await.map_err(|failure| match failure {
-        Failure::NotAppended(cause) => Error::LogOut(cause.to_string()),
+        Failure::NotAppended(cause) => Error::LogUnavailable(cause.to_string()),
         Failure::Unknown => Error::Unknown(Arc::clone(&publish.id)),
     })
 }
 
-fn accepted(ctx: &Context, publish: &Publish, verdict: PublishVerdict) -> Result<Version, Error> {
+fn accepted_version(
+    ctx: &Context,
+    publish: &Publish,
+    verdict: PublishVerdict,
+) -> Result<Version, Error> {
     match verdict {
         PublishVerdict::Accepted { version } => Ok(version),
         PublishVerdict::Conflict { current } => {
             ctx.metrics.count("admin.publish.conflict", 1);
-            let winner = ctx.reader.look(|state| winner(state, current));
+            let winner = ctx.reader.inspect(|state| winner(state, current));
             Err(Error::Conflict { base: publish.base, winner })
         }
         PublishVerdict::Forgotten => Err(Error::Unknown(Arc::clone(&publish.id))),
@@ -108,7 +118,7 @@
 
 /// The version in force; `None` where the log no longer tells.
 fn current_version(state: &State) -> Option<Version> {
-    if state.fold.is_gapped() {
+    if state.config.is_gapped() {
         return None;
     }
     state.current().map(|snapshot| snapshot.version)
@@ -116,6 +126,6 @@
 
 /// A version with who made it, for an operator who met it.
 pub fn winner(state: &State, version: Version) -> Winner {
-    let (publish, author) = state.history.maker(version).unzip();
+    let (publish, author) = state.history.origin(version).unzip();
     Winner { version, publish, author }
 }
--- a/crates/admin/src/ops/restore.rs
+++ b/crates/admin/src/ops/restore.rs
@@ -43,18 +43,18 @@
     let Some(version) = body.version.checked_add(1) else {
         return Err(Error::Malformed("`version` is the largest number there is".to_owned()));
     };
-    ctx.reader.catch_up().await.map_err(|cause| Error::LogOut(cause.to_string()))?;
-    let made = match ctx.reader.look(|state| is_restored(state, &body.id)) {
+    ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
+    let made = match ctx.reader.inspect(|state| is_restored(state, &body.id)) {
         Some(made) => made,
         None => append(ctx, &body, version).await?,
     };
     if !made {
-        return Err(ctx.reader.look(not_lost));
+        return Err(ctx.reader.inspect(not_lost_error));
     }
     ctx.metrics.count("admin.restore.accepted", 1);
     tracing::info!(version, restore = &*body.id, author = &*body.author, "restored");
-    let spread = status::wait_in_force(ctx, version).await;
-    Ok(PublishReply { id: body.id, version, in_force: spread.in_force, missing: spread.missing })
+    let rollout = status::wait_in_force(ctx, version).await;
+    Ok(PublishReply { id: body.id, version, in_force: rollout.in_force, missing: rollout.missing })
 }
 
 /// Appends the snapshot. Whether it is the state that readers start from.
@@ -62,18 +62,18 @@
     check_version(ctx, body.version)?;
     check_instances(ctx).await?;
     let record = ConfigRecord::Snapshot(Snapshot {
-        as_of: ctx.reader.look(newest_offset),
+        as_of: ctx.reader.inspect(newest_offset),
         version,
         publish: Some(Arc::clone(&body.id)),
         document: Arc::clone(&body.document),
         drains: Vec::new(),
         // What is known to be evacuated stays so: to send nothing there is the safe side.
-        evacuated: ctx.reader.look(evacuated),
+        evacuated: ctx.reader.inspect(evacuated),
         restorer: Some(Arc::clone(&body.author)),
     });
-    let settled = settle::settle(ctx, &record, |state| is_restored(state, &body.id));
+    let settled = settle::append_and_confirm(ctx, &record, |state| is_restored(state, &body.id));
     settled.await.map_err(|failure| match failure {
-        Failure::NotAppended(cause) => Error::LogOut(cause.to_string()),
+        Failure::NotAppended(cause) => Error::LogUnavailable(cause.to_string()),
         Failure::Unknown => Error::RestoreUnknown(Arc::clone(&body.id)),
     })
 }
@@ -84,7 +84,7 @@
 
 /// Readers that know a version never go back behind it.
 fn check_version(ctx: &Context, given: Version) -> Result<(), Error> {
-    let known = ctx.reader.look(|state| state.current().map_or(0, |snapshot| snapshot.version));
+    let known = ctx.reader.inspect(|state| state.current().map_or(0, |snapshot| snapshot.version));
     if given < known {
         return Err(Error::OldVersion { given, known });
     }
@@ -95,7 +95,9 @@
 async fn check_instances(ctx: &Context) -> Result<(), Error> {
     let reply = status::status(ctx).await?;
     match reply.entries.into_iter().find(|entry| entry.version > 0) {
-        Some(entry) => Err(Error::StillHeld { instance: entry.instance, version: entry.version }),
+        Some(entry) => {
+            Err(Error::StillInForce { instance: entry.instance, version: entry.version })
+        }
         None => Ok(()),
     }
 }
@@ -103,7 +105,7 @@
 /// Whether the state in force is the one that `id` restored; `None` while the
 /// log tells of no state.
 fn is_restored(state: &State, id: &str) -> Option<bool> {
-    if state.fold.is_gapped() {
+    if state.config.is_gapped() {
         return None;
     }
     let snapshot = state.current()?;
@@ -111,10 +113,10 @@
 }
 
 fn newest_offset(state: &State) -> Option<Offset> {
-    state.fold.next_offset().checked_sub(1)
+    state.config.next_offset().checked_sub(1)
 }
 
-fn not_lost(state: &State) -> Error {
+fn not_lost_error(state: &State) -> Error {
     let version = state.current().map_or(0, |snapshot| snapshot.version);
     Error::NotLost(publish::winner(state, version))
 }
--- a/crates/admin/src/ops/settle.rs
+++ b/crates/admin/src/ops/settle.rs
@@ -13,9 +13,9 @@
 use crate::{context::Context, reader::State};
 
 /// How long reading goes on before an append without an answer is sent again.
-const REPEAT_AFTER: Duration = Duration::from_secs(1);
+const RESEND_AFTER: Duration = Duration::from_secs(1);
 /// The status with which the log refuses an append over its rate: it has no effect.
-const OVER_RATE: u16 = 429;
+const STATUS_OVER_RATE: u16 = 429;
 
 /// Why a record could not be settled.
 #[derive(Debug)]
@@ -26,14 +26,14 @@
     Unknown,
 }
 
-/// Appends `record` and reads on until `see` shows its effect.
-pub async fn settle<T>(
+/// Appends `record` and reads on until `confirm` shows its effect.
+pub async fn append_and_confirm<T>(
     ctx: &Context,
     record: &ConfigRecord,
-    see: impl Fn(&State) -> Option<T>,
+    confirm: impl Fn(&State) -> Option<T>,
 ) -> Result<T, Failure> {
     let end = ctx.clock.now() + ctx.timeouts.confirm;
-    let mut in_doubt = false;
+    let mut may_be_appended = false;
     loop {
         let left = end.saturating_sub(ctx.clock.now());
         if left.is_zero() {
@@ -42,16 +42,16 @@
         }
         let appended = ctx.log.append(Stream::Config, record, left.min(ctx.timeouts.append)).await;
         let left = end.saturating_sub(ctx.clock.now());
-        let patience = match appended {
+        let wait = match appended {
             Ok(_) => left,
-            Err(error) if has_no_effect(&error) && !in_doubt => {
+            Err(error) if has_no_effect(&error) && !may_be_appended => {
                 return Err(Failure::NotAppended(error));
             }
-            Err(_) => left.min(REPEAT_AFTER),
+            Err(_) => left.min(RESEND_AFTER),
         };
-        in_doubt = true;
-        if let Some(seen) = ctx.reader.wait_for(&*ctx.clock, patience, &see).await {
-            return Ok(seen);
+        may_be_appended = true;
+        if let Some(value) = ctx.reader.wait_for(&*ctx.clock, wait, &confirm).await {
+            return Ok(value);
         }
     }
 }
@@ -59,7 +59,8 @@
 fn has_no_effect(error: &log::Error) -> bool {
     match error {
         log::Error::Http(error) => {
-            error.is_unsent() || matches!(error, http::Error::Refused { status: OVER_RATE, .. })
+            error.is_unsent()
+                || matches!(error, http::Error::Refused { status: STATUS_OVER_RATE, .. })
         }
         log::Error::Unwritable { .. } => true,
         log::Error::Unreadable { .. } => false,
--- a/crates/admin/src/ops/show.rs
+++ b/crates/admin/src/ops/show.rs
@@ -11,14 +11,14 @@
 /// read, marked so: versions never go back, but a later one may exist.
 ///
 /// # Errors
-/// [`Error::LogOut`] if nothing was ever read, [`Error::NoState`] if the log
+/// [`Error::LogUnavailable`] if nothing was ever read, [`Error::NoState`] if the log
 /// no longer tells.
 pub async fn config(ctx: &Context) -> Result<ConfigReply, Error> {
     let read = ctx.reader.catch_up().await;
     let confirmed = read.is_ok();
-    match (ctx.reader.look(|state| reply(state, confirmed)), read) {
+    match (ctx.reader.inspect(|state| reply(state, confirmed)), read) {
         (Some(reply), _) => Ok(reply),
-        (None, Err(cause)) => Err(Error::LogOut(cause.to_string())),
+        (None, Err(cause)) => Err(Error::LogUnavailable(cause.to_string())),
         (None, Ok(())) => Err(Error::NoState),
     }
 }
@@ -26,19 +26,19 @@
 /// One page of the history.
 ///
 /// # Errors
-/// [`Error::LogOut`].
+/// [`Error::LogUnavailable`].
 pub async fn history(ctx: &Context, from: Offset, limit: usize) -> Result<HistoryReply, Error> {
-    ctx.reader.catch_up().await.map_err(|cause| Error::LogOut(cause.to_string()))?;
-    Ok(ctx.reader.look(|state| state.history.page(from, limit)))
+    ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
+    Ok(ctx.reader.inspect(|state| state.history.page(from, limit)))
 }
 
 /// What became of a publish.
 ///
 /// # Errors
-/// [`Error::LogOut`] or [`Error::UnknownPublish`].
+/// [`Error::LogUnavailable`] or [`Error::UnknownPublish`].
 pub async fn verdict(ctx: &Context, id: Arc<str>) -> Result<VerdictReply, Error> {
-    ctx.reader.catch_up().await.map_err(|cause| Error::LogOut(cause.to_string()))?;
-    let act = ctx.reader.look(|state| state.history.act(&id).cloned());
+    ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
+    let act = ctx.reader.inspect(|state| state.history.act(&id).cloned());
     match act.map(|act| (act.author, act.what)) {
         Some((author, ActKind::Publish { verdict, .. })) => {
             Ok(VerdictReply { id, author, verdict })
@@ -49,8 +49,8 @@
 
 fn reply(state: &State, confirmed: bool) -> Option<ConfigReply> {
     let snapshot = state.current()?;
-    let confirmed = confirmed && !state.fold.is_gapped();
-    let maker = state.history.maker(snapshot.version).map(|(_, author)| author);
+    let confirmed = confirmed && !state.config.is_gapped();
+    let maker = state.history.origin(snapshot.version).map(|(_, author)| author);
     let author = maker.or_else(|| snapshot.restorer.clone());
     Some(ConfigReply {
         version: snapshot.version,
--- a/crates/admin/src/ops/status.rs
+++ b/crates/admin/src/ops/status.rs
@@ -17,18 +17,18 @@
 use crate::{context::Context, error::Error};
 
 /// Instances asked at the same time.
-const PARALLEL: usize = 32;
+const MAX_CONCURRENT: usize = 32;
 /// First pause between two rounds of asking who has a version in force.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_PAUSE: Duration = Duration::from_millis(50);
 /// The longest such pause.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// A slot that no outcome is in.
-const NEVER: u64 = u64::MAX;
+const NO_OUTCOMES: u64 = u64::MAX;
 
 /// Who has a version in force.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct Rollout {
     /// Instances that have it or a later one.
     pub in_force: Vec<InstanceName>,
     /// Live instances of the list that did not say so.
@@ -38,11 +38,12 @@
 /// The status of every listed instance.
 ///
 /// # Errors
-/// [`Error::ListOut`].
+/// [`Error::ListUnavailable`].
 pub async fn status(ctx: &Context) -> Result<StatusReply, Error> {
-    let listing = ctx.list.read().await.map_err(|cause| Error::ListOut(cause.to_string()))?;
+    let listing =
+        ctx.list.read().await.map_err(|cause| Error::ListUnavailable(cause.to_string()))?;
     let mut reply = StatusReply { entries: Vec::new(), missing: Vec::new() };
-    let mut answers = pin!(ask(ctx, &listing.instances, NEVER));
+    let mut answers = pin!(fetch(ctx, &listing.instances, NO_OUTCOMES));
     while let Some((instance, answer)) = answers.next().await {
         match answer {
             Ok(status) => reply.entries.push(status),
@@ -57,11 +58,12 @@
 /// The outcomes of every listed instance from `since` on, added up.
 ///
 /// # Errors
-/// [`Error::ListOut`].
+/// [`Error::ListUnavailable`].
 pub async fn outcomes(ctx: &Context, since: u64) -> Result<OutcomesReply, Error> {
-    let listing = ctx.list.read().await.map_err(|cause| Error::ListOut(cause.to_string()))?;
+    let listing =
+        ctx.list.read().await.map_err(|cause| Error::ListUnavailable(cause.to_string()))?;
     let (mut sums, mut instances, mut missing) = (BTreeMap::new(), Vec::new(), Vec::new());
-    let mut answers = pin!(ask(ctx, &listing.instances, since));
+    let mut answers = pin!(fetch(ctx, &listing.instances, since));
     while let Some((instance, answer)) = answers.next().await {
         match answer {
             Ok(status) => {
@@ -104,17 +106,17 @@
 /// Asks until all live instances of the list have `version` in force, for a
 /// bounded time. Only those that haven't said so are asked again. One that is
 /// leaving ends with what it holds and is not waited for.
-pub async fn wait_in_force(ctx: &Context, version: Version) -> Spread {
+pub async fn wait_in_force(ctx: &Context, version: Version) -> Rollout {
     let end = ctx.clock.now() + ctx.timeouts.in_force;
-    let mut spread = Spread::default();
-    let mut pause = FIRST_PAUSE;
+    let mut rollout = Rollout::default();
+    let mut pause = INITIAL_PAUSE;
     loop {
-        let complete = round(ctx, version, &mut spread).await;
+        let complete = poll_instances(ctx, version, &mut rollout).await;
         let left = end.saturating_sub(ctx.clock.now());
         if complete || left.is_zero() {
-            spread.in_force.sort();
-            spread.missing.sort_by(|a, b| a.instance.cmp(&b.instance));
-            return spread;
+            rollout.in_force.sort();
+            rollout.missing.sort_by(|a, b| a.instance.cmp(&b.instance));
+            return rollout;
         }
         tokio::time::sleep(pause.min(left)).await;
         pause = MAX_PAUSE.min(pause * 2);
@@ -122,34 +124,34 @@
 }
 
 /// One round of asking. Whether nobody is missing.
-async fn round(ctx: &Context, version: Version, spread: &mut Spread) -> bool {
+async fn poll_instances(ctx: &Context, version: Version, rollout: &mut Rollout) -> bool {
     let Ok(listing) = ctx.list.read().await else {
         let reason = "the platform's list is out; it is not known who should answer";
-        spread.missing = vec![Missing { instance: "*".into(), reason: reason.into() }];
+        rollout.missing = vec![Missing { instance: "*".into(), reason: reason.into() }];
         return false;
     };
-    let is_asked = |instance: &InstanceEntry| {
-        instance.presence == Presence::Live && !spread.in_force.contains(&instance.name)
+    let is_pending = |instance: &InstanceEntry| {
+        instance.presence == Presence::Live && !rollout.in_force.contains(&instance.name)
     };
-    let instances: Vec<InstanceEntry> = listing.instances.into_iter().filter(is_asked).collect();
+    let instances: Vec<InstanceEntry> = listing.instances.into_iter().filter(is_pending).collect();
     let mut missing = BTreeMap::new();
-    let mut answers = pin!(ask(ctx, &instances, NEVER));
+    let mut answers = pin!(fetch(ctx, &instances, NO_OUTCOMES));
     while let Some((instance, answer)) = answers.next().await {
-        match answer.and_then(|status| has_version(&status, version)) {
-            Ok(()) => spread.in_force.push(instance),
+        match answer.and_then(|status| check_version(&status, version)) {
+            Ok(()) => rollout.in_force.push(instance),
             Err(reason) => {
                 missing.insert(instance, reason);
             }
         }
     }
-    spread.missing = missing
+    rollout.missing = missing
         .into_iter()
         .map(|(instance, reason)| Missing { instance, reason: reason.into() })
         .collect();
-    spread.missing.is_empty()
+    rollout.missing.is_empty()
 }
 
-fn has_version(status: &EntryStatus, version: Version) -> Result<(), String> {
+fn check_version(status: &EntryStatus, version: Version) -> Result<(), String> {
     if status.version >= version {
         return Ok(());
     }
@@ -160,7 +162,7 @@
 }
 
 /// Each instance's status, with outcomes from `since` on, or why there is none.
-fn ask(
+fn fetch(
     ctx: &Context,
     instances: &[InstanceEntry],
     since: u64,
@@ -171,5 +173,5 @@
                 entry::status(&ctx.http, &instance.http_addr, since, ctx.timeouts.status).await;
             (instance.name.clone(), answer.map_err(|cause| cause.to_string()))
         })
-        .buffer_unordered(PARALLEL)
+        .buffer_unordered(MAX_CONCURRENT)
 }
--- a/crates/admin/src/reader.rs
+++ b/crates/admin/src/reader.rs
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub struct State {
     /// Which configuration is in force.
-    pub fold: ConfigReader,
+    pub config: ConfigReader,
     /// Who did what.
     pub history: History,
 }
@@ -40,7 +40,7 @@
 impl State {
     /// The configuration in force; `None` where the log no longer tells.
     pub fn current(&self) -> Option<&Snapshot> {
-        self.fold.current()
+        self.config.current()
     }
 }
 
@@ -51,8 +51,8 @@
     }
 
     /// Looks at what was read so far.
-    pub fn look<T>(&self, see: impl FnOnce(&State) -> T) -> T {
-        see(&self.state.borrow())
+    pub fn inspect<T>(&self, read: impl FnOnce(&State) -> T) -> T {
+        read(&self.state.borrow())
     }
 
     /// Reads to the stream's present end.
@@ -64,17 +64,17 @@
         Ok(())
     }
 
-    /// Reads on until `see` gives something, for at most `limit`.
+    /// Reads on until `read` gives something, for at most `limit`.
     pub async fn wait_for<T>(
         &self,
         clock: &dyn Clock,
         limit: Duration,
-        see: impl Fn(&State) -> Option<T>,
+        read: impl Fn(&State) -> Option<T>,
     ) -> Option<T> {
         let end = clock.now() + limit;
         loop {
-            if let Some(seen) = self.look(&see) {
-                return Some(seen);
+            if let Some(value) = self.inspect(&read) {
+                return Some(value);
             }
             let left = end.saturating_sub(clock.now());
             if left.is_zero() {
@@ -90,16 +90,16 @@
     /// One read. Whether there may be more to read: a read that gives nothing
     /// but moves on is not the end.
     async fn read(&self, wait: Duration) -> Result<bool, log::Error> {
-        let from = self.look(|state| state.fold.next_offset());
+        let from = self.inspect(|state| state.config.next_offset());
         let range = log::Range { from, max: READ_RECORDS, wait };
         let batch = self.log.read::<ConfigRecord>(Stream::Config, range).await?;
         let mut state = self.state.borrow_mut();
-        let State { fold, history } = &mut *state;
-        if fold.next_offset() != from {
+        let State { config, history } = &mut *state;
+        if config.next_offset() != from {
             return Ok(true);
         }
-        fold.read(&batch);
-        history.read(&batch, fold);
+        config.read(&batch);
+        history.apply(&batch, config);
         Ok(!batch.shows_end_at(from))
     }
 }
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -16,11 +16,11 @@
 
 /// The largest body that is read, in bytes: a document and what escapes and
 /// spaces may add to it.
-const MAX_BODY: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Acts on a page of the history where the request names no limit.
-const DEFAULT_PAGE: usize = 50;
+const DEFAULT_PAGE_ACTS: usize = 50;
 /// Acts on a page of the history at the most.
-const MAX_PAGE: usize = 500;
+const MAX_PAGE_ACTS: usize = 500;
 
 /// Adds the API's paths to a server.
 pub fn configure(cfg: &mut web::ServiceConfig) {
@@ -52,7 +52,7 @@
 /// Ready once the configuration stream was read to its end; afterwards a log
 /// that is out is reported by the operations that need it.
 async fn ready(ctx: types::State<Rc<Context>>) -> HttpResponse {
-    let known = ctx.reader.look(|state| state.current().is_some());
+    let known = ctx.reader.inspect(|state| state.current().is_some());
     if known {
         return HttpResponse::Ok().body("ready\n");
     }
@@ -92,7 +92,7 @@
 
 async fn history(operator: Operator, req: HttpRequest) -> Result<HttpResponse, Error> {
     let page: Page = query(&req)?;
-    let limit = page.limit.unwrap_or(DEFAULT_PAGE).clamp(1, MAX_PAGE);
+    let limit = page.limit.unwrap_or(DEFAULT_PAGE_ACTS).clamp(1, MAX_PAGE_ACTS);
     ops::show::history(&operator.ctx, page.from, limit).await.map(reply)
 }
 
@@ -152,8 +152,8 @@
     while let Some(chunk) = payload.next().await {
         let chunk =
             chunk.map_err(|cause| Error::Malformed(format!("the body broke off: {cause}")))?;
-        if body.len() + chunk.len() > MAX_BODY {
-            return Err(Error::TooLarge(MAX_BODY));
+        if body.len() + chunk.len() > MAX_BODY_BYTES {
+            return Err(Error::TooLarge(MAX_BODY_BYTES));
         }
         body.extend_from_slice(&chunk);
     }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -49,7 +49,7 @@
 
 /// What every command that changes something is given.
 #[derive(Debug, Clone)]
-pub struct Change {
+pub struct ChangeArgs {
     /// How its result is written.
     pub format: Format,
     /// Where peatdeck-admin is.
@@ -58,12 +58,12 @@
     pub author: String,
 }
 
-/// The flags of [`Change`].
-pub fn change() -> impl Parser<Change> {
+/// The flags of [`ChangeArgs`].
+pub fn change_args() -> impl Parser<ChangeArgs> {
     let format = format();
     let admin = admin();
     let author = author();
-    construct!(Change { format, admin, author })
+    construct!(ChangeArgs { format, admin, author })
 }
 
 fn author() -> impl Parser<String> {
--- a/crates/cli/src/commands/burn.rs
+++ b/crates/cli/src/commands/burn.rs
@@ -48,7 +48,7 @@
     let client = commands::connect(env, &args.admin).await?;
     let now = env.now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
     let config = client.config().await?;
-    let outcomes = client.outcomes(now.saturating_sub(burn::LONG)).await?;
+    let outcomes = client.outcomes(now.saturating_sub(burn::LONG_WINDOW)).await?;
     let report = burn::report(now, &config.document, outcomes);
     if let Some(path) = args.html {
         std::fs::write(&path, page::render(&report))
@@ -83,7 +83,7 @@
     for missing in &report.missing {
         let _ = writeln!(text, "No answer from {}: {}", missing.instance, missing.reason);
     }
-    let _ = writeln!(text, "{}", page::LOSS);
+    let _ = writeln!(text, "{}", page::COVERAGE_NOTE);
     text
 }
 
@@ -101,8 +101,8 @@
         "ALERT",
     ]);
     for row in &report.rows {
-        let pipeline = table::named(&row.pipeline).to_owned();
-        let team = row.team.as_deref().map_or("(all)", table::named).to_owned();
+        let pipeline = table::name_or_placeholder(&row.pipeline).to_owned();
+        let team = row.team.as_deref().map_or("(all)", table::name_or_placeholder).to_owned();
         let [requests, attained, objective, left, short, middle, long] = row.figures();
         let alert = alert(row.alert).to_owned();
         rows.row([pipeline, team, requests, attained, objective, left, short, middle, long, alert]);
@@ -114,8 +114,8 @@
     let mut rows = Table::new(["PIPELINE", "TEAM", "CAUSE", "STAGE", "REQUESTS", "SHARE"]);
     for cause in report.causes.iter().take(MAX_CAUSES) {
         rows.row([
-            table::named(&cause.pipeline).to_owned(),
-            table::named(&cause.team).to_owned(),
+            table::name_or_placeholder(&cause.pipeline).to_owned(),
+            table::name_or_placeholder(&cause.team).to_owned(),
             format!("{}: {}", page::kind_text(cause.kind), cause.outcome),
             cause.stage.as_deref().unwrap_or("").to_owned(),
             cause.count.to_string(),
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -5,7 +5,7 @@
 use peatdeck_wire::admin::DrainBody;
 
 use crate::{
-    commands::{self, Change},
+    commands::{self, ChangeArgs},
     error::Error,
     shell::{self, Environment, Format, Output},
 };
@@ -13,14 +13,14 @@
 /// The flags.
 #[derive(Debug, Clone)]
 pub struct Args {
-    change: Change,
+    change: ChangeArgs,
     incarnation: Option<u64>,
     endpoint: String,
 }
 
 /// The command line.
 pub fn cli() -> OptionParser<Args> {
-    let change = commands::change();
+    let change = commands::change_args();
     let incarnation = long("incarnation")
         .help("Incarnation of the endpoint that it holds for; the listed one if not given")
         .argument::<u64>("N")
--- a/crates/cli/src/commands/evacuate.rs
+++ b/crates/cli/src/commands/evacuate.rs
@@ -4,7 +4,7 @@
 use peatdeck_wire::admin::{EvacuationBody, EvacuationReply};
 
 use crate::{
-    commands::{self, Change},
+    commands::{self, ChangeArgs},
     error::Error,
     shell::{self, Environment, Format, Output},
 };
@@ -12,14 +12,14 @@
 /// The flags.
 #[derive(Debug, Clone)]
 pub struct Args {
-    change: Change,
+    change: ChangeArgs,
     over: bool,
     data_centre: String,
 }
 
 /// The command line.
 pub fn cli() -> OptionParser<Args> {
-    let change = commands::change();
+    let change = commands::change_args();
     let over = long("over").help("Take the order back: its endpoints are used again").switch();
     let data_centre =
         positional::<String>("DATA-CENTRE").help("Data centre, as the platform's list names it");
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -33,11 +33,11 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`Error::File`], [`Error::NoTrace`].
+/// [`Error::File`], [`Error::RequestNotFound`].
 pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
-    let lines = explain::story(&args.id, &args.files)?;
+    let lines = explain::find_lines(&args.id, &args.files)?;
     if lines.is_empty() {
-        return Err(Error::NoTrace { id: args.id });
+        return Err(Error::RequestNotFound { id: args.id });
     }
     let text = match args.format {
         Format::Json => shell::json(&lines)?,
--- a/crates/cli/src/commands/publish.rs
+++ b/crates/cli/src/commands/publish.rs
@@ -7,7 +7,7 @@
 use peatdeck_wire::admin::{ConfigReply, PublishBody, PublishReply};
 
 use crate::{
-    commands::{self, Change},
+    commands::{self, ChangeArgs},
     error::Error,
     ops::source,
     shell::{self, Environment, Format, Output},
@@ -16,7 +16,7 @@
 /// The flags.
 #[derive(Debug, Clone)]
 pub struct Args {
-    change: Change,
+    change: ChangeArgs,
     base: Option<Version>,
     id: Option<String>,
     file: String,
@@ -24,7 +24,7 @@
 
 /// The command line.
 pub fn cli() -> OptionParser<Args> {
-    let change = commands::change();
+    let change = commands::change_args();
     let base = long("base")
         .help("Version that the file was made from; the one in force if not given")
         .argument::<Version>("N")
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -36,7 +36,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`Error::Instance`], [`Error::NotHeld`].
+/// [`Error::Instance`], [`Error::NotQuarantined`].
 pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     if let Some(content) = &args.release {
         quarantine::release(&args.instance, content).await?;
--- a/crates/cli/src/commands/restore.rs
+++ b/crates/cli/src/commands/restore.rs
@@ -7,7 +7,7 @@
 use peatdeck_wire::admin::RestoreBody;
 
 use crate::{
-    commands::{self, Change, publish},
+    commands::{self, ChangeArgs, publish},
     error::Error,
     ops::source,
     shell::{Environment, Output},
@@ -16,7 +16,7 @@
 /// The flags.
 #[derive(Debug, Clone)]
 pub struct Args {
-    change: Change,
+    change: ChangeArgs,
     version: Version,
     id: Option<String>,
     file: String,
@@ -24,7 +24,7 @@
 
 /// The command line.
 pub fn cli() -> OptionParser<Args> {
-    let change = commands::change();
+    let change = commands::change_args();
     let version = long("version")
         .help("Newest version that was ever in force; the file becomes the next one")
         .argument::<Version>("N");
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -65,7 +65,7 @@
 
 /// What the instances together say of one endpoint.
 #[derive(Debug, Default)]
-struct Seen {
+struct EndpointSummary {
     pool: Arc<str>,
     incarnation: u64,
     states: BTreeMap<Arc<str>, usize>,
@@ -73,23 +73,23 @@
 }
 
 fn endpoint_table(status: &StatusReply) -> String {
-    let mut seen: BTreeMap<Arc<str>, Seen> = BTreeMap::new();
+    let mut summaries: BTreeMap<Arc<str>, EndpointSummary> = BTreeMap::new();
     for endpoint in status.entries.iter().flat_map(|entry| &entry.endpoints) {
-        let known = seen.entry(Arc::clone(&endpoint.endpoint)).or_default();
-        known.pool = Arc::clone(&endpoint.pool);
-        known.incarnation = known.incarnation.max(endpoint.incarnation.0);
-        *known.states.entry(Arc::clone(&endpoint.state)).or_default() += 1;
-        known.in_flight += endpoint.in_flight;
+        let summary = summaries.entry(Arc::clone(&endpoint.endpoint)).or_default();
+        summary.pool = Arc::clone(&endpoint.pool);
+        summary.incarnation = summary.incarnation.max(endpoint.incarnation.0);
+        *summary.states.entry(Arc::clone(&endpoint.state)).or_default() += 1;
+        summary.in_flight += endpoint.in_flight;
     }
     let mut rows = Table::new(["ENDPOINT", "POOL", "INCARNATION", "STATE", "IN FLIGHT"]);
-    for (name, known) in seen {
-        let (pool, incarnation) = (known.pool.to_string(), known.incarnation.to_string());
+    for (name, summary) in summaries {
+        let (pool, incarnation) = (summary.pool.to_string(), summary.incarnation.to_string());
         rows.row([
             name.to_string(),
             pool,
             incarnation,
-            states(&known.states),
-            known.in_flight.to_string(),
+            states(&summary.states),
+            summary.in_flight.to_string(),
         ]);
     }
     rows.render()
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -43,7 +43,7 @@
     /// No log line tells of a request.
     #[error("no line of these files tells of the request {id}")]
     #[diagnostic(help("give the log files of all instances, from before the request came"))]
-    NoTrace {
+    RequestNotFound {
         /// The request's id.
         id: String,
     },
@@ -59,7 +59,7 @@
     /// A content that is to be released is not held back.
     #[error("{content} is not held back there")]
     #[diagnostic(help("list what is held back with `peatdeck quarantine`, at this instance"))]
-    NotHeld {
+    NotQuarantined {
         /// Its fingerprint.
         content: String,
     },
@@ -87,7 +87,7 @@
         /// What to do.
         remedy: String,
         /// Whether something may have taken effect.
-        in_doubt: bool,
+        is_uncertain: bool,
     },
     /// Something that should be JSON isn't.
     #[error("a message of the administration API is not readable: {cause}")]
@@ -110,10 +110,10 @@
             Error::File { .. } | Error::Write { .. } | Error::Unreachable { .. } => {
                 exit::Code::Failed
             }
-            Error::Trace { .. } | Error::NoTrace { .. } => exit::Code::Failed,
-            Error::Instance { .. } | Error::NotHeld { .. } => exit::Code::Failed,
+            Error::Trace { .. } | Error::RequestNotFound { .. } => exit::Code::Failed,
+            Error::Instance { .. } | Error::NotQuarantined { .. } => exit::Code::Failed,
             Error::Source(_) => exit::Code::Invalid,
-            Error::NoAnswer { in_doubt: true, .. } => exit::Code::Unknown,
+            Error::NoAnswer { is_uncertain: true, .. } => exit::Code::Unknown,
             Error::NoAnswer { .. } | Error::Unreadable { .. } => exit::Code::Failed,
             Error::Api(error) => api_code(error),
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,7 +12,7 @@
 async fn main() -> ExitCode {
     let command = match app::options().run_inner(Args::current_args()) {
         Ok(command) => command,
-        Err(failure) => return refuse(failure),
+        Err(failure) => return print_parse_failure(failure),
     };
     let env =
         Environment { token: std::env::var("PEATDECK_ADMIN_TOKEN").ok(), now: SystemTime::now() };
@@ -30,7 +30,7 @@
 }
 
 /// Prints help, or what is wrong with the command line.
-fn refuse(failure: ParseFailure) -> ExitCode {
+fn print_parse_failure(failure: ParseFailure) -> ExitCode {
     failure.print_message(HELP_WIDTH);
     match failure.exit_code() {
         0 => exit::Code::Done.into(),
--- a/crates/cli/src/ops/burn.rs
+++ b/crates/cli/src/ops/burn.rs
@@ -31,19 +31,19 @@
 use crate::table;
 
 /// The short window, in seconds.
-pub const SHORT: u64 = 5 * 60;
+pub const SHORT_WINDOW: u64 = 5 * 60;
 /// The middle window, in seconds.
-pub const MIDDLE: u64 = 60 * 60;
+pub const MIDDLE_WINDOW: u64 = 60 * 60;
 /// The long window, in seconds. Attainment and budget are over this one.
-pub const LONG: u64 = 6 * 60 * 60;
+pub const LONG_WINDOW: u64 = 6 * 60 * 60;
 /// Length of a point of the plots, in seconds.
-pub const POINT: u64 = 5 * 60;
+pub const POINT_SECONDS: u64 = 5 * 60;
 /// Points of a plot.
-const POINTS: usize = (LONG / POINT) as usize;
+const POINT_COUNT: usize = (LONG_WINDOW / POINT_SECONDS) as usize;
 /// Burn rate over the short and the middle window that is an alert.
-const FAST: f64 = 14.4;
+const FAST_BURN_RATE: f64 = 14.4;
 /// Burn rate over the middle and the long window that is an alert.
-const SLOW: f64 = 6.0;
+const SLOW_BURN_RATE: f64 = 6.0;
 
 /// The whole report.
 #[message]
@@ -217,7 +217,7 @@
 /// Makes the report. `now` is in seconds of Unix time.
 pub fn report(now: u64, document: &Document, reply: OutcomesReply) -> Report {
     let rows: Vec<OutcomeCount> =
-        reply.outcomes.into_iter().filter(|row| is_within(row, LONG, now)).collect();
+        reply.outcomes.into_iter().filter(|row| is_within(row, LONG_WINDOW, now)).collect();
     let (invalid, counted): (Vec<_>, Vec<_>) =
         rows.into_iter().partition(|row| kind(&row.outcome) == Kind::Invalid);
     Report {
@@ -263,10 +263,10 @@
             let counts = windows.entry(subject).or_default();
             let kind = kind(&row.outcome);
             counts.long.add(kind, row.count);
-            if is_within(row, MIDDLE, now) {
+            if is_within(row, MIDDLE_WINDOW, now) {
                 counts.middle.add(kind, row.count);
             }
-            if is_within(row, SHORT, now) {
+            if is_within(row, SHORT_WINDOW, now) {
                 counts.short.add(kind, row.count);
             }
         }
@@ -296,10 +296,10 @@
     let both = |a: Option<f64>, b: Option<f64>, limit: f64| {
         a.is_some_and(|rate| rate >= limit) && b.is_some_and(|rate| rate >= limit)
     };
-    if both(burn.short, burn.middle, FAST) {
+    if both(burn.short, burn.middle, FAST_BURN_RATE) {
         return Alert::Fast;
     }
-    if both(burn.middle, burn.long, SLOW) { Alert::Slow } else { Alert::Quiet }
+    if both(burn.middle, burn.long, SLOW_BURN_RATE) { Alert::Slow } else { Alert::Quiet }
 }
 
 fn causes(counted: &[OutcomeCount]) -> Vec<Cause> {
@@ -330,7 +330,7 @@
     let mut by_pipeline: BTreeMap<&Arc<str>, Vec<Count>> = BTreeMap::new();
     for row in counted {
         let points =
-            by_pipeline.entry(&row.pipeline).or_insert_with(|| vec![Count::default(); POINTS]);
+            by_pipeline.entry(&row.pipeline).or_insert_with(|| vec![Count::default(); POINT_COUNT]);
         points[point(row.slot, now)].add(kind(&row.outcome), row.count);
     }
     by_pipeline
@@ -345,8 +345,8 @@
 
 /// The point that a slot falls in; a clock that is ahead counts as now.
 fn point(slot: u64, now: u64) -> usize {
-    let age = usize::try_from(now.saturating_sub(slot) / POINT).unwrap_or(usize::MAX);
-    (POINTS - 1).saturating_sub(age)
+    let age = usize::try_from(now.saturating_sub(slot) / POINT_SECONDS).unwrap_or(usize::MAX);
+    (POINT_COUNT - 1).saturating_sub(age)
 }
 
 fn objective(document: &Document, pipeline: &str) -> Option<f64> {
--- a/crates/cli/src/ops/burn/page.rs
+++ b/crates/cli/src/ops/burn/page.rs
@@ -15,7 +15,7 @@
 const MAX_CAUSES: usize = 15;
 
 /// What the page says of the counts that it can't have.
-pub const LOSS: &str = "An instance that stops takes its counts with it: requests of instances \
+pub const COVERAGE_NOTE: &str = "An instance that stops takes its counts with it: requests of instances \
                         that are gone, or were started again, are not in these figures.";
 
 const STYLE: &str = "\
@@ -77,7 +77,7 @@
         }
         page.push_str("</ul>\n");
     }
-    let _ = writeln!(page, "<p class=\"soft\">{LOSS}</p>");
+    let _ = writeln!(page, "<p class=\"soft\">{COVERAGE_NOTE}</p>");
 }
 
 fn rows(page: &mut String, report: &Report) {
@@ -102,8 +102,8 @@
 
 fn row_line(row: &Row) -> String {
     let (class, cell, name) = match &row.team {
-        None => ("all", "name", table::named(&row.pipeline)),
-        Some(team) => ("", "name team", table::named(team)),
+        None => ("all", "name", table::name_or_placeholder(&row.pipeline)),
+        Some(team) => ("", "name team", table::name_or_placeholder(team)),
     };
     let alert = match row.alert {
         Alert::Quiet => "",
@@ -124,7 +124,7 @@
         page.push_str("<p>No requests.</p>\n");
     }
     for series in &report.series {
-        let name = escape(table::named(&series.pipeline));
+        let name = escape(table::name_or_placeholder(&series.pipeline));
         let _ = writeln!(page, "<h3>{name}</h3>\n{}", plot::attainment(series));
     }
 }
@@ -151,7 +151,8 @@
 }
 
 fn cause_line(cause: &Cause) -> String {
-    let (pipeline, team) = (table::named(&cause.pipeline), table::named(&cause.team));
+    let (pipeline, team) =
+        (table::name_or_placeholder(&cause.pipeline), table::name_or_placeholder(&cause.team));
     let what = format!("{}: {}", kind_text(cause.kind), cause.outcome);
     let stage = cause.stage.as_deref().unwrap_or("");
     let names = [pipeline, team, &what, stage];
--- a/crates/cli/src/ops/burn/plot.rs
+++ b/crates/cli/src/ops/burn/plot.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use crate::ops::burn::{Count, POINT, Series};
+use crate::ops::burn::{Count, POINT_SECONDS, Series};
 
 /// Width of a plot, in user units.
 const WIDTH: f64 = 720.0;
@@ -17,7 +17,7 @@
 /// Space for the labels below the plot.
 const BOTTOM: f64 = 24.0;
 /// Share of the scale that is left below the lowest value.
-const FOOT: f64 = 0.1;
+const LOW_MARGIN: f64 = 0.1;
 /// Hours between two labels of the time axis.
 const LABEL_HOURS: usize = 1;
 
@@ -55,7 +55,7 @@
     fn new(series: &Series) -> Scale {
         let values = series.points.iter().filter_map(|count| count.attainment());
         let lowest = values.chain(series.objective).fold(1.0, f64::min);
-        let low = (lowest - (1.0 - lowest) * FOOT).max(0.0);
+        let low = (lowest - (1.0 - lowest) * LOW_MARGIN).max(0.0);
         let low = if low < 1.0 { low } else { 0.99 };
         Scale { low, points: series.points.len() }
     }
@@ -72,7 +72,7 @@
 }
 
 fn time_axis(svg: &mut String, scale: &Scale) {
-    let per_hour = 3600 / POINT as usize;
+    let per_hour = 3600 / POINT_SECONDS as usize;
     let hours = scale.points / per_hour;
     for hour in (0..=hours).step_by(LABEL_HOURS) {
         let point = scale.points.saturating_sub(1 + hour * per_hour);
--- a/crates/cli/src/ops/client.rs
+++ b/crates/cli/src/ops/client.rs
@@ -22,7 +22,7 @@
 /// Time for an answer. A publish may wait a minute for the instances.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(90);
 /// The longest answer that is read, in bytes: the status of several hundred instances.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 /// Times that a change is sent when no answer comes. It counts once all the same.
 const ATTEMPTS: u32 = 3;
 
@@ -43,7 +43,7 @@
 }
 
 /// How an exchange failed below the API.
-enum Failure {
+enum ExchangeError {
     /// Not a byte was written.
     NotSent(String),
     /// No whole answer came.
@@ -51,7 +51,7 @@
 }
 
 /// How one attempt at an operation failed.
-enum Attempt {
+enum AttemptError {
     /// This attempt had no effect, or the API itself says what is known.
     Refused(Error),
     /// It may have had an effect.
@@ -120,7 +120,7 @@
             "it may have taken effect: publish the same file again with --id {} --base {}, it counts once",
             body.id, body.base
         );
-        self.post_repeated("/v1/config/publish", body, &remedy).await
+        self.post_with_retries("/v1/config/publish", body, &remedy).await
     }
 
     /// Restores. Sent again where no answer comes, under the same id.
@@ -132,7 +132,7 @@
             "it may have taken effect: restore the same file again with --id {}, it counts once",
             body.id
         );
-        self.post_repeated("/v1/config/restore", body, &remedy).await
+        self.post_with_retries("/v1/config/restore", body, &remedy).await
     }
 
     /// Drains an endpoint. Sent again where no answer comes; it counts once.
@@ -141,7 +141,7 @@
     /// Any [`Error`] of the API; [`Error::NoAnswer`] where it may have taken effect.
     pub async fn drain(&self, endpoint: &str, body: &DrainBody) -> Result<DrainReply, Error> {
         let path = format!("/v1/endpoints/{}/drain", encode(endpoint));
-        self.post_repeated(&path, body, "it may have taken effect: drain again, it counts once")
+        self.post_with_retries(&path, body, "it may have taken effect: drain again, it counts once")
             .await
     }
 
@@ -156,22 +156,26 @@
         body: &EvacuationBody,
     ) -> Result<EvacuationReply, Error> {
         let path = format!("/v1/data-centres/{}/evacuation", encode(data_centre));
-        self.post_repeated(&path, body, "it may have taken effect: send it again, it counts once")
-            .await
+        self.post_with_retries(
+            &path,
+            body,
+            "it may have taken effect: send it again, it counts once",
+        )
+        .await
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let request = self.request(Method::GET, path);
         match exchange(request, Vec::new()).await {
             Ok((status, body)) => read(status, &body),
-            Err(Failure::NotSent(cause)) => Err(self.unreachable(cause)),
-            Err(Failure::NoAnswer(cause)) => {
+            Err(ExchangeError::NotSent(cause)) => Err(self.unreachable(cause)),
+            Err(ExchangeError::NoAnswer(cause)) => {
                 Err(self.no_answer(cause, "nothing was changed: ask again", false))
             }
         }
     }
 
-    async fn post_repeated<B: Serialize, T: DeserializeOwned>(
+    async fn post_with_retries<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
         body: &B,
@@ -179,32 +183,40 @@
     ) -> Result<T, Error> {
         let json = serde_json::to_vec(body)
             .map_err(|cause| Error::Unreadable { cause: cause.to_string() })?;
-        let mut doubt = None;
+        let mut last_cause = None;
         for _ in 0..ATTEMPTS {
             match self.post(path, json.clone()).await {
                 Ok(reply) => return Ok(reply),
-                Err(Attempt::Refused(error)) if doubt.is_none() || settles(&error) => {
+                Err(AttemptError::Refused(error))
+                    if last_cause.is_none() || settles_earlier_attempts(&error) =>
+                {
                     return Err(error);
                 }
-                Err(Attempt::Refused(_)) => {}
-                Err(Attempt::NoAnswer(cause)) => doubt = Some(cause),
+                Err(AttemptError::Refused(_)) => {}
+                Err(AttemptError::NoAnswer(cause)) => last_cause = Some(cause),
             }
         }
-        Err(self.no_answer(doubt.unwrap_or_default(), remedy, true))
+        Err(self.no_answer(last_cause.unwrap_or_default(), remedy, true))
     }
 
     /// One attempt at an operation that changes something.
-    async fn post<T: DeserializeOwned>(&self, path: &str, body: Vec<u8>) -> Result<T, Attempt> {
+    async fn post<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        body: Vec<u8>,
+    ) -> Result<T, AttemptError> {
         let (status, body) = match exchange(self.request(Method::POST, path), body).await {
             Ok(answer) => answer,
-            Err(Failure::NotSent(cause)) => return Err(Attempt::Refused(self.unreachable(cause))),
-            Err(Failure::NoAnswer(cause)) => return Err(Attempt::NoAnswer(cause)),
+            Err(ExchangeError::NotSent(cause)) => {
+                return Err(AttemptError::Refused(self.unreachable(cause)));
+            }
+            Err(ExchangeError::NoAnswer(cause)) => return Err(AttemptError::NoAnswer(cause)),
         };
         read(status, &body).map_err(|error| match error {
             Error::Unreadable { cause } => {
-                Attempt::NoAnswer(format!("status {}, {cause}", status.as_u16()))
+                AttemptError::NoAnswer(format!("status {}, {cause}", status.as_u16()))
             }
-            error => Attempt::Refused(error),
+            error => AttemptError::Refused(error),
         })
     }
 
@@ -219,34 +231,40 @@
         Error::Unreachable { admin: self.remote.admin.clone(), cause }
     }
 
-    fn no_answer(&self, cause: String, remedy: &str, in_doubt: bool) -> Error {
+    fn no_answer(&self, cause: String, remedy: &str, is_uncertain: bool) -> Error {
         let admin = self.remote.admin.clone();
-        Error::NoAnswer { admin, cause, remedy: remedy.to_owned(), in_doubt }
+        Error::NoAnswer { admin, cause, remedy: remedy.to_owned(), is_uncertain }
     }
 }
 
-async fn exchange(request: ClientRequest, body: Vec<u8>) -> Result<(StatusCode, Vec<u8>), Failure> {
+async fn exchange(
+    request: ClientRequest,
+    body: Vec<u8>,
+) -> Result<(StatusCode, Vec<u8>), ExchangeError> {
     let whole = async {
         let response =
             request.send_body(body).await.map_err(|error| {
                 match http::Error::from_client("it", error) {
-                    http::Error::Unreachable { cause, .. } => Failure::NotSent(cause),
-                    other => Failure::NoAnswer(other.to_string()),
+                    http::Error::Unreachable { cause, .. } => ExchangeError::NotSent(cause),
+                    other => ExchangeError::NoAnswer(other.to_string()),
                 }
             })?;
         let status = response.status();
         Ok((status, read_body(response).await?))
     };
-    let late = |_| Failure::NoAnswer(format!("nothing for {} s", ANSWER_TIMEOUT.as_secs()));
-    tokio::time::timeout(ANSWER_TIMEOUT, whole).await.map_err(late)?
+    let on_timeout =
+        |_| ExchangeError::NoAnswer(format!("nothing for {} s", ANSWER_TIMEOUT.as_secs()));
+    tokio::time::timeout(ANSWER_TIMEOUT, whole).await.map_err(on_timeout)?
 }
 
-async fn read_body(mut response: ClientResponse) -> Result<Vec<u8>, Failure> {
+async fn read_body(mut response: ClientResponse) -> Result<Vec<u8>, ExchangeError> {
     let mut body = Vec::new();
     while let Some(chunk) = response.next().await {
-        let chunk = chunk.map_err(|cause| Failure::NoAnswer(cause.to_string()))?;
-        if body.len() + chunk.len() > MAX_ANSWER {
-            return Err(Failure::NoAnswer(format!("the answer takes over {MAX_ANSWER} bytes")));
+        let chunk = chunk.map_err(|cause| ExchangeError::NoAnswer(cause.to_string()))?;
+        if body.len() + chunk.len() > MAX_ANSWER_BYTES {
+            return Err(ExchangeError::NoAnswer(format!(
+                "the answer takes over {MAX_ANSWER_BYTES} bytes"
+            )));
         }
         body.extend_from_slice(&chunk);
     }
@@ -264,7 +282,7 @@
 
 /// Whether a refusal also settles earlier attempts that got no answer: under
 /// the same id and base, they too can't have been accepted.
-fn settles(error: &Error) -> bool {
+fn settles_earlier_attempts(error: &Error) -> bool {
     let Error::Api(error) = error else { return false };
     matches!(&*error.code, "conflict" | "not_lost" | "invalid_document" | "id_reused" | "malformed")
 }
--- a/crates/cli/src/ops/quarantine.rs
+++ b/crates/cli/src/ops/quarantine.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     error::Error,
-    ops::relay::{self, ask, refused},
+    ops::relay::{self, send, unexpected_status},
 };
 
 /// What an instance holds back.
@@ -19,13 +19,13 @@
 /// Releases a content at all instances, by one that holds it back.
 ///
 /// # Errors
-/// [`Error::Instance`]; [`Error::NotHeld`] if that one does not hold it back.
+/// [`Error::Instance`]; [`Error::NotQuarantined`] if that one does not hold it back.
 pub async fn release(instance: &str, content: &str) -> Result<(), Error> {
     let path = format!("{QUARANTINE}/{content}");
-    let (status, body) = ask(instance, Method::DELETE, &path).await?;
+    let (status, body) = send(instance, Method::DELETE, &path).await?;
     match status {
         StatusCode::ACCEPTED => Ok(()),
-        StatusCode::NOT_FOUND => Err(Error::NotHeld { content: content.to_owned() }),
-        _ => Err(refused(instance, status, &body)),
+        StatusCode::NOT_FOUND => Err(Error::NotQuarantined { content: content.to_owned() }),
+        _ => Err(unexpected_status(instance, status, &body)),
     }
 }
--- a/crates/cli/src/ops/relay.rs
+++ b/crates/cli/src/ops/relay.rs
@@ -14,16 +14,16 @@
 /// Time for a whole answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// The longest answer that is read, in bytes: a thousand contents take 150 KB.
-const MAX_ANSWER: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// What an instance lists at a path.
 ///
 /// # Errors
 /// [`Error::Instance`], [`Error::Unreadable`].
 pub async fn list<T: DeserializeOwned>(instance: &str, path: &str) -> Result<Vec<T>, Error> {
-    let (status, body) = ask(instance, Method::GET, path).await?;
+    let (status, body) = send(instance, Method::GET, path).await?;
     if status != StatusCode::OK {
-        return Err(refused(instance, status, &body));
+        return Err(unexpected_status(instance, status, &body));
     }
     serde_json::from_slice(&body).map_err(|cause| Error::Unreadable { cause: cause.to_string() })
 }
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// [`Error::Instance`] if it gives no whole answer in time.
-pub async fn ask(
+pub async fn send(
     instance: &str,
     method: Method,
     path: &str,
@@ -45,18 +45,18 @@
         let mut body = Vec::new();
         while let Some(chunk) = response.next().await {
             body.extend_from_slice(&chunk.map_err(|error| failed(error.to_string()))?);
-            if body.len() > MAX_ANSWER {
-                return Err(failed(format!("the answer takes over {MAX_ANSWER} bytes")));
+            if body.len() > MAX_ANSWER_BYTES {
+                return Err(failed(format!("the answer takes over {MAX_ANSWER_BYTES} bytes")));
             }
         }
         Ok((response.status(), body))
     };
-    let late = |_| failed(format!("no answer for {} s", ANSWER_TIMEOUT.as_secs()));
-    tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.map_err(late)?
+    let on_timeout = |_| failed(format!("no answer for {} s", ANSWER_TIMEOUT.as_secs()));
+    tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.map_err(on_timeout)?
 }
 
 /// The error of an answer with a status that was not expected.
-pub fn refused(instance: &str, status: StatusCode, body: &[u8]) -> Error {
+pub fn unexpected_status(instance: &str, status: StatusCode, body: &[u8]) -> Error {
     let said = String::from_utf8_lossy(body).trim().to_owned();
     let cause = format!("status {}, {said}", status.as_u16());
     Error::Instance { instance: instance.to_owned(), cause }
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -56,9 +56,9 @@
     /// Steps of a thousandth of a percent in a share of 1.
     const STEPS: f64 = 100_000.0;
     /// What a binary fraction may lack of the decimal one it stands for.
-    const SLACK: f64 = 1e-6;
+    const ROUNDING_SLACK: f64 = 1e-6;
     match share {
-        Some(share) => format!("{:.3} %", (share * STEPS + SLACK).floor() / STEPS * 100.0),
+        Some(share) => format!("{:.3} %", (share * STEPS + ROUNDING_SLACK).floor() / STEPS * 100.0),
         None => "–".to_owned(),
     }
 }
@@ -69,7 +69,7 @@
 }
 
 /// A name, or a word for its absence.
-pub fn named(name: &str) -> &str {
+pub fn name_or_placeholder(name: &str) -> &str {
     if name.is_empty() { "(not named)" } else { name }
 }
 
--- a/crates/client/src/endpoint.rs
+++ b/crates/client/src/endpoint.rs
@@ -27,14 +27,14 @@
 };
 
 /// The longest line of an engine's stream, in bytes.
-pub const MAX_LINE: usize = 256 << 10;
+pub const MAX_LINE_BYTES: usize = 256 << 10;
 /// The longest reply of a service, in bytes.
-pub const MAX_REPLY: usize = 16 << 20;
+pub const MAX_REPLY_BYTES: usize = 16 << 20;
 /// The longest body of a refusal, in bytes.
-const MAX_REFUSAL: usize = 16 << 10;
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 /// How long the end of a stream behind its last line is waited for; the
 /// connection is used again only if it came.
-const DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
+const STREAM_END_TIMEOUT: Duration = Duration::from_millis(50);
 /// Time for a cancel.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time to read an endpoint's load.
@@ -75,7 +75,7 @@
         http::within(addr, CANCEL_TIMEOUT, async {
             let body = CancelBody { echo };
             let mut response = http::post(&self.http, addr, "/v1/cancel", &body).await?;
-            http::body(addr, &mut response, MAX_REFUSAL).await?;
+            http::body(addr, &mut response, MAX_REFUSAL_BYTES).await?;
             Ok(())
         })
         .await
@@ -88,7 +88,7 @@
     pub async fn load(&self, addr: &str) -> Result<Load, Error> {
         http::within(addr, LOAD_TIMEOUT, async {
             let response = http::get(&self.http, addr, "/v1/load").await?;
-            http::json(addr, response, MAX_REFUSAL).await
+            http::json(addr, response, MAX_REFUSAL_BYTES).await
         })
         .await
     }
@@ -114,7 +114,7 @@
 }
 
 async fn reply(addr: &str, response: ClientResponse) -> CallEvent {
-    match http::json::<ReplyBody>(addr, response, MAX_REPLY).await {
+    match http::json::<ReplyBody>(addr, response, MAX_REPLY_BYTES).await {
         Ok(body) => CallEvent::Reply {
             echo: body.echo,
             output: Some(body.output),
@@ -128,7 +128,7 @@
 /// Reads a 503. Only a body that says so means that nothing ran; any other
 /// 503 may come from something in between.
 async fn refusal(addr: &str, mut response: ClientResponse) -> CallEvent {
-    let body = match http::body(addr, &mut response, MAX_REFUSAL).await {
+    let body = match http::body(addr, &mut response, MAX_REFUSAL_BYTES).await {
         Ok(body) => body,
         Err(error) => return CallEvent::Failed(failure(&error)),
     };
@@ -139,17 +139,20 @@
 }
 
 async fn stream(addr: &str, mut response: ClientResponse, mut on_event: impl FnMut(CallEvent)) {
-    let end = lines(&mut response, &mut on_event).await;
-    let is_whole = matches!(end, CallEvent::Reply { .. });
+    let end = read_lines(&mut response, &mut on_event).await;
+    let is_complete = matches!(end, CallEvent::Reply { .. });
     on_event(end);
-    if is_whole {
-        drain(addr, response).await;
+    if is_complete {
+        read_to_end(addr, response).await;
     }
 }
 
 /// Reports the chunks and returns the end.
-async fn lines(response: &mut ClientResponse, on_event: &mut impl FnMut(CallEvent)) -> CallEvent {
-    let mut lines = Lines::new(MAX_LINE);
+async fn read_lines(
+    response: &mut ClientResponse,
+    on_event: &mut impl FnMut(CallEvent),
+) -> CallEvent {
+    let mut lines = Lines::new(MAX_LINE_BYTES);
     while let Some(bytes) = response.next().await {
         let Ok(bytes) = bytes else { return CallEvent::Failed(CallFailure::Cut) };
         lines.push(&bytes);
@@ -181,6 +184,8 @@
 }
 
 /// Reads to the end of a whole stream, so that its connection is free again.
-async fn drain(addr: &str, mut response: ClientResponse) {
-    tokio::time::timeout(DRAIN_TIMEOUT, http::body(addr, &mut response, MAX_LINE)).await.ok();
+async fn read_to_end(addr: &str, mut response: ClientResponse) {
+    tokio::time::timeout(STREAM_END_TIMEOUT, http::body(addr, &mut response, MAX_LINE_BYTES))
+        .await
+        .ok();
 }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -22,12 +22,12 @@
 /// seldom written to a connection that the server is just closing.
 const IDLE_TIMEOUT: Seconds = Seconds(3);
 /// A pooled connection that is older is closed, not used again.
-const LIFETIME: Seconds = Seconds(300);
+const MAX_CONNECTION_AGE: Seconds = Seconds(300);
 
 /// More connections than a process can have. The pool's own 0 for "no limit"
 /// is a trap: requests that wait while another one connects to the same
 /// address are then never woken.
-const NO_LIMIT: usize = usize::MAX;
+const UNLIMITED: usize = usize::MAX;
 
 /// What went wrong with an HTTP exchange.
 #[derive(Debug, thiserror::Error)]
@@ -123,7 +123,8 @@
 /// # Errors
 /// If ntex cannot build its connector.
 pub async fn client(connect: Duration) -> Result<Client, client::error::ClientBuilderError> {
-    let connector = Connector::new().limit(NO_LIMIT).keep_alive(IDLE_TIMEOUT).lifetime(LIFETIME);
+    let connector =
+        Connector::new().limit(UNLIMITED).keep_alive(IDLE_TIMEOUT).lifetime(MAX_CONNECTION_AGE);
     let config = IoConfig::new().set_connect_timeout(millis(connect));
     Client::builder()
         .connector::<()>(connector)
@@ -173,16 +174,16 @@
 }
 
 /// The same for a large body: it may take as long as it keeps coming, with no
-/// pause over `silence`. A limit on the whole would cut it off behind a narrow
+/// pause over `max_gap`. A limit on the whole would cut it off behind a narrow
 /// link, to be asked for again from its beginning.
 async fn large_body(
     addr: &str,
     response: &mut ClientResponse,
     limit: usize,
-    silence: Duration,
+    max_gap: Duration,
 ) -> Result<Vec<u8>, Error> {
     let mut body = Vec::new();
-    while let Some(chunk) = within(addr, silence, async { Ok(response.next().await) }).await? {
+    while let Some(chunk) = within(addr, max_gap, async { Ok(response.next().await) }).await? {
         let chunk = chunk.map_err(|cause| Error::cut(addr, cause))?;
         append(addr, &mut body, &chunk, limit)?;
     }
@@ -213,10 +214,10 @@
     addr: &str,
     mut response: ClientResponse,
     limit: usize,
-    silence: Duration,
+    max_gap: Duration,
 ) -> Result<T, Error> {
     check_ok(addr, &response)?;
-    let body = large_body(addr, &mut response, limit, silence).await?;
+    let body = large_body(addr, &mut response, limit, max_gap).await?;
     serde_json::from_slice(&body).map_err(|cause| Error::malformed(addr, cause))
 }
 
--- a/crates/client/src/list.rs
+++ b/crates/client/src/list.rs
@@ -9,7 +9,7 @@
 
 /// The longest list that is read, in bytes. The planned size of 2,000 workers
 /// takes about half a megabyte.
-const MAX_LIST: usize = 8 << 20;
+const MAX_LIST_BYTES: usize = 8 << 20;
 /// Time for one read of the list.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -33,7 +33,7 @@
     pub async fn read(&self) -> Result<Listing, Error> {
         http::within(&self.addr, READ_TIMEOUT, async {
             let response = http::get(&self.http, &self.addr, "/v1/list").await?;
-            http::json(&self.addr, response, MAX_LIST).await
+            http::json(&self.addr, response, MAX_LIST_BYTES).await
         })
         .await
     }
--- a/crates/client/src/log.rs
+++ b/crates/client/src/log.rs
@@ -13,12 +13,12 @@
 use crate::http;
 
 /// The longest reply to a read, in bytes.
-const MAX_READ: usize = 64 << 20;
+const MAX_READ_BYTES: usize = 64 << 20;
 /// The longest reply to an append, in bytes.
-const MAX_APPEND_REPLY: usize = 4 << 10;
+const MAX_APPEND_REPLY_BYTES: usize = 4 << 10;
 /// Time until the first byte of a read beyond its long poll, and longest pause
 /// in what follows.
-const READ_SILENCE: Duration = Duration::from_secs(3);
+const MAX_READ_GAP: Duration = Duration::from_secs(3);
 
 /// What went wrong with the log.
 #[derive(Debug, thiserror::Error)]
@@ -88,7 +88,7 @@
         let path = format!("/v1/streams/{}/records", stream.name());
         let reply: AppendReply = http::within(&self.addr, limit, async {
             let response = http::post(&self.http, &self.addr, &path, &body).await?;
-            http::json(&self.addr, response, MAX_APPEND_REPLY).await
+            http::json(&self.addr, response, MAX_APPEND_REPLY_BYTES).await
         })
         .await?;
         Ok(reply.offset)
@@ -110,10 +110,10 @@
             range.max,
             range.wait.as_millis()
         );
-        let asked = http::get(&self.http, &self.addr, &path);
-        let response = http::within(&self.addr, range.wait + READ_SILENCE, asked).await?;
+        let request = http::get(&self.http, &self.addr, &path);
+        let response = http::within(&self.addr, range.wait + MAX_READ_GAP, request).await?;
         let reply: ReadReply =
-            http::large_json(&self.addr, response, MAX_READ, READ_SILENCE).await?;
+            http::large_json(&self.addr, response, MAX_READ_BYTES, MAX_READ_GAP).await?;
         parse(stream, range.from, reply)
     }
 }
