--- a/crates/admin/src/auth.rs
+++ b/crates/admin/src/auth.rs
@@ -1,8 +1,8 @@
-//! The operators' token.
+//! Authorisation of operators by a bearer token.
 //!
-//! A handler gets at the [`Context`] only through [`Operator`], which exists
-//! only where the request carried the token. A handler that forgets the check
-//! therefore does not compile into anything that can act.
+//! A handler obtains the [`Context`] only through the extractor [`Operator`],
+//! which fails unless the request carries the token. A handler that omits the
+//! check has no access to any operation.
 
 use std::{fmt, rc::Rc};
 
@@ -15,24 +15,24 @@
 
 use crate::{context::Context, error::Error};
 
-/// The shortest token that is accepted, in bytes.
+/// Minimum length of the token, in bytes.
 pub const MIN_TOKEN_BYTES: usize = 16;
 
-/// The most that is read of a body that came without the token, in bytes.
+/// How much of an unauthorised request's body is read and discarded, in bytes.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// A secret that matches an operator. Never printed.
+/// The secret that authorises an operator. `Debug` does not print it.
 #[derive(Clone)]
 pub struct Token(Rc<str>);
 
 impl Token {
-    /// The token with this text.
+    /// Creates a token from its text.
     pub fn new(text: &str) -> Token {
         Token(Rc::from(text))
     }
 
-    /// Whether `given` is the token. The time it takes tells nothing of the
-    /// bytes, only whether the lengths are equal.
+    /// Whether `given` equals the token. The comparison takes constant time for
+    /// equal lengths, so its duration reveals only whether the lengths differ.
     pub fn matches(&self, given: &str) -> bool {
         self.0.as_bytes().ct_eq(given.as_bytes()).into()
     }
@@ -44,10 +44,10 @@
     }
 }
 
-/// A caller that has shown the token.
+/// An authorised caller; handlers take it as an extractor.
 #[derive(Debug)]
 pub struct Operator {
-    /// What an operation works with.
+    /// The context of the operation.
     pub ctx: Rc<Context>,
 }
 
@@ -65,8 +65,8 @@
     }
 }
 
-/// Reads a body to its end, up to a limit. A connection that is closed with
-/// unread bytes is reset, and the reply may be lost with it.
+/// Reads and discards a body, up to [`MAX_DISCARDED_BYTES`]. Closing a connection
+/// with unread bytes resets it, and the reply may be lost.
 async fn discard(payload: &mut Payload) {
     let mut total = 0;
     while let Some(Ok(chunk)) = payload.next().await {
--- a/crates/admin/src/context.rs
+++ b/crates/admin/src/context.rs
@@ -1,4 +1,4 @@
-//! What the operations work with, passed to each explicitly.
+//! The dependencies of the operations, passed to each operation explicitly.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,31 +13,33 @@
 
 use crate::{auth::Token, reader::Reader, settings::Settings};
 
-/// Time to make a connection to the platform or to an instance.
+/// Timeout for connecting to the platform or to an instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether a policy's source compiles.
+/// Compiles the source of a policy, to check it.
+///
+/// The error is the compiler's message.
 pub type Compile = fn(&str) -> Result<(), String>;
 
-/// What the operations work with.
+/// The dependencies of the operations.
 pub struct Context {
     /// The operators' token.
     pub token: Token,
-    /// How long things may take.
+    /// Time limits of the operations.
     pub timeouts: Timeouts,
-    /// Whether a policy's source compiles.
+    /// Compiles the source of a policy, to check it.
     pub compile: Compile,
-    /// The clock.
+    /// The monotonic clock for the time limits.
     pub clock: Rc<dyn Clock>,
-    /// The platform's log.
+    /// Client of the platform's log.
     pub log: log::Client,
-    /// The platform's list.
+    /// Client of the platform's list.
     pub list: list::Client,
-    /// A client for the instances' status.
+    /// HTTP client that requests the status of instances.
     pub http: client::Client,
-    /// What the configuration stream says.
+    /// Reader of the configuration stream.
     pub reader: Reader,
-    /// Counters.
+    /// Metrics of this process.
     pub metrics: Metrics,
 }
 
@@ -47,17 +49,17 @@
     }
 }
 
-/// How long things may take.
+/// Time limits of the operations.
 #[data]
 #[derive(Copy)]
 pub struct Timeouts {
-    /// One append.
+    /// For one append to the log.
     pub append: Duration,
-    /// Reading a record back, appends included.
+    /// For appending a record and reading it back, repeated appends included.
     pub confirm: Duration,
-    /// Waiting for the instances to have a version in force.
+    /// For waiting until the instances have a version in force.
     pub in_force: Duration,
-    /// One instance's status.
+    /// For requesting the status of one instance.
     pub status: Duration,
 }
 
@@ -73,10 +75,10 @@
 }
 
 impl Context {
-    /// Connects nothing yet; the first operation does.
+    /// Creates the context without connecting; the first operation connects.
     ///
     /// # Errors
-    /// If ntex cannot build its connector or no metrics socket can be had.
+    /// If ntex cannot build its connector or the metrics socket cannot be created.
     pub async fn new(settings: &Settings) -> std::io::Result<Context> {
         let http = http::client(CONNECT_TIMEOUT).await.map_err(std::io::Error::other)?;
         let log = log::Client::new(http.clone(), settings.log.clone());
--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -1,8 +1,8 @@
-//! Everything that an operator can be told when an operation fails.
+//! The errors that the API returns to operators.
 //!
-//! Each kind has a stable code, a status, a message and a remedy. What is said
-//! of the log is exact: `log_out` only where nothing was appended, `unknown`
-//! where it may have been.
+//! Each kind has a stable code, an HTTP status, a message and a remedy. The
+//! codes state exactly what is known of the log: `log_out` means that nothing
+//! was appended, `unknown` that the record may have been appended.
 
 use std::{borrow::Cow, sync::Arc, time::Duration};
 
@@ -17,66 +17,66 @@
 };
 use peatdeck_wire::admin::{ApiError, ErrorDetail, Winner};
 
-/// When an operator should come back after a failure of the platform.
+/// Value of `Retry-After` when the platform fails.
 const RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Why an operation failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The token is missing or wrong.
+    /// The bearer token is missing or wrong.
     #[error("the bearer token is missing or wrong")]
     Unauthorized,
-    /// No operation has that path and method.
+    /// No route matches the path and method.
     #[error("no operation has this path and method")]
     NoRoute,
-    /// The request's form is wrong.
+    /// The request cannot be parsed, or a name in it is invalid.
     #[error("{0}")]
     Malformed(String),
-    /// The body is too large.
-    #[error("the body takes more than {0} bytes")]
+    /// The body exceeds the limit, given in bytes.
+    #[error("the body exceeds {0} bytes")]
     TooLarge(usize),
-    /// The document is not valid.
+    /// The configuration document is invalid.
     #[error("the document has {} problem(s), the first: {}", .0.len(), first(.0))]
     Invalid(Vec<Problem>),
-    /// Another publish came first.
+    /// Another version than the base of the publish is in force.
     #[error("{}, but this publish was made from {base}", in_force(.winner))]
     Conflict {
-        /// The version that the publish was made from.
+        /// The version that the publish was based on.
         base: Version,
-        /// The version that it met.
+        /// The version that is in force instead.
         winner: Winner,
     },
-    /// Another document was published under the same id.
-    #[error("publish `{0}` stands in the log with another document, base or author")]
+    /// The log holds a different publish with the same id.
+    #[error("the log already holds publish `{0}` with another document, base or author")]
     IdReused(Arc<str>),
-    /// The platform's list has no such endpoint.
+    /// The platform's list does not contain the endpoint.
     #[error("the platform's list has no endpoint `{0}`")]
     UnknownEndpoint(EndpointName),
-    /// The endpoint was started again since.
+    /// The endpoint has restarted since the given incarnation.
     #[error("endpoint `{endpoint}` is in incarnation {listed}, not {given}", listed = .listed.0, given = .given.0)]
     OutdatedIncarnation {
-        /// The endpoint.
+        /// The endpoint's name.
         endpoint: EndpointName,
         /// The incarnation in the platform's list.
         listed: Incarnation,
-        /// The incarnation that was given.
+        /// The incarnation in the request.
         given: Incarnation,
     },
-    /// No record of the publish was read.
+    /// The log contains no record of the publish.
     #[error("the log holds no publish `{0}`")]
     UnknownPublish(Arc<str>),
-    /// The log is out; nothing was appended.
+    /// The log is unavailable; nothing was appended.
     #[error("this request appended nothing: {0}")]
     LogUnavailable(String),
-    /// The list is out; nothing was appended.
+    /// The list is unavailable; nothing was appended.
     #[error("nothing was done: {0}")]
     ListUnavailable(String),
-    /// The log no longer holds what makes up the configuration in force.
+    /// The log no longer holds the records that determine the configuration in force.
     #[error(
-        "the log keeps neither a snapshot nor its first record, so nobody can tell from it what is in force; nothing was appended"
+        "the log holds neither a snapshot nor its first record, so the configuration in force cannot be determined; nothing was appended"
     )]
     NoState,
-    /// The log tells what is in force, so there is nothing to restore.
+    /// The log determines the configuration in force, so there is nothing to restore.
     #[error("version {} is in force, so there is nothing to restore; this restore has no effect", .0.version)]
     NotLost(Winner),
     /// A listed instance still has a version in force.
@@ -84,37 +84,37 @@
         "instance `{instance}` still has version {version} in force, so it is not lost; nothing was appended"
     )]
     StillInForce {
-        /// The instance.
+        /// The instance's name.
         instance: InstanceName,
-        /// Its version.
+        /// The version that it has in force.
         version: Version,
     },
-    /// The version is older than one that this process has seen.
+    /// The version in the restore is older than one that this process has read.
     #[error(
         "version {known} was in force, so a restore cannot follow version {given}; nothing was appended"
     )]
     OldVersion {
-        /// The version that was given.
+        /// The version in the request.
         given: Version,
-        /// The newest version that this process has seen.
+        /// The newest version that this process has read.
         known: Version,
     },
     /// The publish may have been appended.
-    #[error("unknown: publish `{0}` may have taken effect, and the log did not say in time")]
+    #[error("unknown: publish `{0}` may have taken effect; the log did not confirm it in time")]
     Unknown(Arc<str>),
     /// The restore may have been appended.
-    #[error("unknown: restore `{0}` may have taken effect, and the log did not say in time")]
+    #[error("unknown: restore `{0}` may have taken effect; the log did not confirm it in time")]
     RestoreUnknown(Arc<str>),
     /// The drain may have been appended.
-    #[error("unknown: the drain of `{0}` may have taken effect, and the log did not say in time")]
+    #[error("unknown: the drain of `{0}` may have taken effect; the log did not confirm it in time")]
     DrainUnknown(EndpointName),
-    /// The order for a data centre may have been appended.
-    #[error("unknown: the order for `{0}` may have taken effect, and the log did not say in time")]
+    /// The evacuation, or its end, may have been appended.
+    #[error("unknown: the evacuation order for `{0}` may have taken effect; the log did not confirm it in time")]
     EvacuationUnknown(DataCentre),
 }
 
 impl Error {
-    /// A code that never changes its meaning.
+    /// The stable code of the error, for programs.
     pub fn code(&self) -> &'static str {
         match self {
             Error::Unauthorized => "unauthorized",
@@ -148,39 +148,39 @@
             Error::NoRoute => "see the reference of the administration API".into(),
             Error::Malformed(_) => "correct the request and send it again".into(),
             Error::TooLarge(_) => "shorten policies or remove what is unused".into(),
-            Error::Invalid(_) => "mend every problem listed and publish again".into(),
+            Error::Invalid(_) => "correct every problem listed and publish again".into(),
             Error::Conflict { winner, .. } => format!(
                 "fetch version {version} (`peatdeck show`), apply the change to it and publish it with a new id and base {version}",
                 version = winner.version
             ).into(),
             Error::IdReused(_) => "publish with a new id".into(),
             Error::UnknownEndpoint(_) => {
-                "check the name; a new endpoint shows in the list after some seconds".into()
+                "check the name; a new endpoint appears in the list after some seconds".into()
             }
-            Error::OutdatedIncarnation { .. } => "leave the incarnation out to drain the present one".into(),
+            Error::OutdatedIncarnation { .. } => "omit the incarnation to drain the current one".into(),
             Error::UnknownPublish(_) => {
-                "if an append of it may still be on its way, publish again with the same id: it counts once".into()
+                "if an append of it may still be in flight, publish again with the same id: it takes effect once".into()
             }
-            Error::LogUnavailable(_) => "send it again when the platform's log is back".into(),
-            Error::ListUnavailable(_) => "send it again when the platform's list is back".into(),
+            Error::LogUnavailable(_) => "send the request again when the platform's log is available".into(),
+            Error::ListUnavailable(_) => "send the request again when the platform's list is available".into(),
             Error::NoState => {
-                "wait for an entry that still has the configuration: it appends a snapshot; then send it again. If none has it any more, restore it (`peatdeck restore FILE --version N`)".into()
+                "wait until an instance that still has the configuration appends a snapshot, then send the request again; if no instance has it, restore it (`peatdeck restore FILE --version N`)".into()
             }
             Error::Unknown(id) => format!(
-                "ask for the verdict of `{id}` (GET /v1/config/verdict/{id}, `peatdeck show --verdict {id}`), or publish again with the same id: it counts once"
+                "request the verdict on `{id}` (GET /v1/config/verdict/{id}, `peatdeck show --verdict {id}`), or publish again with the same id: it takes effect once"
             ).into(),
             Error::NotLost(winner) => {
                 format!("publish on base {} instead", winner.version).into()
             }
             Error::StillInForce { .. } => {
-                "wait for its snapshot, or stop it if its version is not the one to go on from; then send it again".into()
+                "wait for its snapshot, or stop the instance if its version is not the one to continue from; then send the restore again".into()
             }
             Error::OldVersion { known, .. } => format!("restore with version {known} or a newer one").into(),
             Error::RestoreUnknown(_) => {
-                "send the restore again with the same id: it counts once".into()
+                "send the restore again with the same id: it takes effect once".into()
             }
-            Error::DrainUnknown(_) => "send the drain again: it counts once".into(),
-            Error::EvacuationUnknown(_) => "send the order again: it counts once".into(),
+            Error::DrainUnknown(_) => "send the drain again: it takes effect once".into(),
+            Error::EvacuationUnknown(_) => "send the order again: it takes effect once".into(),
         }
     }
 
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The error as the API gives it.
+    /// The error as the JSON body of a response.
     pub fn to_api(&self) -> ApiError {
         ApiError {
             code: self.code().into(),
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The status that goes with it.
+    /// The HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Error::Unauthorized => StatusCode::UNAUTHORIZED,
--- a/crates/admin/src/history.rs
+++ b/crates/admin/src/history.rs
@@ -1,8 +1,8 @@
-//! Who did what to the configuration, from the records of the log.
+//! The history of changes to the configuration, from the records of the log.
 //!
-//! Fed with the same batches as the fold, after it. Pure: no I/O, no clock.
-//! A repeated record of the same publish counts once, as in the fold; the
-//! first one stands for it.
+//! [`History`] applies each batch after the [`ConfigReader`] has read it. It
+//! performs no I/O and reads no clock. Repeated records of the same publish
+//! count once, as in [`ConfigReader`]; the first one is kept.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -16,20 +16,21 @@
 use peatdeck_wire::admin::{Act, ActKind, HistoryReply, PublishVerdict};
 use xxhash_rust::xxh3;
 
-/// Acts kept at the most; the oldest go first. Some days of 2,000 changes.
+/// Maximum number of acts kept; the oldest are dropped first. This holds ten
+/// days of 2,000 changes each.
 const MAX_ACTS: usize = 20_000;
 
-/// Who did what, oldest first.
+/// The acts of operators on the configuration, oldest first.
 #[derive(Debug, Default)]
 pub struct History {
     acts: VecDeque<Act>,
     publishes: HashMap<Arc<str>, PublishSummary>,
-    /// Offsets of publishes that the fold has not decided yet.
+    /// Offsets of publishes that the [`ConfigReader`] has not decided yet.
     undecided: Vec<Offset>,
     earliest: Offset,
 }
 
-/// What is kept of a publish, to tell its repeat from another one.
+/// Distinguishes a repeated publish from another one with the same id.
 #[derive(Debug, Clone, Copy)]
 struct PublishSummary {
     offset: Offset,
@@ -37,7 +38,7 @@
 }
 
 impl History {
-    /// Takes in a batch that `fold` has just read.
+    /// Applies a batch that `config` has just read.
     pub fn apply(&mut self, batch: &Batch<ConfigRecord>, config: &ConfigReader) {
         self.earliest = batch.earliest;
         for entry in &batch.entries {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// At most `limit` acts from offset `from` on.
+    /// Returns at most `limit` acts, starting at offset `from`.
     pub fn page(&self, from: Offset, limit: usize) -> HistoryReply {
         let start = self.acts.partition_point(|act| act.offset < from);
         let end = start.saturating_add(limit).min(self.acts.len());
@@ -65,14 +66,14 @@
         }
     }
 
-    /// The act of a publish, if its record was read.
+    /// The act of a publish; `None` if its record has not been read.
     pub fn act(&self, id: &str) -> Option<&Act> {
         let known = self.publishes.get(id)?;
         let idx = self.acts.binary_search_by_key(&known.offset, |act| act.offset).ok()?;
         self.acts.get(idx)
     }
 
-    /// What became of a publish, if its record was read and decided.
+    /// The verdict on a publish; `None` if its record has not been read or decided.
     pub fn verdict(&self, id: &str) -> Option<PublishVerdict> {
         match &self.act(id)?.what {
             ActKind::Publish { verdict: PublishVerdict::Forgotten, .. } => None,
@@ -81,13 +82,14 @@
         }
     }
 
-    /// Whether the publish that stands under this id is the same one;
-    /// `None` if none stands.
+    /// Whether the publish recorded under this id is the same one; `None` if
+    /// none is recorded.
     pub fn is_same(&self, publish: &Publish) -> Option<bool> {
         self.publishes.get(&publish.id).map(|known| known.digest == digest(publish))
     }
 
-    /// The publish or restore that made a version and its author, if the log keeps it.
+    /// Id and author of the publish or restore that created a version; `None` if
+    /// the history does not contain it.
     pub fn origin(&self, wanted: Version) -> Option<(Arc<str>, Arc<str>)> {
         self.acts.iter().rev().find_map(|act| match &act.what {
             ActKind::Publish { id, verdict: PublishVerdict::Accepted { version }, .. }
@@ -133,7 +135,8 @@
         self.push(entry, &order.author, what);
     }
 
-    /// Later snapshots of the same state name the restore again.
+    /// Adds a restore. Later snapshots of the same state carry the restore's id
+    /// too, so a known id is skipped.
     fn add_restore(&mut self, entry: &Entry<ConfigRecord>, snapshot: &Snapshot) {
         let (Some(author), Some(id)) = (&snapshot.restorer, &snapshot.publish) else { return };
         let is_known =
@@ -150,8 +153,8 @@
         self.acts.push_back(Act { offset: entry.offset, time_ms: entry.time_ms, author, what });
     }
 
-    /// Asks the fold for what it had not decided before. A fold that lost
-    /// records decides only once it has joined the stream again.
+    /// Copies verdicts that `config` has reached since. A [`ConfigReader`] that
+    /// has missed records reaches none until a snapshot covers the gap.
     fn decide(&mut self, config: &ConfigReader) {
         let acts = &mut self.acts;
         self.undecided.retain(|offset| {
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,26 +1,28 @@
 //! The administration API: publish, history, drain, status.
 //!
-//! Any number of these processes run side by side. None keeps anything: the
-//! platform's log orders what operators do, and every process folds the same
-//! stream. A process may therefore be stopped and replaced at any time.
+//! Any number of these processes can run in parallel. They are stateless: the
+//! platform's log orders the changes of operators, and every process reads the
+//! same stream. A process can therefore be stopped and replaced at any time.
 //!
-//! Two traps shape the code:
+//! Two constraints shape the code:
 //!
-//! - An acknowledged append is no proof that a publish was accepted, and a
-//!   lost acknowledgement is no proof that it was not. [`ops`] therefore reads
-//!   the record back and lets the fold decide; "accepted" is never said before.
-//! - An operator may send the same publish again after a lost answer. The
-//!   publish's own id makes it count once.
+//! - An acknowledged append does not prove that a publish was accepted, and a
+//!   lost acknowledgement does not prove that it was not. [`ops`] therefore
+//!   reads the record back and reports success only after the
+//!   [`ConfigReader`](peatdeck_core::config_log::ConfigReader) has accepted it.
+//! - An operator may repeat a publish whose response was lost. The id of the
+//!   publish makes it take effect once.
 //!
-//! Map of the modules:
+//! Modules:
 //!
 //! - [`settings`]: flags and environment variables.
-//! - [`server`]: the HTTP server, [`routes`]: what each path does.
-//! - [`auth`]: the operators' token.
+//! - [`server`]: the HTTP server.
+//! - [`routes`]: the handlers of the paths.
+//! - [`auth`]: authorisation of operators.
 //! - [`ops`]: the operations, one module each.
-//! - [`reader`]: the fold over the configuration stream, [`history`]: who did
-//!   what, from the same records.
-//! - [`error`]: everything that an operator can be told.
+//! - [`reader`]: reads the configuration stream.
+//! - [`history`]: the history of changes, from the same records.
+//! - [`error`]: the errors that operators receive.
 
 pub mod auth;
 pub mod context;
--- a/crates/admin/src/ops.rs
+++ b/crates/admin/src/ops.rs
@@ -1,5 +1,5 @@
-//! The operations, one module each. They take what they need and know nothing
-//! of HTTP paths.
+//! The operations, one module each. They take typed arguments and are
+//! independent of HTTP.
 
 pub mod check;
 pub mod drain;
--- a/crates/admin/src/ops/drain.rs
+++ b/crates/admin/src/ops/drain.rs
@@ -1,4 +1,4 @@
-//! Orders that an endpoint gets no new work in its present incarnation.
+//! Drains an endpoint: its current incarnation receives no new work.
 
 use std::sync::Arc;
 
@@ -18,10 +18,10 @@
     reader::State,
 };
 
-/// Drains the endpoint. A drain that already is_in_force is not appended again.
+/// Drains the endpoint. A drain that is already in force is not appended again.
 ///
 /// # Errors
-/// Any [`Error`] but those of publishes.
+/// Any [`Error`] except those of publishes.
 pub async fn drain(
     ctx: &Context,
     endpoint: EndpointName,
@@ -54,7 +54,8 @@
     })
 }
 
-/// The incarnation to drain: the listed one, or a given one that is not over.
+/// The incarnation to drain: the given one unless the list has a later one, by
+/// default the listed one.
 async fn incarnation_of(
     ctx: &Context,
     endpoint: &EndpointName,
@@ -73,7 +74,7 @@
     }
 }
 
-/// Whether the drain is in force, or one of a later incarnation.
+/// Whether a drain of this or a later incarnation is in force.
 fn is_in_force(state: &State, wanted: &Drain) -> bool {
     let drains = state.current().map(|snapshot| snapshot.drains.as_slice()).unwrap_or_default();
     drains
--- a/crates/admin/src/ops/evacuate.rs
+++ b/crates/admin/src/ops/evacuate.rs
@@ -1,4 +1,4 @@
-//! Orders that the endpoints of a data centre get no new work until that is taken back.
+//! Evacuates a data centre: its endpoints receive no new work until the evacuation ends.
 
 use std::sync::Arc;
 
@@ -18,12 +18,12 @@
     reader::State,
 };
 
-/// Evacuates the data centre, or takes that back. What holds already is not appended
-/// again. A data centre that the list does not know is taken in too: its endpoints may
-/// still come.
+/// Evacuates the data centre, or ends its evacuation. An order that is already in force is
+/// not appended again. A data centre without listed endpoints is accepted too, since
+/// endpoints may be added to it later.
 ///
 /// # Errors
-/// Any [`Error`] but those of publishes.
+/// Any [`Error`] except those of publishes.
 pub async fn evacuate(
     ctx: &Context,
     data_centre: DataCentre,
@@ -31,7 +31,7 @@
 ) -> Result<EvacuationReply, Error> {
     publish::check_text("data centre", &data_centre)?;
     if data_centre.trim().is_empty() {
-        return Err(Error::Malformed("the data centre's name has only blanks".to_owned()));
+        return Err(Error::Malformed("the name of the data centre is blank".to_owned()));
     }
     publish::check_text("author", &body.author)?;
     let order = Evacuation { data_centre, is_over: body.is_over, author: body.author };
@@ -62,7 +62,8 @@
     state.current().is_some() && is_evacuated != order.is_over
 }
 
-/// How many endpoints the list has there, so that a slip in the name shows.
+/// The number of listed endpoints in the data centre, which reveals a mistyped name; `None` if
+/// the list is unavailable.
 async fn endpoints_in(ctx: &Context, data_centre: &str) -> Option<usize> {
     match ctx.list.read().await {
         Ok(listing) => {
@@ -70,7 +71,7 @@
             Some(there.count())
         }
         Err(cause) => {
-            tracing::warn!(error = %cause, "the list does not say which endpoints are evacuated");
+            tracing::warn!(error = %cause, "could not read the list to count the evacuated endpoints");
             None
         }
     }
--- a/crates/admin/src/ops/publish.rs
+++ b/crates/admin/src/ops/publish.rs
@@ -1,8 +1,9 @@
 //! Publishes a document as the next version.
 //!
-//! In phases: the form, the document, what the log already says of this id and
-//! of the base, the append with its read-back, and at last who has the version
-//! in force. A conflict that shows before the append costs the log nothing.
+//! The phases are: check the request and the document, look up the id and the
+//! base in the log, append the record and read it back, and wait until the
+//! instances have the version in force. A conflict that is found before the
+//! append writes nothing to the log.
 
 use std::sync::Arc;
 
@@ -24,10 +25,10 @@
     reader::State,
 };
 
-/// Publishes, and waits for the instances to have it in force.
+/// Publishes a document and waits until the instances have it in force.
 ///
 /// # Errors
-/// Any [`Error`] but those of drains.
+/// Any [`Error`] except those of drains.
 pub async fn publish(ctx: &Context, body: PublishBody) -> Result<PublishReply, Error> {
     check_form(&body)?;
     check_document(ctx, &body.document)?;
@@ -36,7 +37,7 @@
     let verdict = append_or_find(ctx, &publish).await?;
     let version = accepted_version(ctx, &publish, verdict)?;
     ctx.metrics.count("admin.publish.accepted", 1);
-    tracing::info!(version, publish = &*publish.id, author = &*publish.author, "accepted");
+    tracing::info!(version, publish = &*publish.id, author = &*publish.author, "publish accepted");
     let rollout = status::wait_in_force(ctx, version).await;
     Ok(PublishReply {
         id: publish.id,
@@ -46,7 +47,7 @@
     })
 }
 
-/// Checks a name or an id that comes with a request.
+/// Checks the length and characters of a name or id in a request.
 ///
 /// # Errors
 /// [`Error::Malformed`].
@@ -63,7 +64,7 @@
     check_text("author", &body.author)
 }
 
-/// Checks a document that is to be in force.
+/// Checks a document before it is published or restored.
 ///
 /// # Errors
 /// [`Error::Invalid`].
@@ -76,7 +77,8 @@
     Err(Error::Invalid(problems))
 }
 
-/// What the log makes of the publish; appends it if it isn't there yet.
+/// Returns the verdict on the publish; appends the publish if the log does not
+/// contain it yet.
 async fn append_or_find(ctx: &Context, publish: &Publish) -> Result<PublishVerdict, Error> {
     ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
     match ctx.reader.inspect(|state| state.history.is_same(publish)) {
@@ -116,7 +118,7 @@
     }
 }
 
-/// The version in force; `None` where the log no longer tells.
+/// The version in force; `None` if records needed to determine it have expired.
 fn current_version(state: &State) -> Option<Version> {
     if state.config.is_gapped() {
         return None;
@@ -124,7 +126,7 @@
     state.current().map(|snapshot| snapshot.version)
 }
 
-/// A version with who made it, for an operator who met it.
+/// A version with the id and author of the change that created it, for errors.
 pub fn winner(state: &State, version: Version) -> Winner {
     let (publish, author) = state.history.origin(version).unzip();
     Winner { version, publish, author }
--- a/crates/admin/src/ops/restore.rs
+++ b/crates/admin/src/ops/restore.rs
@@ -1,20 +1,20 @@
-//! Puts a document in force again once the log no longer tells what was.
+//! Restores a document after the log has lost the configuration in force.
 //!
-//! If no instance ran for longer than the log keeps records, no reader has a
-//! state to start from, and every publish is refused. An operator who knows
-//! the newest version then states the next one. It is appended as a snapshot
-//! that covers everything up to the newest offset, which is what readers start
-//! from.
+//! If no instance has run for longer than the log keeps records, no reader has
+//! a state to start from, and every publish is refused. An operator who knows
+//! the newest version then provides the next one. It is appended as a snapshot
+//! that covers all records up to the newest offset; readers start from it.
 //!
-//! Traps:
+//! Limits:
 //!
-//! - A restore while somebody still knows what is in force would start a
-//!   second chain of versions. It is refused while the log holds a usable
-//!   state and while a listed instance says that it has a version in force.
-//! - The log cannot append on a condition, so two restores at once may both
-//!   stand. Readers start from the first of those that cover as much, and the
-//!   other is told so. If a drain comes between the two, readers may differ on
-//!   which one they start from. So one operator restores, once.
+//! - A restore while an instance still has a version in force would start a
+//!   second sequence of versions. It is therefore refused while the log holds a
+//!   usable state or a listed instance reports a version in force.
+//! - The log has no conditional append, so two concurrent restores may both be
+//!   appended. Readers start from the first of those that cover the same
+//!   records, and the other restore fails with [`Error::NotLost`]. If a drain is
+//!   appended between the two, readers may start from different ones. Only one
+//!   operator should therefore restore, and only once.
 
 use std::sync::Arc;
 
@@ -32,16 +32,18 @@
     reader::State,
 };
 
-/// Restores, and waits for the instances to have the version in force.
+/// Restores a document and waits until the instances have it in force.
 ///
 /// # Errors
-/// Any [`Error`] but those of publishes and drains.
+/// Any [`Error`] except those of publishes and drains.
 pub async fn restore(ctx: &Context, body: RestoreBody) -> Result<PublishReply, Error> {
     publish::check_text("id", &body.id)?;
     publish::check_text("author", &body.author)?;
     publish::check_document(ctx, &body.document)?;
     let Some(version) = body.version.checked_add(1) else {
-        return Err(Error::Malformed("`version` is the largest number there is".to_owned()));
+        return Err(Error::Malformed(
+            "`version` is the maximum, so no version can follow it".to_owned(),
+        ));
     };
     ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
     let made = match ctx.reader.inspect(|state| is_restored(state, &body.id)) {
@@ -52,12 +54,13 @@
         return Err(ctx.reader.inspect(not_lost_error));
     }
     ctx.metrics.count("admin.restore.accepted", 1);
-    tracing::info!(version, restore = &*body.id, author = &*body.author, "restored");
+    tracing::info!(version, restore = &*body.id, author = &*body.author, "restore accepted");
     let rollout = status::wait_in_force(ctx, version).await;
     Ok(PublishReply { id: body.id, version, in_force: rollout.in_force, missing: rollout.missing })
 }
 
-/// Appends the snapshot. Whether it is the state that readers start from.
+/// Appends the snapshot. Returns whether readers start from it, rather than from
+/// another restore.
 async fn append(ctx: &Context, body: &RestoreBody, version: Version) -> Result<bool, Error> {
     check_version(ctx, body.version)?;
     check_instances(ctx).await?;
@@ -67,7 +70,7 @@
         publish: Some(Arc::clone(&body.id)),
         document: Arc::clone(&body.document),
         drains: Vec::new(),
-        // What is known to be evacuated stays so: to send nothing there is the safe side.
+        // Known evacuations stay in force: sending nothing to those data centres is safe.
         evacuated: ctx.reader.inspect(evacuated),
         restorer: Some(Arc::clone(&body.author)),
     });
@@ -82,7 +85,8 @@
     state.current().map(|snapshot| snapshot.evacuated.clone()).unwrap_or_default()
 }
 
-/// Readers that know a version never go back behind it.
+/// Refuses a version older than the newest one read: readers never go back to an
+/// older version.
 fn check_version(ctx: &Context, given: Version) -> Result<(), Error> {
     let known = ctx.reader.inspect(|state| state.current().map_or(0, |snapshot| snapshot.version));
     if given < known {
@@ -91,7 +95,8 @@
     Ok(())
 }
 
-/// An instance that still has a version in force appends its snapshot itself.
+/// Refuses the restore while an instance has a version in force, since that
+/// instance appends a snapshot itself.
 async fn check_instances(ctx: &Context) -> Result<(), Error> {
     let reply = status::status(ctx).await?;
     match reply.entries.into_iter().find(|entry| entry.version > 0) {
@@ -103,7 +108,7 @@
 }
 
 /// Whether the state in force is the one that `id` restored; `None` while the
-/// log tells of no state.
+/// log determines no state.
 fn is_restored(state: &State, id: &str) -> Option<bool> {
     if state.config.is_gapped() {
         return None;
--- a/crates/admin/src/ops/settle.rs
+++ b/crates/admin/src/ops/settle.rs
@@ -1,9 +1,9 @@
 //! Appends a record and reads it back.
 //!
-//! The acknowledgement of an append is not what counts: the record counts once
-//! it was read. An append whose answer is lost is therefore settled by reading,
-//! and sent again only while reading doesn't show it. The records of this
-//! stream count once however often they stand, so that is harmless.
+//! A record takes effect when it is read, so the acknowledgement of an append
+//! decides nothing. After an append whose response was lost, the stream is
+//! read, and the record is appended again only if it does not appear. That is
+//! safe because duplicate records of this stream take effect once.
 
 use std::time::Duration;
 
@@ -12,21 +12,25 @@
 
 use crate::{context::Context, reader::State};
 
-/// How long reading goes on before an append without an answer is sent again.
+/// How long the stream is read after an append without a response before the
+/// append is repeated.
 const RESEND_AFTER: Duration = Duration::from_secs(1);
-/// The status with which the log refuses an append over its rate: it has no effect.
+/// HTTP status of an append that exceeds the log's rate limit; it has no effect.
 const STATUS_OVER_RATE: u16 = 429;
 
-/// Why a record could not be settled.
+/// Why a record was not confirmed.
 #[derive(Debug)]
 pub enum Failure {
-    /// It was certainly not appended.
+    /// The record was not appended.
     NotAppended(log::Error),
-    /// It may have been appended.
+    /// The record may have been appended.
     Unknown,
 }
 
-/// Appends `record` and reads on until `confirm` shows its effect.
+/// Appends `record` and reads the stream until `confirm` returns its effect.
+///
+/// # Errors
+/// [`Failure::Unknown`] if that takes longer than `Timeouts::confirm`.
 pub async fn append_and_confirm<T>(
     ctx: &Context,
     record: &ConfigRecord,
--- a/crates/admin/src/ops/show.rs
+++ b/crates/admin/src/ops/show.rs
@@ -1,4 +1,4 @@
-//! What is in force, who did what, and what became of one publish.
+//! Shows the configuration in force, the history and the verdict on a publish.
 
 use std::sync::Arc;
 
@@ -7,12 +7,13 @@
 
 use crate::{context::Context, error::Error, reader::State};
 
-/// The configuration in force. While the log is out, the newest one that was
-/// read, marked so: versions never go back, but a later one may exist.
+/// The configuration in force. While the log is unavailable, the newest one that
+/// was read, marked as not confirmed: versions never go back, but a later one may
+/// exist.
 ///
 /// # Errors
-/// [`Error::LogUnavailable`] if nothing was ever read, [`Error::NoState`] if the log
-/// no longer tells.
+/// [`Error::LogUnavailable`] if nothing has been read yet, [`Error::NoState`] if
+/// the log no longer determines a configuration.
 pub async fn config(ctx: &Context) -> Result<ConfigReply, Error> {
     let read = ctx.reader.catch_up().await;
     let confirmed = read.is_ok();
@@ -32,7 +33,7 @@
     Ok(ctx.reader.inspect(|state| state.history.page(from, limit)))
 }
 
-/// What became of a publish.
+/// The verdict on a publish.
 ///
 /// # Errors
 /// [`Error::LogUnavailable`] or [`Error::UnknownPublish`].
--- a/crates/admin/src/ops/status.rs
+++ b/crates/admin/src/ops/status.rs
@@ -1,7 +1,7 @@
-//! Gathers the status of all listed instances, and their outcomes.
+//! Collects the status and the outcome counts of all listed instances.
 //!
-//! Outcomes are asked for only where they are wanted, and added up as they
-//! come: a status with a day of them takes megabytes.
+//! Outcomes are requested only if needed, and each response is added to the
+//! sums when it arrives: a status with the outcomes of a day takes megabytes.
 
 use std::{collections::BTreeMap, pin::pin, sync::Arc, time::Duration};
 
@@ -16,26 +16,27 @@
 
 use crate::{context::Context, error::Error};
 
-/// Instances asked at the same time.
+/// Maximum number of concurrent status requests.
 const MAX_CONCURRENT: usize = 32;
-/// First pause between two rounds of asking who has a version in force.
+/// Pause after the first round of polling the versions of instances; it doubles
+/// with each round.
 const INITIAL_PAUSE: Duration = Duration::from_millis(50);
-/// The longest such pause.
+/// Longest pause between two rounds.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
-/// A slot that no outcome is in.
+/// Value of `since` that excludes all outcomes.
 const NO_OUTCOMES: u64 = u64::MAX;
 
-/// Who has a version in force.
+/// Which instances have a version in force.
 #[derive(Debug, Default)]
 pub struct Rollout {
     /// Instances that have it or a later one.
     pub in_force: Vec<InstanceName>,
-    /// Live instances of the list that did not say so.
+    /// Live listed instances that have not confirmed it.
     pub missing: Vec<Missing>,
 }
 
-/// The status of every listed instance.
+/// Returns the status of every listed instance.
 ///
 /// # Errors
 /// [`Error::ListUnavailable`].
@@ -55,7 +56,8 @@
     Ok(reply)
 }
 
-/// The outcomes of every listed instance from `since` on, added up.
+/// Returns the outcome counts of all listed instances, summed over the instances, for slots
+/// from `since` on.
 ///
 /// # Errors
 /// [`Error::ListUnavailable`].
@@ -79,7 +81,7 @@
     Ok(OutcomesReply { outcomes, instances, missing })
 }
 
-/// What tells one row of outcomes from another.
+/// Identifies a row of outcome counts.
 #[id]
 struct Key {
     slot: u64,
@@ -103,9 +105,10 @@
     }
 }
 
-/// Asks until all live instances of the list have `version` in force, for a
-/// bounded time. Only those that haven't said so are asked again. One that is
-/// leaving ends with what it holds and is not waited for.
+/// Polls the live listed instances until all have `version` in force or
+/// `Timeouts::in_force` has passed. Each round polls only those that have not
+/// confirmed it. Leaving instances finish with the version they have and are not
+/// waited for.
 pub async fn wait_in_force(ctx: &Context, version: Version) -> Rollout {
     let end = ctx.clock.now() + ctx.timeouts.in_force;
     let mut rollout = Rollout::default();
@@ -123,10 +126,10 @@
     }
 }
 
-/// One round of asking. Whether nobody is missing.
+/// Runs one round of polling. Returns whether no instance is missing.
 async fn poll_instances(ctx: &Context, version: Version, rollout: &mut Rollout) -> bool {
     let Ok(listing) = ctx.list.read().await else {
-        let reason = "the platform's list is out; it is not known who should answer";
+        let reason = "the platform's list is unavailable, so the live instances are not known";
         rollout.missing = vec![Missing { instance: "*".into(), reason: reason.into() }];
         return false;
     };
@@ -161,7 +164,8 @@
     }
 }
 
-/// Each instance's status, with outcomes from `since` on, or why there is none.
+/// Requests the status of each instance, with outcomes from `since` on. The error
+/// of an instance is the cause as text.
 fn fetch(
     ctx: &Context,
     instances: &[InstanceEntry],
--- a/crates/admin/src/reader.rs
+++ b/crates/admin/src/reader.rs
@@ -1,8 +1,8 @@
-//! What the configuration stream says, read on demand.
+//! Reads the configuration stream on demand.
 //!
-//! Handlers share one [`Reader`]. Nothing is held across a read, so two of
-//! them may read the same records at once; the batch that comes second no
-//! longer starts where the fold stands and is dropped.
+//! Handlers share one [`Reader`]. Its state is not borrowed across a read, so
+//! two handlers may read the same records concurrently; the second batch no
+//! longer starts at the next offset and is dropped.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -15,56 +15,56 @@
 
 use crate::history::History;
 
-/// Records asked for in one read.
+/// Maximum number of records in one read.
 const READ_RECORDS: u32 = 64;
-/// The longest single wait for a record.
+/// Longest wait of one long poll.
 const LONG_POLL: Duration = Duration::from_secs(1);
-/// Pause after a read that failed.
+/// Pause after a failed read.
 const READ_PAUSE: Duration = Duration::from_millis(100);
 
-/// What the configuration stream has said so far.
+/// Reads the configuration stream and keeps the resulting state.
 pub struct Reader {
     log: log::Client,
     state: RefCell<State>,
 }
 
-/// The fold and the history over the same records.
+/// The configuration and the history after the records read so far.
 #[derive(Default)]
 pub struct State {
-    /// Which configuration is in force.
+    /// Determines the configuration in force.
     pub config: ConfigReader,
-    /// Who did what.
+    /// The acts of operators.
     pub history: History,
 }
 
 impl State {
-    /// The configuration in force; `None` where the log no longer tells.
+    /// The configuration in force; `None` if the log does not determine it.
     pub fn current(&self) -> Option<&Snapshot> {
         self.config.current()
     }
 }
 
 impl Reader {
-    /// A reader that has read nothing yet.
+    /// Creates a reader without reading anything.
     pub fn new(log: log::Client) -> Reader {
         Reader { log, state: RefCell::default() }
     }
 
-    /// Looks at what was read so far.
+    /// Calls `read` with the state after the records read so far.
     pub fn inspect<T>(&self, read: impl FnOnce(&State) -> T) -> T {
         read(&self.state.borrow())
     }
 
-    /// Reads to the stream's present end.
+    /// Reads to the current end of the stream.
     ///
     /// # Errors
-    /// Whatever the log says; what was read before it counts.
+    /// If a read of the log fails; batches read before that remain applied.
     pub async fn catch_up(&self) -> Result<(), log::Error> {
         while self.read(Duration::ZERO).await? {}
         Ok(())
     }
 
-    /// Reads on until `read` gives something, for at most `limit`.
+    /// Reads the stream until `read` returns a value; `None` after `limit`.
     pub async fn wait_for<T>(
         &self,
         clock: &dyn Clock,
@@ -87,8 +87,8 @@
         }
     }
 
-    /// One read. Whether there may be more to read: a read that gives nothing
-    /// but moves on is not the end.
+    /// Reads one batch. Returns whether there may be more to read: an empty
+    /// batch that advances the offset is not the end.
     async fn read(&self, wait: Duration) -> Result<bool, log::Error> {
         let from = self.inspect(|state| state.config.next_offset());
         let range = log::Range { from, max: READ_RECORDS, wait };
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -1,5 +1,5 @@
-//! What each path of the API does: reads the request, runs the operation,
-//! writes the answer.
+//! The handlers of the API: each parses the request, runs the operation and
+//! writes the response.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -14,15 +14,15 @@
 
 use crate::{auth::Operator, context::Context, error::Error, ops};
 
-/// The largest body that is read, in bytes: a document and what escapes and
-/// spaces may add to it.
+/// Maximum length of a request body, in bytes: a document, with allowance for
+/// JSON escapes and white space.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// Acts on a page of the history where the request names no limit.
+/// Default number of acts on a page of the history.
 const DEFAULT_PAGE_ACTS: usize = 50;
-/// Acts on a page of the history at the most.
+/// Maximum number of acts on a page of the history.
 const MAX_PAGE_ACTS: usize = 500;
 
-/// Adds the API's paths to a server.
+/// Registers the routes of the API.
 pub fn configure(cfg: &mut web::ServiceConfig) {
     cfg.service((
         web::resource("/livez").route(web::get().to(live)),
@@ -40,7 +40,10 @@
     ));
 }
 
-/// Any other path or method.
+/// Handles requests that no route matches.
+///
+/// # Errors
+/// Always [`Error::NoRoute`].
 pub async fn no_route() -> Result<HttpResponse, Error> {
     Err(Error::NoRoute)
 }
@@ -49,8 +52,8 @@
     HttpResponse::Ok().body("live\n")
 }
 
-/// Ready once the configuration stream was read to its end; afterwards a log
-/// that is out is reported by the operations that need it.
+/// Reports ready once the configuration stream has been read to its end. After
+/// that, only the operations that need the log report that it is unavailable.
 async fn ready(ctx: types::State<Rc<Context>>) -> HttpResponse {
     let known = ctx.reader.inspect(|state| state.current().is_some());
     if known {
@@ -81,7 +84,7 @@
     ops::restore::restore(&operator.ctx, body).await.map(reply)
 }
 
-/// The query of a page of the history.
+/// Query parameters of `/v1/config/history`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Page {
@@ -122,7 +125,7 @@
     ops::status::status(&operator.ctx).await.map(reply)
 }
 
-/// The query of the outcomes.
+/// Query parameters of `/v1/outcomes`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Since {
@@ -138,7 +141,7 @@
 fn query<T: DeserializeOwned>(req: &HttpRequest) -> Result<T, Error> {
     match types::Query::<T>::from_query(req.query_string()) {
         Ok(query) => Ok(query.into_inner()),
-        Err(cause) => Err(Error::Malformed(format!("the query is not readable: {cause}"))),
+        Err(cause) => Err(Error::Malformed(format!("the query is invalid: {cause}"))),
     }
 }
 
@@ -146,12 +149,12 @@
     HttpResponse::build(StatusCode::OK).json(&body)
 }
 
-/// Reads a JSON body of bounded size.
+/// Reads and parses a JSON body of at most [`MAX_BODY_BYTES`].
 async fn read<T: DeserializeOwned>(mut payload: types::Payload) -> Result<T, Error> {
     let mut body = Vec::new();
     while let Some(chunk) = payload.next().await {
         let chunk =
-            chunk.map_err(|cause| Error::Malformed(format!("the body broke off: {cause}")))?;
+            chunk.map_err(|cause| Error::Malformed(format!("the body is incomplete: {cause}")))?;
         if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(Error::TooLarge(MAX_BODY_BYTES));
         }
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server. SIGTERM ends it once the requests it holds are answered.
+//! The HTTP server. On SIGTERM it completes the active requests and stops.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -14,22 +14,23 @@
 
 use crate::{context::Context, routes, settings::Settings};
 
-/// Time for the requests in progress when the process is told to stop. Longer
-/// than the longest operation.
+/// Time for active requests to complete after SIGTERM. It exceeds the longest
+/// operation.
 const STOP_TIMEOUT: Seconds = Seconds(30);
-/// How long an idle connection is kept.
+/// Idle connections are closed after this time.
 const IDLE_TIMEOUT: Seconds = Seconds(30);
-/// How long a client may take to send its headers.
+/// Time for a client to send the headers of a request.
 const HEADER_TIMEOUT: Seconds = Seconds(5);
-/// Bytes a second that a client must send headers or a body with.
+/// Minimum rate at which a client must send headers, in bytes per second.
 const MIN_RATE: u32 = 256;
-/// Connections held at once.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 1024;
 
-/// Starts to serve on `listener`. The result ends when the server has stopped.
+/// Starts serving on `listener`. The returned future completes when the server
+/// has stopped.
 ///
 /// # Errors
-/// If the server cannot be started.
+/// If the listener cannot be registered with the server.
 pub fn start(listener: TcpListener, settings: Settings) -> std::io::Result<Server> {
     let factory = async move || {
         let ctx = Context::new(&settings).await.expect("the metrics socket was tried at the start");
@@ -54,7 +55,7 @@
 /// Binds the address to listen on.
 ///
 /// # Errors
-/// If the address cannot be had.
+/// If the address cannot be bound, for instance because it is in use.
 pub fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(addr)
 }
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -1,8 +1,8 @@
 //! Flags and environment variables.
 //!
-//! Everything is read as text first and then checked as a whole, so that one
-//! start reports all problems. The token comes from the environment only: a
-//! flag would show in the list of processes.
+//! All values are read as text and then checked together, so that one start
+//! reports every problem. The token is read from the environment only, because
+//! a flag would be visible in the process list.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,53 +17,53 @@
 
 /// The environment variable that holds the operators' token.
 pub const TOKEN_VARIABLE: &str = "PEATDECK_ADMIN_TOKEN";
-/// Where operators connect, where nothing is set.
+/// Default of `--listen`.
 const DEFAULT_LISTEN: &str = "127.0.0.1:7300";
-/// The longest wait for the instances that may be set, in milliseconds.
+/// Maximum of `--in-force-ms`.
 const MAX_IN_FORCE_MS: u64 = 60_000;
 
-/// What the command line and the environment say, as text.
+/// The flags and environment variables as unchecked text; `None` if not set.
 #[data]
 #[derive(Default)]
 pub struct Flags {
-    /// Where operators connect.
+    /// Address to serve the API on.
     pub listen: Option<String>,
-    /// The log's address.
+    /// Address of the platform's log.
     pub log: Option<String>,
-    /// The list's address.
+    /// Address of the platform's list.
     pub list: Option<String>,
-    /// How long a publish waits for the instances.
+    /// How long a publish waits for the instances, in milliseconds.
     pub in_force_ms: Option<String>,
-    /// Where metrics go.
+    /// Address that metrics are sent to.
     pub statsd: Option<String>,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log_format: Option<String>,
-    /// Which log lines are written.
+    /// Filter of log lines.
     pub log_filter: Option<String>,
 }
 
-/// Settings that were checked.
+/// The checked settings.
 #[data]
 pub struct Settings {
-    /// Where to listen.
+    /// Address to serve the API on.
     pub listen: SocketAddr,
-    /// The platform's log, `ip:port`.
+    /// Address of the platform's log, `ip:port`.
     pub log: Arc<str>,
-    /// The platform's list, `ip:port`.
+    /// Address of the platform's list, `ip:port`.
     pub list: Arc<str>,
     /// The operators' token.
     pub token: Arc<str>,
-    /// How long things may take.
+    /// Time limits of the operations.
     pub timeouts: Timeouts,
-    /// Where metrics go; off if not set.
+    /// Address that metrics are sent to; `None` sends none.
     pub statsd: Option<SocketAddr>,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log_format: logging::Format,
-    /// Which log lines are written.
+    /// Filter of log lines.
     pub log_filter: String,
 }
 
-/// The command line.
+/// The parser of the command line.
 pub fn options() -> OptionParser<Flags> {
     let listen = text(
         "listen",
@@ -106,7 +106,7 @@
 /// Checks all settings. `token` is the value of [`TOKEN_VARIABLE`].
 ///
 /// # Errors
-/// [`Problems`] with everything that is wrong.
+/// [`Problems`] with every invalid or missing setting.
 pub fn check(flags: &Flags, token: Option<String>) -> Result<Settings, Problems> {
     let mut check = Check::new("peatdeck-admin");
     let default = Timeouts::default();
@@ -135,7 +135,7 @@
     let message = match token {
         Some(token) if token.len() >= MIN_TOKEN_BYTES => return token.into(),
         Some(_) => format!("the token has fewer than {MIN_TOKEN_BYTES} bytes"),
-        None => "no token is set, and without one anybody could publish".to_owned(),
+        None => "no token is set; without one, anyone could publish".to_owned(),
     };
     let remedy = "set it to a long random text, such as the output of `openssl rand -hex 32`";
     check.report(TOKEN_VARIABLE, message, remedy);
--- a/crates/admin/tests/testsuite/settings.rs
+++ b/crates/admin/tests/testsuite/settings.rs
@@ -23,7 +23,7 @@
           help: run `peatdeck-admin --help` for all settings with examples
 
         Error: 
-          x PEATDECK_ADMIN_TOKEN: no token is set, and without one anybody could publish
+          x PEATDECK_ADMIN_TOKEN: no token is set; without one, anyone could publish
           help: set it to a long random text, such as the output of `openssl rand -hex 32`
     "#]]
     .assert_eq(&refusal(&args, None));
@@ -70,7 +70,7 @@
           help: use `text` or `json`
 
         Error: 
-          x PEATDECK_ADMIN_TOKEN: no token is set, and without one anybody could publish
+          x PEATDECK_ADMIN_TOKEN: no token is set; without one, anyone could publish
           help: set it to a long random text, such as the output of `openssl rand -hex 32`
     "#]]
     .assert_eq(&refusal(&args, None));
