--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -106,10 +106,14 @@
     #[error("unknown: restore `{0}` may have taken effect; the log did not confirm it in time")]
     RestoreUnknown(Arc<str>),
     /// The drain may have been appended.
-    #[error("unknown: the drain of `{0}` may have taken effect; the log did not confirm it in time")]
+    #[error(
+        "unknown: the drain of `{0}` may have taken effect; the log did not confirm it in time"
+    )]
     DrainUnknown(EndpointName),
     /// The evacuation, or its end, may have been appended.
-    #[error("unknown: the evacuation order for `{0}` may have taken effect; the log did not confirm it in time")]
+    #[error(
+        "unknown: the evacuation order for `{0}` may have taken effect; the log did not confirm it in time"
+    )]
     EvacuationUnknown(DataCentre),
 }
 
--- a/crates/client/src/endpoint.rs
+++ b/crates/client/src/endpoint.rs
@@ -1,9 +1,9 @@
 //! Calls to engines and services.
 //!
-//! [`Client::call`] runs one call and reports what comes of it as the core's
-//! events: any number of chunks, then exactly one of reply, refusal or
-//! failure. Whoever is no longer interested drops the future, which closes
-//! the connection, and sends a [`Client::cancel`].
+//! [`Client::call`] runs one call and reports its progress as [`CallEvent`]s:
+//! any number of chunks, then exactly one reply, refusal or failure. To abandon
+//! a call, drop the future, which closes the connection, and call
+//! [`Client::cancel`].
 
 use std::time::Duration;
 
@@ -26,33 +26,34 @@
     lines::Lines,
 };
 
-/// The longest line of an engine's stream, in bytes.
+/// Maximum length of a line of an engine's stream, in bytes.
 pub const MAX_LINE_BYTES: usize = 256 << 10;
-/// The longest reply of a service, in bytes.
+/// Maximum length of a service's reply, in bytes.
 pub const MAX_REPLY_BYTES: usize = 16 << 20;
-/// The longest body of a refusal, in bytes.
+/// Maximum length of a short response body, such as a refusal, in bytes.
 const MAX_REFUSAL_BYTES: usize = 16 << 10;
-/// How long the end of a stream behind its last line is waited for; the
-/// connection is used again only if it came.
+/// How long to wait for the end of the response after the last line of a
+/// stream; the connection is reused only if the end arrives.
 const STREAM_END_TIMEOUT: Duration = Duration::from_millis(50);
-/// Time for a cancel.
+/// Timeout for cancelling a call.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time to read an endpoint's load.
+/// Timeout for reading an endpoint's load.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A client of any number of endpoints.
+/// A client of endpoints; the address is given with each request.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: client::Client,
 }
 
 impl Client {
-    /// A client over that HTTP client.
+    /// Creates a client on top of an HTTP client.
     pub fn new(http: client::Client) -> Client {
         Client { http }
     }
 
-    /// Runs one call. `on_event` hears of chunks and then of exactly one end.
+    /// Runs one call. `on_event` receives any chunks and then exactly one final
+    /// event.
     pub async fn call(&self, call: &Call, mut on_event: impl FnMut(CallEvent)) {
         let sent = http::post(&self.http, &call.addr, "/v1/call", &call_body(call)).await;
         let response = match sent {
@@ -67,10 +68,10 @@
         }
     }
 
-    /// Tells an endpoint to stop a call.
+    /// Requests that an endpoint stop a call.
     ///
     /// # Errors
-    /// Any [`Error`]; the call may go on, and its replies go nowhere.
+    /// Any [`Error`]; the call may then continue, and its reply is discarded.
     pub async fn cancel(&self, addr: &str, echo: Echo) -> Result<(), Error> {
         http::within(addr, CANCEL_TIMEOUT, async {
             let body = CancelBody { echo };
@@ -125,8 +126,8 @@
     }
 }
 
-/// Reads a 503. Only a body that says so means that nothing ran; any other
-/// 503 may come from something in between.
+/// Reads a response with status 503. Only a body with `ran: false` proves that
+/// nothing ran; any other 503 may come from an intermediary.
 async fn refusal(addr: &str, mut response: ClientResponse) -> CallEvent {
     let body = match http::body(addr, &mut response, MAX_REFUSAL_BYTES).await {
         Ok(body) => body,
@@ -147,7 +148,7 @@
     }
 }
 
-/// Reports the chunks and returns the end.
+/// Reports the chunks of a stream and returns its final event.
 async fn read_lines(
     response: &mut ClientResponse,
     on_event: &mut impl FnMut(CallEvent),
@@ -172,7 +173,7 @@
     CallEvent::Failed(CallFailure::Cut)
 }
 
-/// Reads one line of an engine's stream; `None` if it is not one.
+/// Parses one line of an engine's stream; `None` if the line is invalid.
 pub fn parse_line(line: &[u8]) -> Option<CallEvent> {
     match serde_json::from_slice(line).ok()? {
         EngineLine::Chunk { echo, index, text } => Some(CallEvent::Chunk { echo, index, text }),
@@ -183,7 +184,7 @@
     }
 }
 
-/// Reads to the end of a whole stream, so that its connection is free again.
+/// Reads to the end of a complete stream, so that its connection can be reused.
 async fn read_to_end(addr: &str, mut response: ClientResponse) {
     tokio::time::timeout(STREAM_END_TIMEOUT, http::body(addr, &mut response, MAX_LINE_BYTES))
         .await
--- a/crates/client/src/entry.rs
+++ b/crates/client/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entry instances of ours, as operators' tools reach them.
+//! Reads the status of entry instances for operators' tools.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 
 use crate::http::{self, Error};
 
-/// The longest status that is read, in bytes. Outcomes of six hours by minute
-/// at the most rows that an entry keeps take about half of it.
+/// Maximum length of a status, in bytes. With the maximum number of rows that an
+/// instance keeps, the outcomes of six hours by minute take about half of it.
 const MAX_STATUS_BYTES: usize = 64 << 20;
 
-/// The status of the entry at `addr`, `ip:port`, with outcomes of slots from
-/// `since` on, in seconds of Unix time. It is given up after `limit`.
+/// Reads the status of the entry instance at `addr`, `ip:port`, with the outcomes of
+/// slots from `since` on, in seconds of Unix time. Fails after `limit`.
 ///
 /// # Errors
-/// Any [`Error`]; reading has no effect and may be repeated.
+/// Any [`Error`]; reading has no side effect and may be repeated.
 pub async fn status(
     client: &client::Client,
     addr: &str,
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,9 +1,10 @@
 //! The shared HTTP client and its errors.
 //!
 //! ntex's client reports a connection that closes before the response with
-//! the same error kind as a failed connect. [`Error::from_client`] tells the
-//! two apart by the source: only a connector that returned an I/O error, ran
-//! out of time or could not resolve has certainly written nothing.
+//! the same error kind as a failed connect. [`Error::from_client`]
+//! distinguishes the two by the source of the error: only if the connector
+//! returned an I/O error, timed out or failed to resolve the name is it certain
+//! that nothing was written.
 
 use std::time::Duration;
 
@@ -17,44 +18,44 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-/// A pooled connection that was idle for longer is closed, not used again.
-/// It is below the customary idle timeout of servers, so that a request is
-/// seldom written to a connection that the server is just closing.
+/// Pooled connections that have been idle for longer are closed. The value is
+/// below the usual idle timeout of servers, so that a request is rarely written
+/// to a connection that the server is closing.
 const IDLE_TIMEOUT: Seconds = Seconds(3);
-/// A pooled connection that is older is closed, not used again.
+/// Pooled connections that are older are closed.
 const MAX_CONNECTION_AGE: Seconds = Seconds(300);
 
-/// More connections than a process can have. The pool's own 0 for "no limit"
-/// is a trap: requests that wait while another one connects to the same
-/// address are then never woken.
+/// A connection limit that no process reaches. The pool's own value for "no
+/// limit", 0, has a bug: requests that wait while another request connects to
+/// the same address are never woken.
 const UNLIMITED: usize = usize::MAX;
 
-/// What went wrong with an HTTP exchange.
+/// Why an HTTP exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The connection could not be made; not a byte was written.
+    /// The connection could not be established; no byte was written.
     #[error("no connection to {addr}: {cause}; check the address and that the service runs")]
     Unreachable {
         /// The address.
         addr: String,
-        /// What the connector said.
+        /// The connector's error.
         cause: String,
     },
-    /// The connection was cut within the request or the response.
-    #[error("the connection to {addr} was cut: {cause}; the request may have taken effect")]
+    /// The connection was closed during the request or the response.
+    #[error("the connection to {addr} was closed: {cause}; the request may have taken effect")]
     Cut {
         /// The address.
         addr: String,
-        /// What the connection said.
+        /// The connection's error.
         cause: String,
     },
-    /// No whole response came in time.
-    #[error("{addr} gave no whole response in time; the request may have taken effect")]
+    /// No complete response arrived in time.
+    #[error("{addr} sent no complete response in time; the request may have taken effect")]
     TimedOut {
         /// The address.
         addr: String,
     },
-    /// The service refused for now.
+    /// The response has a status other than 200.
     #[error("{addr} refused with status {status}; try again later")]
     Refused {
         /// The address.
@@ -62,23 +63,24 @@
         /// The response's status.
         status: u16,
     },
-    /// The response is not what the interface states.
-    #[error("{addr} answered with something unreadable: {cause}; check both sides' versions")]
+    /// The response does not conform to the interface, or the request body could
+    /// not be serialised.
+    #[error("{addr} sent an invalid response: {cause}; check the versions on both sides")]
     Malformed {
         /// The address.
         addr: String,
-        /// What is wrong with it.
+        /// The violation, such as the parser's error.
         cause: String,
     },
 }
 
 impl Error {
-    /// Whether it is certain that not a byte of the request was written.
+    /// Whether it is certain that no byte of the request was written.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Error::Unreachable { .. })
     }
 
-    /// What the client's error means for an exchange with `addr`.
+    /// Converts an error of ntex's client in an exchange with `addr`.
     pub fn from_client(addr: &str, error: ClientError) -> Error {
         let addr = addr.to_owned();
         match error {
@@ -100,9 +102,9 @@
     }
 }
 
-/// Whether the error can only have come from the connector. `Disconnected`
-/// without a source is also what the client says when the peer closes the
-/// connection instead of responding.
+/// Whether the error can only come from the connector. The client also reports
+/// `Disconnected` without a source when the peer closes the connection instead
+/// of responding.
 fn is_connector_failure(error: &ConnectError) -> bool {
     match error {
         ConnectError::Disconnected(source) => source.is_some(),
@@ -117,8 +119,8 @@
     }
 }
 
-/// Makes a client. `connect` bounds the time to make a connection; there is
-/// no other timeout and no limit of connections.
+/// Creates a client. `connect` is the timeout for connecting; there is no other
+/// timeout and no limit on connections.
 ///
 /// # Errors
 /// If ntex cannot build its connector.
@@ -134,7 +136,7 @@
         .await
 }
 
-/// Sends a JSON body and returns the response's head.
+/// Sends a POST request with a JSON body and returns the head of the response.
 pub(crate) async fn post<B: Serialize>(
     client: &Client,
     addr: &str,
@@ -150,7 +152,7 @@
         .map_err(|error| Error::from_client(addr, error))
 }
 
-/// Sends a GET and returns the response's head.
+/// Sends a GET request and returns the head of the response.
 pub(crate) async fn get(client: &Client, addr: &str, path: &str) -> Result<ClientResponse, Error> {
     client
         .get(format!("http://{addr}{path}"))
@@ -173,9 +175,9 @@
     Ok(body)
 }
 
-/// The same for a large body: it may take as long as it keeps coming, with no
-/// pause over `max_gap`. A limit on the whole would cut it off behind a narrow
-/// link, to be asked for again from its beginning.
+/// Reads a large body of at most `limit` bytes. There is no limit on the total
+/// time, only on the gap between two chunks: on a slow link, a limit on the total
+/// would abort the transfer, which would then start again from the beginning.
 async fn large_body(
     addr: &str,
     response: &mut ClientResponse,
@@ -198,7 +200,8 @@
     Ok(())
 }
 
-/// Reads a 200's JSON body; any other status is [`Error::Refused`].
+/// Parses the JSON body of a response with status 200; any other status is
+/// [`Error::Refused`].
 pub(crate) async fn json<T: DeserializeOwned>(
     addr: &str,
     mut response: ClientResponse,
@@ -209,7 +212,7 @@
     serde_json::from_slice(&body).map_err(|cause| Error::malformed(addr, cause))
 }
 
-/// The same for a [`large_body`].
+/// Parses a JSON body as [`json`] does, reading it with [`large_body`].
 pub(crate) async fn large_json<T: DeserializeOwned>(
     addr: &str,
     mut response: ClientResponse,
@@ -228,7 +231,7 @@
     }
 }
 
-/// Runs an exchange for at most `limit`.
+/// Runs an exchange; fails with [`Error::TimedOut`] after `limit`.
 pub(crate) async fn within<T>(
     addr: &str,
     limit: Duration,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,19 +1,19 @@
-//! Clients for what the platform gives: the log, the list, the endpoints.
+//! Clients of the platform's log, its list and its endpoints.
 //!
-//! Each client is a thin layer over ntex's HTTP client that turns one call
-//! into one typed result. They decide nothing: retries, deadlines of requests
-//! and routing belong to `peatdeck-core`.
+//! Each client is a thin layer over ntex's HTTP client that turns one request
+//! into one typed result. Retries, request deadlines and routing are the
+//! responsibility of `peatdeck-core`.
 //!
-//! The trap in all of them is the lost answer: a request whose reply never
-//! came may still have taken effect. Errors therefore say precisely whether a
-//! byte was written (see [`http::Error::is_unsent`]); in doubt it was.
+//! A request whose response is lost may still have taken effect. Errors
+//! therefore state whether it is certain that no byte was written (see
+//! [`http::Error::is_unsent`]).
 //!
 //! - [`http`]: the shared HTTP client and its errors.
-//! - [`lines`]: newline-delimited JSON, cut into lines.
-//! - [`log`]: append to and read from the log's streams.
-//! - [`list`]: the lagging list of instances and endpoints.
-//! - [`endpoint`]: calls to engines and services.
-//! - [`entry`]: the status of entry instances of ours.
+//! - [`lines`]: splits newline-delimited JSON into lines.
+//! - [`log`]: appends to and reads from the log's streams.
+//! - [`list`]: reads the list of instances and endpoints.
+//! - [`endpoint`]: calls engines and services.
+//! - [`entry`]: reads the status of entry instances.
 
 pub mod endpoint;
 pub mod entry;
--- a/crates/client/src/lines.rs
+++ b/crates/client/src/lines.rs
@@ -1,10 +1,10 @@
-//! Newline-delimited text, cut into lines as bytes arrive.
+//! Splits newline-delimited text into lines as bytes arrive.
 //!
-//! Chunks of a stream end anywhere, within a line or within a character; a
-//! line is given out only when its end was seen. What is left at the end of
-//! the stream is a torn line, never a last one.
+//! Chunks of a stream end anywhere, even within a character; a line is
+//! returned only once its newline has arrived. Bytes that remain at the end of
+//! the stream are a truncated line and are never returned.
 
-/// Cuts lines out of chunks. Memory is bounded by the longest line.
+/// Splits chunks into lines. Memory is bounded by the longest line and one chunk.
 #[derive(Debug)]
 pub struct Lines {
     buf: Vec<u8>,
@@ -15,16 +15,17 @@
 
 /// A line that is longer than the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a line is longer than {0} bytes; raise the limit or shorten the pieces sent")]
+#[error("a line is longer than {0} bytes; raise the limit or shorten the lines sent")]
 pub struct LineTooLong(pub usize);
 
 impl Lines {
-    /// A cutter for lines of at most `limit` bytes, their end not counted.
+    /// Creates a splitter for lines of at most `limit` bytes, not counting the
+    /// newline.
     pub fn new(limit: usize) -> Lines {
         Lines { buf: Vec::new(), start: 0, scanned: 0, limit }
     }
 
-    /// Takes in a chunk.
+    /// Appends a chunk to the buffer.
     pub fn push(&mut self, chunk: &[u8]) {
         self.buf.drain(..self.start);
         self.scanned -= self.start;
@@ -32,10 +33,11 @@
         self.buf.extend_from_slice(chunk);
     }
 
-    /// The next whole line without its end; empty lines are skipped.
+    /// The next complete line without its newline; `None` until more bytes
+    /// arrive. Blank lines are skipped.
     ///
     /// # Errors
-    /// [`LineTooLong`] as soon as a line is known to be over the limit.
+    /// [`LineTooLong`] as soon as a line exceeds the limit.
     pub fn next_line(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
         loop {
             let Some(len) = self.buf[self.scanned..].iter().position(|&byte| byte == b'\n') else {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Whether bytes of an unfinished line are held.
+    /// Whether the buffer contains bytes of an incomplete line.
     pub fn has_partial_line(&self) -> bool {
         self.start < self.buf.len()
     }
--- a/crates/client/src/log.rs
+++ b/crates/client/src/log.rs
@@ -1,7 +1,7 @@
-//! The platform's log: append to and read from its streams.
+//! Appends to and reads from the streams of the platform's log.
 //!
-//! An append that fails in any way but [`http::Error::Unreachable`] may have
-//! taken effect. Only reading the stream tells.
+//! An append that fails with any error except [`http::Error::Unreachable`] may
+//! have taken effect. Only reading the stream shows whether it has.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,21 +12,21 @@
 
 use crate::http;
 
-/// The longest reply to a read, in bytes.
+/// Maximum length of a reply to a read, in bytes.
 const MAX_READ_BYTES: usize = 64 << 20;
-/// The longest reply to an append, in bytes.
+/// Maximum length of a reply to an append, in bytes.
 const MAX_APPEND_REPLY_BYTES: usize = 4 << 10;
-/// Time until the first byte of a read beyond its long poll, and longest pause
-/// in what follows.
+/// Time to wait for the response to a read beyond its long poll, and for each
+/// following chunk.
 const MAX_READ_GAP: Duration = Duration::from_secs(3);
 
-/// What went wrong with the log.
+/// Why an append or a read failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The exchange with the service failed.
+    /// The HTTP exchange failed.
     #[error("log: {0}")]
     Http(#[from] http::Error),
-    /// A record stands in the stream that this version cannot read.
+    /// The stream contains a record that this version cannot read.
     #[error(
         "record {offset} of {stream} is unreadable ({cause}); upgrade this instance to the version that wrote it"
     )]
@@ -35,15 +35,15 @@
         stream: &'static str,
         /// The record's offset.
         offset: Offset,
-        /// What the parser said.
+        /// The parser's error.
         cause: serde_json::Error,
     },
-    /// A record cannot be written as JSON.
+    /// The record cannot be serialised as JSON.
     #[error("a record for {stream} cannot be written as JSON ({cause}); report it as a bug")]
     Unwritable {
         /// The stream's name.
         stream: &'static str,
-        /// What the writer said.
+        /// The serialiser's error.
         cause: serde_json::Error,
     },
 }
@@ -51,11 +51,11 @@
 /// Which records to read.
 #[derive(Debug, Clone, Copy)]
 pub struct Range {
-    /// The first offset wanted.
+    /// The first offset to read.
     pub from: Offset,
-    /// At most so many records.
+    /// Maximum number of records.
     pub max: u32,
-    /// How long the service waits for a first record.
+    /// How long the log waits for a first record.
     pub wait: Duration,
 }
 
@@ -67,15 +67,16 @@
 }
 
 impl Client {
-    /// A client of the log at `addr`, `ip:port`.
+    /// Creates a client of the log at `addr`, `ip:port`.
     pub fn new(http: client::Client, addr: Arc<str>) -> Client {
         Client { http, addr }
     }
 
-    /// Appends one record and gives its offset. It is given up after `limit`.
+    /// Appends one record and returns its offset. Fails after `limit`.
     ///
     /// # Errors
-    /// Any [`Error`]. Unless [`http::Error::is_unsent`], the record may stand.
+    /// Any [`Error`]. Unless [`http::Error::is_unsent`] holds, the record may have
+    /// been appended.
     pub async fn append<R: Serialize>(
         &self,
         stream: Stream,
@@ -94,10 +95,11 @@
         Ok(reply.offset)
     }
 
-    /// Reads records, waiting for the first one if there is none yet.
+    /// Reads records; if there is none yet, waits up to [`Range::wait`] for the
+    /// first one.
     ///
     /// # Errors
-    /// Any [`Error`]; reading has no effect and may be repeated.
+    /// Any [`Error`]; reading has no side effect and may be repeated.
     pub async fn read<R: DeserializeOwned>(
         &self,
         stream: Stream,
@@ -118,11 +120,12 @@
     }
 }
 
-/// Reads the records of a reply.
+/// Parses the records of a reply.
 ///
-/// What is not JSON was not written by any version of ours and is passed over.
-/// JSON that this version cannot read was: going on without it could bring
-/// this instance to another state than the others', so it is an error.
+/// Records that are not JSON were written by other software and are skipped.
+/// JSON that this version cannot read was written by another version of this
+/// software: skipping it could make the state of this instance diverge from that
+/// of the others, so it is an error.
 fn parse<R: DeserializeOwned>(
     stream: Stream,
     from: Offset,
