--- a/crates/cli/src/app.rs
+++ b/crates/cli/src/app.rs
@@ -1,4 +1,4 @@
-//! The whole command line.
+//! The command line of `peatdeck`: all commands and their dispatch.
 
 use bpaf::{OptionParser, Parser, construct};
 
@@ -11,38 +11,38 @@
     shell::{Environment, Output},
 };
 
-/// A command with its flags.
+/// A parsed command with its flags.
 #[derive(Debug, Clone)]
 pub enum Command {
-    /// `check`.
+    /// `peatdeck check`.
     Check(check::Args),
-    /// `publish`.
+    /// `peatdeck publish`.
     Publish(publish::Args),
-    /// `restore`.
+    /// `peatdeck restore`.
     Restore(restore::Args),
-    /// `show`.
+    /// `peatdeck show`.
     Show(show::Args),
-    /// `drain`.
+    /// `peatdeck drain`.
     Drain(drain::Args),
-    /// `status`.
+    /// `peatdeck status`.
     Status(status::Args),
-    /// `burn`.
+    /// `peatdeck burn`.
     Burn(burn::Args),
-    /// `replay`.
+    /// `peatdeck replay`.
     Replay(replay::Args),
-    /// `explain`.
+    /// `peatdeck explain`.
     Explain(explain::Args),
-    /// `evacuate`.
+    /// `peatdeck evacuate`.
     Evacuate(evacuate::Args),
-    /// `evacuations`.
+    /// `peatdeck evacuations`.
     Evacuations(evacuations::Args),
-    /// `quarantine`.
+    /// `peatdeck quarantine`.
     Quarantine(quarantine::Args),
-    /// `terms`.
+    /// `peatdeck terms`.
     Terms(terms::Args),
 }
 
-/// The command line.
+/// The parser of the whole command line.
 pub fn options() -> OptionParser<Command> {
     let check = check::cli().command("check").map(Command::Check);
     let publish = publish::cli().command("publish").map(Command::Publish);
@@ -74,7 +74,7 @@
     ])
     .to_options()
     .version(env!("CARGO_PKG_VERSION"))
-    .descr("Operate peatdeck: publish configurations, drain endpoints, see what happens.")
+    .descr("Operate peatdeck: publish configurations, drain endpoints, inspect instances.")
     .footer(
         "The operators' token is read from PEATDECK_ADMIN_TOKEN.\n \
              Exit codes:\n   \
@@ -84,7 +84,7 @@
              3  the document is not valid\n   \
              4  conflict, nothing took effect\n   \
              5  it may have taken effect\n   \
-             6  done, but not every instance answered, or the log is out\n   \
+             6  done, but not every instance answered, or the log is unavailable\n   \
              7  a replay differs from its trace\n \
              Examples:\n   peatdeck check fleet.toml\n   peatdeck publish fleet.toml --base 12",
     )
@@ -93,7 +93,7 @@
 /// Runs a command.
 ///
 /// # Errors
-/// Any [`Error`].
+/// Any [`Error`] of the command.
 pub async fn exec(env: &Environment, command: Command) -> Result<Output, Error> {
     match command {
         Command::Check(args) => check::exec(env, args).await,
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands: a file each, its flags beside what it does.
+//! The commands, one module each with its flags and its execution.
 
 use bpaf::{Parser, construct, long};
 use peatdeck_util::settings;
@@ -19,16 +19,16 @@
 pub mod status;
 pub mod terms;
 
-/// How a command's result is written.
+/// The flag `--format`.
 pub fn format() -> impl Parser<Format> {
     long("format")
         .env("PEATDECK_FORMAT")
-        .help("How the result is written: table or json")
+        .help("Output format: table or json")
         .argument::<Format>("FORMAT")
         .fallback(Format::Table)
 }
 
-/// The relay instance that is asked.
+/// The flag `--at`, the URL of the relay instance to query.
 pub fn instance() -> impl Parser<String> {
     long("at")
         .env("PEATDECK_RELAY_METRICS")
@@ -37,28 +37,28 @@
         .parse(|text| settings::base_url(&text))
 }
 
-/// Where peatdeck-admin is.
+/// The flag `--admin`, the URL of peatdeck-admin.
 pub fn admin() -> impl Parser<String> {
     let admin = long("admin")
         .env("PEATDECK_ADMIN")
-        .help("Where peatdeck-admin is, such as http://10.0.0.7:7300 or 10.0.0.7:7300")
+        .help("Address of peatdeck-admin, such as http://10.0.0.7:7300 or 10.0.0.7:7300")
         .argument::<String>("URL")
         .parse(|text| settings::base_url(&text));
     construct!(admin)
 }
 
-/// What every command that changes something is given.
+/// The flags common to all commands that change the configuration.
 #[derive(Debug, Clone)]
 pub struct ChangeArgs {
-    /// How its result is written.
+    /// Output format of the result.
     pub format: Format,
-    /// Where peatdeck-admin is.
+    /// URL of peatdeck-admin.
     pub admin: String,
-    /// Who acts.
+    /// Name recorded as the author of the change.
     pub author: String,
 }
 
-/// The flags of [`ChangeArgs`].
+/// The parser of [`ChangeArgs`].
 pub fn change_args() -> impl Parser<ChangeArgs> {
     let format = format();
     let admin = admin();
@@ -69,14 +69,15 @@
 fn author() -> impl Parser<String> {
     long("author")
         .env("PEATDECK_AUTHOR")
-        .help("Who acts, for the history")
+        .help("Your name, recorded in the history as the author")
         .argument::<String>("NAME")
 }
 
-/// A client of the administration API.
+/// Creates a client of the administration API.
 ///
 /// # Errors
-/// [`Error::NoToken`], [`Error::Unreachable`].
+/// [`Error::NoToken`] if no token is set, [`Error::Unreachable`] if no HTTP client
+/// can be created.
 pub async fn connect(env: &Environment, admin: &str) -> Result<client::Client, Error> {
     let token = env.token.clone().ok_or(Error::NoToken)?;
     client::Client::new(client::Remote { admin: admin.to_owned(), token }).await
--- a/crates/cli/src/commands/burn.rs
+++ b/crates/cli/src/commands/burn.rs
@@ -1,4 +1,4 @@
-//! `peatdeck burn`: the report on service-level burn.
+//! `peatdeck burn`: reports how fast error budgets are used up.
 
 use std::{
     fmt::Write,
@@ -15,10 +15,10 @@
     table::{self, Table},
 };
 
-/// Causes shown at the most in a table.
+/// Maximum number of causes in the table.
 const MAX_CAUSES: usize = 10;
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
@@ -26,7 +26,7 @@
     html: Option<String>,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let admin = commands::admin();
@@ -43,7 +43,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Any [`Error`] of the API; [`Error::Write`].
+/// Any [`Error`] of the API; [`Error::Write`] if the web page cannot be written.
 pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
     let client = commands::connect(env, &args.admin).await?;
     let now = env.now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
@@ -68,11 +68,7 @@
         let _ = write!(text, "\nLargest causes of misses\n\n{}", causes(report));
     }
     if report.invalid > 0 {
-        let _ = writeln!(
-            text,
-            "\n{} request(s) were wrong in themselves and count neither way.",
-            report.invalid
-        );
+        let _ = writeln!(text, "\n{} request(s) were invalid and are not counted.", report.invalid);
     }
     let _ = writeln!(
         text,
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `peatdeck check`: is a configuration file valid? Asks nobody.
+//! `peatdeck check`: checks a configuration file locally.
 
 use bpaf::{OptionParser, Parser, construct, positional};
 
@@ -9,14 +9,14 @@
     shell::{self, Environment, Format, Output},
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
     file: String,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let file = positional::<String>("FILE").help("Configuration file in TOML");
@@ -29,7 +29,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`Error::File`], [`Error::Source`].
+/// [`Error::File`] if the file cannot be read, [`Error::Source`] if it is invalid.
 pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let document = source::load(&args.file)?;
     let text = match args.format {
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `peatdeck drain`: an endpoint gets no new work in its present incarnation.
+//! `peatdeck drain`: stops new work for the current incarnation of an endpoint.
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use peatdeck_core::model::Incarnation;
@@ -10,7 +10,7 @@
     shell::{self, Environment, Format, Output},
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     change: ChangeArgs,
@@ -18,18 +18,18 @@
     endpoint: String,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let change = commands::change_args();
     let incarnation = long("incarnation")
-        .help("Incarnation of the endpoint that it holds for; the listed one if not given")
+        .help("Incarnation of the endpoint to drain; by default the listed one")
         .argument::<u64>("N")
         .optional();
     let endpoint =
-        positional::<String>("ENDPOINT").help("Endpoint, as the platform's list names it");
+        positional::<String>("ENDPOINT").help("Name of the endpoint in the platform's list");
     construct!(Args { change, incarnation, endpoint })
         .to_options()
-        .descr("Drain an endpoint: it gets no new work until it is started again.")
+        .descr("Drain an endpoint: it receives no new work until it restarts.")
         .footer("Example:\n   peatdeck drain engine-07 --author mair")
 }
 
@@ -48,7 +48,7 @@
         Format::Json => shell::json(&reply)?,
         Format::Table => {
             format!(
-                "accepted: {} gets no new work in incarnation {}\n",
+                "accepted: {} receives no new work in incarnation {}\n",
                 reply.endpoint, reply.incarnation.0
             )
         }
--- a/crates/cli/src/commands/evacuate.rs
+++ b/crates/cli/src/commands/evacuate.rs
@@ -1,4 +1,4 @@
-//! `peatdeck evacuate`: a data centre's endpoints get no new work until that is taken back.
+//! `peatdeck evacuate`: stops new work for the endpoints of a data centre, or resumes it.
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use peatdeck_wire::admin::{EvacuationBody, EvacuationReply};
@@ -9,7 +9,7 @@
     shell::{self, Environment, Format, Output},
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     change: ChangeArgs,
@@ -17,15 +17,16 @@
     data_centre: String,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let change = commands::change_args();
-    let over = long("over").help("Take the order back: its endpoints are used again").switch();
+    let over =
+        long("over").help("End the evacuation: the endpoints receive new work again").switch();
     let data_centre =
-        positional::<String>("DATA-CENTRE").help("Data centre, as the platform's list names it");
+        positional::<String>("DATA-CENTRE").help("Name of the data centre in the platform's list");
     construct!(Args { change, over, data_centre })
         .to_options()
-        .descr("Evacuate a data centre: its endpoints get no new work until that is taken back.")
+        .descr("Evacuate a data centre: its endpoints receive no new work until the evacuation ends.")
         .footer("Example:\n   peatdeck evacuate dc-2 --author mair\n   peatdeck evacuate dc-2 --over --author mair")
 }
 
@@ -46,14 +47,14 @@
 fn describe(reply: &EvacuationReply) -> String {
     let EvacuationReply { data_centre, is_evacuated, endpoints } = reply;
     let what = match is_evacuated {
-        true => "get no new work",
-        false => "are used again",
+        true => "receive no new work",
+        false => "receive new work again",
     };
     match endpoints {
         Some(0) => {
-            format!("accepted: endpoints of {data_centre} {what}; the list has none there\n")
+            format!("accepted: endpoints of {data_centre} {what}; none is listed\n")
         }
         Some(count) => format!("accepted: {count} endpoints of {data_centre} {what}\n"),
-        None => format!("accepted: endpoints of {data_centre} {what}; the list does not answer\n"),
+        None => format!("accepted: endpoints of {data_centre} {what}; the list is unavailable\n"),
     }
 }
--- a/crates/cli/src/commands/evacuations.rs
+++ b/crates/cli/src/commands/evacuations.rs
@@ -1,4 +1,4 @@
-//! `peatdeck evacuations`: data centres whose endpoints get nothing.
+//! `peatdeck evacuations`: lists the evacuated data centres that a relay instance has in force.
 
 use bpaf::{OptionParser, Parser, construct};
 use peatdeck_wire::operators::{EVACUATIONS, Evacuated};
@@ -11,27 +11,28 @@
     table::Table,
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
     instance: String,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let instance = commands::instance();
     construct!(Args { format, instance })
         .to_options()
-        .descr("List the data centres that are evacuated, as one relay instance knows it.")
+        .descr("List the evacuated data centres that one relay instance has in force.")
         .footer("Example:\n   peatdeck evacuations --at 10.1.64.3:9464")
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// [`Error::Instance`], [`Error::Unreadable`].
+/// [`Error::Instance`] if the request fails, [`Error::Unreadable`] if the response is
+/// invalid.
 pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let evacuated = relay::list(&args.instance, EVACUATIONS).await?;
     Ok(Output::done(match args.format {
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `peatdeck explain`: one request's story out of collected log files.
+//! `peatdeck explain`: finds the log lines of one request in collected log files.
 
 use bpaf::{OptionParser, Parser, construct, positional};
 
@@ -9,7 +9,7 @@
     shell::{self, Environment, Format, Output},
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
@@ -17,23 +17,24 @@
     files: Vec<String>,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
-    let id = positional::<String>("ID").help("The caller's id of the request");
+    let id = positional::<String>("ID").help("Id of the request, as given by the caller");
     let files = positional::<String>("FILE")
-        .help("Log files of relay instances; all of them, since pieces are made by any")
+        .help("Log files of all relay instances, since any instance may run pieces of the request")
         .some("give at least one log file");
     construct!(Args { format, id, files })
         .to_options()
-        .descr("Tell what became of a request, from the logs of all relay instances.")
+        .descr("Show how a request was processed, from the logs of all relay instances.")
         .footer("Example:\n   peatdeck explain 9c41d07be2a35f68 edge-*.log")
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// [`Error::File`], [`Error::RequestNotFound`].
+/// [`Error::File`] if a file cannot be read, [`Error::RequestNotFound`] if no line
+/// refers to the request.
 pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let lines = explain::find_lines(&args.id, &args.files)?;
     if lines.is_empty() {
--- a/crates/cli/src/commands/publish.rs
+++ b/crates/cli/src/commands/publish.rs
@@ -1,4 +1,4 @@
-//! `peatdeck publish`: make a file the next version of the configuration.
+//! `peatdeck publish`: publishes a file as the next version of the configuration.
 
 use std::{fmt::Write, sync::Arc};
 
@@ -13,7 +13,7 @@
     shell::{self, Environment, Format, Output},
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     change: ChangeArgs,
@@ -22,15 +22,15 @@
     file: String,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let change = commands::change_args();
     let base = long("base")
-        .help("Version that the file was made from; the one in force if not given")
+        .help("Version that the file is based on; by default the one in force")
         .argument::<Version>("N")
         .optional();
     let id = long("id")
-        .help("Id of the publish, to send one again that got no answer; a new one if not given")
+        .help("Id of the publish, to repeat one that got no response; by default a new id")
         .argument::<String>("ID")
         .optional();
     let file = positional::<String>("FILE").help("Configuration file in TOML");
@@ -38,7 +38,7 @@
         .to_options()
         .descr("Publish a configuration file as the next version.")
         .footer(
-            "Give --base when others may publish too: a change that came between is then a \
+            "Give --base when others may publish too: a concurrent change then causes a \
              conflict instead of being overwritten.\n \
              Example:\n   peatdeck publish fleet.toml --base 12 --author mair",
         )
@@ -47,7 +47,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Any [`Error`].
+/// Any [`Error`] of the API; [`Error::File`] or [`Error::Source`] for the file.
 pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
     let document = source::load(&args.file)?;
     let client = commands::connect(env, &args.change.admin).await?;
@@ -73,7 +73,7 @@
     Ok(output)
 }
 
-/// What became of a publish or a restore, as the command gives it back.
+/// The output for an accepted publish or restore.
 ///
 /// # Errors
 /// [`Error::Unreadable`] if it has no JSON form.
@@ -114,7 +114,7 @@
     }
 }
 
-/// An id that nobody else uses.
+/// Creates a random id of the form `kind-0123456789abcdef`.
 pub fn new_id(kind: &str) -> String {
     format!("{kind}-{:016x}", rand::random::<u64>())
 }
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -1,4 +1,4 @@
-//! `peatdeck quarantine`: requests that are held back, since endpoints crash under them.
+//! `peatdeck quarantine`: lists or releases quarantined contents, which crashed endpoints.
 
 use bpaf::{OptionParser, Parser, construct, long};
 use peatdeck_wire::operators::Held;
@@ -11,7 +11,7 @@
     table::Table,
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
@@ -19,44 +19,45 @@
     release: Option<String>,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let instance = commands::instance();
     let release = long("release")
-        .help("Release this content at all instances; its fingerprint as it is listed")
+        .help("Release the content with this fingerprint at all instances")
         .argument::<String>("FINGERPRINT")
         .optional();
     construct!(Args { format, instance, release })
         .to_options()
-        .descr("List the requests that relay instances hold back, or release one.")
+        .descr("List the contents that relay instances have quarantined, or release one.")
         .footer("Example:\n   peatdeck quarantine --at 10.1.64.3:9464")
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// [`Error::Instance`], [`Error::NotQuarantined`].
+/// [`Error::Instance`] if the request fails, [`Error::NotQuarantined`] if the content to
+/// release is not quarantined, [`Error::Unreadable`] if the response is invalid.
 pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     if let Some(content) = &args.release {
         quarantine::release(&args.instance, content).await?;
-        let text = format!("released {content}; all instances know within seconds\n");
+        let text = format!("released {content}; all instances apply this within seconds\n");
         return Ok(Output::done(text));
     }
-    let held = quarantine::list(&args.instance).await?;
+    let contents = quarantine::list(&args.instance).await?;
     Ok(Output::done(match args.format {
-        Format::Json => shell::json(&held)?,
-        Format::Table => table(&held),
+        Format::Json => shell::json(&contents)?,
+        Format::Table => table(&contents),
     }))
 }
 
-fn table(held: &[Held]) -> String {
-    if held.is_empty() {
-        return "nothing is held back\n".to_owned();
+fn table(contents: &[Held]) -> String {
+    if contents.is_empty() {
+        return "no content is quarantined\n".to_owned();
     }
     let titles = ["CONTENT", "CRASHES", "HELD FOR", "LEFT", "REFUSED HERE"];
     let mut rows = Table::new(titles);
-    for one in held {
+    for one in contents {
         rows.row([
             one.content.to_string(),
             one.crashes.to_string(),
--- a/crates/cli/src/commands/replay.rs
+++ b/crates/cli/src/commands/replay.rs
@@ -1,5 +1,5 @@
-//! `peatdeck replay`: does a recorded trace give the same answers again? Asks
-//! nobody.
+//! `peatdeck replay`: replays a recorded trace locally and compares the replies
+//! to callers.
 
 use std::{fs::File, io::BufReader};
 
@@ -14,27 +14,27 @@
     table::Table,
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
     file: String,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let file = positional::<String>("FILE").help("Trace that peatdeck-entry --trace wrote");
     construct!(Args { format, file })
         .to_options()
-        .descr("Replay a recorded trace and compare what callers were told.")
+        .descr("Replay a recorded trace and compare the replies to callers.")
         .footer("Example:\n   peatdeck replay entry-1.trace")
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// [`Error::File`], [`Error::Trace`].
+/// [`Error::File`] if the trace cannot be opened, [`Error::Trace`] if it is invalid.
 pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let path = args.file;
     let file = File::open(&path).map_err(|cause| Error::File { path: path.clone(), cause })?;
@@ -56,23 +56,23 @@
             line.key.team.to_string(),
             line.key.id.to_string(),
             line.calls.to_string(),
-            shown(line.recorded),
-            shown(line.replayed),
+            describe(line.recorded),
+            describe(line.replayed),
         ]);
     }
     let mut text = table.render();
-    for found in &report.faults {
-        text.push_str(&format!("line {}: {}\n", found.line, found.fault));
+    for finding in &report.faults {
+        text.push_str(&format!("line {}: {}\n", finding.line, finding.fault));
     }
     let (name, faults) = (&report.identity.name, report.faults.len());
-    let cut = if report.torn { "; the last line is cut off" } else { "" };
+    let truncated = if report.torn { "; the last line is truncated" } else { "" };
     text.push_str(&format!(
-        "{name}: {} inputs, {} calls, {faults} differences{cut}\n",
+        "{name}: {} inputs, {} calls, {faults} differences{truncated}\n",
         report.inputs, report.calls
     ));
     text
 }
 
-fn shown(kind: Option<OutcomeKind>) -> String {
+fn describe(kind: Option<OutcomeKind>) -> String {
     kind.map_or("nothing", OutcomeKind::name).replace('_', " ")
 }
--- a/crates/cli/src/commands/restore.rs
+++ b/crates/cli/src/commands/restore.rs
@@ -1,4 +1,4 @@
-//! `peatdeck restore`: put a file in force when the log no longer tells what was.
+//! `peatdeck restore`: puts a file in force after the log has lost the configuration.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     shell::{Environment, Output},
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     change: ChangeArgs,
@@ -22,23 +22,23 @@
     file: String,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let change = commands::change_args();
     let version = long("version")
-        .help("Newest version that was ever in force; the file becomes the next one")
+        .help("Newest version that was ever in force; the file becomes the next version")
         .argument::<Version>("N");
     let id = long("id")
-        .help("Id of the restore, to send one again that got no answer; a new one if not given")
+        .help("Id of the restore, to repeat one that got no response; by default a new id")
         .argument::<String>("ID")
         .optional();
     let file = positional::<String>("FILE").help("Configuration file in TOML");
     construct!(Args { change, version, id, file })
         .to_options()
-        .descr("Put a configuration file in force when the log has lost what was.")
+        .descr("Put a configuration file in force after the log has lost the one before.")
         .footer(
-            "Only where publishes are refused with `no_state` and no instance has the \
-             configuration any more. One operator does it, once.\n \
+            "Use this only if publishes are refused with `no_state` and no instance has the \
+             configuration any more. Only one operator must run it, and only once.\n \
              Example:\n   peatdeck restore fleet.toml --version 12 --author mair",
         )
 }
@@ -46,7 +46,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Any [`Error`].
+/// Any [`Error`] of the API; [`Error::File`] or [`Error::Source`] for the file.
 pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
     let document = source::load(&args.file)?;
     let client = commands::connect(env, &args.change.admin).await?;
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `peatdeck show`: the configuration in force, or who did what to it.
+//! `peatdeck show`: shows the configuration in force, its history or the verdict on a publish.
 
 use std::{
     fmt::Write,
@@ -17,7 +17,7 @@
     table::{self, Table},
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
@@ -28,22 +28,23 @@
     limit: usize,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let admin = commands::admin();
     let verdict = long("verdict")
-        .help("Show what became of the publish with this id instead of the document")
+        .help("Show the verdict on the publish with this id instead of the document")
         .argument::<String>("ID")
         .optional();
-    let history = long("history").help("Show who did what instead of the document").switch();
+    let history =
+        long("history").help("Show the history of changes instead of the document").switch();
     let from = long("from")
         .help("With --history: offset of the log to start from")
         .argument::<Offset>("OFFSET")
         .fallback(0)
         .display_fallback();
     let limit = long("limit")
-        .help("With --history: rows at the most")
+        .help("With --history: maximum number of rows")
         .argument::<usize>("ROWS")
         .fallback(50)
         .display_fallback();
@@ -98,7 +99,7 @@
     Ok(Output::partial_unless(config.confirmed, text))
 }
 
-/// The document in TOML under a comment that says which version it is.
+/// The document in TOML, below comments with its version, drains and evacuations.
 fn config_file(config: &ConfigReply) -> Result<String, Error> {
     let mut text = format!("# version {}", config.version);
     if let Some(author) = &config.author {
@@ -109,7 +110,7 @@
     }
     text.push('\n');
     if !config.confirmed {
-        text.push_str("# the log is out: a later version may exist\n");
+        text.push_str("# the log is unavailable: a later version may exist\n");
     }
     for drain in &config.drains {
         let incarnation = drain.incarnation.0;
@@ -164,6 +165,6 @@
     match verdict {
         PublishVerdict::Accepted { version } => format!("accepted as {version}"),
         PublishVerdict::Conflict { current } => format!("conflict with {current}"),
-        PublishVerdict::Forgotten => "not known any more".to_owned(),
+        PublishVerdict::Forgotten => "no longer known".to_owned(),
     }
 }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `peatdeck status`: what all instances say of themselves.
+//! `peatdeck status`: shows the status that all instances report.
 
 use std::{collections::BTreeMap, fmt::Write, sync::Arc};
 
@@ -12,7 +12,7 @@
     table::Table,
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
@@ -20,11 +20,12 @@
     endpoints: bool,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let admin = commands::admin();
-    let endpoints = long("endpoints").help("Show the endpoints as the instances see them").switch();
+    let endpoints =
+        long("endpoints").help("Show the state of endpoints as reported by the instances").switch();
     construct!(Args { format, admin, endpoints })
         .to_options()
         .descr("Show the status of all instances.")
@@ -63,7 +64,7 @@
     rows.render()
 }
 
-/// What the instances together say of one endpoint.
+/// The combined reports of all instances on one endpoint.
 #[derive(Debug, Default)]
 struct EndpointSummary {
     pool: Arc<str>,
@@ -95,7 +96,8 @@
     rows.render()
 }
 
-/// One word if all instances agree, else each with its count.
+/// The state if all instances report the same one, else each state with the number
+/// of instances that report it.
 fn states(states: &BTreeMap<Arc<str>, usize>) -> String {
     match states.iter().next() {
         Some((state, _)) if states.len() == 1 => state.to_string(),
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, with the remedy and the exit code of each kind.
+//! The errors of commands, each with a remedy and an exit code.
 
 use miette::Diagnostic;
 use peatdeck_core::trace;
@@ -9,7 +9,7 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum Error {
-    /// The token is not set.
+    /// `PEATDECK_ADMIN_TOKEN` is not set.
     #[error("PEATDECK_ADMIN_TOKEN is not set")]
     #[diagnostic(help("set it to the token that peatdeck-admin was started with"))]
     NoToken,
@@ -17,53 +17,53 @@
     #[error("cannot read {path}: {cause}")]
     #[diagnostic(help("check the path and that the file is text in UTF-8"))]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// The I/O error.
         cause: std::io::Error,
     },
     /// A file could not be written.
     #[error("cannot write {path}: {cause}")]
     #[diagnostic(help("check that the directory exists and may be written to"))]
     Write {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// The I/O error.
         cause: std::io::Error,
     },
     /// A trace could not be replayed.
     #[error("cannot replay {path}: {cause}")]
     #[diagnostic(help("give a file that peatdeck-entry --trace wrote"))]
     Trace {
-        /// The file.
+        /// Path of the trace.
         path: String,
-        /// What is wrong with it.
+        /// Why the trace is invalid.
         cause: trace::Error,
     },
-    /// No log line tells of a request.
-    #[error("no line of these files tells of the request {id}")]
-    #[diagnostic(help("give the log files of all instances, from before the request came"))]
+    /// No log line refers to the request.
+    #[error("no line of these files refers to request {id}")]
+    #[diagnostic(help("give the log files of all instances, starting before the request arrived"))]
     RequestNotFound {
-        /// The request's id.
+        /// The id that was searched for.
         id: String,
     },
-    /// A relay instance did not answer as it should.
-    #[error("cannot ask the instance at {instance}: {cause}")]
-    #[diagnostic(help("give the metrics address of an instance that runs, --at"))]
+    /// A request to a relay instance failed.
+    #[error("cannot query the instance at {instance}: {cause}")]
+    #[diagnostic(help("give the metrics address of a running instance with --at"))]
     Instance {
-        /// Where it should be.
+        /// URL of the instance.
         instance: String,
         /// What went wrong.
         cause: String,
     },
-    /// A content that is to be released is not held back.
-    #[error("{content} is not held back there")]
-    #[diagnostic(help("list what is held back with `peatdeck quarantine`, at this instance"))]
+    /// The content to release is not quarantined at the instance.
+    #[error("{content} is not quarantined at this instance")]
+    #[diagnostic(help("list the quarantined contents of the instance with `peatdeck quarantine`"))]
     NotQuarantined {
-        /// Its fingerprint.
+        /// Fingerprint of the content.
         content: String,
     },
-    /// The document is not valid.
+    /// The configuration file is invalid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Source(#[from] source::Error),
@@ -71,39 +71,39 @@
     #[error("cannot reach peatdeck-admin at {admin}: {cause}")]
     #[diagnostic(help("check --admin (PEATDECK_ADMIN) and that it runs; nothing was done"))]
     Unreachable {
-        /// Where it should be.
+        /// URL of peatdeck-admin.
         admin: String,
         /// What went wrong.
         cause: String,
     },
-    /// No answer came.
-    #[error("peatdeck-admin at {admin} gave no whole answer: {cause}")]
+    /// No complete response arrived.
+    #[error("peatdeck-admin at {admin} sent no complete response: {cause}")]
     #[diagnostic(help("{remedy}"))]
     NoAnswer {
-        /// Where it is.
+        /// URL of peatdeck-admin.
         admin: String,
         /// What went wrong.
         cause: String,
-        /// What to do.
+        /// How to proceed.
         remedy: String,
-        /// Whether something may have taken effect.
+        /// Whether the request may have taken effect.
         is_uncertain: bool,
     },
-    /// Something that should be JSON isn't.
-    #[error("a message of the administration API is not readable: {cause}")]
+    /// A value cannot be converted from or to its text form.
+    #[error("a message of the administration API is unreadable: {cause}")]
     #[diagnostic(help("check that peatdeck and peatdeck-admin are of the same version"))]
     Unreadable {
-        /// What the parser said.
+        /// The parser's or serialiser's error.
         cause: String,
     },
-    /// peatdeck-admin refused.
+    /// peatdeck-admin returned an error.
     #[error("{} ({})", .0.message, .0.code)]
     #[diagnostic(help("{}", .0.remedy))]
     Api(Box<ApiError>),
 }
 
 impl Error {
-    /// The exit code that goes with it.
+    /// The exit code of the process for this error.
     pub fn code(&self) -> exit::Code {
         match self {
             Error::NoToken => exit::Code::Usage,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,23 +1,24 @@
-//! The exit codes. Scripts rely on them; they never change their meaning.
+//! The exit codes. Scripts rely on them, so their meanings never change.
 
-/// How a command ended.
+/// The exit code of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
-    /// Done, wholly.
+    /// The command succeeded completely.
     Done = 0,
-    /// Failed; nothing took effect.
+    /// The command failed; nothing took effect.
     Failed = 1,
-    /// The command line or a setting is wrong; nothing was tried.
+    /// The command line or a setting is wrong; nothing was attempted.
     Usage = 2,
-    /// The document is not valid; nothing was published.
+    /// The document is invalid; nothing was published.
     Invalid = 3,
-    /// Another publish came first; nothing took effect.
+    /// Another publish took effect first; this one did not.
     Conflict = 4,
-    /// It may have taken effect; the message says how to find out.
+    /// The change may have taken effect; the message says how to find out.
     Unknown = 5,
-    /// Done, but not every instance answered or has the version in force.
+    /// The command succeeded, but not every instance responded or has the version
+    /// in force, or the log is unavailable.
     Partial = 6,
-    /// A replay differs from its trace, or breaks what must hold.
+    /// A replay differs from its trace or violates an invariant.
     Differs = 7,
 }
 
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,14 +1,16 @@
 //! The operator's command line.
 //!
-//! [`commands`] holds a file per command: its flags (`cli()`) beside what it
-//! does (`exec()`). A command only words questions and answers; the work is in
-//! [`ops`], which know nothing of flags. [`Environment`](shell::Environment) carries what a
-//! command gets from its surroundings, so that tests can run one as the
-//! process would.
+//! [`commands`] has one module per command, with its flags (`cli()`) and its
+//! execution (`exec()`). A command parses arguments and formats results; the
+//! work is done by [`ops`], which is independent of flags.
+//! [`Environment`](shell::Environment) holds the inputs of a command other than
+//! its flags, so that tests can run a command as the process does.
 //!
 //! - [`app`]: the whole command line.
-//! - [`error`]: what can go wrong, [`exit`]: the exit codes.
-//! - [`shell`]: the surroundings, [`table`]: tables for people.
+//! - [`error`]: the errors.
+//! - [`exit`]: the exit codes.
+//! - [`shell`]: the environment and the output of a command.
+//! - [`table`]: tables for terminals.
 
 pub mod app;
 pub mod commands;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -5,7 +5,7 @@
 use bpaf::{Args, ParseFailure};
 use peatdeck::{app, exit, shell::Environment};
 
-/// Columns that help texts are wrapped at.
+/// Width at which help texts are wrapped, in columns.
 const HELP_WIDTH: usize = 100;
 
 #[ntex::main]
@@ -29,7 +29,7 @@
     }
 }
 
-/// Prints help, or what is wrong with the command line.
+/// Prints the help text or the error of the command line.
 fn print_parse_failure(failure: ParseFailure) -> ExitCode {
     failure.print_message(HELP_WIDTH);
     match failure.exit_code() {
--- a/crates/cli/src/ops.rs
+++ b/crates/cli/src/ops.rs
@@ -1,11 +1,11 @@
 //! The operations behind the commands.
 //!
-//! - [`burn`]: the report on service-level burn.
-//! - [`source`]: a configuration file and where in it a problem is.
-//! - [`client`]: the administration API.
-//! - [`explain`]: one request's story out of log files.
-//! - [`quarantine`]: what relay instances hold back.
-//! - [`relay`]: questions to a relay instance.
+//! - [`burn`]: computes the report on burn rates.
+//! - [`source`]: reads and checks a configuration file.
+//! - [`client`]: client of the administration API.
+//! - [`explain`]: finds the log lines of one request.
+//! - [`quarantine`]: lists and releases quarantined contents.
+//! - [`relay`]: sends requests to a relay instance.
 
 pub mod burn;
 pub mod client;
--- a/crates/cli/src/ops/burn.rs
+++ b/crates/cli/src/ops/burn.rs
@@ -1,16 +1,16 @@
-//! Service-level burn: how fast the error budget of each pipeline is used up.
+//! Computes how fast the error budget of each pipeline is used up.
 //!
-//! Pure: outcomes by minute, the objectives and the time go in, a [`Report`]
-//! comes out. [`page`] draws it as a web page.
+//! [`report`] is a pure function from outcomes by minute, the objectives and the
+//! time to a [`Report`]. [`page`] renders it as a web page.
 //!
-//! The terms are the usual ones. Attainment is the share of requests that were
-//! answered whole in time. The objective leaves an error budget, the share that
-//! may miss. The burn rate of a window is the share that missed over that
-//! budget: at 1 the budget lasts exactly, at 10 it is gone in a tenth of the
-//! time. A short and a long window together tell a spike from a lasting fault.
+//! Attainment is the share of requests that were answered completely in time.
+//! The error budget is the share that may miss: 1 minus the objective. The burn
+//! rate of a window is the share that missed divided by the budget: at 1 the
+//! budget lasts exactly, at 10 it is used up in a tenth of the time. An alert
+//! requires a high rate in both a shorter and a longer window, which
+//! distinguishes a spike from a lasting fault.
 //!
-//! Requests that were wrong in themselves count neither way: no system can
-//! answer them.
+//! Invalid requests are not counted, since no system could answer them.
 
 pub mod page;
 pub mod plot;
@@ -30,66 +30,68 @@
 
 use crate::table;
 
-/// The short window, in seconds.
+/// Length of the short window, in seconds.
 pub const SHORT_WINDOW: u64 = 5 * 60;
-/// The middle window, in seconds.
+/// Length of the middle window, in seconds.
 pub const MIDDLE_WINDOW: u64 = 60 * 60;
-/// The long window, in seconds. Attainment and budget are over this one.
+/// Length of the long window, in seconds. Attainment and remaining budget refer to it.
 pub const LONG_WINDOW: u64 = 6 * 60 * 60;
-/// Length of a point of the plots, in seconds.
+/// Time covered by one point of a plot, in seconds.
 pub const POINT_SECONDS: u64 = 5 * 60;
-/// Points of a plot.
+/// Number of points of a plot.
 const POINT_COUNT: usize = (LONG_WINDOW / POINT_SECONDS) as usize;
-/// Burn rate over the short and the middle window that is an alert.
+/// Burn rate in both the short and the middle window that raises [`Alert::Fast`].
 const FAST_BURN_RATE: f64 = 14.4;
-/// Burn rate over the middle and the long window that is an alert.
+/// Burn rate in both the middle and the long window that raises [`Alert::Slow`].
 const SLOW_BURN_RATE: f64 = 6.0;
 
-/// The whole report.
+/// The report on the burn rates of all pipelines and teams.
 #[message]
 pub struct Report {
-    /// When it was made, in seconds of Unix time.
+    /// Time of the report, in seconds of Unix time.
     pub at: u64,
-    /// A row for each pipeline, and below it one for each of its teams.
+    /// A row for each pipeline, followed by one for each of its teams.
     pub rows: Vec<Row>,
-    /// Why requests missed, the largest first.
+    /// Causes of misses, the most frequent first.
     pub causes: Vec<Cause>,
-    /// Attainment over time, by pipeline.
+    /// Attainment over time, one series per pipeline with requests.
     pub series: Vec<Series>,
-    /// Requests that were wrong in themselves.
+    /// Number of invalid requests, which are not counted elsewhere.
     pub invalid: u64,
-    /// Instances whose counts are in the report.
+    /// Instances whose counts are included.
     pub instances: Vec<Arc<str>>,
-    /// Instances that did not answer.
+    /// Instances that did not respond, with the reason.
     pub missing: Vec<Missing>,
 }
 
-/// One pipeline, or one team's part of it.
+/// The figures of a pipeline, or of one team in it.
 #[message]
 pub struct Row {
     /// The pipeline.
     pub pipeline: Arc<str>,
-    /// The team; `None` for all of them.
+    /// The team; `None` for all teams together.
     pub team: Option<Arc<str>>,
-    /// Requests in the long window.
+    /// Number of requests in the long window.
     pub requests: u64,
-    /// Of those, the ones answered whole in time.
+    /// How many of them were answered completely in time.
     pub answered: u64,
-    /// Their share; `None` without requests.
+    /// Share of requests answered in time; `None` without requests.
     pub attainment: Option<f64>,
-    /// The share that should be; `None` if the configuration has no such pipeline.
+    /// The objective for the attainment; `None` if the configuration does not
+    /// contain the pipeline.
     pub objective: Option<f64>,
-    /// Share of the long window's error budget that is left; below 0 when overspent.
+    /// Remaining share of the error budget of the long window; negative if the
+    /// budget is exceeded.
     pub budget_left: Option<f64>,
-    /// Burn rates.
+    /// Burn rates by window.
     pub burn: Burn,
-    /// Whether the rates are an alert.
+    /// The alert that the burn rates raise.
     pub alert: Alert,
 }
 
 impl Row {
-    /// Its figures as text: requests, attainment, objective, budget left, and
-    /// the burn rates over the short, the middle and the long window.
+    /// The figures as text: requests, attainment, objective, remaining budget, and
+    /// the burn rates over the short, middle and long window.
     pub fn figures(&self) -> [String; 7] {
         [
             self.requests.to_string(),
@@ -103,64 +105,64 @@
     }
 }
 
-/// Burn rates; `None` without requests or without an objective.
+/// Burn rates by window; `None` without requests or without an objective.
 #[message]
 #[derive(Copy)]
 pub struct Burn {
-    /// Over five minutes.
+    /// Over the last five minutes.
     pub short: Option<f64>,
-    /// Over an hour.
+    /// Over the last hour.
     pub middle: Option<f64>,
-    /// Over six hours.
+    /// Over the last six hours.
     pub long: Option<f64>,
 }
 
-/// Whether burn rates are an alert.
+/// The alert level of burn rates.
 #[message]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Alert {
-    /// No.
+    /// No alert.
     Quiet,
-    /// The budget goes steadily.
+    /// The budget is used up too fast over hours.
     Slow,
-    /// The budget goes fast, and still does.
+    /// The budget is being used up very fast, in the last minutes too.
     Fast,
 }
 
-/// One reason for misses.
+/// A cause of misses: outcomes of one code in one pipeline, team and stage.
 #[message]
 pub struct Cause {
     /// The pipeline.
     pub pipeline: Arc<str>,
     /// The team.
     pub team: Arc<str>,
-    /// What it says of the request.
+    /// Class of the outcome.
     pub kind: Kind,
-    /// The code of the refusal or the doubt.
+    /// The code of the refusal or of the uncertainty.
     pub outcome: Arc<str>,
-    /// The stage, where one is to blame.
+    /// The stage that caused the miss; `None` if no single stage did.
     pub stage: Option<Arc<str>>,
-    /// How many requests.
+    /// Number of requests.
     pub count: u64,
-    /// Their share of all misses.
+    /// Share of all misses.
     pub share: f64,
 }
 
-/// What an outcome says of its request.
+/// The class of an outcome.
 #[message]
 #[derive(Copy, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Answered whole in time.
+    /// The request was answered completely in time.
     Answered,
-    /// Refused before anything ran.
+    /// The request was refused before anything ran.
     NotRun,
-    /// Given up after something may have run.
+    /// The request failed after part of it may have run.
     MayHaveRun,
-    /// Wrong in itself.
+    /// The request was invalid.
     Invalid,
-    /// A code that this version does not know; counted as a miss.
+    /// This version does not know the code; it counts as a miss.
     Other,
 }
 
@@ -169,24 +171,24 @@
 pub struct Series {
     /// The pipeline.
     pub pipeline: Arc<str>,
-    /// The share that should be.
+    /// The objective; `None` if the configuration does not contain the pipeline.
     pub objective: Option<f64>,
-    /// Requests and answers of each point, oldest first.
+    /// Counts of each point, oldest first.
     pub points: Vec<Count>,
 }
 
-/// Requests, and those answered whole in time.
+/// Counts of requests in an interval.
 #[message]
 #[derive(Copy, Eq, Default)]
 pub struct Count {
-    /// Requests.
+    /// All requests.
     pub requests: u64,
-    /// Of those, the ones answered whole in time.
+    /// Requests that were answered completely in time.
     pub answered: u64,
 }
 
 impl Count {
-    /// Share of requests answered whole in time.
+    /// Share of requests answered completely in time; `None` without requests.
     pub fn attainment(self) -> Option<f64> {
         (self.requests > 0).then(|| self.answered as f64 / self.requests as f64)
     }
@@ -199,7 +201,7 @@
     }
 }
 
-/// One pipeline's, or one team's, counts over the three windows.
+/// The counts of a pipeline or team in the three windows.
 #[derive(Debug, Default)]
 struct Windows {
     short: Count,
@@ -207,14 +209,14 @@
     long: Count,
 }
 
-/// What a row is about. All teams of a pipeline sort before each of them.
+/// The pipeline or team of a row. The row of a pipeline sorts before those of its teams.
 #[id]
 struct Subject {
     pipeline: Arc<str>,
     team: Option<Arc<str>>,
 }
 
-/// Makes the report. `now` is in seconds of Unix time.
+/// Computes the report. `now` is in seconds of Unix time.
 pub fn report(now: u64, document: &Document, reply: OutcomesReply) -> Report {
     let rows: Vec<OutcomeCount> =
         reply.outcomes.into_iter().filter(|row| is_within(row, LONG_WINDOW, now)).collect();
@@ -231,7 +233,7 @@
     }
 }
 
-/// What an outcome's code says.
+/// Classifies the code of an outcome.
 pub fn kind(code: &str) -> Kind {
     match code {
         ANSWERED => Kind::Answered,
@@ -242,7 +244,7 @@
     }
 }
 
-/// Whether the code is a name of one of the enum's variants.
+/// Whether the code is the serialised name of a variant of `T`.
 fn is_one_of<T: DeserializeOwned>(code: &str) -> bool {
     serde_json::from_value::<T>(serde_json::Value::from(code)).is_ok()
 }
@@ -343,7 +345,8 @@
         .collect()
 }
 
-/// The point that a slot falls in; a clock that is ahead counts as now.
+/// The index of the point that a slot belongs to. A slot in the future, from an instance
+/// whose clock is ahead, belongs to the newest point.
 fn point(slot: u64, now: u64) -> usize {
     let age = usize::try_from(now.saturating_sub(slot) / POINT_SECONDS).unwrap_or(usize::MAX);
     (POINT_COUNT - 1).saturating_sub(age)
--- a/crates/cli/src/ops/burn/page.rs
+++ b/crates/cli/src/ops/burn/page.rs
@@ -1,5 +1,5 @@
-//! The report as one web page that needs nothing else: no script, no font, no
-//! file beside it.
+//! Renders the report as a self-contained web page, without scripts, fonts or
+//! other files.
 
 use std::{
     fmt::Write,
@@ -11,12 +11,12 @@
     table,
 };
 
-/// Causes shown at the most.
+/// Maximum number of causes on the page.
 const MAX_CAUSES: usize = 15;
 
-/// What the page says of the counts that it can't have.
-pub const COVERAGE_NOTE: &str = "An instance that stops takes its counts with it: requests of instances \
-                        that are gone, or were started again, are not in these figures.";
+/// Note on the counts that the report cannot include.
+pub const COVERAGE_NOTE: &str = "The counts of an instance are lost when it stops: requests of \
+                                 instances that have stopped or restarted are not included.";
 
 const STYLE: &str = "\
 :root { color-scheme: light dark; --ink: #1d2733; --soft: #66717f; --rule: #d7dde4; --bg: #fff; \
@@ -47,7 +47,7 @@
 svg .line { fill: none; stroke: var(--line); stroke-width: 1.8; } svg .dot { fill: var(--line); }
 ";
 
-/// The page.
+/// Renders the report as HTML.
 pub fn render(report: &Report) -> String {
     let at = table::utc(SystemTime::UNIX_EPOCH + Duration::from_secs(report.at));
     let mut page = String::from("<!doctype html>\n<html lang=\"en\">\n<head>\n");
@@ -70,7 +70,7 @@
     let names: Vec<String> = report.instances.iter().map(|name| escape(name)).collect();
     let _ = writeln!(page, "<p>Counts of {} instance(s): {}.</p>", names.len(), names.join(", "));
     if !report.missing.is_empty() {
-        page.push_str("<p class=\"fast\">Without an answer, and not in these figures:</p>\n<ul>\n");
+        page.push_str("<p class=\"fast\">No response; not included in these figures:</p>\n<ul>\n");
         for missing in &report.missing {
             let (instance, reason) = (escape(&missing.instance), escape(&missing.reason));
             let _ = writeln!(page, "<li>{instance}: {reason}</li>");
@@ -94,7 +94,7 @@
     if report.invalid > 0 {
         let _ = writeln!(
             page,
-            "<p class=\"soft\">{} request(s) were wrong in themselves and count neither way.</p>",
+            "<p class=\"soft\">{} request(s) were invalid and are not counted.</p>",
             report.invalid
         );
     }
@@ -166,7 +166,7 @@
     )
 }
 
-/// A kind in words.
+/// The name of a kind for people.
 pub fn kind_text(kind: Kind) -> &'static str {
     match kind {
         Kind::Answered => "answered",
--- a/crates/cli/src/ops/burn/plot.rs
+++ b/crates/cli/src/ops/burn/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of attainment over time as SVG.
+//! Plots attainment over time as SVG.
 
 use std::fmt::Write;
 
@@ -6,24 +6,25 @@
 
 /// Width of a plot, in user units.
 const WIDTH: f64 = 720.0;
-/// Height of a plot.
+/// Height of a plot, in user units.
 const HEIGHT: f64 = 170.0;
-/// Space for the labels left of the plot.
+/// Margin for the labels on the left.
 const LEFT: f64 = 62.0;
-/// Space for the objective's label right of the plot, clear of the others.
+/// Margin for the objective's label on the right, separate from the other labels.
 const RIGHT: f64 = 62.0;
-/// Space above the plot.
+/// Margin at the top.
 const TOP: f64 = 10.0;
-/// Space for the labels below the plot.
+/// Margin for the labels at the bottom.
 const BOTTOM: f64 = 24.0;
-/// Share of the scale that is left below the lowest value.
+/// Margin of the scale below the lowest value, as a share of the range from that
+/// value to 1.
 const LOW_MARGIN: f64 = 0.1;
-/// Hours between two labels of the time axis.
+/// Hours between labels of the time axis.
 const LABEL_HOURS: usize = 1;
 
-/// Draws attainment by point, with the objective as a line across. Points
-/// without requests leave a gap. The scale ends at 1 and starts below the
-/// lowest value, so that small misses show.
+/// Draws the attainment of each point and the objective as a horizontal line.
+/// Points without requests leave a gap. The scale ends at 1 and starts just
+/// below the lowest value, so that small misses are visible.
 pub fn attainment(series: &Series) -> String {
     let scale = Scale::new(series);
     let mut svg = format!(
@@ -45,7 +46,7 @@
     svg
 }
 
-/// Where values and points lie.
+/// Maps points and values to coordinates. `low` is the lowest value of the scale.
 struct Scale {
     low: f64,
     points: usize,
@@ -96,7 +97,7 @@
         writeln!(svg, "<text x=\"{x}\" y=\"{base:.1}\" class=\"{class}\">{percent:.2} %</text>");
 }
 
-/// Points that follow each other without a gap, with their values.
+/// Groups consecutive points that have requests, with their attainment.
 fn runs(points: &[Count]) -> Vec<Vec<(usize, f64)>> {
     let mut runs = vec![Vec::new()];
     for (idx, count) in points.iter().enumerate() {
--- a/crates/cli/src/ops/client.rs
+++ b/crates/cli/src/ops/client.rs
@@ -1,4 +1,4 @@
-//! The administration API, as the commands call it.
+//! Client of the administration API.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,19 +17,20 @@
 
 use crate::error::Error;
 
-/// Time to make a connection.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for an answer. A publish may wait a minute for the instances.
+/// Timeout for a response. A publish may wait up to a minute for the instances.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(90);
-/// The longest answer that is read, in bytes: the status of several hundred instances.
+/// Maximum length of a response, in bytes: the status of several hundred instances.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// Times that a change is sent when no answer comes. It counts once all the same.
+/// Maximum number of attempts to send a change while no response arrives. The change
+/// takes effect once nevertheless.
 const ATTEMPTS: u32 = 3;
 
-/// Where the API is and how to get in.
+/// Address and credentials of the API.
 #[derive(Debug, Clone)]
 pub struct Remote {
-    /// `http://ip:port`.
+    /// URL of peatdeck-admin, `http://ip:port`.
     pub admin: String,
     /// The operators' token.
     pub token: String,
@@ -42,24 +43,24 @@
     remote: Remote,
 }
 
-/// How an exchange failed below the API.
+/// Why an exchange produced no response of the API.
 enum ExchangeError {
-    /// Not a byte was written.
+    /// No byte was written.
     NotSent(String),
-    /// No whole answer came.
+    /// No complete response arrived.
     NoAnswer(String),
 }
 
-/// How one attempt at an operation failed.
+/// Why one attempt at a change failed.
 enum AttemptError {
-    /// This attempt had no effect, or the API itself says what is known.
+    /// The attempt had no effect, or the API has reported what is known.
     Refused(Error),
-    /// It may have had an effect.
+    /// The attempt may have taken effect.
     NoAnswer(String),
 }
 
 impl Client {
-    /// A client; nothing is connected yet.
+    /// Creates a client without connecting.
     ///
     /// # Errors
     /// [`Error::Unreachable`] if ntex cannot build its connector.
@@ -71,7 +72,7 @@
         Ok(Client { http, remote })
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     ///
     /// # Errors
     /// Any [`Error`] of the API.
@@ -79,7 +80,7 @@
         self.get("/v1/config").await
     }
 
-    /// What became of a publish.
+    /// Returns the verdict on a publish.
     ///
     /// # Errors
     /// Any [`Error`] of the API.
@@ -87,7 +88,7 @@
         self.get(&format!("/v1/config/verdict/{}", encode(id))).await
     }
 
-    /// One page of the history.
+    /// Returns one page of the history.
     ///
     /// # Errors
     /// Any [`Error`] of the API.
@@ -95,7 +96,7 @@
         self.get(&format!("/v1/config/history?from={from}&limit={limit}")).await
     }
 
-    /// The status of all instances.
+    /// Returns the status of all instances.
     ///
     /// # Errors
     /// Any [`Error`] of the API.
@@ -103,7 +104,7 @@
         self.get("/v1/status").await
     }
 
-    /// Outcomes of all instances from `since` on, in seconds of Unix time.
+    /// Returns the outcomes of all instances from `since` on, in seconds of Unix time.
     ///
     /// # Errors
     /// Any [`Error`] of the API.
@@ -111,45 +112,49 @@
         self.get(&format!("/v1/outcomes?since={since}")).await
     }
 
-    /// Publishes. Sent again where no answer comes, under the same id.
+    /// Publishes a document. Repeated with the same id if no response arrives.
     ///
     /// # Errors
-    /// Any [`Error`] of the API; [`Error::NoAnswer`] where it may have taken effect.
+    /// Any [`Error`] of the API; [`Error::NoAnswer`] if it may have taken effect.
     pub async fn publish(&self, body: &PublishBody) -> Result<PublishReply, Error> {
         let remedy = format!(
-            "it may have taken effect: publish the same file again with --id {} --base {}, it counts once",
+            "it may have taken effect: publish the same file again with --id {} --base {}; it takes effect once",
             body.id, body.base
         );
         self.post_with_retries("/v1/config/publish", body, &remedy).await
     }
 
-    /// Restores. Sent again where no answer comes, under the same id.
+    /// Restores a document. Repeated with the same id if no response arrives.
     ///
     /// # Errors
-    /// Any [`Error`] of the API; [`Error::NoAnswer`] where it may have taken effect.
+    /// Any [`Error`] of the API; [`Error::NoAnswer`] if it may have taken effect.
     pub async fn restore(&self, body: &RestoreBody) -> Result<PublishReply, Error> {
         let remedy = format!(
-            "it may have taken effect: restore the same file again with --id {}, it counts once",
+            "it may have taken effect: restore the same file again with --id {}; it takes effect once",
             body.id
         );
         self.post_with_retries("/v1/config/restore", body, &remedy).await
     }
 
-    /// Drains an endpoint. Sent again where no answer comes; it counts once.
+    /// Drains an endpoint. Repeated if no response arrives; it takes effect once.
     ///
     /// # Errors
-    /// Any [`Error`] of the API; [`Error::NoAnswer`] where it may have taken effect.
+    /// Any [`Error`] of the API; [`Error::NoAnswer`] if it may have taken effect.
     pub async fn drain(&self, endpoint: &str, body: &DrainBody) -> Result<DrainReply, Error> {
         let path = format!("/v1/endpoints/{}/drain", encode(endpoint));
-        self.post_with_retries(&path, body, "it may have taken effect: drain again, it counts once")
-            .await
+        self.post_with_retries(
+            &path,
+            body,
+            "it may have taken effect: drain again; it takes effect once",
+        )
+        .await
     }
 
-    /// Evacuates a data centre, or takes that back. Sent again where no answer comes; it
-    /// counts once.
+    /// Evacuates a data centre, or ends its evacuation. Repeated if no response arrives; it
+    /// takes effect once.
     ///
     /// # Errors
-    /// Any [`Error`] of the API; [`Error::NoAnswer`] where it may have taken effect.
+    /// Any [`Error`] of the API; [`Error::NoAnswer`] if it may have taken effect.
     pub async fn evacuate(
         &self,
         data_centre: &str,
@@ -159,7 +164,7 @@
         self.post_with_retries(
             &path,
             body,
-            "it may have taken effect: send it again, it counts once",
+            "it may have taken effect: send it again; it takes effect once",
         )
         .await
     }
@@ -170,7 +175,7 @@
             Ok((status, body)) => read(status, &body),
             Err(ExchangeError::NotSent(cause)) => Err(self.unreachable(cause)),
             Err(ExchangeError::NoAnswer(cause)) => {
-                Err(self.no_answer(cause, "nothing was changed: ask again", false))
+                Err(self.no_answer(cause, "nothing was changed: run the command again", false))
             }
         }
     }
@@ -199,7 +204,7 @@
         Err(self.no_answer(last_cause.unwrap_or_default(), remedy, true))
     }
 
-    /// One attempt at an operation that changes something.
+    /// Makes one attempt at a change.
     async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -253,7 +258,7 @@
         Ok((status, read_body(response).await?))
     };
     let on_timeout =
-        |_| ExchangeError::NoAnswer(format!("nothing for {} s", ANSWER_TIMEOUT.as_secs()));
+        |_| ExchangeError::NoAnswer(format!("no response for {} s", ANSWER_TIMEOUT.as_secs()));
     tokio::time::timeout(ANSWER_TIMEOUT, whole).await.map_err(on_timeout)?
 }
 
@@ -263,7 +268,7 @@
         let chunk = chunk.map_err(|cause| ExchangeError::NoAnswer(cause.to_string()))?;
         if body.len() + chunk.len() > MAX_ANSWER_BYTES {
             return Err(ExchangeError::NoAnswer(format!(
-                "the answer takes over {MAX_ANSWER_BYTES} bytes"
+                "the response exceeds {MAX_ANSWER_BYTES} bytes"
             )));
         }
         body.extend_from_slice(&chunk);
@@ -280,14 +285,14 @@
     Err(Error::Api(Box::new(error)))
 }
 
-/// Whether a refusal also settles earlier attempts that got no answer: under
-/// the same id and base, they too can't have been accepted.
+/// Whether a refusal also proves that earlier attempts without a response were
+/// not accepted, since they had the same id and base.
 fn settles_earlier_attempts(error: &Error) -> bool {
     let Error::Api(error) = error else { return false };
     matches!(&*error.code, "conflict" | "not_lost" | "invalid_document" | "id_reused" | "malformed")
 }
 
-/// A name as one segment of a path.
+/// Percent-encodes a name as one segment of a path.
 fn encode(name: &str) -> Arc<str> {
     let mut text = String::with_capacity(name.len());
     for byte in name.bytes() {
--- a/crates/cli/src/ops/explain.rs
+++ b/crates/cli/src/ops/explain.rs
@@ -1,12 +1,14 @@
-//! One request's story out of log files.
+//! Finds the log lines of one request in the log files of all instances.
 //!
-//! A line tells of a request if it names its id, or if it tells of a call or a
-//! hand-over that an earlier line of the same instance connected with it.
-//! Those are followed too, so the pieces that another instance had made are
-//! part of the story. So are the lines of crashes under the same content, whoever
-//! sent it, and of its being held back; and the operators' evacuations, where it was
-//! refused for one; what the endpoints that it was sent to say of themselves; and where
-//! the instances that decided had tables of a store that came back from an older copy.
+//! A line belongs to a request if it contains the request's id, or a call, hand-over or
+//! ticket that an earlier line of the same instance linked to the request. Pieces that
+//! another instance ran are thus included. These lines are included as well:
+//!
+//! - crashes under the same content, whichever request had it, and its quarantine;
+//! - evacuations in force at the instance that refused the request because of one;
+//! - the terms announced by the endpoints that the request was sent to;
+//! - restores of a table's store from an older copy, as recorded by the instances that sent
+//!   or refused the request.
 
 use std::{collections::HashSet, fs, path::Path};
 
@@ -15,25 +17,25 @@
 
 use crate::error::Error;
 
-/// Fields that name something which later lines tell more about.
+/// Fields whose values link later lines of the same instance to the request.
 const LINK_FIELDS: [&str; 3] = ["call", "handover", "ticket"];
-/// Fields that may hold the request's id.
+/// Fields that may contain the request's id.
 const ID_FIELDS: [&str; 2] = ["id", "pieces"];
 
-/// One line of the story.
+/// A parsed log line.
 #[message]
 pub struct LogLine {
-    /// When it was logged, by that instance's clock.
+    /// Timestamp by the clock of the instance.
     pub time: String,
-    /// The instance, as the file or the line's prefix names it.
+    /// Name of the instance, from the line's prefix or else from the file name.
     pub instance: String,
-    /// What happened.
+    /// The value of the field `event`.
     pub event: String,
     /// All other fields.
     pub fields: Map<String, Value>,
 }
 
-/// The lines of all files that tell of a request, by time.
+/// Returns the lines of all files that concern a request, sorted by time.
 ///
 /// # Errors
 /// [`Error::File`] if a file cannot be read.
@@ -61,7 +63,7 @@
     Ok(lines)
 }
 
-/// The instance that refused a request since all that it needs is evacuated, and when.
+/// The instance and time of a refusal because of an evacuation.
 fn evacuation_refusal(line: &LogLine, id: &str) -> Option<(String, String)> {
     let text = |name: &str| line.fields.get(name).and_then(Value::as_str);
     let is_match = line.event == "refuse" && text("id") == Some(id);
@@ -69,35 +71,37 @@
     (is_match && is_evacuated).then(|| (line.instance.clone(), line.time.clone()))
 }
 
-/// Whether a line tells of an evacuation that its refuser knew of.
+/// Whether a line reports the start or end of an evacuation that was logged by the refusing
+/// instance before the refusal.
 fn is_evacuation(line: &LogLine, refused_by: Option<&(String, String)>) -> bool {
     let Some((instance, time)) = refused_by else { return false };
     let is_order = matches!(line.event.as_str(), "evacuated" | "restored");
     is_order && line.instance == *instance && line.time <= *time
 }
 
-/// The endpoint that a request was sent to.
+/// The endpoint that the request was sent to.
 fn called_endpoint(line: &LogLine, id: &str) -> Option<String> {
     let text = |name: &str| line.fields.get(name).and_then(Value::as_str);
     let is_match = line.event == "send" && text("id") == Some(id);
     is_match.then(|| text("endpoint").map(str::to_owned))?
 }
 
-/// Whether a line tells what one of these endpoints says of itself.
+/// Whether a line reports terms that one of these endpoints announced.
 fn is_endpoint_terms(line: &LogLine, called: &HashSet<String>) -> bool {
     let is_term = matches!(line.event.as_str(), "endpoint_limit" | "endpoint_leaves");
     let endpoint = line.fields.get("endpoint").and_then(Value::as_str);
     is_term && endpoint.is_some_and(|endpoint| called.contains(endpoint))
 }
 
-/// The instance that decided on a request, and when.
+/// The instance and time of a decision to send or refuse the request.
 fn decision(line: &LogLine, id: &str) -> Option<(String, String)> {
     let is_named = line.fields.get("id").and_then(Value::as_str) == Some(id);
     let is_decision = matches!(line.event.as_str(), "send" | "refuse");
     (is_named && is_decision).then(|| (line.instance.clone(), line.time.clone()))
 }
 
-/// Whether a line tells of an older copy that such an instance had heard of by then.
+/// Whether a line reports an older copy of the store that a deciding instance had received before
+/// its decision.
 fn is_older_copy(line: &LogLine, deciders: &[(String, String)]) -> bool {
     let is_copy = matches!(line.event.as_str(), "table_copied" | "records_given_up");
     let is_match =
@@ -105,7 +109,7 @@
     is_copy && deciders.iter().any(is_match)
 }
 
-/// The story as text.
+/// Formats the lines as text.
 pub fn render(lines: &[LogLine]) -> String {
     let width = lines.iter().map(|line| line.instance.len()).max().unwrap_or(0);
     let mut text = String::new();
@@ -126,8 +130,8 @@
     shown.map(field).collect()
 }
 
-/// Reads a line. A collector may have put a time and the instance's name in
-/// front of the JSON.
+/// Parses a line; `None` if it is not a log line with an event. A log collector may
+/// have prefixed the JSON with a time and the instance's name.
 fn parse(file: &str, line: &str) -> Option<LogLine> {
     let (prefix, json) = line.split_at(line.find('{')?);
     let mut fields: Map<String, Value> = serde_json::from_str(json).ok()?;
@@ -142,7 +146,7 @@
 
 fn belongs_to(line: &LogLine, id: &str, known: &mut HashSet<(String, String)>) -> bool {
     if line.event == "start" {
-        // A new life of an instance numbers its calls anew.
+        // A restarted instance numbers its calls from the beginning.
         known.retain(|(instance, _)| *instance != line.instance);
         return false;
     }
@@ -160,14 +164,14 @@
     is_named || is_linked
 }
 
-/// What a request asks for, by the line of its arrival.
+/// The content fingerprint of the request, from the line of its arrival.
 fn content_of(line: &LogLine, id: &str) -> Option<String> {
     let text = |name: &str| line.fields.get(name).and_then(Value::as_str);
     let is_arrival = line.event == "arrive" && text("id") == Some(id);
     is_arrival.then(|| text("content").map(str::to_owned))?
 }
 
-/// Whether a line tells of crashes under a content, or of its being held back.
+/// Whether a line reports a crash under the content or its quarantine.
 fn is_crash_or_quarantine(line: &LogLine, content: Option<&str>) -> bool {
     let text = |name: &str| line.fields.get(name).and_then(Value::as_str);
     let Some(content) = content else { return false };
@@ -177,7 +181,7 @@
     }
 }
 
-/// Whether a name is the request's id, or that of one of its pieces.
+/// Whether `name` is the request's id or the id of one of its pieces.
 fn is_id_of(name: &str, id: &str) -> bool {
     name.strip_prefix(id).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
--- a/crates/cli/src/ops/quarantine.rs
+++ b/crates/cli/src/ops/quarantine.rs
@@ -1,4 +1,4 @@
-//! What relay instances hold back, asked at the metrics address of one of them.
+//! Lists and releases quarantined contents at the metrics address of a relay instance.
 
 use ntex::http::{Method, StatusCode};
 use peatdeck_wire::operators::{Held, QUARANTINE};
@@ -8,18 +8,20 @@
     ops::relay::{self, send, unexpected_status},
 };
 
-/// What an instance holds back.
+/// Lists the contents that an instance has quarantined.
 ///
 /// # Errors
-/// [`Error::Instance`], [`Error::Unreadable`].
+/// [`Error::Instance`] if the request fails, [`Error::Unreadable`] if the response is
+/// invalid.
 pub async fn list(instance: &str) -> Result<Vec<Held>, Error> {
     relay::list(instance, QUARANTINE).await
 }
 
-/// Releases a content at all instances, by one that holds it back.
+/// Releases a content at all instances, through one that has quarantined it.
 ///
 /// # Errors
-/// [`Error::Instance`]; [`Error::NotQuarantined`] if that one does not hold it back.
+/// [`Error::Instance`] if the request fails; [`Error::NotQuarantined`] if this instance has
+/// not quarantined the content.
 pub async fn release(instance: &str, content: &str) -> Result<(), Error> {
     let path = format!("{QUARANTINE}/{content}");
     let (status, body) = send(instance, Method::DELETE, &path).await?;
--- a/crates/cli/src/ops/relay.rs
+++ b/crates/cli/src/ops/relay.rs
@@ -1,4 +1,4 @@
-//! Questions to a relay instance, at its metrics address.
+//! Sends requests to a relay instance at its metrics address.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 
 use crate::error::Error;
 
-/// Time to make a connection.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for a whole answer.
+/// Timeout for a complete response.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest answer that is read, in bytes: a thousand contents take 150 KB.
+/// Maximum length of a response, in bytes; a thousand contents take 150 KB.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// What an instance lists at a path.
+/// Reads the list that an instance serves at a path.
 ///
 /// # Errors
-/// [`Error::Instance`], [`Error::Unreadable`].
+/// [`Error::Instance`] if the request fails, [`Error::Unreadable`] if the response is
+/// invalid.
 pub async fn list<T: DeserializeOwned>(instance: &str, path: &str) -> Result<Vec<T>, Error> {
     let (status, body) = send(instance, Method::GET, path).await?;
     if status != StatusCode::OK {
@@ -28,10 +29,10 @@
     serde_json::from_slice(&body).map_err(|cause| Error::Unreadable { cause: cause.to_string() })
 }
 
-/// Asks an instance.
+/// Sends a request without a body and returns the status and body of the response.
 ///
 /// # Errors
-/// [`Error::Instance`] if it gives no whole answer in time.
+/// [`Error::Instance`] if no complete response arrives in time.
 pub async fn send(
     instance: &str,
     method: Method,
@@ -46,18 +47,18 @@
         while let Some(chunk) = response.next().await {
             body.extend_from_slice(&chunk.map_err(|error| failed(error.to_string()))?);
             if body.len() > MAX_ANSWER_BYTES {
-                return Err(failed(format!("the answer takes over {MAX_ANSWER_BYTES} bytes")));
+                return Err(failed(format!("the response exceeds {MAX_ANSWER_BYTES} bytes")));
             }
         }
         Ok((response.status(), body))
     };
-    let on_timeout = |_| failed(format!("no answer for {} s", ANSWER_TIMEOUT.as_secs()));
+    let on_timeout = |_| failed(format!("no response for {} s", ANSWER_TIMEOUT.as_secs()));
     tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.map_err(on_timeout)?
 }
 
-/// The error of an answer with a status that was not expected.
+/// The error for a response with an unexpected status.
 pub fn unexpected_status(instance: &str, status: StatusCode, body: &[u8]) -> Error {
-    let said = String::from_utf8_lossy(body).trim().to_owned();
-    let cause = format!("status {}, {said}", status.as_u16());
+    let text = String::from_utf8_lossy(body).trim().to_owned();
+    let cause = format!("status {}, {text}", status.as_u16());
     Error::Instance { instance: instance.to_owned(), cause }
 }
--- a/crates/cli/src/ops/source.rs
+++ b/crates/cli/src/ops/source.rs
@@ -1,7 +1,8 @@
-//! A configuration file: reading it, and errors that point into it.
+//! Reads and checks a configuration file, with errors that point into its text.
 //!
-//! The checker in the core knows a document, not its text. A problem's path is
-//! therefore walked again through the file's syntax tree to find the span.
+//! The checker in the core works on a parsed document without source positions.
+//! The path of a problem is therefore followed through the file's syntax tree to
+//! find its span.
 
 use std::ops::Range;
 
@@ -17,42 +18,42 @@
 
 use crate::error;
 
-/// Why a file holds no valid document.
+/// Why a file does not contain a valid document.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum Error {
-    /// It is not TOML, or has fields that a document doesn't have.
+    /// The file is not valid TOML or does not match the document's structure.
     #[error("{message}")]
     #[diagnostic(help("see the configuration reference for the tables and their fields"))]
     Syntax {
-        /// What the parser said.
+        /// The parser's message.
         message: String,
         /// The file.
         #[source_code]
         source_code: NamedSource<String>,
-        /// Where.
+        /// Span of the error; `None` if the parser gives none.
         #[label("here")]
         at: Option<SourceSpan>,
     },
-    /// The document is not valid.
+    /// The document violates checks.
     #[error("{} has {} problem(s)", .source_code.name(), .problems.len())]
     Invalid {
         /// The file.
         #[source_code]
         source_code: NamedSource<String>,
-        /// Everything that is wrong with it.
+        /// All problems found.
         #[related]
         problems: Vec<Located>,
     },
 }
 
-/// A problem and its place in the file.
+/// A problem with its position in the file.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{}: {}", .problem.path, .problem.message)]
 #[diagnostic(help("{}", .problem.remedy))]
 pub struct Located {
-    /// The problem.
+    /// The problem, as reported by the checker.
     pub problem: Problem,
-    /// Its place; `None` for the document as a whole.
+    /// Span of the problem; `None` if it concerns the whole document.
     #[label("here")]
     pub at: Option<SourceSpan>,
 }
@@ -60,17 +61,18 @@
 /// Reads and checks a configuration file.
 ///
 /// # Errors
-/// [`error::Error::File`], [`error::Error::Source`].
+/// [`error::Error::File`] if the file cannot be read, [`error::Error::Source`] if it is
+/// invalid.
 pub fn load(path: &str) -> Result<Document, error::Error> {
     let text = std::fs::read_to_string(path)
         .map_err(|cause| error::Error::File { path: path.to_owned(), cause })?;
     Ok(parse(path, &text, check::compile)?)
 }
 
-/// Reads and checks a document. `name` is the file's name, for errors.
+/// Parses and checks a document. `name` is the file name in errors.
 ///
 /// # Errors
-/// [`Error`], with everything that is wrong.
+/// [`Error`] with a syntax error or all problems found.
 pub fn parse(
     name: &str,
     text: &str,
@@ -95,8 +97,8 @@
     Err(Error::Invalid { source_code: source_code(), problems })
 }
 
-/// The span of a path: of its field's value, else of the name of its table,
-/// else of the table.
+/// The span of a path: that of the field's value, else that of the table's name,
+/// else that of the table.
 fn locate(tree: &Spanned<DeTable<'_>>, path: &Path) -> Option<Range<usize>> {
     let mut table = tree.get_ref();
     let mut span = None;
--- a/crates/cli/src/shell.rs
+++ b/crates/cli/src/shell.rs
@@ -1,4 +1,4 @@
-//! What a command gets from its surroundings, and what it gives back.
+//! The environment of a command and its output.
 
 use std::{str::FromStr, time::SystemTime};
 
@@ -6,26 +6,26 @@
 
 use crate::{error::Error, exit};
 
-/// What a command gets besides its flags.
+/// The inputs of a command other than its flags.
 #[derive(Debug, Clone)]
 pub struct Environment {
-    /// The operators' token, if one is set.
+    /// The operators' token; `None` if `PEATDECK_ADMIN_TOKEN` is not set.
     pub token: Option<String>,
-    /// The wall clock at the start.
+    /// Wall-clock time at the start of the process.
     pub now: SystemTime,
 }
 
-/// How a command's result is written.
+/// The output format of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Format {
-    /// For people.
+    /// Text for a terminal.
     #[default]
     Table,
-    /// One JSON value, as the administration API gives it.
+    /// One JSON value, as returned by the API.
     Json,
 }
 
-/// A format that does not exist.
+/// The name of an unknown format.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown format `{0}`; use `table` or `json`")]
 pub struct UnknownFormat(String);
@@ -42,32 +42,32 @@
     }
 }
 
-/// What a command gives back.
+/// The result of a command that did not fail.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Output {
-    /// For standard output.
+    /// Text for standard output.
     pub text: String,
-    /// How it ended.
+    /// The exit code.
     pub code: exit::Code,
 }
 
 impl Output {
-    /// A result that is whole.
+    /// A complete result.
     pub fn done(text: String) -> Output {
         Output { text, code: exit::Code::Done }
     }
 
-    /// A result that is whole only if `whole`.
-    pub fn partial_unless(whole: bool, text: String) -> Output {
-        let code = if whole { exit::Code::Done } else { exit::Code::Partial };
+    /// A result with [`exit::Code::Partial`] unless it is complete.
+    pub fn partial_unless(is_complete: bool, text: String) -> Output {
+        let code = if is_complete { exit::Code::Done } else { exit::Code::Partial };
         Output { text, code }
     }
 }
 
-/// A result as JSON, with a line end.
+/// Formats a result as indented JSON with a final newline.
 ///
 /// # Errors
-/// [`Error::Unreadable`] if it has no JSON form.
+/// [`Error::Unreadable`] if the result cannot be serialised.
 pub fn json<T: Serialize>(result: &T) -> Result<String, Error> {
     let mut text = serde_json::to_string_pretty(result)
         .map_err(|cause| Error::Unreadable { cause: cause.to_string() })?;
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,30 +1,30 @@
-//! Tables for people: columns as wide as their widest cell.
+//! Plain-text tables for terminals, with columns as wide as their widest cell.
 
 use std::time::{Duration, SystemTime};
 
-/// Space between two columns.
+/// Spaces between two columns.
 const GAP: usize = 2;
 /// Seconds in a day.
 const DAY: u64 = 86_400;
 
-/// A table that is written at once.
+/// A table, rendered as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these column titles.
+    /// Creates a table with these column titles.
     pub fn new<const N: usize>(titles: [&str; N]) -> Table {
         Table { rows: vec![titles.iter().map(ToString::to_string).collect()] }
     }
 
-    /// Adds a row.
+    /// Appends a row.
     pub fn row<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.to_vec());
     }
 
-    /// The table as text, a line for each row.
+    /// Renders the table as text, one line per row.
     pub fn render(&self) -> String {
         let widths = self.widths();
         let mut text = String::new();
@@ -50,12 +50,12 @@
     }
 }
 
-/// A share in percent, rounded down so that a miss never shows as 100 %; a dash
-/// where there is none.
+/// Formats a share as a percentage, rounded down so that it is 100 % only if there
+/// is no miss; `None` becomes a dash.
 pub fn percent(share: Option<f64>) -> String {
-    /// Steps of a thousandth of a percent in a share of 1.
+    /// Steps of 0.001 % in a share of 1.
     const STEPS: f64 = 100_000.0;
-    /// What a binary fraction may lack of the decimal one it stands for.
+    /// Compensates for binary fractions slightly below the decimal value.
     const ROUNDING_SLACK: f64 = 1e-6;
     match share {
         Some(share) => format!("{:.3} %", (share * STEPS + ROUNDING_SLACK).floor() / STEPS * 100.0),
@@ -63,17 +63,17 @@
     }
 }
 
-/// A burn rate; a dash where there is none.
+/// Formats a burn rate; `None` becomes a dash.
 pub fn rate(rate: Option<f64>) -> String {
     rate.map_or_else(|| "–".to_owned(), |rate| format!("{rate:.1}"))
 }
 
-/// A name, or a word for its absence.
+/// The name, or a placeholder if it is empty.
 pub fn name_or_placeholder(name: &str) -> &str {
     if name.is_empty() { "(not named)" } else { name }
 }
 
-/// A moment as `2026-03-01T06:30:00Z`.
+/// Formats a time as `2026-03-01T06:30:00Z`.
 pub fn utc(time: SystemTime) -> String {
     let since = time.duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO).as_secs();
     let (year, month, day) = date(since / DAY);
@@ -81,9 +81,9 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Year, month and day of a number of days since 1970, by the Gregorian
-/// calendar. Counts in eras of 400 years that start on the first of March, so
-/// that the leap day is the last of its year.
+/// Converts a number of days since 1970-01-01 to year, month and day of the
+/// Gregorian calendar. Eras of 400 years start on 1 March, so that the leap day
+/// is the last day of its year.
 fn date(days: u64) -> (u64, u64, u64) {
     const ERA_DAYS: u64 = 146_097;
     const DAYS_TO_1970: u64 = 719_468;
--- a/crates/cli/tests/testsuite/burn.rs
+++ b/crates/cli/tests/testsuite/burn.rs
@@ -189,11 +189,11 @@
         <h1>Service-level burn</h1>
         <p class="sub">Six hours to 2026-03-01T06:30:00Z</p>
         <p>Counts of 1 instance(s): entry-1.</p>
-        <p class="fast">Without an answer, and not in these figures:</p>
+        <p class="fast">No response; not included in these figures:</p>
         <ul>
         <li>entry-&lt;2&gt;: no &quot;answer&quot;</li>
         </ul>
-        <p class="soft">An instance that stops takes its counts with it: requests of instances that are gone, or were started again, are not in these figures.</p>
+        <p class="soft">The counts of an instance are lost when it stops: requests of instances that have stopped or restarted are not included.</p>
         <h2>Pipelines and teams</h2>
         <div class="wide"><table>
         <tr><th class="name">Pipeline, team</th><th>Requests</th><th>Attainment</th><th>Objective</th><th>Budget left</th><th>Burn 5 min</th><th>1 h</th><th>6 h</th><th class="name">Alert</th></tr>
@@ -203,7 +203,7 @@
         <tr class=""><td class="name team">bala</td><td>600</td><td>96.666 %</td><td>99.000 %</td><td>-233.334 %</td><td>10.0</td><td>3.3</td><td>3.3</td><td class="name"></td></tr>
         <tr class=""><td class="name team">corwen</td><td>9</td><td>0.000 %</td><td>99.000 %</td><td>-9900.000 %</td><td>100.0</td><td>100.0</td><td>100.0</td><td class="name"><span class="fast">fast burn</span></td></tr>
         </table></div>
-        <p class="soft">1 request(s) were wrong in themselves and count neither way.</p>
+        <p class="soft">1 request(s) were invalid and are not counted.</p>
         <h2>Attainment over time</h2>
         <h3>summary</h3>
         <svg viewBox="0 0 720 170" role="img" aria-label="Attainment over time">
@@ -293,11 +293,11 @@
         ticket    corwen  may have run: timed_out  encode  18        29.032 %
         summary   bala    not run: over_share              4         6.451 %
 
-        2 request(s) were wrong in themselves and count neither way.
+        2 request(s) were invalid and are not counted.
 
         Counts of 2 instance(s): entry-1, entry-2.
         No answer from entry-3: no connection to 127.0.0.1:1: Connection refused (os error 111); check the address and that the service runs
-        An instance that stops takes its counts with it: requests of instances that are gone, or were started again, are not in these figures.
+        The counts of an instance are lost when it stops: requests of instances that have stopped or restarted are not included.
     "#]].assert_eq(&bench.run(&["burn", "--html", &path]).await);
     assert!(bench.read("burn.html").starts_with("<!doctype html>"));
     let json = bench.run(&["burn", "--format", "json"]).await;
--- a/crates/cli/tests/testsuite/drain.rs
+++ b/crates/cli/tests/testsuite/drain.rs
@@ -13,7 +13,7 @@
     let answer = bench.run(&["drain", "engine 1/a", "--author", "mair"]).await;
     expect![[r#"
         exit 0
-        accepted: engine 1/a gets no new work in incarnation 3
+        accepted: engine 1/a receives no new work in incarnation 3
     "#]]
     .assert_eq(&answer);
 }
--- a/crates/cli/tests/testsuite/evacuate.rs
+++ b/crates/cli/tests/testsuite/evacuate.rs
@@ -13,7 +13,7 @@
     let answer = bench.run(&["evacuate", "dc1", "--author", "mair"]).await;
     expect![[r#"
         exit 0
-        accepted: 1 endpoints of dc1 get no new work
+        accepted: 1 endpoints of dc1 receive no new work
     "#]]
     .assert_eq(&answer);
     let shown = bench.run(&["show"]).await;
@@ -21,7 +21,7 @@
     let answer = bench.run(&["evacuate", "dc1", "--over", "--author", "mair"]).await;
     expect![[r#"
         exit 0
-        accepted: 1 endpoints of dc1 are used again
+        accepted: 1 endpoints of dc1 receive new work again
     "#]]
     .assert_eq(&answer);
     let history = bench.run(&["show", "--history"]).await;
@@ -37,7 +37,7 @@
     let answer = bench.run(&["evacuate", "dc9", "--author", "mair"]).await;
     expect![[r#"
         exit 0
-        accepted: endpoints of dc9 get no new work; the list has none there
+        accepted: endpoints of dc9 receive no new work; none is listed
     "#]]
     .assert_eq(&answer);
 }
--- a/crates/cli/tests/testsuite/explain.rs
+++ b/crates/cli/tests/testsuite/explain.rs
@@ -51,8 +51,8 @@
     let shown = support::run(None, &["explain", "r2", &asked]).await;
     expect![[r#"
         exit 1
-          x no line of these files tells of the request r2
-          help: give the log files of all instances, from before the request came
+          x no line of these files refers to request r2
+          help: give the log files of all instances, starting before the request arrived
     "#]]
     .assert_eq(&shown);
 }
--- a/crates/cli/tests/testsuite/quarantine.rs
+++ b/crates/cli/tests/testsuite/quarantine.rs
@@ -19,7 +19,7 @@
     let shown = support::run(None, &["quarantine", "--at", &addr]).await;
     expect![[r#"
         exit 0
-        nothing is held back
+        no content is quarantined
     "#]]
     .assert_eq(&shown);
 }
@@ -31,14 +31,14 @@
     let shown = support::run(None, &args).await;
     expect![[r#"
         exit 0
-        released 00ff; all instances know within seconds
+        released 00ff; all instances apply this within seconds
     "#]]
     .assert_eq(&shown);
     let shown = support::run(None, &args).await;
     expect![[r#"
         exit 1
-          x 00ff is not held back there
-          help: list what is held back with `peatdeck quarantine`, at this instance
+          x 00ff is not quarantined at this instance
+          help: list the quarantined contents of the instance with `peatdeck quarantine`
     "#]]
     .assert_eq(&shown);
 }
--- a/crates/cli/tests/testsuite/show.rs
+++ b/crates/cli/tests/testsuite/show.rs
@@ -132,7 +132,7 @@
     expect![[r#"
         exit 6
         # version 0
-        # the log is out: a later version may exist
+        # the log is unavailable: a later version may exist
         pool = []
         pipeline = []
         team = []
--- a/crates/cli/tests/testsuite/terms.rs
+++ b/crates/cli/tests/testsuite/terms.rs
@@ -22,7 +22,7 @@
     let shown = support::run(None, &["terms", "--at", &addr]).await;
     expect![[r#"
         exit 0
-        no endpoint names a limit, wants rest or says that it leaves
+        no endpoint has announced a rate limit, a hold or that it is leaving
     "#]]
     .assert_eq(&shown);
     let shown = support::run(None, &["terms", "--at", &addr]).await;
