--- a/crates/admin/src/ops/publish.rs
+++ b/crates/admin/src/ops/publish.rs
@@ -37,7 +37,7 @@
     let verdict = append_or_find(ctx, &publish).await?;
     let version = accepted_version(ctx, &publish, verdict)?;
     ctx.metrics.count("admin.publish.accepted", 1);
-    tracing::info!(version, publish = &*publish.id, author = &*publish.author, "publish accepted");
+    tracing::info!(version, publish = &*publish.id, author = &*publish.author, "accepted");
     let rollout = status::wait_in_force(ctx, version).await;
     Ok(PublishReply {
         id: publish.id,
--- a/crates/admin/src/ops/restore.rs
+++ b/crates/admin/src/ops/restore.rs
@@ -46,15 +46,15 @@
         ));
     };
     ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
-    let made = match ctx.reader.inspect(|state| is_restored(state, &body.id)) {
-        Some(made) => made,
+    let is_effective = match ctx.reader.inspect(|state| is_restored(state, &body.id)) {
+        Some(is_effective) => is_effective,
         None => append(ctx, &body, version).await?,
     };
-    if !made {
+    if !is_effective {
         return Err(ctx.reader.inspect(not_lost_error));
     }
     ctx.metrics.count("admin.restore.accepted", 1);
-    tracing::info!(version, restore = &*body.id, author = &*body.author, "restore accepted");
+    tracing::info!(version, restore = &*body.id, author = &*body.author, "restored");
     let rollout = status::wait_in_force(ctx, version).await;
     Ok(PublishReply { id: body.id, version, in_force: rollout.in_force, missing: rollout.missing })
 }
--- a/crates/admin/src/ops/settle.rs
+++ b/crates/admin/src/ops/settle.rs
@@ -30,7 +30,8 @@
 /// Appends `record` and reads the stream until `confirm` returns its effect.
 ///
 /// # Errors
-/// [`Failure::Unknown`] if that takes longer than `Timeouts::confirm`.
+/// [`Failure::NotAppended`] if the first append certainly had no effect,
+/// [`Failure::Unknown`] if no effect is read within `Timeouts::confirm`.
 pub async fn append_and_confirm<T>(
     ctx: &Context,
     record: &ConfigRecord,
--- a/crates/cli/src/ops/client.rs
+++ b/crates/cli/src/ops/client.rs
@@ -44,7 +44,7 @@
 }
 
 /// Why an exchange produced no response of the API.
-enum ExchangeError {
+enum Failure {
     /// No byte was written.
     NotSent(String),
     /// No complete response arrived.
@@ -52,7 +52,7 @@
 }
 
 /// Why one attempt at a change failed.
-enum AttemptError {
+enum PostError {
     /// The attempt had no effect, or the API has reported what is known.
     Refused(Error),
     /// The attempt may have taken effect.
@@ -173,8 +173,8 @@
         let request = self.request(Method::GET, path);
         match exchange(request, Vec::new()).await {
             Ok((status, body)) => read(status, &body),
-            Err(ExchangeError::NotSent(cause)) => Err(self.unreachable(cause)),
-            Err(ExchangeError::NoAnswer(cause)) => {
+            Err(Failure::NotSent(cause)) => Err(self.unreachable(cause)),
+            Err(Failure::NoAnswer(cause)) => {
                 Err(self.no_answer(cause, "nothing was changed: run the command again", false))
             }
         }
@@ -192,36 +192,32 @@
         for _ in 0..ATTEMPTS {
             match self.post(path, json.clone()).await {
                 Ok(reply) => return Ok(reply),
-                Err(AttemptError::Refused(error))
+                Err(PostError::Refused(error))
                     if last_cause.is_none() || settles_earlier_attempts(&error) =>
                 {
                     return Err(error);
                 }
-                Err(AttemptError::Refused(_)) => {}
-                Err(AttemptError::NoAnswer(cause)) => last_cause = Some(cause),
+                Err(PostError::Refused(_)) => {}
+                Err(PostError::NoAnswer(cause)) => last_cause = Some(cause),
             }
         }
         Err(self.no_answer(last_cause.unwrap_or_default(), remedy, true))
     }
 
     /// Makes one attempt at a change.
-    async fn post<T: DeserializeOwned>(
-        &self,
-        path: &str,
-        body: Vec<u8>,
-    ) -> Result<T, AttemptError> {
+    async fn post<T: DeserializeOwned>(&self, path: &str, body: Vec<u8>) -> Result<T, PostError> {
         let (status, body) = match exchange(self.request(Method::POST, path), body).await {
             Ok(answer) => answer,
-            Err(ExchangeError::NotSent(cause)) => {
-                return Err(AttemptError::Refused(self.unreachable(cause)));
+            Err(Failure::NotSent(cause)) => {
+                return Err(PostError::Refused(self.unreachable(cause)));
             }
-            Err(ExchangeError::NoAnswer(cause)) => return Err(AttemptError::NoAnswer(cause)),
+            Err(Failure::NoAnswer(cause)) => return Err(PostError::NoAnswer(cause)),
         };
         read(status, &body).map_err(|error| match error {
             Error::Unreadable { cause } => {
-                AttemptError::NoAnswer(format!("status {}, {cause}", status.as_u16()))
+                PostError::NoAnswer(format!("status {}, {cause}", status.as_u16()))
             }
-            error => AttemptError::Refused(error),
+            error => PostError::Refused(error),
         })
     }
 
@@ -242,32 +238,29 @@
     }
 }
 
-async fn exchange(
-    request: ClientRequest,
-    body: Vec<u8>,
-) -> Result<(StatusCode, Vec<u8>), ExchangeError> {
+async fn exchange(request: ClientRequest, body: Vec<u8>) -> Result<(StatusCode, Vec<u8>), Failure> {
     let whole = async {
         let response =
             request.send_body(body).await.map_err(|error| {
                 match http::Error::from_client("it", error) {
-                    http::Error::Unreachable { cause, .. } => ExchangeError::NotSent(cause),
-                    other => ExchangeError::NoAnswer(other.to_string()),
+                    http::Error::Unreachable { cause, .. } => Failure::NotSent(cause),
+                    other => Failure::NoAnswer(other.to_string()),
                 }
             })?;
         let status = response.status();
         Ok((status, read_body(response).await?))
     };
     let on_timeout =
-        |_| ExchangeError::NoAnswer(format!("no response for {} s", ANSWER_TIMEOUT.as_secs()));
+        |_| Failure::NoAnswer(format!("no response for {} s", ANSWER_TIMEOUT.as_secs()));
     tokio::time::timeout(ANSWER_TIMEOUT, whole).await.map_err(on_timeout)?
 }
 
-async fn read_body(mut response: ClientResponse) -> Result<Vec<u8>, ExchangeError> {
+async fn read_body(mut response: ClientResponse) -> Result<Vec<u8>, Failure> {
     let mut body = Vec::new();
     while let Some(chunk) = response.next().await {
-        let chunk = chunk.map_err(|cause| ExchangeError::NoAnswer(cause.to_string()))?;
+        let chunk = chunk.map_err(|cause| Failure::NoAnswer(cause.to_string()))?;
         if body.len() + chunk.len() > MAX_ANSWER_BYTES {
-            return Err(ExchangeError::NoAnswer(format!(
+            return Err(Failure::NoAnswer(format!(
                 "the response exceeds {MAX_ANSWER_BYTES} bytes"
             )));
         }
