--- a/crates/cli/src/ops/explain.rs
+++ b/crates/cli/src/ops/explain.rs
@@ -5,10 +5,11 @@
 //! another instance ran are thus included. These lines are included as well:
 //!
 //! - crashes under the same content, whichever request had it, and its quarantine;
-//! - evacuations in force at the instance that refused the request because of one;
-//! - the terms announced by the endpoints that the request was sent to;
-//! - restores of a table's store from an older copy, as recorded by the instances that sent
-//!   or refused the request.
+//! - if the request was refused because of an evacuation, the evacuations that the refusing
+//!   instance had applied or ended before;
+//! - the limits and departures announced by the endpoints that the request was sent to;
+//! - reports that the platform's store was restored from an older copy, from the instances
+//!   that sent or refused the request, up to that decision.
 
 use std::{collections::HashSet, fs, path::Path};
 
@@ -71,8 +72,8 @@
     (is_match && is_evacuated).then(|| (line.instance.clone(), line.time.clone()))
 }
 
-/// Whether a line reports the start or end of an evacuation that was logged by the refusing
-/// instance before the refusal.
+/// Whether a line reports the start or end of an evacuation at the refusing instance, before the
+/// refusal.
 fn is_evacuation(line: &LogLine, refused_by: Option<&(String, String)>) -> bool {
     let Some((instance, time)) = refused_by else { return false };
     let is_order = matches!(line.event.as_str(), "evacuated" | "restored");
@@ -100,8 +101,8 @@
     (is_named && is_decision).then(|| (line.instance.clone(), line.time.clone()))
 }
 
-/// Whether a line reports an older copy of the store that a deciding instance had received before
-/// its decision.
+/// Whether a line reports that a deciding instance had detected an older copy of the store, or had
+/// dropped records because of it, before its decision.
 fn is_older_copy(line: &LogLine, deciders: &[(String, String)]) -> bool {
     let is_copy = matches!(line.event.as_str(), "table_copied" | "records_given_up");
     let is_match =
