--- a/crates/cli/tests/testsuite/drain.rs
+++ b/crates/cli/tests/testsuite/drain.rs
@@ -13,7 +13,7 @@
     let answer = bench.run(&["drain", "engine 1/a", "--author", "mair"]).await;
     expect![[r#"
         exit 0
-        accepted: engine 1/a gets no new work in incarnation 3
+        accepted: engine 1/a receives no new work in incarnation 3
     "#]]
     .assert_eq(&answer);
 }
@@ -25,7 +25,7 @@
     expect![[r#"
         exit 1
           x the platform's list has no endpoint `engine-9` (unknown_endpoint)
-          help: check the name; a new endpoint shows in the list after some seconds
+          help: check the name; a new endpoint appears in the list after some seconds
     "#]]
     .assert_eq(&answer);
 }
