--- a/crates/core/tests/testsuite/admission.rs
+++ b/crates/core/tests/testsuite/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken in, and when a refused one should come back.
+//! Whether a request is admitted, and when a refused one should be retried.
 
 #![allow(clippy::unwrap_used)]
 
@@ -29,34 +29,34 @@
 }
 
 #[test]
-fn what_fits_the_deadline_is_admitted() {
+fn a_request_that_fits_its_deadline_is_admitted() {
     check(&estimate(1000, 400, 600), expect!["admitted"]);
 }
 
 #[test]
-fn what_does_not_fit_is_told_when_the_excess_is_gone() {
+fn retry_after_is_the_time_until_the_excess_has_drained() {
     check(&estimate(1000, 1700, 600), expect!["Infeasible, in 1.3s"]);
 }
 
 #[test]
-fn work_that_is_too_much_by_itself_waits_for_an_empty_queue() {
+fn work_longer_than_the_deadline_is_retried_once_the_queue_is_empty() {
     check(&estimate(500, 1700, 600), expect!["Infeasible, in 2.3s"]);
 }
 
 #[test]
-fn while_nothing_waits_a_chance_is_enough() {
+fn with_an_empty_queue_only_the_least_work_must_fit() {
     check(&estimate(500, 0, 1000), expect!["admitted"]);
     check(&estimate(200, 0, 1000), expect!["Infeasible, in 1s"]);
 }
 
 #[test]
-fn the_time_to_come_back_is_bounded() {
+fn retry_after_is_bounded() {
     check(&estimate(1000, 401, 600), expect!["Infeasible, in 100ms"]);
     check(&estimate(1000, 900_000, 600), expect!["Infeasible, in 60s"]);
 }
 
 #[test]
-fn a_team_at_its_most_is_refused() {
+fn a_team_at_its_maximum_is_refused() {
     let share =
         Share { active: 10, max_active: Some(10), total: 10, weight: 1.0, is_contended: false };
     check(&Estimate { share, ..estimate(1000, 0, 500) }, expect!["OverShare, in 100ms"]);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_share_is_lent_while_nobody_waits() {
+fn a_team_may_exceed_its_share_without_contention() {
     let share =
         Share { active: 79, max_active: None, total: 100, weight: 0.25, is_contended: false };
     check(&Estimate { share, ..estimate(5000, 1000, 500) }, expect!["admitted"]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_few_requests_say_nothing_of_a_share() {
+fn shares_do_not_apply_to_a_few_requests() {
     let share = Share { active: 3, max_active: None, total: 15, weight: 0.09, is_contended: true };
     check(&Estimate { share, ..estimate(5000, 1000, 500) }, expect!["admitted"]);
     let share = Share { active: 4, ..share };
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn refused_callers_do_not_come_back_together() {
+fn retry_after_has_jitter() {
     let mut rng = SmallRng::seed_from_u64(1);
     let refusal = admission::refusal(RefusalKind::Infeasible, ms(1000));
     let times = [0; 8].map(|_| admission::add_jitter(refusal.clone(), &mut rng).retry_after);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_drain_rate_counts_only_time_in_which_calls_wait() {
+fn the_drain_rate_counts_only_time_during_which_calls_wait() {
     let mut drain = DrainRate::new();
     drain.set_waiting(ms(0), true);
     for at in 1..=10 {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_queue_that_stands_still_makes_the_wait_grow() {
+fn the_wait_grows_while_nothing_is_dispatched() {
     let mut drain = DrainRate::new();
     drain.set_waiting(ms(0), true);
     for at in 1..=10 {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn little_evidence_is_none() {
+fn few_dispatches_give_no_drain_rate() {
     let mut drain = DrainRate::new();
     assert_eq!(drain.time_to_drain(ms(0), 10.0), None);
     drain.set_waiting(ms(0), true);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_probe_is_due_only_after_a_while_without_any_admission() {
+fn a_probe_is_due_only_after_a_time_without_admissions() {
     let mut probe = ProbePacer::new();
     assert!(probe.is_due(ms(0)));
     probe.record_admission(ms(500));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_wait_without_a_measured_rate_is_worked_out_from_places() {
+fn the_wait_is_estimated_from_slots_without_a_measured_rate() {
     assert_eq!(admission::expected_wait(12.0, 4, ms(100)), ms(300));
     assert_eq!(admission::expected_wait(12.0, 0, ms(100)), Duration::from_secs(60));
 }
--- a/crates/core/tests/testsuite/check.rs
+++ b/crates/core/tests/testsuite/check.rs
@@ -1,4 +1,4 @@
-//! Validity of a document.
+//! Validation of a configuration document.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,13 +30,13 @@
 max_tokens = 64
 "#;
 
-/// Compiles every script but one that says `broken`.
+/// Accepts every script that does not contain `broken`.
 fn compile(script: &str) -> Result<(), String> {
     if script.contains("broken") { Err("line 1: not a program".to_owned()) } else { Ok(()) }
 }
 
 fn problems(source: &str) -> String {
-    let document: Document = toml::from_str(source).expect("the test writes TOML");
+    let document: Document = toml::from_str(source).expect("the test document is TOML");
     let problems = check::check(&document, compile);
     let lines = problems.iter().map(|p| format!("{}: {}; {}\n", p.path, p.message, p.remedy));
     lines.collect()
@@ -44,7 +44,7 @@
 
 /// The problems of the valid document with `from` replaced by `to`.
 fn check(from: &str, to: &str, expected: Expect) {
-    assert!(VALID.contains(from), "the valid document holds {from}");
+    assert!(VALID.contains(from), "the valid document contains {from}");
     expected.assert_eq(&problems(&VALID.replacen(from, to, 1)));
 }
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_name_used_twice_is_reported_at_the_second() {
+fn a_duplicate_name_is_reported_at_its_second_use() {
     check(
         "\"writers\"",
         "\"encoders\"",
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_weight_of_0_is_refused() {
+fn a_weight_of_0_is_reported() {
     check(
         "\"bala\"",
         "\"bala\"\nweight = 0",
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn max_tokens_goes_with_engines_only() {
+fn max_tokens_is_for_engines_only() {
     check(
         "\"encoders\"\n[[pipeline.stage]]",
         "\"encoders\"\nmax_tokens = 5\n[[pipeline.stage]]",
--- a/crates/core/tests/testsuite/claims.rs
+++ b/crates/core/tests/testsuite/claims.rs
@@ -1,4 +1,5 @@
-//! What fuzzing does not judge of claims: when facts go out, and what is told.
+//! Behaviour of claims that fuzzing does not check: when facts are appended, and which verdicts
+//! callers receive.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,7 +33,7 @@
     Claims::new(identity, settings)
 }
 
-/// One that has read an empty stream to its end.
+/// Claims that have read an empty stream to its end.
 fn ready_claims() -> Claims {
     let mut claims = new_claims(Settings::default());
     claims.read(ms(0), &batch(0, 0, NOW_MS, Vec::new()));
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn facts_are_batched_and_repeated_until_read_back() {
+fn facts_are_batched_and_appended_again_until_read_back() {
     let mut claims = ready_claims();
     let mut out = String::new();
     claims.request(ms(0), key("x"), 0, 1);
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_claim_never_sent_needs_no_void() {
+fn a_claim_that_was_not_appended_needs_no_void() {
     let mut claims = ready_claims();
     claims.request(ms(0), key("x"), 0, 1);
     claims.give_up(ms(1), &key("x"), 1);
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn a_new_attempt_goes_out_behind_the_void_of_the_old_one() {
+fn a_new_claim_is_appended_after_the_void_of_the_previous_one() {
     let mut claims = ready_claims();
     claims.request(ms(0), key("x"), 0, 1);
     claims.flush(ms(5));
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_claim_behind_its_void_counts_for_nothing() {
+fn a_claim_after_its_void_has_no_effect() {
     let mut claims = ready_claims();
     let facts = vec![(NOW_MS, "b", void("x", 1)), (NOW_MS, "b", claim("x", 1))];
     claims.read(ms(1), &batch(0, 0, NOW_MS, facts));
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn a_reused_key_with_another_body_is_told_apart() {
+fn a_reused_key_with_another_body_is_a_mismatch() {
     let mut claims = ready_claims();
     claims.read(ms(1), &batch(0, 0, NOW_MS, vec![(NOW_MS, "b", claim("x", 1))]));
     assert_eq!(claims.request(ms(2), key("x"), 7, 2), Verdict::Mismatch);
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn a_log_that_fails_refuses_at_once_and_recovers() {
+fn requests_are_refused_while_the_log_fails() {
     let mut claims = ready_claims();
     claims.request(ms(0), key("x"), 0, 1);
     for at in [100, 1_000] {
@@ -151,8 +152,10 @@
     assert_eq!(claims.request(ms(1_300), key("y"), 0, 3), Verdict::Waiting);
 }
 
-/// Whether an instance that starts at `earliest` takes requests, and from when.
-fn check_start(keep_hours: u64, first_ms: Option<u64>, expect: Option<UnreadyKind>) {
+/// Checks what keeps a new instance from deciding claims once it has caught up. The log retains
+/// records for `keep_hours`, has lost those before offset 5, and contains at most one, of
+/// `first_ms`.
+fn check_start(keep_hours: u64, first_ms: Option<u64>, expected: Option<UnreadyKind>) {
     let keep = ms(keep_hours * HOUR_MS);
     let mut claims =
         new_claims(Settings::default().with_horizon(ms(6 * HOUR_MS)).with_retention(keep));
@@ -161,11 +164,11 @@
     claims.read(ms(0), &batch(0, 5, NOW_MS, facts));
     assert_eq!(claims.unready(), Some(UnreadyKind::CatchingUp));
     claims.read(ms(1), &batch(next, 5, NOW_MS, Vec::new()));
-    assert_eq!(claims.unready(), expect);
+    assert_eq!(claims.unready(), expected);
 }
 
 #[test]
-fn a_start_is_ready_once_nothing_within_the_horizon_can_be_lost() {
+fn an_instance_is_ready_once_no_record_within_the_horizon_can_be_missing() {
     check_start(24, None, None);
     check_start(24, Some(NOW_MS - HOUR_MS), None);
     check_start(3, None, Some(UnreadyKind::HistoryIncomplete));
@@ -174,7 +177,7 @@
 }
 
 #[test]
-fn a_retention_shown_to_be_shorter_is_not_trusted() {
+fn expired_records_within_the_stated_retention_make_the_history_incomplete() {
     let mut claims = ready_claims();
     let soon = NOW_MS + HOUR_MS;
     claims.read(ms(1), &batch(0, 4, soon, Vec::new()));
@@ -185,7 +188,7 @@
 }
 
 #[test]
-fn memory_is_bounded_by_the_horizon() {
+fn claims_older_than_the_horizon_are_dropped() {
     let mut claims = ready_claims();
     for hour in 0..40 {
         let at = NOW_MS + hour * HOUR_MS;
@@ -196,7 +199,7 @@
 }
 
 #[test]
-fn a_late_copy_of_a_read_does_not_show_the_end() {
+fn a_repeated_read_is_not_taken_for_the_end_of_the_stream() {
     let mut claims = new_claims(Settings::default());
     let first = batch(0, 0, NOW_MS, vec![(NOW_MS, "b", claim("x", 1))]);
     claims.read(ms(0), &first);
--- a/crates/core/tests/testsuite/config_log.rs
+++ b/crates/core/tests/testsuite/config_log.rs
@@ -1,4 +1,4 @@
-//! What fuzzing does not judge of the configuration fold.
+//! Behaviour of the configuration reader that fuzzing does not check.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,15 +26,14 @@
     ConfigRecord::Publish(Publish { id: Arc::from(id), base, author: Arc::from("op"), document })
 }
 
-fn drain(endpoint: &str, life: u64) -> ConfigRecord {
+fn drain(endpoint: &str, incarnation: u64) -> ConfigRecord {
     ConfigRecord::Drain(Drain {
         endpoint: Arc::from(endpoint),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         author: Arc::from("op"),
     })
 }
 
-/// A fold that has read records to the end.
 fn evacuation(data_centre: &str, is_over: bool) -> ConfigRecord {
     ConfigRecord::Evacuation(Evacuation {
         data_centre: Arc::from(data_centre),
@@ -43,46 +42,48 @@
     })
 }
 
-fn evacuated(fold: &ConfigReader) -> Vec<&str> {
-    fold.current().unwrap().evacuated.iter().map(|known| &*known.data_centre).collect()
+fn evacuated(reader: &ConfigReader) -> Vec<&str> {
+    reader.current().unwrap().evacuated.iter().map(|known| &*known.data_centre).collect()
 }
 
-fn fold_of(records: Vec<ConfigRecord>) -> ConfigReader {
-    let mut fold = ConfigReader::new();
-    fold.read(&batch(0, 0, records));
-    fold.read(&batch(fold.next_offset(), 0, Vec::new()));
-    fold
+/// A reader that has read `records` to the end of the stream.
+fn reader_of(records: Vec<ConfigRecord>) -> ConfigReader {
+    let mut reader = ConfigReader::new();
+    reader.read(&batch(0, 0, records));
+    reader.read(&batch(reader.next_offset(), 0, Vec::new()));
+    reader
 }
 
 #[test]
-fn one_publish_a_base_is_accepted() {
-    let fold = fold_of(vec![publish("a", 0), publish("b", 0), publish("a", 0), publish("c", 1)]);
-    let verdicts = ["a", "b", "c", "d"].map(|id| fold.verdict(id));
+fn only_the_first_publish_for_a_base_is_accepted() {
+    let reader =
+        reader_of(vec![publish("a", 0), publish("b", 0), publish("a", 0), publish("c", 1)]);
+    let verdicts = ["a", "b", "c", "d"].map(|id| reader.verdict(id));
     expect![[r#"
         [Some(Accepted { version: 1 }), Some(Conflict { current: 1 }), Some(Accepted { version: 2 }), None]"#]]
     .assert_eq(&format!("{verdicts:?}"));
-    assert_eq!(fold.verdict("b"), Some(Verdict::Conflict { current: 1 }));
+    assert_eq!(reader.verdict("b"), Some(Verdict::Conflict { current: 1 }));
 }
 
 #[test]
-fn nothing_is_in_force_before_the_end_is_reached() {
-    let mut fold = ConfigReader::new();
-    assert_eq!(fold.read(&batch(0, 0, vec![publish("a", 0)])), Vec::new());
-    assert!(fold.current().is_none());
-    let changes = fold.read(&batch(1, 0, Vec::new()));
+fn no_version_is_in_force_before_the_end_is_read() {
+    let mut reader = ConfigReader::new();
+    assert_eq!(reader.read(&batch(0, 0, vec![publish("a", 0)])), Vec::new());
+    assert!(reader.current().is_none());
+    let changes = reader.read(&batch(1, 0, Vec::new()));
     assert!(matches!(changes[..], [Change::InForce(_, 1)]));
 }
 
 #[test]
-fn a_foreign_record_is_passed_over() {
-    let mut fold = fold_of(vec![publish("a", 0)]);
+fn an_unknown_record_is_skipped() {
+    let mut reader = reader_of(vec![publish("a", 0)]);
     let foreign = Batch { next: 3, ..batch(1, 0, Vec::new()) };
-    fold.read(&foreign);
-    assert_eq!(fold.next_offset(), 3);
-    assert!(!fold.is_gapped());
+    reader.read(&foreign);
+    assert_eq!(reader.next_offset(), 3);
+    assert!(!reader.is_gapped());
 }
 
-/// The state that an operator restored, as the log's only record.
+/// A snapshot that an operator restored.
 fn restored(id: &str) -> ConfigRecord {
     ConfigRecord::Snapshot(Snapshot {
         as_of: Some(4),
@@ -95,88 +96,90 @@
     })
 }
 
-/// A fold that has read to the end, after five records that have expired.
-fn late_fold_of(batches: Vec<Vec<ConfigRecord>>) -> ConfigReader {
+/// A reader that has read `batches` to the end of a stream whose first five records have expired.
+fn late_reader_of(batches: Vec<Vec<ConfigRecord>>) -> ConfigReader {
     let late = |batch| Batch { earliest: 5, ..batch };
-    let mut fold = ConfigReader::new();
-    fold.read(&late(Batch { next: 5, ..batch(0, 0, Vec::new()) }));
+    let mut reader = ConfigReader::new();
+    reader.read(&late(Batch { next: 5, ..batch(0, 0, Vec::new()) }));
     for records in batches {
-        fold.read(&late(batch(fold.next_offset(), 0, records)));
+        reader.read(&late(batch(reader.next_offset(), 0, records)));
     }
-    fold.read(&late(batch(fold.next_offset(), 0, Vec::new())));
-    fold
+    reader.read(&late(batch(reader.next_offset(), 0, Vec::new())));
+    reader
 }
 
 #[test]
-fn of_equal_states_to_start_from_the_first_counts() {
-    let at_once = late_fold_of(vec![vec![restored("a"), restored("b")]]);
-    let singly = late_fold_of(vec![vec![restored("a")], vec![restored("b")]]);
-    for fold in [at_once, singly] {
-        assert_eq!(fold.current().unwrap().publish.as_deref(), Some("a"));
+fn the_first_of_two_equal_restored_snapshots_is_used() {
+    let at_once = late_reader_of(vec![vec![restored("a"), restored("b")]]);
+    let singly = late_reader_of(vec![vec![restored("a")], vec![restored("b")]]);
+    for reader in [at_once, singly] {
+        assert_eq!(reader.current().unwrap().publish.as_deref(), Some("a"));
     }
 }
 
 #[test]
 fn a_restored_version_names_its_restorer_until_the_next_publish() {
-    let fold = late_fold_of(vec![vec![restored("a")]]);
-    assert_eq!(fold.current().unwrap().restorer.as_deref(), Some("op"));
-    let fold = late_fold_of(vec![vec![restored("a"), publish("b", 9)]]);
-    let current = fold.current().unwrap();
+    let reader = late_reader_of(vec![vec![restored("a")]]);
+    assert_eq!(reader.current().unwrap().restorer.as_deref(), Some("op"));
+    let reader = late_reader_of(vec![vec![restored("a"), publish("b", 9)]]);
+    let current = reader.current().unwrap();
     assert_eq!((current.version, &current.restorer), (10, &None));
 }
 
 #[test]
-fn a_drain_holds_for_the_newest_life_and_drains_are_bounded() {
-    let fold = fold_of(vec![drain("x", 2), drain("x", 3), drain("y", 1), drain("x", 1)]);
-    let current = fold.current().unwrap();
-    let lives: Vec<_> = current.drains.iter().map(|d| (&*d.endpoint, d.incarnation.0)).collect();
-    assert_eq!(lives, [("x", 3), ("y", 1)]);
+fn the_newest_incarnation_drained_is_kept_and_drains_are_bounded() {
+    let reader = reader_of(vec![drain("x", 2), drain("x", 3), drain("y", 1), drain("x", 1)]);
+    let current = reader.current().unwrap();
+    let incarnations: Vec<_> =
+        current.drains.iter().map(|d| (&*d.endpoint, d.incarnation.0)).collect();
+    assert_eq!(incarnations, [("x", 3), ("y", 1)]);
     let many = (0..=MAX_DRAINS).map(|idx| drain(&format!("endpoint-{idx}"), 1)).collect();
-    assert_eq!(fold_of(many).current().unwrap().drains.len(), MAX_DRAINS);
+    assert_eq!(reader_of(many).current().unwrap().drains.len(), MAX_DRAINS);
 }
 
 #[test]
 fn the_first_instance_appends_the_snapshot_and_the_others_wait() {
-    let fold = fold_of(vec![publish("a", 0)]);
-    let due = |secs: u64, rank| fold.snapshot_due(secs * 1_000, KEEP, rank).is_some();
+    let reader = reader_of(vec![publish("a", 0)]);
+    let due = |secs: u64, rank| reader.snapshot_due(secs * 1_000, KEEP, rank).is_some();
     assert_eq!([due(1_599, 0), due(1_600, 0)], [false, true]);
     assert_eq!([due(1_699, 1), due(1_700, 1)], [false, true]);
     assert_eq!([due(3_199, 999), due(3_200, 999)], [false, true]);
 }
 
 #[test]
-fn the_newest_order_for_a_data_centre_counts() {
+fn the_newest_evacuation_record_of_a_data_centre_applies() {
     let orders = vec![evacuation("a", false), evacuation("b", false), evacuation("a", false)];
-    assert_eq!(evacuated(&fold_of(orders.clone())), ["a", "b"]);
+    assert_eq!(evacuated(&reader_of(orders.clone())), ["a", "b"]);
     let back = [orders, vec![evacuation("a", true), evacuation("c", true)]].concat();
-    assert_eq!(evacuated(&fold_of(back.clone())), ["b"]);
+    assert_eq!(evacuated(&reader_of(back.clone())), ["b"]);
     let again = [back, vec![evacuation("a", false)]].concat();
-    assert_eq!(evacuated(&fold_of(again)), ["b", "a"]);
+    assert_eq!(evacuated(&reader_of(again)), ["b", "a"]);
 }
 
-/// One too many is not taken in: an order that gave way would be undone unsaid.
+/// An evacuation beyond the limit is ignored: dropping an earlier one for it would silently end
+/// that evacuation.
 #[test]
-fn evacuations_are_bounded_and_none_gives_way() {
+fn evacuations_beyond_the_limit_are_ignored() {
     let many = (0..=MAX_EVACUATED).map(|idx| evacuation(&format!("dc-{idx}"), false));
-    let fold = fold_of(many.collect());
-    assert_eq!(evacuated(&fold).len(), MAX_EVACUATED);
-    assert_eq!(evacuated(&fold)[0], "dc-0");
+    let reader = reader_of(many.collect());
+    assert_eq!(evacuated(&reader).len(), MAX_EVACUATED);
+    assert_eq!(evacuated(&reader)[0], "dc-0");
 }
 
 #[test]
-fn a_snapshot_carries_evacuations_to_whoever_starts_from_it() {
-    let known = fold_of(vec![publish("p", 0), evacuation("a", false)]);
-    let mut fold = ConfigReader::new();
-    let changes = fold.adopt(known.current().unwrap());
+fn an_adopted_snapshot_includes_evacuations() {
+    let known = reader_of(vec![publish("p", 0), evacuation("a", false)]);
+    let mut reader = ConfigReader::new();
+    let changes = reader.adopt(known.current().unwrap());
     assert!(changes.contains(&Change::Evacuated(vec!["a".into()])), "{changes:?}");
-    assert_eq!(evacuated(&fold), ["a"]);
-    // A publish behind it changes nothing of that.
+    assert_eq!(evacuated(&reader), ["a"]);
+    // A later publish keeps the evacuations.
     let records = vec![publish("p", 0), evacuation("a", false), publish("q", 1)];
-    assert_eq!(evacuated(&fold_of(records)), ["a"]);
+    assert_eq!(evacuated(&reader_of(records)), ["a"]);
 }
 
 #[test]
-fn a_record_of_a_build_before_knows_no_evacuations() {
+fn a_snapshot_of_an_earlier_version_has_no_evacuations() {
     let text = r#"{"as_of":null,"version":1,"publish":null,"document":{},"drains":[]}"#;
     let snapshot: Snapshot = serde_json::from_str(text).unwrap();
     assert!(snapshot.evacuated.is_empty());
--- a/crates/core/tests/testsuite/endpoint_states.rs
+++ b/crates/core/tests/testsuite/endpoint_states.rs
@@ -1,6 +1,6 @@
-//! Leaving under any order of lists, marks, restarts and calls, against a
-//! simple oracle: an endpoint gets work only in an incarnation that was listed
-//! and that nobody has marked, itself or a later one.
+//! Leaving under any order of listings, marks, restarts and calls, against a simple oracle: an
+//! endpoint receives calls only in an incarnation that was listed, if neither that incarnation nor
+//! a later one was marked as leaving.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,7 +30,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A list with these endpoints: name, incarnation, whether leaving.
+    /// A listing of endpoints: index of the name, incarnation, whether leaving.
     List(Vec<(usize, u64, bool)>),
     Mark(usize, u64),
     Wait(u64),
@@ -38,7 +38,7 @@
     End(usize, CallResult),
 }
 
-/// The oracle: the newest incarnation marked, for each name.
+/// The newest incarnation marked as leaving, by index of the name.
 #[derive(Debug, Clone, Default)]
 struct Oracle {
     marked: BTreeMap<usize, u64>,
@@ -64,7 +64,7 @@
         let listed = (name(), 1_u64..5, proptest::bool::weighted(0.2));
         prop_oneof![
             3 => prop::collection::vec(listed, 0..4).prop_map(Step::List),
-            1 => (name(), 1_u64..5).prop_map(|(name, life)| Step::Mark(name, life)),
+            1 => (name(), 1_u64..5).prop_map(|(name, incarnation)| Step::Mark(name, incarnation)),
             2 => (1_u64..20_000).prop_map(Step::Wait),
             5 => Just(Step::Call),
             4 => (0_usize..8, prop::sample::select(&RESULTS[..]))
@@ -77,51 +77,57 @@
         match step {
             Step::List(listed) => {
                 let leaving = listed.iter().filter(|(_, _, leaving)| *leaving);
-                leaving.for_each(|(name, life, _)| oracle.mark(*name, *life));
+                leaving.for_each(|(name, incarnation, _)| oracle.mark(*name, *incarnation));
             }
-            Step::Mark(name, life) => oracle.mark(*name, *life),
+            Step::Mark(name, incarnation) => oracle.mark(*name, *incarnation),
             Step::Wait(_) | Step::Call | Step::End(..) => {}
         }
         oracle
     }
 }
 
-struct Driven {
+struct Fixture {
     table: Table,
     now: Duration,
     rng: SmallRng,
-    /// Calls under way: name, incarnation and time of sending.
+    /// Calls in flight: endpoint, its incarnation and the time at which the call was sent.
     calls: Vec<(EndpointName, Incarnation, Duration)>,
-    /// Incarnations whose own answer said that they leave.
-    told: Vec<(EndpointName, Incarnation)>,
+    /// Incarnations that refused a call because they are leaving.
+    reported_leaving: Vec<(EndpointName, Incarnation)>,
 }
 
-impl Driven {
+impl Fixture {
     fn call(&mut self, oracle: &Oracle) {
-        let demand = Criteria { pool: POOL, prefix: None, exclude: &[], peers: &|_| 0 };
-        let Some(name) = routing::choose(&self.table, self.now, &demand, &mut self.rng) else {
+        let criteria = Criteria { pool: POOL, prefix: None, exclude: &[], peers: &|_| 0 };
+        let Some(name) = routing::choose(&self.table, self.now, &criteria, &mut self.rng) else {
             return;
         };
         let endpoint = self.table.endpoint(&name).expect("a chosen endpoint is known");
-        let life = endpoint.incarnation;
+        let incarnation = endpoint.incarnation;
         let idx = NAMES.iter().position(|known| **known == *name).expect("a known name");
         let marked = oracle.marked.get(&idx).copied().unwrap_or(0);
-        assert!(life.0 > marked, "{name} got work in life {life:?}, marked up to {marked}");
-        assert!(!self.told.contains(&(name.clone(), life)), "{name} had said that it leaves");
+        assert!(
+            incarnation.0 > marked,
+            "{name} received a call in incarnation {incarnation:?}, marked up to {marked}"
+        );
+        assert!(
+            !self.reported_leaving.contains(&(name.clone(), incarnation)),
+            "{name} had reported that it is leaving"
+        );
         assert!(endpoint.in_flight < endpoint.limit(self.now), "{name} is at its limit");
         self.table.call_started(self.now, &name);
-        self.calls.push((name, life, self.now));
+        self.calls.push((name, incarnation, self.now));
     }
 
     fn end(&mut self, idx: usize, result: CallResult) {
         if self.calls.is_empty() {
             return;
         }
-        let (name, life, sent) = self.calls.swap_remove(idx % self.calls.len());
+        let (name, incarnation, sent) = self.calls.swap_remove(idx % self.calls.len());
         let current = self.table.endpoint(&name).map(|endpoint| endpoint.incarnation);
         let is_leaving = result == CallResult::Refused(RefuseReason::Leaving);
-        if is_leaving && current == Some(life) {
-            self.told.push((name.clone(), life));
+        if is_leaving && current == Some(incarnation) {
+            self.reported_leaving.push((name.clone(), incarnation));
         }
         let end = CallEnd { took: self.now - sent, result, tokens: None };
         self.table.call_ended(self.now, &name, end);
@@ -131,45 +137,45 @@
 struct Test;
 
 impl StateMachineTest for Test {
-    type SystemUnderTest = Driven;
+    type SystemUnderTest = Fixture;
     type Reference = Oracle;
 
-    fn init_test(_: &Oracle) -> Driven {
-        Driven {
+    fn init_test(_: &Oracle) -> Fixture {
+        Fixture {
             table: Table::new(Settings::default()),
             now: Duration::ZERO,
             rng: SmallRng::seed_from_u64(7),
             calls: Vec::new(),
-            told: Vec::new(),
+            reported_leaving: Vec::new(),
         }
     }
 
-    fn apply(mut driven: Driven, oracle: &Oracle, step: Step) -> Driven {
-        driven.now += Duration::from_millis(1);
+    fn apply(mut fixture: Fixture, oracle: &Oracle, step: Step) -> Fixture {
+        fixture.now += Duration::from_millis(1);
         match step {
             Step::List(listed) => {
                 let entries: Vec<EndpointEntry> = listed.iter().map(listed_entry).collect();
-                driven.table.apply_listing(driven.now, &entries);
+                fixture.table.apply_listing(fixture.now, &entries);
             }
-            Step::Mark(name, life) => {
-                driven.table.mark_leaving(NAMES[name], Incarnation(life));
+            Step::Mark(name, incarnation) => {
+                fixture.table.mark_leaving(NAMES[name], Incarnation(incarnation));
             }
-            Step::Wait(ms) => driven.now += Duration::from_millis(ms),
-            Step::Call => driven.call(oracle),
-            Step::End(idx, result) => driven.end(idx, result),
+            Step::Wait(ms) => fixture.now += Duration::from_millis(ms),
+            Step::Call => fixture.call(oracle),
+            Step::End(idx, result) => fixture.end(idx, result),
         }
-        driven
+        fixture
     }
 
-    fn check_invariants(driven: &Driven, _: &Oracle) {
-        for endpoint in driven.table.iter() {
-            let of_life = |call: &&(EndpointName, Incarnation, Duration)| {
+    fn check_invariants(fixture: &Fixture, _: &Oracle) {
+        for endpoint in fixture.table.iter() {
+            let is_of_incarnation = |call: &&(EndpointName, Incarnation, Duration)| {
                 call.0 == endpoint.name && call.1 == endpoint.incarnation
             };
-            let under_way = driven.calls.iter().filter(of_life).count();
-            assert_eq!(endpoint.in_flight as usize, under_way, "{}", endpoint.name);
-            let is_out = matches!(endpoint.state(), State::Leaving | State::Gone);
-            assert!(!is_out || endpoint.free(driven.now) == 0, "{}", endpoint.name);
+            let in_flight = fixture.calls.iter().filter(is_of_incarnation).count();
+            assert_eq!(endpoint.in_flight as usize, in_flight, "{}", endpoint.name);
+            let is_unusable = matches!(endpoint.state(), State::Leaving | State::Gone);
+            assert!(!is_unusable || endpoint.free(fixture.now) == 0, "{}", endpoint.name);
         }
     }
 }
@@ -183,10 +189,10 @@
     })]
 
     #[test]
-    fn a_leaving_endpoint_never_gets_work_in_that_incarnation(sequential 1..80 => Test);
+    fn a_leaving_endpoint_receives_no_calls_in_that_incarnation(sequential 1..80 => Test);
 }
 
-fn listed_entry((name, life, leaving): &(usize, u64, bool)) -> EndpointEntry {
+fn listed_entry((name, incarnation, leaving): &(usize, u64, bool)) -> EndpointEntry {
     let presence = if *leaving { Presence::Leaving } else { Presence::Live };
-    EndpointEntry { presence, ..entry(NAMES[*name], *life) }
+    EndpointEntry { presence, ..entry(NAMES[*name], *incarnation) }
 }
--- a/crates/core/tests/testsuite/endpoints.rs
+++ b/crates/core/tests/testsuite/endpoints.rs
@@ -1,4 +1,4 @@
-//! What a table knows of endpoints: lists, marks, ejection, slow start.
+//! The table of endpoints: listings, leaving marks, ejection, slow start.
 
 #![allow(clippy::unwrap_used)]
 
@@ -34,7 +34,7 @@
     table
 }
 
-/// One call from `at`, that ends `took` later.
+/// Runs one call that starts at `at` and ends `took` later.
 pub fn run(table: &mut Table, at: Duration, name: &str, took: Duration, result: CallResult) {
     table.call_started(at, name);
     table.call_ended(at + took, name, CallEnd { took, result, tokens: None });
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn leaving_is_sticky_against_a_lagging_list() {
+fn an_outdated_listing_does_not_end_leaving() {
     let mut table = pair();
     assert!(table.mark_leaving("a", Incarnation(1)));
     assert!(!table.mark_leaving("a", Incarnation(1)));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_larger_incarnation_ends_leaving_and_starts_slowly() {
+fn a_newer_incarnation_ends_leaving_and_starts_slowly() {
     let mut table = pair();
     table.mark_leaving("a", Incarnation(1));
     table.apply_listing(secs(1.0), &[entry("a", 2)]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_mark_before_the_listing_holds() {
+fn a_leaving_mark_received_before_the_listing_applies() {
     let mut table = table(&[]);
     assert!(table.mark_leaving("a", Incarnation(2)));
     table.apply_listing(secs(1.0), &[entry("a", 1)]);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_list_with_an_older_incarnation_changes_nothing() {
+fn a_listing_with_an_older_incarnation_is_ignored() {
     let mut table = table(&[entry("a", 2)]);
     let addr = Arc::from("127.0.0.1:2");
     let old = EndpointEntry { presence: Presence::Leaving, addr, ..entry("a", 1) };
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_says_so_itself() {
+fn a_refusal_because_of_leaving_marks_the_endpoint() {
     let mut table = pair();
     run(&mut table, secs(0.0), "a", secs(0.1), CallResult::Refused(RefuseReason::Leaving));
     assert_eq!(state(&table, "a"), Some(State::Leaving));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_leaving_mark_outlives_a_long_absence() {
+fn a_leaving_mark_is_kept_while_the_endpoint_is_not_listed() {
     let mut table = pair();
     table.mark_leaving("a", Incarnation(1));
     table.apply_listing(secs(1.0), &[entry("b", 1)]);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn marks_of_unlisted_endpoints_are_bounded_and_the_newest_stay() {
+fn marks_of_unlisted_endpoints_are_bounded_and_the_newest_are_kept() {
     let mut table = Table::new(Settings { max_marks: 2, ..Settings::default() });
     table.apply_listing(Duration::ZERO, &[entry("a", 1)]);
     for name in ["a", "b", "c", "d"] {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_short_absence_is_not_the_end() {
+fn a_short_absence_from_the_listing_does_not_remove_an_endpoint() {
     let mut table = pair();
     table.apply_listing(secs(100.0), &[entry("b", 1)]);
     assert_eq!(state(&table, "a"), Some(State::Usable));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn calls_of_an_earlier_life_do_not_count_in_the_next() {
+fn calls_of_an_earlier_incarnation_do_not_count_in_the_next() {
     let mut table = pair();
     table.call_started(secs(0.0), "a");
     table.call_started(secs(0.0), "a");
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn failures_in_a_row_eject_and_one_probe_brings_back() {
+fn consecutive_failures_eject_and_a_successful_probe_ends_the_ejection() {
     let mut table = pair();
     fail_three(&mut table, secs(0.0), "a");
     assert_eq!(state(&table, "a"), Some(State::Ejected));
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_cancelled_probe_leaves_the_question_open() {
+fn a_cancelled_probe_is_inconclusive() {
     let mut table = pair();
     fail_three(&mut table, secs(0.0), "a");
     run(&mut table, secs(3.0), "a", secs(0.1), CallResult::Cancelled);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn half_of_a_pool_stays() {
+fn at_most_half_of_a_pool_is_ejected() {
     let mut table = pair();
     fail_three(&mut table, secs(0.0), "a");
     fail_three(&mut table, secs(0.0), "b");
@@ -227,8 +227,8 @@
     assert_eq!(state(&table, "a"), Some(State::Ejected));
 }
 
-/// The state of an endpoint after three calls that were cancelled after
-/// `took`, in a pool where a call takes a tenth of a second.
+/// The state of an endpoint after three calls that were cancelled after `took` seconds, in a pool
+/// where a call takes a tenth of a second.
 fn after_cancelled(took: f64) -> Option<State> {
     let mut table = table(&[entry("a", 1), entry("b", 1), entry("c", 1)]);
     for name in ["b", "c"] {
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_probe_needs_a_place_besides_older_calls() {
+fn a_probe_needs_a_free_slot_beside_earlier_calls() {
     let mut table = pair();
     (0..9).for_each(|_| table.call_started(secs(0.0), "a"));
     let end = CallEnd { took: secs(0.1), result: CallResult::Mismatched, tokens: None };
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn the_newest_report_stays_and_ages() {
+fn the_newest_load_report_is_kept_and_ages() {
     let mut table = pair();
     let load = |queued, age_ms| Load { running: 4, queued, places: 4, age_ms };
     table.load_reported(secs(10.0), "a", load(3, 500));
@@ -282,12 +282,12 @@
 }
 
 #[test]
-fn endpoints_of_an_evacuated_data_centre_get_nothing_until_it_is_over() {
+fn endpoints_of_an_evacuated_data_centre_are_unusable_until_the_evacuation_ends() {
     let mut table = table(&[entry_in("north", "a"), entry_in("south", "b")]);
     table.evacuate(vec!["north".into(), "nowhere".into()]);
     assert_eq!(usable(&table), ["b"]);
     assert_eq!(table.endpoint("a").unwrap().state(), State::Evacuated);
-    // One that comes meanwhile, and a new life.
+    // A new endpoint and a new incarnation, both listed during the evacuation.
     let later = [
         entry_in("north", "c"),
         EndpointEntry { incarnation: Incarnation(2), ..entry_in("north", "a") },
--- a/crates/core/tests/testsuite/fuzz/claims/world.rs
+++ b/crates/core/tests/testsuite/fuzz/claims/world.rs
@@ -1,4 +1,4 @@
-//! Processes that claim, and a log that they agree through.
+//! Processes that claim keys through a simulated log.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,15 +18,16 @@
 use crate::fuzz::log::Log;
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
-/// Places for processes.
-pub const PLACES: usize = 4;
+/// Number of processes that can run at the same time.
+pub const SLOTS: usize = 4;
 const KEYS: usize = 2;
-/// No attempt runs later than this after its request.
+/// Time after the request until which an attempt may start to run.
 const DEADLINE: Duration = Duration::from_secs(10);
-/// Retention that is long enough for the horizon, and one that is not.
-const LONG_KEEP: Duration = Duration::from_secs(3_600);
-const SHORT_KEEP: Duration = Duration::from_secs(900);
-/// Rounds within which everything settles once nothing fails.
+/// Retention longer than the horizon.
+const LONG_RETENTION: Duration = Duration::from_secs(3_600);
+/// Retention shorter than the horizon.
+const SHORT_RETENTION: Duration = Duration::from_secs(900);
+/// Number of rounds within which all facts are appended and read once there are no faults.
 const HEAL_ROUNDS: usize = 20;
 const HEAL_STEP_MS: u64 = 2_500;
 const READ_ALL: usize = 1_000;
@@ -35,34 +36,35 @@
     setup: Setup,
     clock_ms: u64,
     log: Log<ClaimBatch>,
-    processes: [Option<Process>; PLACES],
+    processes: [Option<Process>; SLOTS],
     packets: Vec<Packet>,
     oracle: Oracle,
     next_nonce: u64,
-    next_life: u64,
+    next_id: u64,
 }
 
 struct Process {
     identity: Identity,
     claims: Claims,
-    born_ms: u64,
-    /// Where the stream ended when the process started.
-    born_end: u64,
-    frozen: bool,
+    started_ms: u64,
+    /// The end of the stream when the process started.
+    end_at_start: u64,
+    is_paused: bool,
     attempts: Vec<Attempt>,
-    /// The append under way, and whether the log took it.
+    /// The append that has not been acknowledged yet.
     append: Option<Append>,
-    late: Vec<Batch<ClaimBatch>>,
+    late_reads: Vec<Batch<ClaimBatch>>,
 }
 
 struct Append {
-    life: u64,
+    id: u64,
     nonces: Vec<u64>,
-    taken: bool,
+    is_stored: bool,
 }
 
+/// An append in flight.
 struct Packet {
-    life: u64,
+    incarnation: u64,
     append: u64,
     batch: ClaimBatch,
 }
@@ -70,7 +72,7 @@
 struct Attempt {
     key: usize,
     nonce: u64,
-    asked_at: Duration,
+    requested_at: Duration,
     state: State,
 }
 
@@ -79,89 +81,95 @@
     Waiting,
     Won,
     Running,
-    Over,
+    Ended,
 }
 
 impl World {
     pub fn new(setup: Setup) -> World {
-        let keep = if setup.keeps_short { SHORT_KEEP } else { LONG_KEEP };
+        let retention = if setup.has_short_retention { SHORT_RETENTION } else { LONG_RETENTION };
         let mut world = World {
-            log: Log::new(millis(keep)),
+            log: Log::new(millis(retention)),
             setup,
             clock_ms: 0,
-            processes: [const { None }; PLACES],
+            processes: [const { None }; SLOTS],
             packets: Vec::new(),
             oracle: Oracle::default(),
             next_nonce: 1,
-            next_life: 1,
+            next_id: 1,
         };
-        for place in 0..PLACES {
-            world.spawn(place, place);
-            world.round(place);
+        for slot in 0..SLOTS {
+            world.spawn(slot, slot);
+            world.round(slot);
         }
         world
     }
 
     pub fn apply(&mut self, op: Op) {
         match op {
-            Op::Request { process, key, body } => self.on(process, |world, idx| {
+            Op::Request { process, key, body } => self.with_running(process, |world, idx| {
                 world.request(idx, key, body);
             }),
             Op::RequestAll { key } => {
-                for process in self.places() {
-                    self.on(process, |world, idx| world.request(idx, key, 0));
+                for process in self.occupied_slots() {
+                    self.with_running(process, |world, idx| world.request(idx, key, 0));
                 }
             }
-            Op::GiveUp { process, attempt } => self.on(process, |world, idx| {
+            Op::GiveUp { process, attempt } => self.with_running(process, |world, idx| {
                 let open = [State::Waiting, State::Won];
                 world.with_attempt(idx, attempt, &open, World::give_up);
             }),
-            Op::Start { process, attempt } => self.on(process, |world, idx| {
+            Op::Start { process, attempt } => self.with_running(process, |world, idx| {
                 world.with_attempt(idx, attempt, &[State::Won], World::start);
             }),
-            Op::Finish { process, attempt, answered } => self.on(process, |world, idx| {
-                world.with_attempt(idx, attempt, &[State::Running], |world, idx, attempt| {
-                    world.finish(idx, attempt, answered);
-                });
-            }),
-            Op::Append { process } => self.on(process, World::append),
-            Op::LoseAnswer { process } => self.on(process, |world, idx| {
+            Op::Finish { process, attempt, answered } => {
+                self.with_running(process, |world, idx| {
+                    world.with_attempt(idx, attempt, &[State::Running], |world, idx, attempt| {
+                        world.finish(idx, attempt, answered);
+                    });
+                })
+            }
+            Op::Append { process } => self.with_running(process, World::append),
+            Op::LoseAck { process } => self.with_running(process, |world, idx| {
                 world.append(idx);
                 world.ack(idx, false);
             }),
-            Op::Deliver { packet, again } => self.deliver(packet, again),
+            Op::Deliver { packet, keeps_copy } => self.deliver(packet, keeps_copy),
             Op::Drop { packet } => {
                 if !self.packets.is_empty() {
                     self.packets.remove(packet % self.packets.len());
                 }
             }
-            Op::Ack { process, ok } => self.on(process, |world, idx| world.ack(idx, ok)),
-            Op::Read { process, max } => self.on(process, |world, idx| world.read(idx, max)),
-            Op::ReadLate { process, max } => self.on(process, |world, idx| {
+            Op::Ack { process, ok } => self.with_running(process, |world, idx| world.ack(idx, ok)),
+            Op::Read { process, max } => {
+                self.with_running(process, |world, idx| world.read(idx, max))
+            }
+            Op::ReadLate { process, max } => self.with_running(process, |world, idx| {
                 if let Some(batch) = world.fetch(idx, max) {
-                    at(&mut world.processes, idx).late.push(batch);
+                    process_mut(&mut world.processes, idx).late_reads.push(batch);
                 }
             }),
-            Op::Arrive { process, batch, again } => self.on(process, |world, idx| {
-                world.arrive(idx, batch, again);
-            }),
-            Op::Round { process } => self.on(process, World::round),
+            Op::DeliverRead { process, batch, keeps_copy } => {
+                self.with_running(process, |world, idx| {
+                    world.deliver_read(idx, batch, keeps_copy);
+                })
+            }
+            Op::Round { process } => self.with_running(process, World::round),
             Op::Advance { ms } => self.advance(ms),
-            Op::Freeze { process } => self.set_frozen(process, true),
-            Op::Thaw { process } => self.set_frozen(process, false),
-            Op::Kill { process } => self.processes[process] = None,
+            Op::Pause { process } => self.set_paused(process, true),
+            Op::Resume { process } => self.set_paused(process, false),
+            Op::Crash { process } => self.processes[process] = None,
             Op::Spawn { process, name } => self.spawn(process, name),
-            Op::Outage { out } => self.log.out = out,
+            Op::Outage { is_out } => self.log.is_out = is_out,
         }
     }
 
-    fn places(&self) -> Vec<usize> {
-        (0..PLACES).filter(|&idx| self.processes[idx].is_some()).collect()
+    fn occupied_slots(&self) -> Vec<usize> {
+        (0..SLOTS).filter(|&idx| self.processes[idx].is_some()).collect()
     }
 
-    /// Runs a step of the process that an index means, unless it is paused.
-    fn on(&mut self, process: usize, step: impl FnOnce(&mut World, usize)) {
-        let is_up = self.processes[process].as_ref().is_some_and(|process| !process.frozen);
+    /// Runs a step of a process that exists and is not paused.
+    fn with_running(&mut self, process: usize, step: impl FnOnce(&mut World, usize)) {
+        let is_up = self.processes[process].as_ref().is_some_and(|process| !process.is_paused);
         if is_up {
             step(self, process);
         }
@@ -174,7 +182,7 @@
         states: &[State],
         step: impl FnOnce(&mut World, usize, usize),
     ) {
-        let attempts = at(&mut self.processes, idx).attempts.iter().enumerate();
+        let attempts = process_mut(&mut self.processes, idx).attempts.iter().enumerate();
         let open = attempts.filter(|(_, attempt)| states.contains(&attempt.state));
         let open: Vec<usize> = open.map(|(idx, _)| idx).collect();
         if !open.is_empty() {
@@ -183,8 +191,8 @@
     }
 
     fn now(&self, idx: usize) -> Duration {
-        let born_ms = self.processes[idx].as_ref().expect("the place is taken").born_ms;
-        Duration::from_millis(self.clock_ms - born_ms)
+        let started_ms = self.processes[idx].as_ref().expect("the slot is occupied").started_ms;
+        Duration::from_millis(self.clock_ms - started_ms)
     }
 
     fn advance(&mut self, ms: u64) {
@@ -192,21 +200,22 @@
         self.log.advance(ms);
     }
 
-    fn set_frozen(&mut self, process: usize, frozen: bool) {
+    fn set_paused(&mut self, process: usize, is_paused: bool) {
         if let Some(process) = &mut self.processes[process] {
-            process.frozen = frozen;
+            process.is_paused = is_paused;
         }
     }
 
     fn spawn(&mut self, idx: usize, name: usize) {
         let identity = Identity {
             name: Arc::from(NAMES[name % NAMES.len()]),
-            incarnation: Incarnation(self.next_life),
+            incarnation: Incarnation(self.next_id),
             data_centre: Arc::from("dc"),
         };
-        self.next_life += 1;
-        let keep = if self.setup.keeps_short { SHORT_KEEP } else { LONG_KEEP };
-        let mut settings = Settings::default().with_horizon(MIN_HORIZON).with_retention(keep);
+        self.next_id += 1;
+        let retention =
+            if self.setup.has_short_retention { SHORT_RETENTION } else { LONG_RETENTION };
+        let mut settings = Settings::default().with_horizon(MIN_HORIZON).with_retention(retention);
         settings.linger = Duration::ZERO;
         settings.interval = Duration::ZERO;
         settings.max_facts = 3;
@@ -217,12 +226,12 @@
         self.processes[idx] = Some(Process {
             identity,
             claims,
-            born_ms: self.clock_ms,
-            born_end: self.log.all.len() as u64,
-            frozen: false,
+            started_ms: self.clock_ms,
+            end_at_start: self.log.all.len() as u64,
+            is_paused: false,
             attempts: Vec::new(),
             append: None,
-            late: Vec::new(),
+            late_reads: Vec::new(),
         });
     }
 
@@ -230,62 +239,66 @@
         let now = self.now(idx);
         let nonce = self.next_nonce;
         self.next_nonce += 1;
-        let process = at(&mut self.processes, idx);
+        let process = process_mut(&mut self.processes, idx);
         let verdict = process.claims.request(now, request_id(key), body, nonce);
         match verdict {
             Verdict::Waiting => {
-                let has_read = process.claims.next_offset() >= process.born_end;
-                let skips = self.setup.fault == Fault::StartsAtEnd;
-                assert!(has_read || skips, "{nonce} is claimed before the end was reached");
+                let has_read = process.claims.next_offset() >= process.end_at_start;
+                let skips_history = self.setup.fault == Fault::StartsAtEnd;
+                assert!(
+                    has_read || skips_history,
+                    "{nonce} is claimed before the end of the stream was read"
+                );
                 let state = State::Waiting;
-                process.attempts.push(Attempt { key, nonce, asked_at: now, state });
+                process.attempts.push(Attempt { key, nonce, requested_at: now, state });
             }
             Verdict::Won => panic!("{nonce} has won without a read"),
             Verdict::Lost(holder) => {
-                self.oracle.told_holder(holder.nonce, holder.finished);
-                self.oracle.refused(nonce);
+                self.oracle.check_holder(holder.nonce, holder.finished);
+                self.oracle.record_refusal(nonce);
             }
-            Verdict::Mismatch | Verdict::Unready(_) => self.oracle.refused(nonce),
+            Verdict::Mismatch | Verdict::Unready(_) => self.oracle.record_refusal(nonce),
         }
     }
 
     fn give_up(&mut self, idx: usize, attempt: usize) {
         let now = self.now(idx);
-        let process = at(&mut self.processes, idx);
+        let process = process_mut(&mut self.processes, idx);
         let attempt = &mut process.attempts[attempt];
-        attempt.state = State::Over;
+        attempt.state = State::Ended;
         process.claims.give_up(now, &request_id(attempt.key), attempt.nonce);
-        self.oracle.refused(attempt.nonce);
+        self.oracle.record_refusal(attempt.nonce);
     }
 
     fn start(&mut self, idx: usize, attempt: usize) {
-        let late =
-            self.now(idx) - at(&mut self.processes, idx).attempts[attempt].asked_at > DEADLINE;
-        if late && self.setup.fault != Fault::IgnoresDeadline {
+        let is_late = self.now(idx)
+            - process_mut(&mut self.processes, idx).attempts[attempt].requested_at
+            > DEADLINE;
+        if is_late && self.setup.fault != Fault::IgnoresDeadline {
             self.give_up(idx, attempt);
             return;
         }
-        let attempt = &mut at(&mut self.processes, idx).attempts[attempt];
+        let attempt = &mut process_mut(&mut self.processes, idx).attempts[attempt];
         attempt.state = State::Running;
-        let apart_ms = millis(MIN_HORIZON - DEADLINE);
-        self.oracle.runs(attempt.key, attempt.nonce, self.clock_ms, apart_ms);
+        let min_gap_ms = millis(MIN_HORIZON - DEADLINE);
+        self.oracle.record_run(attempt.key, attempt.nonce, self.clock_ms, min_gap_ms);
     }
 
     fn finish(&mut self, idx: usize, attempt: usize, answered: bool) {
         let now = self.now(idx);
-        let process = at(&mut self.processes, idx);
+        let process = process_mut(&mut self.processes, idx);
         let attempt = &mut process.attempts[attempt];
-        attempt.state = State::Over;
-        self.oracle.finishes(attempt.nonce, answered);
+        attempt.state = State::Ended;
+        self.oracle.record_finish(attempt.nonce, answered);
         process.claims.finished(now, &request_id(attempt.key), attempt.nonce, answered);
     }
 }
 
-fn at(processes: &mut [Option<Process>], idx: usize) -> &mut Process {
-    processes[idx].as_mut().expect("the place is taken")
+fn process_mut(processes: &mut [Option<Process>], idx: usize) -> &mut Process {
+    processes[idx].as_mut().expect("the slot is occupied")
 }
 
-/// The fault of a process that takes the stream's end for its start.
+/// Makes a process start to read at the end of the stream ([`Fault::StartsAtEnd`]).
 fn skip_to_end(claims: &mut Claims, log: &Log<ClaimBatch>) {
     let next = log.all.len() as u64;
     let now_ms = log.now_ms();
--- a/crates/core/tests/testsuite/fuzz/config.rs
+++ b/crates/core/tests/testsuite/fuzz/config.rs
@@ -1,5 +1,5 @@
-//! Fuzzing of the configuration in force: one chain on all instances, which
-//! never goes back, through the log and through peers.
+//! Fuzzing of the configuration in force: all instances follow the same sequence of versions, which
+//! never goes back, through the log and through gossip.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,19 +10,19 @@
 use proptest::{prelude::*, sample::select, strategy::BoxedStrategy};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
-use world::{PLACES, World};
+use world::{SLOTS, World};
 
-/// A deliberate fault of the driver.
+/// A fault that a test injects into the world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// None.
+    /// No fault.
     None,
-    /// An acknowledged publish is called accepted.
-    AckIsProof,
-    /// The reader is not told that records were lost, so that it folds on from
-    /// a bare publish in the middle of the stream.
+    /// A publish is reported as accepted once its append is acknowledged.
+    TrustsAck,
+    /// Batches hide that records before them have expired, so a reader continues from a publish in
+    /// the middle of the stream, without a snapshot before it.
     HidesGaps,
-    /// A peer's snapshot is taken even if it is older.
+    /// A peer's snapshot is adopted even if it is older.
     AdoptsOlder,
     /// No instance appends snapshots.
     SkipsSnapshots,
@@ -31,52 +31,52 @@
 /// How a world is set up.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// The deliberate fault.
+    /// The injected fault.
     pub fault: Fault,
 }
 
-/// One thing that happens. A process is meant by its place, which may be empty;
-/// other indices count around what there is.
+/// One operation. `process` is the index of a slot, which may be empty; other indices are taken
+/// modulo the number of items.
 #[derive(Debug, Clone)]
 pub enum Op {
-    /// An operator publishes from what a process has in force, or from older.
+    /// An operator publishes on the version that a process has in force, or on one `behind` it.
     Publish { process: usize, behind: u64 },
     /// An operator drains an endpoint.
-    Drain { endpoint: usize, life: u64 },
+    Drain { endpoint: usize, incarnation: u64 },
     /// A process appends a snapshot if one is due.
     Snapshot { process: usize },
-    /// The log takes an append that is on its way; another copy may follow.
-    Deliver { packet: usize, again: bool },
-    /// An append on its way is lost.
+    /// An append in flight reaches the log; a copy of it may stay in flight.
+    Deliver { packet: usize, keeps_copy: bool },
+    /// An append in flight is lost.
     Drop { packet: usize },
-    /// A process reads and takes in what it read.
+    /// A process reads from the log.
     Read { process: usize, max: usize },
-    /// A process reads; what it read arrives late.
+    /// A process reads from the log; the batch arrives later.
     ReadLate { process: usize, max: usize },
-    /// A late read arrives; another copy may follow.
-    Arrive { process: usize, batch: usize, again: bool },
+    /// A delayed batch arrives; a copy of it may arrive once more.
+    DeliverRead { process: usize, batch: usize, keeps_copy: bool },
     /// A process reads to the end, and appends a snapshot if one is due.
     Round { process: usize },
-    /// A process sends its gossip if it is time.
+    /// A process sends a round of gossip if one is due.
     Gossip { process: usize },
-    /// A gossip message arrives; another copy may follow.
-    Hear { message: usize, again: bool },
+    /// A gossip message arrives; a copy of it may stay in flight.
+    DeliverGossip { message: usize, keeps_copy: bool },
     /// A gossip message is lost.
-    Lose { message: usize },
-    /// Two processes can or cannot reach each other.
-    Cut { one: usize, other: usize, cut: bool },
+    DropGossip { message: usize },
+    /// The connection between two processes is cut or restored.
+    Cut { one: usize, other: usize, is_cut: bool },
     /// Time passes.
     Advance { ms: u64 },
     /// A process is paused.
-    Freeze { process: usize },
-    /// A paused process goes on.
-    Thaw { process: usize },
-    /// A process dies.
-    Kill { process: usize },
-    /// A process starts in the place of another.
+    Pause { process: usize },
+    /// A paused process resumes.
+    Resume { process: usize },
+    /// A process crashes.
+    Crash { process: usize },
+    /// A process replaces that of a slot.
     Spawn { process: usize },
-    /// The log goes out or comes back.
-    Outage { out: bool },
+    /// An outage of the log starts or ends.
+    Outage { is_out: bool },
 }
 
 /// Generates operations.
@@ -91,33 +91,38 @@
     }
 
     fn transitions(_: &Setup) -> BoxedStrategy<Op> {
-        let process = || 0..PLACES;
-        let any_of = || 0..4_usize;
+        let process = || 0..SLOTS;
+        let index = || 0..4_usize;
         let max = || 1..8_usize;
         let steps = vec![10, 600, 6_000, 300_000, 1_000_000, 2_000_000, 3_700_000];
         prop_oneof![
             6 => (process(), prop_oneof![4 => Just(0), 1 => Just(1)])
                 .prop_map(|(process, behind)| Op::Publish { process, behind }),
-            1 => (0..2_usize, 0..3_u64).prop_map(|(endpoint, life)| Op::Drain { endpoint, life }),
+            1 => (0..2_usize, 0..3_u64)
+                .prop_map(|(endpoint, incarnation)| Op::Drain { endpoint, incarnation }),
             3 => process().prop_map(|process| Op::Snapshot { process }),
-            8 => (any_of(), any::<bool>()).prop_map(|(packet, again)| Op::Deliver { packet, again }),
-            1 => any_of().prop_map(|packet| Op::Drop { packet }),
+            8 => (index(), any::<bool>())
+                .prop_map(|(packet, keeps_copy)| Op::Deliver { packet, keeps_copy }),
+            1 => index().prop_map(|packet| Op::Drop { packet }),
             6 => (process(), max()).prop_map(|(process, max)| Op::Read { process, max }),
             2 => (process(), max()).prop_map(|(process, max)| Op::ReadLate { process, max }),
-            2 => (process(), any_of(), any::<bool>())
-                .prop_map(|(process, batch, again)| Op::Arrive { process, batch, again }),
+            2 => (process(), index(), any::<bool>())
+                .prop_map(|(process, batch, keeps_copy)| {
+                    Op::DeliverRead { process, batch, keeps_copy }
+                }),
             5 => process().prop_map(|process| Op::Round { process }),
             8 => process().prop_map(|process| Op::Gossip { process }),
-            16 => (any_of(), any::<bool>()).prop_map(|(message, again)| Op::Hear { message, again }),
-            1 => any_of().prop_map(|message| Op::Lose { message }),
+            16 => (index(), any::<bool>())
+                .prop_map(|(message, keeps_copy)| Op::DeliverGossip { message, keeps_copy }),
+            1 => index().prop_map(|message| Op::DropGossip { message }),
             1 => (process(), process(), any::<bool>())
-                .prop_map(|(one, other, cut)| Op::Cut { one, other, cut }),
+                .prop_map(|(one, other, is_cut)| Op::Cut { one, other, is_cut }),
             4 => select(steps).prop_map(|ms| Op::Advance { ms }),
-            1 => process().prop_map(|process| Op::Freeze { process }),
-            1 => process().prop_map(|process| Op::Thaw { process }),
-            1 => process().prop_map(|process| Op::Kill { process }),
+            1 => process().prop_map(|process| Op::Pause { process }),
+            1 => process().prop_map(|process| Op::Resume { process }),
+            1 => process().prop_map(|process| Op::Crash { process }),
             2 => process().prop_map(|process| Op::Spawn { process }),
-            1 => any::<bool>().prop_map(|out| Op::Outage { out }),
+            1 => any::<bool>().prop_map(|is_out| Op::Outage { is_out }),
         ]
         .boxed()
     }
@@ -153,23 +158,23 @@
 }
 
 #[test]
-fn promises_hold() {
-    super::holds::<Machine>();
+fn invariants_hold() {
+    super::check_invariants::<Machine>();
 }
 
-fn check(fault: Fault, promise: &str, expect: Expect) {
-    let case = super::bites::<Machine>(promise, |_| Setup { fault });
+fn check(fault: Fault, message: &str, expect: Expect) {
+    let case = super::find_fault::<Machine>(message, |_| Setup { fault });
     expect.assert_eq(&case);
 }
 
 #[test]
-fn taking_an_acknowledgement_for_proof_is_found() {
+fn treating_an_acknowledged_append_as_an_accepted_publish_is_found() {
     check(
-        Fault::AckIsProof,
-        "was called accepted",
+        Fault::TrustsAck,
+        "was reported as accepted",
         expect![[r#"
-            publish-2 was called accepted
-            Setup { fault: AckIsProof }
+            publish-2 was reported as accepted
+            Setup { fault: TrustsAck }
             Read { process: 1, max: 1 }
             Publish { process: 1, behind: 0 }
             Publish { process: 1, behind: 0 }
@@ -178,22 +183,22 @@
 }
 
 #[test]
-fn folding_from_a_bare_publish_is_found() {
+fn starting_from_a_publish_without_a_snapshot_is_found() {
     check(
         Fault::HidesGaps,
-        "not on the chain",
+        "not a version of the log",
         expect![[r#"
-            assertion `left == right` failed: not on the chain
-              left: Truth { version: 1, publish: Some("publish-2"), drains: {} }
-             right: Truth { version: 1, publish: Some("publish-1"), drains: {} }
+            assertion `left == right` failed: not a version of the log
+              left: ConfigState { version: 1, publish: Some("publish-2"), drains: {} }
+             right: ConfigState { version: 1, publish: Some("publish-1"), drains: {} }
             Setup { fault: HidesGaps }
             Read { process: 1, max: 1 }
             Publish { process: 1, behind: 0 }
-            Deliver { packet: 0, again: false }
+            Deliver { packet: 0, keeps_copy: false }
             Advance { ms: 2000000 }
             Advance { ms: 2000000 }
             Publish { process: 1, behind: 0 }
-            Deliver { packet: 0, again: false }
+            Deliver { packet: 0, keeps_copy: false }
         "#]],
     );
 }
@@ -208,10 +213,10 @@
             Setup { fault: AdoptsOlder }
             Read { process: 1, max: 1 }
             Publish { process: 1, behind: 0 }
-            Deliver { packet: 0, again: false }
+            Deliver { packet: 0, keeps_copy: false }
             Round { process: 0 }
             Gossip { process: 0 }
-            Hear { message: 2, again: false }
+            DeliverGossip { message: 2, keeps_copy: false }
             Gossip { process: 1 }
         "#]],
     );
@@ -227,7 +232,7 @@
             Setup { fault: SkipsSnapshots }
             Read { process: 1, max: 1 }
             Publish { process: 1, behind: 0 }
-            Deliver { packet: 0, again: false }
+            Deliver { packet: 0, keeps_copy: false }
         "#]],
     );
 }
--- a/crates/core/tests/testsuite/fuzz/config/oracle.rs
+++ b/crates/core/tests/testsuite/fuzz/config/oracle.rs
@@ -1,4 +1,4 @@
-//! What is in force after each record, worked out from the whole history.
+//! The configuration in force after each record, computed from the whole history.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,22 +9,22 @@
     record::{ConfigRecord, Entry, Offset, Snapshot, Version},
 };
 
-/// The chain of versions, as of a record.
+/// The configuration in force after a record.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Truth {
+pub struct ConfigState {
     /// The version in force.
     pub version: Version,
-    /// The publish that made it.
+    /// The id of the publish that created it.
     pub publish: Option<String>,
-    /// The newest drained life of each endpoint.
+    /// The newest drained incarnation of each endpoint.
     pub drains: BTreeMap<String, u64>,
 }
 
-impl Truth {
-    /// What a snapshot says.
-    pub fn of(snapshot: &Snapshot) -> Truth {
+impl ConfigState {
+    /// The state that a snapshot contains.
+    pub fn of(snapshot: &Snapshot) -> ConfigState {
         let drains = snapshot.drains.iter();
-        Truth {
+        ConfigState {
             version: snapshot.version,
             publish: snapshot.publish.as_ref().map(|id| id.to_string()),
             drains: drains.map(|d| (d.endpoint.to_string(), d.incarnation.0)).collect(),
@@ -32,55 +32,55 @@
     }
 }
 
-/// Follows the history from its first record.
+/// Applies the records of the log from the first one on.
 #[derive(Default)]
 pub struct Oracle {
-    truths: Vec<Truth>,
+    states: Vec<ConfigState>,
     verdicts: BTreeMap<String, Verdict>,
 }
 
 impl Oracle {
-    /// Follows the records that are new.
+    /// Applies the records that were appended since the last call.
     pub fn follow(&mut self, all: &[Entry<ConfigRecord>]) {
-        for entry in &all[self.truths.len()..] {
-            let truth = self.next(&entry.record);
-            self.truths.push(truth);
+        for entry in &all[self.states.len()..] {
+            let state = self.next(&entry.record);
+            self.states.push(state);
         }
     }
 
-    /// What is in force after a record.
-    pub fn as_of(&self, offset: Option<Offset>) -> Truth {
-        offset.map_or_else(Truth::default, |offset| self.truths[offset as usize].clone())
+    /// The state after a record.
+    pub fn as_of(&self, offset: Option<Offset>) -> ConfigState {
+        offset.map_or_else(ConfigState::default, |offset| self.states[offset as usize].clone())
     }
 
-    /// What is in force after the last record.
-    pub fn newest(&self) -> Truth {
-        self.truths.last().cloned().unwrap_or_default()
+    /// The state after the last record.
+    pub fn newest(&self) -> ConfigState {
+        self.states.last().cloned().unwrap_or_default()
     }
 
-    /// What became of each publish that the log took.
+    /// The verdict on each publish in the log.
     pub fn verdicts(&self) -> &BTreeMap<String, Verdict> {
         &self.verdicts
     }
 
-    fn next(&mut self, record: &ConfigRecord) -> Truth {
-        let mut truth = self.newest();
+    fn next(&mut self, record: &ConfigRecord) -> ConfigState {
+        let mut state = self.newest();
         match record {
             ConfigRecord::Publish(publish) => {
-                let mut verdict = Verdict::Conflict { current: truth.version };
-                if publish.base == truth.version {
-                    truth.version += 1;
-                    truth.publish = Some(publish.id.to_string());
-                    verdict = Verdict::Accepted { version: truth.version };
+                let mut verdict = Verdict::Conflict { current: state.version };
+                if publish.base == state.version {
+                    state.version += 1;
+                    state.publish = Some(publish.id.to_string());
+                    verdict = Verdict::Accepted { version: state.version };
                 }
                 self.verdicts.entry(publish.id.to_string()).or_insert(verdict);
             }
             ConfigRecord::Drain(drain) => {
-                let life = truth.drains.entry(drain.endpoint.to_string()).or_default();
-                *life = drain.incarnation.0.max(*life);
+                let incarnation = state.drains.entry(drain.endpoint.to_string()).or_default();
+                *incarnation = drain.incarnation.0.max(*incarnation);
             }
             ConfigRecord::Snapshot(_) | ConfigRecord::Evacuation(_) => {}
         }
-        truth
+        state
     }
 }
--- a/crates/core/tests/testsuite/fuzz/config/world.rs
+++ b/crates/core/tests/testsuite/fuzz/config/world.rs
@@ -1,4 +1,4 @@
-//! Instances that follow the configuration, a log and a network of peers.
+//! Processes that follow the configuration through a simulated log and through gossip.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,18 +17,18 @@
 
 use super::{
     Fault, Op, Setup,
-    oracle::{Oracle, Truth},
+    oracle::{ConfigState, Oracle},
 };
 use crate::fuzz::log::Log;
 
-/// Places for processes.
-pub const PLACES: usize = 4;
-const NAMES: [&str; PLACES] = ["a", "b", "c", "d"];
-const KEEP: Duration = Duration::from_secs(3_600);
-/// Rounds within which all agree once nothing fails.
+/// Number of processes that can run at the same time.
+pub const SLOTS: usize = 4;
+const NAMES: [&str; SLOTS] = ["a", "b", "c", "d"];
+const RETENTION: Duration = Duration::from_secs(3_600);
+/// Number of rounds within which all processes agree once there are no faults.
 const HEAL_ROUNDS: usize = 60;
 const HEAL_STEP_MS: u64 = 600;
-/// Rounds of each process within the retention, when nothing fails.
+/// Number of rounds of each process during the retention time, without faults.
 const START_STEPS: u64 = 8;
 const READ_ALL: usize = 1_000;
 
@@ -36,26 +36,26 @@
     setup: Setup,
     clock_ms: u64,
     log: Log<ConfigRecord>,
-    processes: [Option<Process>; PLACES],
+    processes: [Option<Process>; SLOTS],
     packets: Vec<ConfigRecord>,
     messages: Vec<Message>,
-    cut: HashSet<(usize, usize)>,
+    cuts: HashSet<(usize, usize)>,
     oracle: Oracle,
     next_id: u64,
-    next_life: u64,
+    next_incarnation: u64,
 }
 
 struct Process {
-    fold: ConfigReader,
+    reader: ConfigReader,
     members: Members,
-    born_ms: u64,
-    frozen: bool,
-    late: Vec<Batch<ConfigRecord>>,
-    /// The newest version that the log held when the process started.
-    born_version: Version,
+    started_ms: u64,
+    is_paused: bool,
+    late_reads: Vec<Batch<ConfigRecord>>,
+    /// The newest version in the log when the process started.
+    version_at_start: Version,
     in_force: Option<Version>,
     as_of: Option<Offset>,
-    /// Publishes that the operator here was told to be accepted.
+    /// Publishes that were reported to the operator as accepted.
     accepted: Vec<Arc<str>>,
 }
 
@@ -71,14 +71,14 @@
         let mut world = World {
             setup,
             clock_ms: 0,
-            log: Log::new(millis(KEEP)),
-            processes: [const { None }; PLACES],
+            log: Log::new(millis(RETENTION)),
+            processes: [const { None }; SLOTS],
             packets: Vec::new(),
             messages: Vec::new(),
-            cut: HashSet::new(),
+            cuts: HashSet::new(),
             oracle: Oracle::default(),
             next_id: 1,
-            next_life: 1,
+            next_incarnation: 1,
         };
         world.spawn(0);
         world.spawn(1);
@@ -87,84 +87,95 @@
 
     pub fn apply(&mut self, op: Op) {
         match op {
-            Op::Publish { process, behind } => self.on(process, |world, idx| {
+            Op::Publish { process, behind } => self.with_running(process, |world, idx| {
                 world.publish(idx, behind);
             }),
-            Op::Drain { endpoint, life } => self.packets.push(ConfigRecord::Drain(Drain {
+            Op::Drain { endpoint, incarnation } => self.packets.push(ConfigRecord::Drain(Drain {
                 endpoint: Arc::from(format!("endpoint-{endpoint}")),
-                incarnation: Incarnation(life),
+                incarnation: Incarnation(incarnation),
                 author: Arc::from("operator"),
             })),
-            Op::Snapshot { process } => self.on(process, World::snapshot),
-            Op::Deliver { packet, again } => self.deliver(packet, again),
+            Op::Snapshot { process } => self.with_running(process, World::snapshot),
+            Op::Deliver { packet, keeps_copy } => self.deliver(packet, keeps_copy),
             Op::Drop { packet } => drop(take(&mut self.packets, packet, false)),
-            Op::Read { process, max } => self.on(process, |world, idx| world.read(idx, max)),
-            Op::ReadLate { process, max } => self.on(process, |world, idx| {
+            Op::Read { process, max } => {
+                self.with_running(process, |world, idx| world.read(idx, max))
+            }
+            Op::ReadLate { process, max } => self.with_running(process, |world, idx| {
                 if let Some(batch) = world.fetch(idx, max) {
-                    at(&mut world.processes, idx).late.push(batch);
-                }
-            }),
-            Op::Arrive { process, batch, again } => self.on(process, |world, idx| {
-                let late = &mut at(&mut world.processes, idx).late;
-                if let Some(batch) = take(late, batch, again) {
-                    world.take_in(idx, &batch);
+                    process_mut(&mut world.processes, idx).late_reads.push(batch);
                 }
             }),
-            Op::Round { process } => self.on(process, World::round),
-            Op::Gossip { process } => self.on(process, World::gossip),
-            Op::Hear { message, again } => {
-                if let Some(message) = take(&mut self.messages, message, again) {
-                    self.hear(message);
+            Op::DeliverRead { process, batch, keeps_copy } => {
+                self.with_running(process, |world, idx| {
+                    let late_reads = &mut process_mut(&mut world.processes, idx).late_reads;
+                    if let Some(batch) = take(late_reads, batch, keeps_copy) {
+                        world.apply_batch(idx, &batch);
+                    }
+                })
+            }
+            Op::Round { process } => self.with_running(process, World::round),
+            Op::Gossip { process } => self.with_running(process, World::gossip),
+            Op::DeliverGossip { message, keeps_copy } => {
+                if let Some(message) = take(&mut self.messages, message, keeps_copy) {
+                    self.deliver_gossip(message);
                 }
             }
-            Op::Lose { message } => drop(take(&mut self.messages, message, false)),
-            Op::Cut { one, other, cut } => self.set_cut(one, other, cut),
+            Op::DropGossip { message } => drop(take(&mut self.messages, message, false)),
+            Op::Cut { one, other, is_cut } => self.set_cut(one, other, is_cut),
             Op::Advance { ms } => self.advance(ms),
-            Op::Freeze { process } => self.set_frozen(process, true),
-            Op::Thaw { process } => self.set_frozen(process, false),
-            Op::Kill { process } => self.processes[process] = None,
+            Op::Pause { process } => self.set_paused(process, true),
+            Op::Resume { process } => self.set_paused(process, false),
+            Op::Crash { process } => self.processes[process] = None,
             Op::Spawn { process } => self.spawn(process),
-            Op::Outage { out } => self.log.out = out,
+            Op::Outage { is_out } => self.log.is_out = is_out,
         }
         self.oracle.follow(&self.log.all);
     }
 
-    /// Every instance is somewhere on the one chain, and every operator was
-    /// told the truth.
+    /// Checks that the state of every process is one that the log has had, and that operators
+    /// received correct verdicts.
     pub fn check(&self) {
         for process in self.processes.iter().flatten() {
-            if let Some(current) = process.fold.current() {
-                let truth = self.oracle.as_of(current.as_of);
-                assert_eq!(Truth::of(current), truth, "not on the chain");
-                assert_eq!(document_of(current), truth.publish, "not the version's document");
+            if let Some(current) = process.reader.current() {
+                let expected = self.oracle.as_of(current.as_of);
+                assert_eq!(ConfigState::of(current), expected, "not a version of the log");
+                assert_eq!(
+                    document_of(current),
+                    expected.publish,
+                    "not the document of the version"
+                );
             }
-            for (publish, truth) in self.oracle.verdicts() {
-                let verdict = process.fold.verdict(publish);
-                assert!(verdict.is_none_or(|verdict| verdict == *truth), "wrong on {publish}");
+            for (publish, expected) in self.oracle.verdicts() {
+                let verdict = process.reader.verdict(publish);
+                assert!(
+                    verdict.is_none_or(|verdict| verdict == *expected),
+                    "wrong verdict on {publish}"
+                );
             }
             for publish in &process.accepted {
-                let truth = self.oracle.verdicts().get(&**publish);
-                let is_accepted = matches!(truth, Some(Verdict::Accepted { .. }));
-                assert!(is_accepted, "{publish} was called accepted");
+                let expected = self.oracle.verdicts().get(&**publish);
+                let is_accepted = matches!(expected, Some(Verdict::Accepted { .. }));
+                assert!(is_accepted, "{publish} was reported as accepted");
             }
         }
     }
 
-    fn places(&self) -> Vec<usize> {
-        (0..PLACES).filter(|&idx| self.processes[idx].is_some()).collect()
+    fn occupied_slots(&self) -> Vec<usize> {
+        (0..SLOTS).filter(|&idx| self.processes[idx].is_some()).collect()
     }
 
-    /// Runs a step of a process that is up and not paused.
-    fn on(&mut self, process: usize, step: impl FnOnce(&mut World, usize)) {
-        let is_up = self.processes[process].as_ref().is_some_and(|process| !process.frozen);
+    /// Runs a step of a process that exists and is not paused.
+    fn with_running(&mut self, process: usize, step: impl FnOnce(&mut World, usize)) {
+        let is_up = self.processes[process].as_ref().is_some_and(|process| !process.is_paused);
         if is_up {
             step(self, process);
         }
     }
 
     fn now(&self, idx: usize) -> Duration {
-        let born_ms = self.processes[idx].as_ref().expect("the place is taken").born_ms;
-        Duration::from_millis(self.clock_ms - born_ms)
+        let started_ms = self.processes[idx].as_ref().expect("the slot is occupied").started_ms;
+        Duration::from_millis(self.clock_ms - started_ms)
     }
 
     fn advance(&mut self, ms: u64) {
@@ -172,18 +183,18 @@
         self.log.advance(ms);
     }
 
-    fn set_frozen(&mut self, process: usize, frozen: bool) {
+    fn set_paused(&mut self, process: usize, is_paused: bool) {
         if let Some(process) = &mut self.processes[process] {
-            process.frozen = frozen;
+            process.is_paused = is_paused;
         }
     }
 
-    fn set_cut(&mut self, one: usize, other: usize, cut: bool) {
+    fn set_cut(&mut self, one: usize, other: usize, is_cut: bool) {
         for pair in [(one, other), (other, one)] {
-            if cut {
-                self.cut.insert(pair);
+            if is_cut {
+                self.cuts.insert(pair);
             } else {
-                self.cut.remove(&pair);
+                self.cuts.remove(&pair);
             }
         }
     }
@@ -191,21 +202,21 @@
     fn spawn(&mut self, idx: usize) {
         let identity = Identity {
             name: Arc::from(NAMES[idx]),
-            incarnation: Incarnation(self.next_life),
+            incarnation: Incarnation(self.next_incarnation),
             data_centre: Arc::from("dc"),
         };
-        let mut members = Members::new(identity, Settings::default(), self.next_life);
-        self.next_life += 1;
+        let mut members = Members::new(identity, Settings::default(), self.next_incarnation);
+        self.next_incarnation += 1;
         members.apply_listing(Duration::ZERO, &listing());
         self.oracle.follow(&self.log.all);
-        let born_version = self.oracle.newest().version;
+        let version_at_start = self.oracle.newest().version;
         self.processes[idx] = Some(Process {
-            fold: ConfigReader::new(),
+            reader: ConfigReader::new(),
             members,
-            born_ms: self.clock_ms,
-            frozen: false,
-            late: Vec::new(),
-            born_version,
+            started_ms: self.clock_ms,
+            is_paused: false,
+            late_reads: Vec::new(),
+            version_at_start,
             in_force: None,
             as_of: None,
             accepted: Vec::new(),
@@ -213,19 +224,19 @@
     }
 
     fn publish(&mut self, idx: usize, behind: u64) {
-        let process = at(&mut self.processes, idx);
-        let Some(current) = process.fold.current() else { return };
+        let process = process_mut(&mut self.processes, idx);
+        let Some(current) = process.reader.current() else { return };
         let id: Arc<str> = Arc::from(format!("publish-{}", self.next_id));
         self.next_id += 1;
         let team = Team { name: id.clone(), weight: 1, max_running: None };
         let document = Arc::new(Document { teams: vec![team], ..Document::default() });
         let base = current.version.saturating_sub(behind);
         let author = Arc::from("operator");
-        if self.setup.fault == Fault::AckIsProof && !self.log.out {
+        if self.setup.fault == Fault::TrustsAck && !self.log.is_out {
             process.accepted.push(id.clone());
         }
         let publish = ConfigRecord::Publish(Publish { id, base, author, document });
-        if self.setup.fault == Fault::AckIsProof {
+        if self.setup.fault == Fault::TrustsAck {
             self.log.append(publish);
         } else {
             self.packets.push(publish);
@@ -236,20 +247,20 @@
         if self.setup.fault == Fault::SkipsSnapshots {
             return;
         }
-        let fold = &at(&mut self.processes, idx).fold;
-        if let Some(snapshot) = fold.snapshot_due(self.log.now_ms(), KEEP, 0) {
+        let reader = &process_mut(&mut self.processes, idx).reader;
+        if let Some(snapshot) = reader.snapshot_due(self.log.now_ms(), RETENTION, 0) {
             self.packets.push(ConfigRecord::Snapshot(snapshot));
         }
     }
 
-    fn deliver(&mut self, packet: usize, again: bool) {
-        if let Some(record) = take(&mut self.packets, packet, again) {
+    fn deliver(&mut self, packet: usize, keeps_copy: bool) {
+        if let Some(record) = take(&mut self.packets, packet, keeps_copy) {
             self.log.append(record);
         }
     }
 
     fn fetch(&mut self, idx: usize, max: usize) -> Option<Batch<ConfigRecord>> {
-        let from = at(&mut self.processes, idx).fold.next_offset();
+        let from = process_mut(&mut self.processes, idx).reader.next_offset();
         let mut batch = self.log.read(from, max)?;
         if self.setup.fault == Fault::HidesGaps {
             batch.earliest = batch.earliest.min(batch.from);
@@ -259,20 +270,20 @@
 
     fn read(&mut self, idx: usize, max: usize) {
         if let Some(batch) = self.fetch(idx, max) {
-            self.take_in(idx, &batch);
+            self.apply_batch(idx, &batch);
         }
     }
 
-    fn take_in(&mut self, idx: usize, batch: &Batch<ConfigRecord>) {
-        let process = at(&mut self.processes, idx);
-        let before = process.fold.next_offset();
-        let knew_none = process.fold.current().is_none();
-        let changes = process.fold.read(batch);
-        let known = process.fold.current().filter(|_| knew_none);
-        let is_new = known.is_none_or(|known| known.version >= process.born_version);
-        assert!(is_new, "the first version in force is older than the log at the start");
-        assert!(process.fold.next_offset() >= before, "the reader went back");
-        process.note(&changes);
+    fn apply_batch(&mut self, idx: usize, batch: &Batch<ConfigRecord>) {
+        let process = process_mut(&mut self.processes, idx);
+        let before = process.reader.next_offset();
+        let had_none = process.reader.current().is_none();
+        let changes = process.reader.read(batch);
+        let known = process.reader.current().filter(|_| had_none);
+        let is_recent = known.is_none_or(|known| known.version >= process.version_at_start);
+        assert!(is_recent, "the first version in force is older than the newest one at the start");
+        assert!(process.reader.next_offset() >= before, "the next offset decreased");
+        process.record_changes(&changes);
     }
 
     fn round(&mut self, idx: usize) {
@@ -289,8 +300,8 @@
 
     fn gossip(&mut self, idx: usize) {
         let now = self.now(idx);
-        let process = at(&mut self.processes, idx);
-        let envelopes = process.members.tick(now, &local(&process.fold));
+        let process = process_mut(&mut self.processes, idx);
+        let envelopes = process.members.tick(now, &local(&process.reader));
         for envelope in envelopes {
             self.send(idx, envelope);
         }
@@ -301,22 +312,22 @@
         self.messages.push(Message { from, to, gossip: envelope.message });
     }
 
-    fn hear(&mut self, message: Message) {
+    fn deliver_gossip(&mut self, message: Message) {
         let Message { from, to, gossip } = message;
-        let is_up = self.processes[to].as_ref().is_some_and(|process| !process.frozen);
-        if !is_up || self.cut.contains(&(from, to)) {
+        let is_up = self.processes[to].as_ref().is_some_and(|process| !process.is_paused);
+        if !is_up || self.cuts.contains(&(from, to)) {
             return;
         }
         let now = self.now(to);
-        let process = at(&mut self.processes, to);
+        let process = process_mut(&mut self.processes, to);
         if let Some(snapshot) = &gossip.snapshot {
             if self.setup.fault == Fault::AdoptsOlder {
-                process.fold = ConfigReader::new();
+                process.reader = ConfigReader::new();
             }
-            let changes = process.fold.adopt(snapshot);
-            process.note(&changes);
+            let changes = process.reader.adopt(snapshot);
+            process.record_changes(&changes);
         }
-        let reply = process.members.receive(now, &gossip, &local(&process.fold));
+        let reply = process.members.receive(now, &gossip, &local(&process.reader));
         if let Some(reply) = reply {
             self.send(to, reply);
         }
@@ -324,26 +335,30 @@
 }
 
 impl Process {
-    /// Notes what changed. Nothing may go back.
-    fn note(&mut self, changes: &[Change]) {
+    /// Records changes, and checks that neither the version nor the offset decreases.
+    fn record_changes(&mut self, changes: &[Change]) {
         for change in changes {
             let Change::InForce(_, version) = change else { continue };
             let is_newer = self.in_force.is_none_or(|old| old < *version);
             assert!(is_newer, "{version} comes into force after {:?}", self.in_force);
             self.in_force = Some(*version);
         }
-        let current = self.fold.current();
-        assert_eq!(self.in_force, current.map(|current| current.version), "a change went untold");
+        let current = self.reader.current();
+        assert_eq!(
+            self.in_force,
+            current.map(|current| current.version),
+            "a change was not reported"
+        );
         let as_of = current.and_then(|current| current.as_of);
-        assert!(as_of >= self.as_of, "went back from {:?} to {as_of:?}", self.as_of);
+        assert!(as_of >= self.as_of, "the offset went back from {:?} to {as_of:?}", self.as_of);
         self.as_of = as_of;
     }
 }
 
-fn local(fold: &ConfigReader) -> LocalState<'_> {
+fn local(reader: &ConfigReader) -> LocalState<'_> {
     LocalState {
-        mark: fold.mark(),
-        snapshot: fold.shared(),
+        mark: reader.mark(),
+        snapshot: reader.shared(),
         ready: true,
         leaving: &[],
         endpoints: &[],
@@ -365,14 +380,14 @@
     snapshot.document.teams.first().map(|team| team.name.to_string())
 }
 
-/// Takes the item that an index means, or a copy of it.
-fn take<T: Clone>(items: &mut Vec<T>, idx: usize, again: bool) -> Option<T> {
+/// Takes the item at an index, modulo the number of items; `keeps_copy` leaves a copy of it.
+fn take<T: Clone>(items: &mut Vec<T>, idx: usize, keeps_copy: bool) -> Option<T> {
     let idx = idx.checked_rem(items.len())?;
-    Some(if again { items[idx].clone() } else { items.remove(idx) })
+    Some(if keeps_copy { items[idx].clone() } else { items.remove(idx) })
 }
 
-fn at(processes: &mut [Option<Process>], idx: usize) -> &mut Process {
-    processes[idx].as_mut().expect("the place is taken")
+fn process_mut(processes: &mut [Option<Process>], idx: usize) -> &mut Process {
+    processes[idx].as_mut().expect("the slot is occupied")
 }
 
 fn millis(duration: Duration) -> u64 {
--- a/crates/core/tests/testsuite/fuzz/config/world/settle.rs
+++ b/crates/core/tests/testsuite/fuzz/config/world/settle.rs
@@ -1,84 +1,86 @@
-//! What holds once every failure has ended.
+//! Invariants once all faults have ended.
 
 use std::sync::Arc;
 
 use peatdeck_core::{config_log::ConfigReader, model::InstanceName};
 
 use super::{
-    HEAL_ROUNDS, HEAL_STEP_MS, KEEP, NAMES, PLACES, Process, READ_ALL, START_STEPS, World, at,
-    millis, take,
+    HEAL_ROUNDS, HEAL_STEP_MS, NAMES, Process, READ_ALL, RETENTION, SLOTS, START_STEPS, World,
+    millis, process_mut, take,
 };
-use crate::fuzz::config::oracle::Truth;
+use crate::fuzz::config::oracle::ConfigState;
 
 impl World {
-    /// Ends every failure. Then all instances have the newest version, unless
-    /// what is in force was lost with every instance that knew it.
+    /// Ends all faults, then checks that all processes have the newest version in force, unless its
+    /// records have expired and all processes that had it have crashed.
     pub fn heal_and_check(mut self) {
-        self.log.out = false;
-        self.cut.clear();
+        self.log.is_out = false;
+        self.cuts.clear();
         self.spawn(0);
-        let knows = self.processes.iter().flatten().any(|process| self.can_go_on(process));
-        let knows = knows || self.can_start();
-        for idx in self.places() {
-            at(&mut self.processes, idx).frozen = false;
+        let is_recoverable =
+            self.processes.iter().flatten().any(|process| self.can_continue(process));
+        let is_recoverable = is_recoverable || self.can_start();
+        for idx in self.occupied_slots() {
+            process_mut(&mut self.processes, idx).is_paused = false;
         }
         for _ in 0..HEAL_ROUNDS {
             self.advance(HEAL_STEP_MS);
-            for idx in self.places() {
+            for idx in self.occupied_slots() {
                 self.round(idx);
                 self.gossip(idx);
             }
             while let Some(message) = take(&mut self.messages, 0, false) {
-                self.hear(message);
+                self.deliver_gossip(message);
             }
             self.oracle.follow(&self.log.all);
             self.check();
         }
         self.check_alive();
-        if knows {
+        if is_recoverable {
             self.check_newest();
             self.check_start();
         }
     }
 
-    /// Whether a process knows what is in force up to where the log goes on.
-    fn can_go_on(&self, process: &Process) -> bool {
-        let is_joined = !process.fold.is_gapped();
-        let next = process.fold.next_offset();
-        let known = process.fold.current().is_some();
+    /// Whether a process has a version in force and can continue to read where it stopped.
+    fn can_continue(&self, process: &Process) -> bool {
+        let is_joined = !process.reader.is_gapped();
+        let next = process.reader.next_offset();
+        let has_version = process.reader.current().is_some();
         let read = self.log.read(next, 1).expect("the log is not out");
-        is_joined && known && read.earliest <= next
+        is_joined && has_version && read.earliest <= next
     }
 
-    /// Whether the log alone tells what is in force.
+    /// Whether a new process can compute the version in force from the log alone.
     fn can_start(&self) -> bool {
-        let mut fold = ConfigReader::new();
+        let mut reader = ConfigReader::new();
         for _ in 0..2 {
-            let batch = self.log.read(fold.next_offset(), READ_ALL).expect("the log is not out");
-            fold.read(&batch);
+            let batch = self.log.read(reader.next_offset(), READ_ALL).expect("the log is not out");
+            reader.read(&batch);
         }
-        fold.current().is_some()
+        reader.current().is_some()
     }
 
     fn check_newest(&self) {
         let newest = self.oracle.newest();
         for (name, process) in NAMES.iter().zip(&self.processes) {
             let Some(process) = process else { continue };
-            assert!(!process.fold.is_gapped(), "{name} still has a gap");
-            let current = process.fold.current().expect("it has read the log");
-            assert_eq!(Truth::of(current), newest, "{name} is behind");
+            assert!(!process.reader.is_gapped(), "{name} still has a gap");
+            let current = process.reader.current().expect("the log was read");
+            assert_eq!(ConfigState::of(current), newest, "{name} is behind");
         }
     }
 
-    /// However long nothing is published, the log alone tells a new process.
+    /// Checks that a new process can compute the version in force from the log alone, however long
+    /// ago the last publish was.
     fn check_start(&mut self) {
         for _ in 0..2 * START_STEPS {
-            self.advance(millis(KEEP) / START_STEPS);
-            for idx in self.places() {
+            self.advance(millis(RETENTION) / START_STEPS);
+            for idx in self.occupied_slots() {
                 self.round(idx);
             }
         }
-        self.processes = [const { None }; PLACES];
+        self.processes = [const { None }; SLOTS];
         self.spawn(0);
         self.round(0);
         self.oracle.follow(&self.log.all);
@@ -86,14 +88,14 @@
     }
 
     fn check_alive(&self) {
-        let up = self.places();
-        for &idx in &up {
-            let process = self.processes[idx].as_ref().expect("it is up");
+        let running = self.occupied_slots();
+        for &idx in &running {
+            let process = self.processes[idx].as_ref().expect("the slot is occupied");
             let mut alive = process.members.alive(self.now(idx));
             alive.sort();
-            let others = up.iter().filter(|&&other| other != idx);
+            let others = running.iter().filter(|&&other| other != idx);
             let others: Vec<InstanceName> = others.map(|&other| Arc::from(NAMES[other])).collect();
-            assert_eq!(alive, others, "{} is wrong on its peers", NAMES[idx]);
+            assert_eq!(alive, others, "{} has a wrong list of alive peers", NAMES[idx]);
         }
     }
 }
--- a/crates/core/tests/testsuite/fuzz/log.rs
+++ b/crates/core/tests/testsuite/fuzz/log.rs
@@ -1,38 +1,38 @@
-//! A modelled log: it takes appends late, twice or never, expires records, and
-//! loses answers.
+//! A simulated stream of the log, with outages and expiry of records. The worlds delay, repeat and
+//! lose appends to it.
 
 #![allow(clippy::unwrap_used)]
 
 use peatdeck_core::record::{Batch, Entry, Offset};
 
-/// What the log's clock shows when the world starts, in milliseconds.
+/// The log's clock when the world starts, in milliseconds.
 const EPOCH_MS: u64 = 1_000_000_000;
 
 /// One stream of the log.
 pub struct Log<R> {
-    /// Every record that was ever taken, expired ones included.
+    /// All records ever appended, including expired ones.
     pub all: Vec<Entry<R>>,
-    /// Whether it answers nobody.
-    pub out: bool,
+    /// Whether reads and appends fail.
+    pub is_out: bool,
     earliest: Offset,
     now_ms: u64,
-    keep_ms: u64,
+    retention_ms: u64,
 }
 
 impl<R: Clone> Log<R> {
-    /// An empty stream.
-    pub fn new(keep_ms: u64) -> Log<R> {
-        Log { all: Vec::new(), out: false, earliest: 0, now_ms: EPOCH_MS, keep_ms }
+    /// An empty stream that retains records for `retention_ms`.
+    pub fn new(retention_ms: u64) -> Log<R> {
+        Log { all: Vec::new(), is_out: false, earliest: 0, now_ms: EPOCH_MS, retention_ms }
     }
 
-    /// The log's clock.
+    /// The log's clock, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// Takes a record. `false` in an outage.
+    /// Appends a record. Returns `false` in an outage.
     pub fn append(&mut self, record: R) -> bool {
-        if self.out {
+        if self.is_out {
             return false;
         }
         let offset = self.all.len() as Offset;
@@ -40,17 +40,18 @@
         true
     }
 
-    /// Lets time pass, and expires what is too old.
+    /// Advances the clock, and expires records beyond the retention.
     pub fn advance(&mut self, step_ms: u64) {
         self.now_ms += step_ms;
-        let kept = self.all.iter().position(|entry| entry.time_ms + self.keep_ms > self.now_ms);
+        let kept =
+            self.all.iter().position(|entry| entry.time_ms + self.retention_ms > self.now_ms);
         let earliest = kept.unwrap_or(self.all.len()) as Offset;
         self.earliest = self.earliest.max(earliest);
     }
 
-    /// Reads at most `max` records; `None` in an outage.
+    /// Reads at most `max` records. Returns `None` in an outage.
     pub fn read(&self, from: Offset, max: usize) -> Option<Batch<R>> {
-        if self.out {
+        if self.is_out {
             return None;
         }
         let start = from.max(self.earliest);
--- a/crates/core/tests/testsuite/instances.rs
+++ b/crates/core/tests/testsuite/instances.rs
@@ -1,10 +1,10 @@
 //! Stateful fuzzing of whole instances in virtual time.
 //!
-//! A few instances run against small fakes of the log, the list and the
-//! endpoints ([`world`]). Random steps submit requests, kill, freeze and stop
-//! instances, cut them from each other, take the log out, lose its answers,
-//! expire its records, drain and break endpoints, and race publishes. The
-//! [`oracle`] states what must hold and is asked after every event.
+//! Several instances run against simple fakes of the log, the listing and the endpoints
+//! ([`world`]). Random steps submit requests, crash, pause and stop instances, cut connections
+//! between them, cause outages of the log, lose its acknowledgements, expire its records, make
+//! endpoints leave or misbehave, and publish configurations concurrently. The [`oracle`] checks
+//! invariants after every event.
 //!
 //! `PEATDECK_FUZZ_CASES` sets the number of cases; the seed is fixed.
 
@@ -22,38 +22,37 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
 use endpoints::Fault;
-use world::{Ask, World};
+use world::{RequestSpec, World};
 
-/// Cases where `PEATDECK_FUZZ_CASES` does not say otherwise.
+/// Number of cases without `PEATDECK_FUZZ_CASES`.
 const CASES: u32 = 96;
-/// The fixed seed.
 const SEED: u64 = 0x7065_6174;
-/// Time after which everything must have come to rest once all faults are gone.
-const REST: Duration = Duration::from_secs(30);
+/// Time within which the instances recover once all faults have ended.
+const RECOVERY_TIME: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone)]
 enum Step {
-    Submit { node: usize, ask: Ask },
+    Submit { node: usize, spec: RequestSpec },
     Advance { ms: u64 },
-    Kill { node: usize },
+    Crash { node: usize },
     Start { node: usize },
-    Freeze { node: usize },
-    Thaw { node: usize },
+    Pause { node: usize },
+    Resume { node: usize },
     Stop { node: usize },
-    Outage(bool),
-    LoseAnswers(u32),
-    Expire { stream: bool },
+    SetOutage(bool),
+    LoseAcks(u32),
+    Expire { is_config: bool },
     Cut { a: usize, b: usize },
     Heal,
     Publish { behind: u64 },
     Leave { endpoint: usize },
-    Return { endpoint: usize },
-    Break { endpoint: usize, fault: Fault },
+    Restart { endpoint: usize },
+    SetFault { endpoint: usize, fault: Fault },
 }
 
-fn ask() -> impl Strategy<Value = Ask> {
-    (any::<bool>(), 0..6u32, 50..3000u64).prop_map(|(single, key, ms)| Ask {
-        single,
+fn request_spec() -> impl Strategy<Value = RequestSpec> {
+    (any::<bool>(), 0..6u32, 50..3000u64).prop_map(|(runs_once, key, ms)| RequestSpec {
+        runs_once,
         key,
         deadline: Duration::from_millis(ms),
     })
@@ -63,26 +62,27 @@
     let node = 0..4usize;
     let endpoint = 0..6usize;
     prop_oneof![
-        12 => (node.clone(), ask()).prop_map(|(node, ask)| Step::Submit { node, ask }),
+        12 => (node.clone(), request_spec()).prop_map(|(node, spec)| Step::Submit { node, spec }),
         10 => prop_oneof![1..40u64, 40..400u64, 400..4000u64].prop_map(|ms| Step::Advance { ms }),
-        1 => node.clone().prop_map(|node| Step::Kill { node }),
+        1 => node.clone().prop_map(|node| Step::Crash { node }),
         2 => node.clone().prop_map(|node| Step::Start { node }),
-        1 => node.clone().prop_map(|node| Step::Freeze { node }),
-        2 => node.clone().prop_map(|node| Step::Thaw { node }),
+        1 => node.clone().prop_map(|node| Step::Pause { node }),
+        2 => node.clone().prop_map(|node| Step::Resume { node }),
         1 => node.clone().prop_map(|node| Step::Stop { node }),
-        1 => any::<bool>().prop_map(Step::Outage),
-        1 => (1..4u32).prop_map(Step::LoseAnswers),
-        1 => any::<bool>().prop_map(|stream| Step::Expire { stream }),
+        1 => any::<bool>().prop_map(Step::SetOutage),
+        1 => (1..4u32).prop_map(Step::LoseAcks),
+        1 => any::<bool>().prop_map(|is_config| Step::Expire { is_config }),
         1 => (node.clone(), node).prop_map(|(a, b)| Step::Cut { a, b }),
         1 => Just(Step::Heal),
         2 => (0..2u64).prop_map(|behind| Step::Publish { behind }),
         1 => endpoint.clone().prop_map(|endpoint| Step::Leave { endpoint }),
-        1 => endpoint.clone().prop_map(|endpoint| Step::Return { endpoint }),
-        2 => (endpoint, Fault::any()).prop_map(|(endpoint, fault)| Step::Break { endpoint, fault }),
+        1 => endpoint.clone().prop_map(|endpoint| Step::Restart { endpoint }),
+        2 => (endpoint, Fault::any())
+            .prop_map(|(endpoint, fault)| Step::SetFault { endpoint, fault }),
     ]
 }
 
-/// The generator's state: every step is always possible.
+/// Generates steps, each of which is always possible. The state is the seed of the world.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -114,30 +114,30 @@
 
     fn apply(mut world: World, _: &u64, step: Step) -> World {
         match step {
-            Step::Submit { node, ask } => world.submit(node, ask),
+            Step::Submit { node, spec } => world.submit(node, spec),
             Step::Advance { ms } => world.advance(Duration::from_millis(ms)),
-            Step::Kill { node } => world.kill(node),
+            Step::Crash { node } => world.crash(node),
             Step::Start { node } => world.start(node),
-            Step::Freeze { node } => world.freeze(node),
-            Step::Thaw { node } => world.thaw(node),
+            Step::Pause { node } => world.pause(node),
+            Step::Resume { node } => world.resume(node),
             Step::Stop { node } => world.stop(node),
-            Step::Outage(out) => world.log.is_out = out,
-            Step::LoseAnswers(count) => world.log.lose_answers += count,
-            Step::Expire { stream } => world.expire(stream),
+            Step::SetOutage(is_out) => world.log.is_out = is_out,
+            Step::LoseAcks(count) => world.log.lose_acks += count,
+            Step::Expire { is_config } => world.expire(is_config),
             Step::Cut { a, b } => world.cut(a, b),
             Step::Heal => world.heal(),
             Step::Publish { behind } => world.publish(behind),
-            Step::Leave { endpoint } => world.leave(endpoint),
-            Step::Return { endpoint } => world.bring_back(endpoint),
-            Step::Break { endpoint, fault } => world.endpoints[endpoint].fault = fault,
+            Step::Leave { endpoint } => world.start_leaving(endpoint),
+            Step::Restart { endpoint } => world.restart_endpoint(endpoint),
+            Step::SetFault { endpoint, fault } => world.endpoints[endpoint].fault = fault,
         }
         world
     }
 
     fn teardown(mut world: World, _: u64) {
-        world.mend();
-        world.advance(REST);
-        world.check_rest();
+        world.end_faults();
+        world.advance(RECOVERY_TIME);
+        world.check_recovery();
     }
 }
 
@@ -157,5 +157,5 @@
     #![proptest_config(config())]
 
     #[test]
-    fn what_must_hold_holds_through_any_faults(sequential 1..80 => Instances);
+    fn invariants_hold_under_any_faults(sequential 1..80 => Instances);
 }
--- a/crates/core/tests/testsuite/instances/endpoints.rs
+++ b/crates/core/tests/testsuite/instances/endpoints.rs
@@ -1,4 +1,4 @@
-//! Fake endpoints: what they answer, and how they misbehave.
+//! Fake endpoints: their replies and their faults.
 
 use std::time::Duration;
 
@@ -11,64 +11,64 @@
 };
 use proptest::prelude::*;
 
-/// Tokens of a generation.
+/// Number of tokens that an engine generates.
 pub const TOKENS: u32 = 4;
-/// Time of a service's call, and of a token.
+/// Time that a call to a service, or a token of an engine, takes.
 const STEP: Duration = Duration::from_millis(4);
 
 /// How an endpoint misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     None,
-    /// It takes fifty times its time.
+    /// Calls take fifty times as long.
     Slow,
-    /// It never replies.
+    /// Calls receive no reply.
     Hang,
-    /// It cuts the connection half way.
+    /// The connection is cut after half of the reply.
     Cut,
-    /// It replies with another request's echo.
+    /// Replies contain the echo of another request.
     WrongEcho,
-    /// It sends everything twice.
-    Twice,
-    /// It has no place.
+    /// All events of a reply are sent twice.
+    Duplicate,
+    /// Calls are refused because no slot is free.
     Busy,
-    /// It does not accept connections.
-    Gone,
+    /// Connections are refused.
+    Refusing,
 }
 
 impl Fault {
-    /// Any of them; mostly none.
+    /// Any fault, or none with a probability of 0.4.
     pub fn any() -> impl Strategy<Value = Fault> {
-        use Fault::{Busy, Cut, Gone, Hang, None, Slow, Twice, WrongEcho};
+        use Fault::{Busy, Cut, Duplicate, Hang, None, Refusing, Slow, WrongEcho};
         prop_oneof![
             4 => Just(None),
-            6 => prop::sample::select(vec![Slow, Hang, Cut, WrongEcho, Twice, Busy, Gone]),
+            6 => prop::sample::select(vec![Slow, Hang, Cut, WrongEcho, Duplicate, Busy, Refusing]),
         ]
     }
 }
 
-/// One endpoint.
+/// A fake endpoint.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// How the list knows it.
+    /// Its entry in the listing.
     pub entry: EndpointEntry,
-    /// How it misbehaves.
+    /// Its current fault.
     pub fault: Fault,
-    /// Since when it is leaving, in world time.
+    /// Since when it is leaving, on the world's clock.
     pub leaving: Option<Duration>,
 }
 
-/// What a call brings about: events after a delay each, and whether it runs.
-pub struct Effect {
+/// The effect of a call.
+pub struct CallEffect {
     /// Whether anything of the call runs.
     pub runs: bool,
-    /// The events, each with its delay.
+    /// The events that the instance receives, each after a delay.
     pub events: Vec<(Duration, CallEvent)>,
 }
 
 impl Endpoint {
-    /// A sound endpoint.
+    /// An endpoint without a fault.
     pub fn new(pool: &str, number: u32) -> Endpoint {
         let name = format!("{pool}-{number}");
         Endpoint {
@@ -85,49 +85,51 @@
         }
     }
 
-    /// What happens when a call arrives.
-    pub fn call(&self, call: &Call) -> Effect {
-        let unrun = |event| Effect { runs: false, events: vec![(STEP, event)] };
-        if self.fault == Fault::Gone {
-            return unrun(CallEvent::Failed(CallFailure::NotSent));
+    /// The effect of a call that arrives.
+    pub fn call(&self, call: &Call) -> CallEffect {
+        let not_run = |event| CallEffect { runs: false, events: vec![(STEP, event)] };
+        if self.fault == Fault::Refusing {
+            return not_run(CallEvent::Failed(CallFailure::NotSent));
         }
         if self.leaving.is_some() {
-            return unrun(CallEvent::Refused { reason: RefuseReason::Leaving, load: None });
+            return not_run(CallEvent::Refused { reason: RefuseReason::Leaving, load: None });
         }
         if self.fault == Fault::Busy {
-            return unrun(CallEvent::Refused { reason: RefuseReason::Busy, load: None });
+            return not_run(CallEvent::Refused { reason: RefuseReason::Busy, load: None });
         }
-        Effect { runs: true, events: self.replies(call) }
+        CallEffect { runs: true, events: self.replies(call) }
     }
 
     fn replies(&self, call: &Call) -> Vec<(Duration, CallEvent)> {
         let step = if self.fault == Fault::Slow { STEP * 50 } else { STEP };
-        let mut events = sound(call);
+        let mut events = healthy_replies(call);
         match self.fault {
             Fault::Hang => events.clear(),
             Fault::Cut => {
                 events.truncate(events.len() / 2);
                 events.push(CallEvent::Failed(CallFailure::Cut));
             }
-            Fault::WrongEcho => events.iter_mut().for_each(spoil_echo),
-            Fault::Twice => events = events.iter().flat_map(|e| [e.clone(), e.clone()]).collect(),
+            Fault::WrongEcho => events.iter_mut().for_each(corrupt_echo),
+            Fault::Duplicate => {
+                events = events.iter().flat_map(|e| [e.clone(), e.clone()]).collect()
+            }
             _ => {}
         }
-        (1..).zip(events).map(|(place, event)| (step * place, event)).collect()
+        (1..).zip(events).map(|(position, event)| (step * position, event)).collect()
     }
 }
 
-/// A sound endpoint's events.
-fn sound(call: &Call) -> Vec<CallEvent> {
+/// The events that an endpoint without a fault sends for a call.
+fn healthy_replies(call: &Call) -> Vec<CallEvent> {
     let echo = &call.echo;
-    let whole = output(&call.stage, &echo.request.id, &call.input, call.engine);
+    let text = output(&call.stage, &echo.request.id, &call.input, call.engine);
     if !call.engine {
-        let output = Some(whole);
+        let output = Some(text);
         return vec![CallEvent::Reply { echo: echo.clone(), output, tokens: None, load: None }];
     }
-    let held = u32::try_from(call.resume.len()).unwrap();
+    let received = u32::try_from(call.resume.len()).unwrap();
     let mut events = Vec::new();
-    for index in held..TOKENS {
+    for index in received..TOKENS {
         let text = token(&call.stage, &echo.request.id, &call.input, index);
         events.push(CallEvent::Chunk { echo: echo.clone(), index, text });
     }
@@ -137,9 +139,9 @@
     events
 }
 
-/// The whole output of a stage.
-pub fn output(stage: &str, id: &str, input: &str, engine: bool) -> Text {
-    if !engine {
+/// The complete output of a stage.
+pub fn output(stage: &str, id: &str, input: &str, is_engine: bool) -> Text {
+    if !is_engine {
         return format!("{stage}({id},{input})").into();
     }
     (0..TOKENS).map(|index| token(stage, id, input, index).to_string()).collect::<String>().into()
@@ -149,8 +151,8 @@
     format!("{stage}{index}[{id},{}]", input.len()).into()
 }
 
-/// Turns an event into one that belongs to another request, content and all.
-fn spoil_echo(event: &mut CallEvent) {
+/// Turns an event into one of another request, including the content.
+fn corrupt_echo(event: &mut CallEvent) {
     match event {
         CallEvent::Chunk { echo, text, .. } => {
             echo.request.id = "somebody-else".into();
--- a/crates/core/tests/testsuite/instances/log.rs
+++ b/crates/core/tests/testsuite/instances/log.rs
@@ -1,4 +1,4 @@
-//! A fake log: two streams, an outage, answers lost after the effect, expiry.
+//! A fake log: two streams, with outages, lost acknowledgements and expiry of records.
 
 use std::sync::Arc;
 
@@ -7,26 +7,26 @@
     record::{Batch, ClaimBatch, ConfigRecord, Entry, Offset},
 };
 
-/// A stream that remembers everything, and says what it still keeps.
+/// A stream. It keeps all records, but expired ones can't be read.
 #[derive(Debug)]
-pub struct Tape<R> {
+pub struct FakeStream<R> {
     all: Vec<Entry<R>>,
     earliest: Offset,
 }
 
-impl<R: Clone> Tape<R> {
-    fn new() -> Tape<R> {
-        Tape { all: Vec::new(), earliest: 0 }
+impl<R: Clone> FakeStream<R> {
+    fn new() -> FakeStream<R> {
+        FakeStream { all: Vec::new(), earliest: 0 }
     }
 
-    /// Takes a record.
+    /// Appends a record.
     pub fn append(&mut self, time_ms: u64, record: R) -> Offset {
         let offset = self.all.len() as Offset;
         self.all.push(Entry { offset, time_ms, record });
         offset
     }
 
-    /// Reads from an offset.
+    /// Reads all records from an offset on.
     pub fn read(&self, from: Offset, now_ms: u64) -> Batch<R> {
         let kept = self.all.iter().filter(|entry| entry.offset >= from.max(self.earliest));
         Batch {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Drops records that are older than a time.
+    /// Expires records older than `before_ms`.
     pub fn expire(&mut self, before_ms: u64) {
         let kept = self.all.iter().find(|entry| entry.time_ms >= before_ms);
         self.earliest = kept.map_or(self.all.len() as Offset, |entry| entry.offset);
@@ -49,38 +49,38 @@
 #[derive(Debug)]
 pub struct Log {
     /// The configuration stream.
-    pub config: Tape<ConfigRecord>,
+    pub config: FakeStream<ConfigRecord>,
     /// The claims stream.
-    pub claims: Tape<ClaimBatch>,
-    /// Whether nothing can be read or appended.
+    pub claims: FakeStream<ClaimBatch>,
+    /// Whether reads and appends fail.
     pub is_out: bool,
-    /// Appends to come that take effect but go unanswered.
-    pub lose_answers: u32,
+    /// Number of next appends whose acknowledgements are lost.
+    pub lose_acks: u32,
 }
 
 impl Log {
     /// An empty log.
     pub fn new() -> Log {
-        Log { config: Tape::new(), claims: Tape::new(), is_out: false, lose_answers: 0 }
+        Log { config: FakeStream::new(), claims: FakeStream::new(), is_out: false, lose_acks: 0 }
     }
 
-    /// Whether the next answer is lost.
-    pub fn loses_answer(&mut self) -> bool {
-        let lost = self.lose_answers > 0;
-        self.lose_answers = self.lose_answers.saturating_sub(1);
+    /// Whether the acknowledgement of an append is lost. Counts it if so.
+    pub fn loses_ack(&mut self) -> bool {
+        let lost = self.lose_acks > 0;
+        self.lose_acks = self.lose_acks.saturating_sub(1);
         lost
     }
 
-    /// What every instance should end with: the document of each version.
-    pub fn chain(&self) -> Vec<Arc<Document>> {
-        let mut chain = Vec::new();
+    /// The document of each version, computed from the whole stream.
+    pub fn versions(&self) -> Vec<Arc<Document>> {
+        let mut versions = Vec::new();
         for entry in &self.config.all {
             if let ConfigRecord::Publish(publish) = &entry.record
-                && publish.base == chain.len() as u64
+                && publish.base == versions.len() as u64
             {
-                chain.push(publish.document.clone());
+                versions.push(publish.document.clone());
             }
         }
-        chain
+        versions
     }
 }
--- a/crates/core/tests/testsuite/instances/oracle.rs
+++ b/crates/core/tests/testsuite/instances/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold, stated simply.
+//! Invariants of instances, as their callers and endpoints observe them.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,149 +7,163 @@
     model::{CallerId, Outcome},
 };
 
-use super::{endpoints, world::Ask};
+use super::{endpoints, world::RequestSpec};
 
-/// The stages of the two pipelines: name, whether an engine, whether it must
-/// run at most once.
+/// The stages of a pipeline: name, whether it runs on an engine, whether it runs at most once.
 pub const DRAFT: [(&str, bool, bool); 2] = [("encode", false, false), ("generate", true, false)];
-/// See [`DRAFT`].
+/// The stages of the pipeline for requests that run at most once, as in [`DRAFT`].
 pub const TICKET: [(&str, bool, bool); 2] = [("encode", false, false), ("ledger", false, true)];
 
-/// One life of a node.
-pub type Life = (usize, u64);
+/// A process: the index of its node and its incarnation.
+pub type Process = (usize, u64);
 
-/// A request as its caller knows it.
+/// A request from the view of its caller.
 #[derive(Debug)]
 pub struct Submitted {
-    /// The node asked.
-    pub life: Life,
+    /// The process that received it.
+    pub process: Process,
     /// Its id.
     pub id: String,
     /// Its input.
     pub input: String,
-    /// What was asked.
-    pub ask: Ask,
-    /// Whether the caller sent it before.
-    pub repeat: bool,
-    /// When the answer is due.
-    pub due: Duration,
-    /// Pieces streamed so far.
+    /// What was requested.
+    pub spec: RequestSpec,
+    /// Whether an earlier request has the same id.
+    pub is_repeat: bool,
+    /// The time by which the caller must have an outcome.
+    pub deadline: Duration,
+    /// Text streamed so far.
     pub streamed: String,
-    /// How it ended.
+    /// Its outcome, once the caller has it.
     pub outcome: Option<Outcome>,
-    /// Whether a call of it ran.
-    pub ran: bool,
-    /// Whether its node went away or was frozen meanwhile, so that no answer
-    /// in time can be asked for.
-    pub excused: bool,
+    /// Whether a call of it has run.
+    pub has_run: bool,
+    /// Whether its process crashed or was paused, so that an outcome by the deadline is not
+    /// required.
+    pub is_exempt: bool,
 }
 
-/// What was seen so far.
+/// Records what callers and endpoints observe, and panics if an invariant is violated.
 #[derive(Debug, Default)]
 pub struct Oracle {
     /// Every request submitted.
     pub submitted: HashMap<CallerId, Submitted>,
-    /// Runs of each request's stage that must run at most once.
+    /// Number of runs, by request id, of the stage that runs at most once.
     single_runs: HashMap<String, u32>,
-    /// Ids of which anything ran.
+    /// Number of calls that have run, by request id.
     ran_ids: HashMap<String, u32>,
-    /// The newest version seen in each life.
-    versions: HashMap<Life, u64>,
+    /// The newest version that each process has had in force.
+    versions: HashMap<Process, u64>,
 }
 
 impl Oracle {
-    /// The request that a node's call is for: a node holds an id once.
-    pub fn caller_of(&self, life: Life, call: &Call) -> Option<CallerId> {
-        let held = self
-            .submitted
-            .iter()
-            .filter(|(_, request)| request.life == life && *request.id == *call.echo.request.id);
-        held.map(|(caller, _)| *caller).max()
+    /// The caller whose request a call is for. A process has at most one active request with an id,
+    /// the latest.
+    pub fn caller_of(&self, process: Process, call: &Call) -> Option<CallerId> {
+        let candidates = self.submitted.iter().filter(|(_, request)| {
+            request.process == process && *request.id == *call.echo.request.id
+        });
+        candidates.map(|(caller, _)| *caller).max()
     }
 
-    /// A call began to run at an endpoint.
-    pub fn runs(&mut self, caller: CallerId, call: &Call) {
+    /// Records that a call starts to run at an endpoint.
+    pub fn record_run(&mut self, caller: CallerId, call: &Call) {
         let id = call.echo.request.id.to_string();
         *self.ran_ids.entry(id.clone()).or_default() += 1;
         let request = self.submitted.get_mut(&caller).expect("calls have a caller");
-        request.ran = true;
+        request.has_run = true;
         assert!(
             !matches!(request.outcome, Some(Outcome::NotRun(_))),
-            "{id} was told \"not run\" and runs {} afterwards",
+            "{id} runs {} after the outcome \"not run\"",
             call.stage
         );
-        if request.ask.single && &*call.stage == "ledger" {
+        if request.spec.runs_once && &*call.stage == "ledger" {
             let runs = self.single_runs.entry(id.clone()).or_default();
             *runs += 1;
             assert_eq!(*runs, 1, "{id} ran more than once");
         }
     }
 
-    /// A caller got a piece of text.
-    pub fn streamed(&mut self, caller: CallerId, text: &str) {
+    /// Records a piece of text that a caller receives.
+    pub fn record_text(&mut self, caller: CallerId, text: &str) {
         let request = self.submitted.get_mut(&caller).expect("known caller");
-        assert!(request.outcome.is_none(), "{} got text behind its end", request.id);
+        assert!(request.outcome.is_none(), "{} received text after its outcome", request.id);
         request.streamed.push_str(text);
-        let whole = expected(request);
-        assert!(whole.starts_with(&request.streamed), "{} got foreign text", request.id);
+        let answer = expected(request);
+        assert!(
+            answer.starts_with(&request.streamed),
+            "{} received text of another request",
+            request.id
+        );
     }
 
-    /// A caller got its outcome.
-    pub fn answered(&mut self, now: Duration, caller: CallerId, outcome: Outcome) {
+    /// Records the outcome that a caller receives.
+    pub fn record_outcome(&mut self, now: Duration, caller: CallerId, outcome: Outcome) {
         let request = self.submitted.get_mut(&caller).expect("known caller");
-        assert_eq!(request.outcome, None, "{} got two outcomes", request.id);
+        assert_eq!(request.outcome, None, "{} received two outcomes", request.id);
         let id = &request.id;
         match &outcome {
             Outcome::Answered(answer) => {
-                assert_eq!(&*answer.output, expected(request), "{id} got a foreign answer");
-                assert!(now <= request.due || request.excused, "{id} was answered late");
+                assert_eq!(
+                    &*answer.output,
+                    expected(request),
+                    "{id} received the answer of another request"
+                );
+                assert!(
+                    now <= request.deadline || request.is_exempt,
+                    "{id} was answered after its deadline"
+                );
             }
             Outcome::NotRun(_) => {
-                assert!(!request.ran, "{id} ran and was told \"not run\"");
-                let earlier = request.repeat && self.ran_ids.contains_key(id);
-                assert!(!earlier, "{id} ran earlier and was told \"not run\" as a repeat");
+                assert!(!request.has_run, "{id} ran, but its outcome is \"not run\"");
+                let has_run_earlier = request.is_repeat && self.ran_ids.contains_key(id);
+                assert!(
+                    !has_run_earlier,
+                    "{id} ran in an earlier attempt, but the outcome of a repeat is \"not run\""
+                );
             }
             Outcome::MayHaveRun(_) => {}
-            Outcome::Invalid(kind) => panic!("{id} is valid, and was told {kind:?}"),
+            Outcome::Invalid(kind) => panic!("{id} is valid, but its outcome is {kind:?}"),
         }
         request.outcome = Some(outcome);
     }
 
-    /// Every caller whose node is well has its outcome once it is due.
-    pub fn check_due(&self, now: Duration) {
-        for request in self.submitted.values().filter(|request| !request.excused) {
-            let late = now > request.due && request.outcome.is_none();
-            assert!(!late, "{} has no outcome although it is due", request.id);
+    /// Checks that every caller has an outcome by its deadline, unless it is exempt.
+    pub fn check_deadlines(&self, now: Duration) {
+        for request in self.submitted.values().filter(|request| !request.is_exempt) {
+            let is_late = now > request.deadline && request.outcome.is_none();
+            assert!(!is_late, "{} has no outcome after its deadline", request.id);
         }
     }
 
-    /// A node went away or was frozen: its callers can't ask for more.
-    pub fn excuse(&mut self, life: Life) {
+    /// Exempts the unfinished requests of a process that crashes or is paused from their deadlines.
+    pub fn exempt(&mut self, process: Process) {
         let open = self.submitted.values_mut();
-        open.filter(|request| request.life == life && request.outcome.is_none())
-            .for_each(|request| request.excused = true);
+        open.filter(|request| request.process == process && request.outcome.is_none())
+            .for_each(|request| request.is_exempt = true);
     }
 
-    /// A node exited by itself: it must owe nobody.
-    pub fn exited(&self, life: Life) {
-        let owed = self.submitted.values().find(|r| r.life == life && r.outcome.is_none());
-        assert!(owed.is_none(), "a planned stop cut {owed:?} off");
+    /// Checks that a process that exits has no unfinished requests.
+    pub fn check_exit(&self, process: Process) {
+        let unfinished =
+            self.submitted.values().find(|r| r.process == process && r.outcome.is_none());
+        assert!(unfinished.is_none(), "a planned stop left {unfinished:?} without an outcome");
     }
 
-    /// A node has a version in force.
-    pub fn version(&mut self, life: Life, version: u64) {
-        let newest = self.versions.entry(life).or_default();
-        assert!(version >= *newest, "{life:?} went back from {newest} to {version}");
+    /// Records the version that a process has in force.
+    pub fn record_version(&mut self, process: Process, version: u64) {
+        let newest = self.versions.entry(process).or_default();
+        assert!(version >= *newest, "{process:?} went back from {newest} to {version}");
         *newest = version;
     }
 }
 
-/// The whole answer of a request.
+/// The complete answer to a request.
 fn expected(request: &Submitted) -> String {
-    let stages = if request.ask.single { TICKET } else { DRAFT };
+    let stages = if request.spec.runs_once { TICKET } else { DRAFT };
     let mut text = request.input.clone();
-    for (stage, engine, _) in stages {
-        text = endpoints::output(stage, &request.id, &text, engine).to_string();
+    for (stage, is_engine, _) in stages {
+        text = endpoints::output(stage, &request.id, &text, is_engine).to_string();
     }
     text
 }
--- a/crates/core/tests/testsuite/instances/world.rs
+++ b/crates/core/tests/testsuite/instances/world.rs
@@ -1,4 +1,4 @@
-//! Instances, their platform and their endpoints in virtual time.
+//! Instances, their log and listing, and their endpoints in virtual time.
 
 mod document;
 mod steps;
@@ -28,89 +28,89 @@
 use super::{
     endpoints::{Endpoint, Fault},
     log::Log,
-    oracle::{Life, Oracle, Submitted},
+    oracle::{Oracle, Process, Submitted},
 };
 
-/// Entry instances.
+/// Number of nodes, each of which runs at most one process of an instance.
 const NODES: usize = 4;
-/// Time between two reads of a stream, or of the list, by one instance.
+/// Time between two reads of a stream by a process; it reads the listing every fifth time.
 const POLL: Duration = Duration::from_millis(60);
-/// Time between two updates of the list.
-const LIST_LAG: Duration = Duration::from_millis(1500);
-/// Time after which a leaving endpoint gets nothing from a sound instance.
+/// Time between two updates of the listing.
+const LISTING_INTERVAL: Duration = Duration::from_millis(1500);
+/// Time after which a leaving endpoint receives no calls from a process that is not paused.
 const DRAIN_BOUND: Duration = Duration::from_secs(3);
-/// Time after which an append without an answer counts as failed.
+/// Time after which an append without an acknowledgement counts as failed.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// Events at one time beyond which an instance must be spinning.
-const MAX_MOMENT: u32 = 10_000;
-/// Time after which a started instance knows a configuration, if any
-/// instance that it sees does, whatever the log does.
-const INFORM_BOUND: Duration = Duration::from_secs(8);
-/// How long the log keeps records.
+/// Number of events at one time above which an instance must be in an endless loop.
+const MAX_SIMULTANEOUS: u32 = 10_000;
+/// Time after which a new process has a configuration if any process that it can reach has one,
+/// whatever the state of the log.
+const CONFIG_BOUND: Duration = Duration::from_secs(8);
+/// How long the log retains records. See [`millis`].
 const RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// What a caller asks for.
+/// What a caller requests.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// Whether it must run at most once.
-    pub single: bool,
-    /// Which of a few ids it has, if single; others get fresh ones.
+pub struct RequestSpec {
+    /// Whether the request runs at most once.
+    pub runs_once: bool,
+    /// Which of a few ids it has, if it runs at most once; other requests get new ids.
     pub key: u32,
-    /// How long the caller waits.
+    /// How long the caller waits for the outcome.
     pub deadline: Duration,
 }
 
-/// What is to happen.
+/// A scheduled event.
 enum Event {
-    Deliver(Life, Input),
-    Wake(Life),
-    PollConfig(Life),
-    PollClaims(Life),
-    PollList(Life),
-    LandConfig { life: Life, append: AppendId, record: ConfigRecord },
-    LandClaims { life: Life, append: AppendId, batch: ClaimBatch },
-    CallArrives { life: Life, call: Call },
-    Reply { life: Life, call: CallId, event: CallEvent },
-    Told { question: u64, answer: PeerOutcome },
-    RefreshList,
+    Deliver(Process, Input),
+    Wake(Process),
+    PollConfig(Process),
+    PollClaims(Process),
+    PollListing(Process),
+    AppendConfig { process: Process, append: AppendId, record: ConfigRecord },
+    AppendClaims { process: Process, append: AppendId, batch: ClaimBatch },
+    DeliverCall { process: Process, call: Call },
+    Reply { process: Process, call: CallId, event: CallEvent },
+    OutcomeReply { query: u64, answer: PeerOutcome },
+    RefreshListing,
 }
 
 struct Node {
-    life: u64,
-    machine: Option<Instance>,
-    born: Duration,
-    frozen: Option<Duration>,
-    thawed: Duration,
+    incarnation: u64,
+    instance: Option<Instance>,
+    started_at: Duration,
+    paused_at: Option<Duration>,
+    resumed_at: Duration,
     inbox: VecDeque<Input>,
-    wake: Option<Duration>,
+    wake_at: Option<Duration>,
 }
 
-/// Everything.
+/// All instances, endpoints and the log.
 pub struct World {
     now: Duration,
     rng: SmallRng,
     events: BinaryHeap<Reverse<(Duration, u64)>>,
-    bodies: HashMap<u64, Event>,
-    last: u64,
-    /// Whether messages are never late.
-    is_calm: bool,
-    /// Events at this very time so far.
-    moment: u32,
+    event_bodies: HashMap<u64, Event>,
+    last_id: u64,
+    /// Whether no message has a long delay.
+    has_short_delays: bool,
+    /// Number of events so far at the current time.
+    simultaneous_events: u32,
     nodes: Vec<Node>,
     listing: Listing,
-    cuts: HashSet<(usize, usize)>,
-    /// Since when all instances see each other.
-    healed: Duration,
-    questions: HashMap<u64, (Life, RequestId, usize)>,
+    disconnected: HashSet<(usize, usize)>,
+    /// Since when all instances can reach each other; the maximum while some can't.
+    healed_at: Duration,
+    outcome_queries: HashMap<u64, (Process, RequestId, usize)>,
     oracle: Oracle,
-    /// The endpoints.
+    /// The fake endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// The log.
+    /// The fake log.
     pub log: Log,
 }
 
 impl World {
-    /// Instances that have learnt of a first configuration.
+    /// Instances that have a first configuration in force.
     pub fn new(seed: u64) -> World {
         let pools = ["encode", "generate", "ledger"];
         let each = pools.iter().flat_map(|pool| [1, 2].map(|n| Endpoint::new(pool, n)));
@@ -118,267 +118,274 @@
             now: Duration::from_secs(1),
             rng: SmallRng::seed_from_u64(seed),
             events: BinaryHeap::new(),
-            bodies: HashMap::new(),
-            last: 0,
-            is_calm: false,
-            moment: 0,
+            event_bodies: HashMap::new(),
+            last_id: 0,
+            has_short_delays: false,
+            simultaneous_events: 0,
             nodes: Vec::new(),
             listing: Listing::default(),
-            cuts: HashSet::new(),
-            healed: Duration::ZERO,
-            questions: HashMap::new(),
+            disconnected: HashSet::new(),
+            healed_at: Duration::ZERO,
+            outcome_queries: HashMap::new(),
             oracle: Oracle::default(),
             endpoints: each.collect(),
             log: Log::new(),
         };
         world.publish(0);
         let node = || Node {
-            life: 0,
-            machine: None,
-            born: Duration::ZERO,
-            frozen: None,
-            thawed: Duration::ZERO,
+            incarnation: 0,
+            instance: None,
+            started_at: Duration::ZERO,
+            paused_at: None,
+            resumed_at: Duration::ZERO,
             inbox: VecDeque::new(),
-            wake: None,
+            wake_at: None,
         };
         world.nodes.extend((0..NODES).map(|_| node()));
-        world.refresh_list();
+        world.refresh_listing();
         (0..NODES).for_each(|node| world.start(node));
         world.advance(Duration::from_secs(3));
         world
     }
 
-    /// Lets time pass.
+    /// Advances the clock, and handles the events that become due.
     pub fn advance(&mut self, by: Duration) {
         let end = self.now + by;
-        while let Some(Reverse((at, seq))) = self.events.peek().copied().filter(|e| e.0.0 <= end) {
+        while let Some(Reverse((at, id))) = self.events.peek().copied().filter(|e| e.0.0 <= end) {
             self.events.pop();
-            self.moment = if at <= self.now { self.moment + 1 } else { 0 };
-            assert!(self.moment < MAX_MOMENT, "an instance asks to be woken again and again");
+            self.simultaneous_events =
+                if at <= self.now { self.simultaneous_events + 1 } else { 0 };
+            assert!(
+                self.simultaneous_events < MAX_SIMULTANEOUS,
+                "an instance requests a wake again and again"
+            );
             self.now = self.now.max(at);
-            let event = self.bodies.remove(&seq).expect("every event has a body");
-            self.happen(event);
+            let event = self.event_bodies.remove(&id).expect("every scheduled event is stored");
+            self.handle_event(event);
         }
         self.now = end;
-        self.oracle.check_due(end);
-        self.check_informed();
+        self.oracle.check_deadlines(end);
+        self.check_configured();
     }
 
     /// A caller sends a request.
-    pub fn submit(&mut self, node: usize, ask: Ask) {
-        if self.nodes[node].machine.is_none() {
+    pub fn submit(&mut self, node: usize, spec: RequestSpec) {
+        if self.nodes[node].instance.is_none() {
             return;
         }
-        let life = self.life(node);
-        self.last += 1;
-        let caller = CallerId(self.last);
-        let id =
-            if ask.single { format!("single-{}", ask.key) } else { format!("draft-{caller:?}") };
+        let process = self.process(node);
+        self.last_id += 1;
+        let caller = CallerId(self.last_id);
+        let id = if spec.runs_once {
+            format!("single-{}", spec.key)
+        } else {
+            format!("draft-{caller:?}")
+        };
         let input = format!("input of {id}");
-        let repeat = self.oracle.submitted.values().any(|earlier| earlier.id == id);
+        let is_repeat = self.oracle.submitted.values().any(|earlier| earlier.id == id);
         let request = Request {
             id: RequestId { team: "team".into(), id: id.as_str().into() },
-            pipeline: if ask.single { "ticket" } else { "draft" }.into(),
-            deadline: ask.deadline,
-            idempotent: !ask.single,
-            repeat,
-            stream: !ask.single,
+            pipeline: if spec.runs_once { "ticket" } else { "draft" }.into(),
+            deadline: spec.deadline,
+            idempotent: !spec.runs_once,
+            repeat: is_repeat,
+            stream: !spec.runs_once,
             input: input.as_str().into(),
         };
         let submitted = Submitted {
-            life,
+            process,
             id,
             input,
-            due: self.now + ask.deadline,
-            ask,
-            repeat,
+            deadline: self.now + spec.deadline,
+            spec,
+            is_repeat,
             streamed: String::new(),
             outcome: None,
-            ran: false,
-            excused: self.nodes[node].frozen.is_some(),
+            has_run: false,
+            is_exempt: self.nodes[node].paused_at.is_some(),
         };
         self.oracle.submitted.insert(caller, submitted);
-        self.happen(Event::Deliver(life, Input::Submit { caller, request }));
+        self.handle_event(Event::Deliver(process, Input::Submit { caller, request }));
     }
 
-    /// A process dies.
-    pub fn kill(&mut self, node: usize) {
-        self.oracle.excuse(self.life(node));
-        self.nodes[node].machine = None;
+    /// A process crashes.
+    pub fn crash(&mut self, node: usize) {
+        self.oracle.exempt(self.process(node));
+        self.nodes[node].instance = None;
         self.nodes[node].inbox.clear();
     }
 
-    /// A process starts, where none runs.
+    /// Starts a process unless the node runs one.
     pub fn start(&mut self, node: usize) {
-        if self.nodes[node].machine.is_some() {
+        if self.nodes[node].instance.is_some() {
             return;
         }
         let seed = self.rng.random();
-        let life = self.nodes[node].life + 1;
+        let incarnation = self.nodes[node].incarnation + 1;
         let identity = Identity {
             name: name(node),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
             data_centre: "north".into(),
         };
         self.nodes[node] = Node {
-            life,
-            machine: Some(Instance::new(identity, Settings::default(), seed)),
-            born: self.now,
-            frozen: None,
-            thawed: self.now,
+            incarnation,
+            instance: Some(Instance::new(identity, Settings::default(), seed)),
+            started_at: self.now,
+            paused_at: None,
+            resumed_at: self.now,
             inbox: VecDeque::new(),
-            wake: None,
+            wake_at: None,
         };
-        let life = self.life(node);
-        self.after(0, Event::PollConfig(life));
-        self.after(1, Event::PollClaims(life));
-        self.after(2, Event::PollList(life));
-        self.feed(life, Input::Tick);
+        let process = self.process(node);
+        self.schedule_in(0, Event::PollConfig(process));
+        self.schedule_in(1, Event::PollClaims(process));
+        self.schedule_in(2, Event::PollListing(process));
+        self.handle_input(process, Input::Tick);
     }
 
-    /// A process is paused.
-    pub fn freeze(&mut self, node: usize) {
-        if self.nodes[node].machine.is_some() {
-            self.nodes[node].frozen.get_or_insert(self.now);
-            self.oracle.excuse(self.life(node));
+    /// Pauses a process.
+    pub fn pause(&mut self, node: usize) {
+        if self.nodes[node].instance.is_some() {
+            self.nodes[node].paused_at.get_or_insert(self.now);
+            self.oracle.exempt(self.process(node));
         }
     }
 
-    /// A paused process goes on: all that came meanwhile comes at once.
-    pub fn thaw(&mut self, node: usize) {
-        if self.nodes[node].frozen.take().is_none() {
+    /// Resumes a paused process, which receives at once all inputs that arrived during the pause.
+    pub fn resume(&mut self, node: usize) {
+        if self.nodes[node].paused_at.take().is_none() {
             return;
         }
-        self.nodes[node].thawed = self.now;
-        let life = self.life(node);
+        self.nodes[node].resumed_at = self.now;
+        let process = self.process(node);
         while let Some(input) = self.nodes[node].inbox.pop_front() {
-            self.feed(life, input);
+            self.handle_input(process, input);
         }
-        self.feed(life, Input::Tick);
+        self.handle_input(process, Input::Tick);
     }
 
-    /// A process is told to stop.
+    /// Begins a planned stop of a process.
     pub fn stop(&mut self, node: usize) {
-        self.after(0, Event::Deliver(self.life(node), Input::Stop));
+        self.schedule_in(0, Event::Deliver(self.process(node), Input::Stop));
     }
 
-    /// Drops half of a stream's records that are older than the horizon allows.
-    pub fn expire(&mut self, config: bool) {
-        // Only the configuration may lose records that are young: claims
-        // promise no more than the stated retention.
+    /// Expires records of the configuration stream that are older than eight seconds, if `is_config`.
+    pub fn expire(&mut self, is_config: bool) {
+        // Claims are correct only if their records are kept for the stated retention time.
         let before = self.now.saturating_sub(Duration::from_secs(8)).as_millis() as u64;
-        if config {
+        if is_config {
             self.log.config.expire(before);
         }
     }
 
-    /// Two instances lose sight of each other.
+    /// Cuts the connection between two nodes.
     pub fn cut(&mut self, a: usize, b: usize) {
-        self.healed = Duration::MAX;
-        self.cuts.extend([(a, b), (b, a)]);
+        self.healed_at = Duration::MAX;
+        self.disconnected.extend([(a, b), (b, a)]);
     }
 
-    /// All instances see each other again.
+    /// Restores all connections between nodes.
     pub fn heal(&mut self) {
-        if self.healed == Duration::MAX {
-            self.healed = self.now;
+        if self.healed_at == Duration::MAX {
+            self.healed_at = self.now;
         }
-        self.cuts.clear();
+        self.disconnected.clear();
     }
 
-    /// An operator publishes on the version that is `behind` the newest.
+    /// An operator publishes on the version that is `behind` versions older than the newest.
     pub fn publish(&mut self, behind: u64) {
         if self.log.is_out {
             return;
         }
-        let newest = self.log.chain().len() as u64;
-        self.last += 1;
+        let newest = self.log.versions().len() as u64;
+        self.last_id += 1;
         let publish = Publish {
-            id: format!("publish-{}", self.last).into(),
+            id: format!("publish-{}", self.last_id).into(),
             base: newest.saturating_sub(behind),
             author: "operator".into(),
-            document: Arc::new(document(self.last)),
+            document: Arc::new(document(self.last_id)),
         };
         self.log.config.append(millis(self.now), ConfigRecord::Publish(publish));
     }
 
-    /// An endpoint is going away.
-    pub fn leave(&mut self, endpoint: usize) {
+    /// An endpoint begins to leave.
+    pub fn start_leaving(&mut self, endpoint: usize) {
         let now = self.now;
         let endpoint = &mut self.endpoints[endpoint];
         endpoint.leaving.get_or_insert(now);
         endpoint.entry.presence = Presence::Leaving;
     }
 
-    /// An endpoint comes back, restarted.
-    pub fn bring_back(&mut self, endpoint: usize) {
+    /// An endpoint restarts in a new incarnation.
+    pub fn restart_endpoint(&mut self, endpoint: usize) {
         let endpoint = &mut self.endpoints[endpoint];
         endpoint.leaving = None;
         endpoint.entry.presence = Presence::Live;
         endpoint.entry.incarnation.0 += 1;
     }
 
-    /// Everything works again.
-    pub fn mend(&mut self) {
-        self.is_calm = true;
+    /// Ends all faults.
+    pub fn end_faults(&mut self) {
+        self.has_short_delays = true;
         self.log.is_out = false;
-        self.log.lose_answers = 0;
+        self.log.lose_acks = 0;
         self.heal();
         for endpoint in 0..self.endpoints.len() {
             self.endpoints[endpoint].fault = Fault::None;
             if self.endpoints[endpoint].leaving.is_some() {
-                self.bring_back(endpoint);
+                self.restart_endpoint(endpoint);
             }
         }
-        (0..NODES).for_each(|node| self.thaw(node));
+        (0..NODES).for_each(|node| self.resume(node));
     }
 
-    /// Nothing is owed, all agree, and requests are answered.
-    pub fn check_rest(&mut self) {
+    /// Checks that all instances are ready with the newest version, and that new requests are
+    /// answered.
+    pub fn check_recovery(&mut self) {
         (0..NODES).for_each(|node| self.start(node));
         self.advance(Duration::from_secs(10));
-        let chain = self.log.chain();
+        let versions = self.log.versions();
         for node in 0..NODES {
-            let Some(machine) = &self.nodes[node].machine else { continue };
-            let version = machine.status().version;
-            assert_eq!(version, chain.len() as u64, "{} is behind", name(node));
+            let Some(instance) = &self.nodes[node].instance else { continue };
+            let version = instance.status().version;
+            assert_eq!(version, versions.len() as u64, "{} is behind", name(node));
             assert_eq!(
-                machine.unready_reasons(),
+                instance.unready_reasons(),
                 Vec::<Arc<str>>::new(),
                 "{} is not ready",
                 name(node)
             );
         }
-        let before = self.last;
-        for (node, single) in (0..NODES).flat_map(|node| [(node, false), (node, true)]) {
+        let before = self.last_id;
+        for (node, runs_once) in (0..NODES).flat_map(|node| [(node, false), (node, true)]) {
             let key = 1000 + u32::try_from(node).unwrap();
-            self.submit(node, Ask { single, key, deadline: Duration::from_secs(5) });
+            self.submit(node, RequestSpec { runs_once, key, deadline: Duration::from_secs(5) });
         }
         self.advance(Duration::from_secs(6));
         for (caller, request) in &self.oracle.submitted {
-            let fresh = caller.0 > before;
-            let answered = matches!(request.outcome, Some(Outcome::Answered(_)));
-            assert!(!fresh || answered, "at rest, {request:?} is not answered");
+            let is_new = caller.0 > before;
+            let is_answered = matches!(request.outcome, Some(Outcome::Answered(_)));
+            assert!(!is_new || is_answered, "after recovery, {request:?} is not answered");
         }
     }
 
-    fn life(&self, node: usize) -> Life {
-        (node, self.nodes[node].life)
+    fn process(&self, node: usize) -> Process {
+        (node, self.nodes[node].incarnation)
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
-        self.last += 1;
-        self.events.push(Reverse((at, self.last)));
-        self.bodies.insert(self.last, event);
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.last_id += 1;
+        self.events.push(Reverse((at, self.last_id)));
+        self.event_bodies.insert(self.last_id, event);
     }
 
-    fn after(&mut self, ms: u64, event: Event) {
-        self.at(self.now + Duration::from_millis(ms), event);
+    fn schedule_in(&mut self, ms: u64, event: Event) {
+        self.schedule(self.now + Duration::from_millis(ms), event);
     }
 
     /// A delay in milliseconds: usually short, sometimes long.
     fn delay(&mut self) -> u64 {
-        if !self.is_calm && self.rng.random_bool(0.03) {
+        if !self.has_short_delays && self.rng.random_bool(0.03) {
             return self.rng.random_range(300..3000);
         }
         self.rng.random_range(1..8)
@@ -394,7 +401,7 @@
 }
 
 fn millis(at: Duration) -> u64 {
-    // The log's own clock: far from zero, so that its horizon has a past.
+    // The log's clock starts far from zero, so that the horizon of claims does not reach below it.
     let epoch = RETENTION * 2;
     (epoch + at).as_millis() as u64
 }
--- a/crates/core/tests/testsuite/instances/world/document.rs
+++ b/crates/core/tests/testsuite/instances/world/document.rs
@@ -1,4 +1,4 @@
-//! The configurations that are published.
+//! The configuration documents that are published.
 
 use peatdeck_core::document::{Document, Pipeline, Pool, PoolKind, Stage, Team};
 
@@ -7,8 +7,8 @@
     oracle::{DRAFT, TICKET},
 };
 
-/// A document that differs from every other by its mark.
-pub fn document(mark: u64) -> Document {
+/// A document that is unique because of a team named after `number`.
+pub fn document(number: u64) -> Document {
     let pool = |name: &str, kind| Pool { name: name.into(), kind, cost: 1.0, fenced: false };
     let pipeline = |name: &str, stages: [(&str, bool, bool); 2]| Pipeline {
         name: name.into(),
@@ -17,11 +17,11 @@
         policy: None,
         stages: stages
             .iter()
-            .map(|(stage, engine, single)| Stage {
+            .map(|(stage, is_engine, runs_once)| Stage {
                 name: (*stage).into(),
                 pool: (*stage).into(),
-                repeatable: !single,
-                max_tokens: engine.then_some(endpoints::TOKENS),
+                repeatable: !runs_once,
+                max_tokens: is_engine.then_some(endpoints::TOKENS),
             })
             .collect(),
     };
@@ -33,7 +33,7 @@
             pool("ledger", PoolKind::Service),
         ],
         pipelines: vec![pipeline("draft", DRAFT), pipeline("ticket", TICKET)],
-        teams: vec![team("team".into(), 1), team(format!("mark-{mark}"), 1)],
+        teams: vec![team("team".into(), 1), team(format!("mark-{number}"), 1)],
         policies: Vec::new(),
     }
 }
--- a/crates/core/tests/testsuite/instances/world/steps.rs
+++ b/crates/core/tests/testsuite/instances/world/steps.rs
@@ -1,4 +1,4 @@
-//! What happens: events, and what instances ask for.
+//! Handling of events, and of the actions that instances request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,243 +15,264 @@
 use rand::Rng;
 
 use super::{
-    APPEND_TIMEOUT, DRAIN_BOUND, Event, INFORM_BOUND, LIST_LAG, NODES, POLL, World, millis, name,
-    number,
+    APPEND_TIMEOUT, CONFIG_BOUND, DRAIN_BOUND, Event, LISTING_INTERVAL, NODES, POLL, World, millis,
+    name, number,
 };
-use crate::instances::{endpoints::Endpoint, oracle::Life};
+use crate::instances::{endpoints::Endpoint, oracle::Process};
 
 impl World {
-    pub(super) fn happen(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Deliver(life, input) => self.deliver(life, input),
-            Event::Wake(life) => self.deliver(life, Input::Tick),
-            Event::PollConfig(life) => self.poll(life, Stream::Config),
-            Event::PollClaims(life) => self.poll(life, Stream::Claims),
-            Event::PollList(life) => self.poll_list(life),
-            Event::LandConfig { life, append, record } => {
-                let out = self.log.is_out;
-                if !out {
+            Event::Deliver(process, input) => self.deliver(process, input),
+            Event::Wake(process) => self.deliver(process, Input::Tick),
+            Event::PollConfig(process) => self.poll(process, Stream::Config),
+            Event::PollClaims(process) => self.poll(process, Stream::Claims),
+            Event::PollListing(process) => self.poll_listing(process),
+            Event::AppendConfig { process, append, record } => {
+                let is_out = self.log.is_out;
+                if !is_out {
                     self.log.config.append(millis(self.now), record);
                 }
-                self.appended(life, append, out);
+                self.end_append(process, append, is_out);
             }
-            Event::LandClaims { life, append, batch } => {
-                let out = self.log.is_out;
-                if !out {
+            Event::AppendClaims { process, append, batch } => {
+                let is_out = self.log.is_out;
+                if !is_out {
                     self.log.claims.append(millis(self.now), batch);
                 }
-                self.appended(life, append, out);
+                self.end_append(process, append, is_out);
             }
-            Event::CallArrives { life, call } => self.call_arrives(life, call),
-            Event::Reply { life, call, event } => {
-                self.deliver(life, Input::Call { call, event });
+            Event::DeliverCall { process, call } => self.deliver_call(process, call),
+            Event::Reply { process, call, event } => {
+                self.deliver(process, Input::Call { call, event });
             }
-            Event::Told { question, answer } => {
-                let Some((life, key, peer)) = self.questions.remove(&question) else { return };
-                let told = Input::OutcomeTold { key, peer: name(peer), answer: Some(answer) };
-                self.deliver(life, told);
+            Event::OutcomeReply { query, answer } => {
+                let Some((process, key, peer)) = self.outcome_queries.remove(&query) else {
+                    return;
+                };
+                let reply = Input::OutcomeTold { key, peer: name(peer), answer: Some(answer) };
+                self.deliver(process, reply);
             }
-            Event::RefreshList => self.refresh_list(),
+            Event::RefreshListing => self.refresh_listing(),
         }
     }
 
-    pub(super) fn deliver(&mut self, life: Life, input: Input) {
-        let node = &mut self.nodes[life.0];
-        if node.life != life.1 || node.machine.is_none() {
+    pub(super) fn deliver(&mut self, process: Process, input: Input) {
+        let node = &mut self.nodes[process.0];
+        if node.incarnation != process.1 || node.instance.is_none() {
             return;
         }
-        if node.frozen.is_some() {
+        if node.paused_at.is_some() {
             node.inbox.push_back(input);
             return;
         }
-        self.feed(life, input);
+        self.handle_input(process, input);
     }
 
-    pub(super) fn feed(&mut self, life: Life, input: Input) {
-        let node = &mut self.nodes[life.0];
-        let Some(machine) = node.machine.as_mut().filter(|_| node.life == life.1) else { return };
-        let mut known = leaving(machine);
-        let local = self.now.saturating_sub(node.born);
-        let actions = machine.handle(local, input);
-        let version = machine.status().version;
-        // A listing may bring a new life of an endpoint in the same step.
-        known.retain(|endpoint| leaving(machine).contains(endpoint));
-        let document = machine.in_force().map(|snapshot| snapshot.document.clone());
-        let wake = machine.next_wake().map(|at| node.born + at);
-        self.oracle.version(life, version);
+    pub(super) fn handle_input(&mut self, process: Process, input: Input) {
+        let node = &mut self.nodes[process.0];
+        let Some(instance) = node.instance.as_mut().filter(|_| node.incarnation == process.1)
+        else {
+            return;
+        };
+        let mut leaving_before = leaving(instance);
+        let local = self.now.saturating_sub(node.started_at);
+        let actions = instance.handle(local, input);
+        let version = instance.status().version;
+        // A listing may contain a new incarnation of an endpoint in the same step.
+        leaving_before.retain(|endpoint| leaving(instance).contains(endpoint));
+        let document = instance.in_force().map(|snapshot| snapshot.document.clone());
+        let wake_at = instance.next_wake().map(|at| node.started_at + at);
+        self.oracle.record_version(process, version);
         if let Some(document) = document.filter(|_| version > 0) {
-            let chain = self.log.chain();
-            assert_eq!(document, chain[version as usize - 1], "{life:?} has another chain");
+            let versions = self.log.versions();
+            assert_eq!(
+                document,
+                versions[version as usize - 1],
+                "{process:?} has another document for this version"
+            );
         }
-        if let Some(at) = wake.filter(|at| node.wake.is_none_or(|set| *at < set || set <= self.now))
+        if let Some(at) =
+            wake_at.filter(|at| node.wake_at.is_none_or(|set| *at < set || set <= self.now))
         {
-            self.nodes[life.0].wake = Some(at);
-            self.at(at.max(self.now), Event::Wake(life));
+            self.nodes[process.0].wake_at = Some(at);
+            self.schedule(at.max(self.now), Event::Wake(process));
         }
         for action in actions {
             if let Action::Call(call) = &action {
                 assert!(
-                    !known.iter().any(|(name, _)| *name == call.endpoint),
-                    "{life:?} calls a leaving endpoint"
+                    !leaving_before.iter().any(|(name, _)| *name == call.endpoint),
+                    "{process:?} calls a leaving endpoint"
                 );
             }
-            self.carry_out(life, action);
+            self.handle_action(process, action);
         }
     }
 
-    pub(super) fn carry_out(&mut self, life: Life, action: Action) {
+    pub(super) fn handle_action(&mut self, process: Process, action: Action) {
         let delay = self.delay();
         match action {
-            Action::Answer { caller, outcome } => self.oracle.answered(self.now, caller, outcome),
-            Action::Stream { caller, text } => self.oracle.streamed(caller, &text),
+            Action::Answer { caller, outcome } => {
+                self.oracle.record_outcome(self.now, caller, outcome)
+            }
+            Action::Stream { caller, text } => self.oracle.record_text(caller, &text),
             Action::Call(call) => {
-                self.check_drained(life, &call);
-                self.after(delay, Event::CallArrives { life, call });
+                self.check_drained(process, &call);
+                self.schedule_in(delay, Event::DeliverCall { process, call });
             }
             Action::Cancel(_) => {}
             Action::AppendConfig { append, record } => {
-                self.after(delay, Event::LandConfig { life, append, record });
+                self.schedule_in(delay, Event::AppendConfig { process, append, record });
             }
             Action::AppendClaims { append, batch } => {
                 if self.rng.random_bool(0.05) {
                     let (late, batch) = (self.delay() + 400, batch.clone());
                     let append = AppendId(u64::MAX);
-                    self.after(late, Event::LandClaims { life, append, batch });
+                    self.schedule_in(late, Event::AppendClaims { process, append, batch });
                 }
-                self.after(delay, Event::LandClaims { life, append, batch });
+                self.schedule_in(delay, Event::AppendClaims { process, append, batch });
             }
             Action::Gossip { to, message, .. } => {
                 let peer = number(&to);
-                let input = if self.reaches(life.0, peer) {
-                    Event::Deliver(self.life(peer), Input::Gossip(message))
+                let input = if self.can_reach(process.0, peer) {
+                    Event::Deliver(self.process(peer), Input::Gossip(message))
                 } else {
-                    Event::Deliver(life, Input::PeerFailed(to))
+                    Event::Deliver(process, Input::PeerFailed(to))
                 };
-                self.after(delay, input);
+                self.schedule_in(delay, input);
             }
             Action::AskOutcome { to, key, .. } => {
                 let peer = number(&to);
-                self.last += 1;
-                let question = self.last;
-                let event = if self.reaches(life.0, peer) {
-                    self.questions.insert(question, (life, key.clone(), peer));
-                    Event::Deliver(self.life(peer), Input::OutcomeAsked { question, key })
+                self.last_id += 1;
+                let query = self.last_id;
+                let event = if self.can_reach(process.0, peer) {
+                    self.outcome_queries.insert(query, (process, key.clone(), peer));
+                    Event::Deliver(self.process(peer), Input::OutcomeAsked { question: query, key })
                 } else {
-                    Event::Deliver(life, Input::OutcomeTold { key, peer: to, answer: None })
+                    Event::Deliver(process, Input::OutcomeTold { key, peer: to, answer: None })
                 };
-                self.after(delay, event);
+                self.schedule_in(delay, event);
             }
             Action::TellOutcome { question, answer } => {
-                self.after(delay, Event::Told { question, answer });
+                self.schedule_in(delay, Event::OutcomeReply { query: question, answer });
             }
             Action::Exit => {
-                self.close(life);
-                self.oracle.exited(life);
-                self.nodes[life.0].machine = None;
+                self.answer_unread(process);
+                self.oracle.check_exit(process);
+                self.nodes[process.0].instance = None;
             }
         }
     }
 
-    /// What a process that exits tells those whose requests it has not read yet.
-    pub(super) fn close(&mut self, life: Life) {
-        for input in std::mem::take(&mut self.nodes[life.0].inbox) {
+    /// Answers the requests that an exiting process has received but not read.
+    pub(super) fn answer_unread(&mut self, process: Process) {
+        for input in std::mem::take(&mut self.nodes[process.0].inbox) {
             if let Input::Submit { caller, request } = input {
-                self.oracle.answered(self.now, caller, admit::outcome_after_exit(&request));
+                self.oracle.record_outcome(self.now, caller, admit::outcome_after_exit(&request));
             }
         }
     }
 
-    /// A sound instance that saw the list since calls no leaving endpoint.
-    pub(super) fn check_drained(&self, life: Life, call: &Call) {
+    /// Checks that a process does not call an endpoint that has been leaving for longer than
+    /// [`DRAIN_BOUND`], counted from when the process started or resumed if that is later.
+    pub(super) fn check_drained(&self, process: Process, call: &Call) {
         let endpoint = self.endpoint(&call.endpoint);
         let Some(since) = endpoint.leaving else { return };
-        let node = &self.nodes[life.0];
-        let since = since.max(node.thawed).max(node.born);
+        let node = &self.nodes[process.0];
+        let since = since.max(node.resumed_at).max(node.started_at);
         assert!(
             self.now <= since + DRAIN_BOUND,
-            "{} gets work {:?} after it began to leave",
+            "{} receives a call {:?} after it began to leave",
             call.endpoint,
             self.now - since
         );
     }
 
-    /// A configuration reaches a started instance from its peers, too.
-    pub(super) fn check_informed(&self) {
-        let sound = self.nodes.iter().filter(|node| {
-            let since = node.thawed.max(self.healed);
-            node.frozen.is_none() && self.now.saturating_sub(INFORM_BOUND) > since
+    /// Checks that either all or none of the processes that have been running and connected for
+    /// [`CONFIG_BOUND`] have a configuration, which they can receive from peers.
+    pub(super) fn check_configured(&self) {
+        let stable = self.nodes.iter().filter(|node| {
+            let since = node.resumed_at.max(self.healed_at);
+            node.paused_at.is_none() && self.now.saturating_sub(CONFIG_BOUND) > since
         });
-        let versions = sound.filter_map(|node| Some(node.machine.as_ref()?.status().version));
+        let versions = stable.filter_map(|node| Some(node.instance.as_ref()?.status().version));
         let versions: Vec<u64> = versions.collect();
-        let informed = versions.iter().filter(|version| **version > 0).count();
-        assert!(informed == 0 || informed == versions.len(), "only some are told: {versions:?}");
+        let configured = versions.iter().filter(|version| **version > 0).count();
+        assert!(
+            configured == 0 || configured == versions.len(),
+            "only some have a configuration: {versions:?}"
+        );
     }
 
     pub(super) fn endpoint(&self, name: &str) -> &Endpoint {
         let mut all = self.endpoints.iter();
-        all.find(|endpoint| &*endpoint.entry.name == name).expect("calls go to known endpoints")
+        all.find(|endpoint| &*endpoint.entry.name == name)
+            .expect("calls are sent to listed endpoints")
     }
 
-    pub(super) fn reaches(&self, from: usize, to: usize) -> bool {
-        self.nodes[to].machine.is_some() && !self.cuts.contains(&(from, to))
+    pub(super) fn can_reach(&self, from: usize, to: usize) -> bool {
+        self.nodes[to].instance.is_some() && !self.disconnected.contains(&(from, to))
     }
 
-    pub(super) fn appended(&mut self, life: Life, append: AppendId, out: bool) {
+    pub(super) fn end_append(&mut self, process: Process, append: AppendId, is_out: bool) {
         if append == AppendId(u64::MAX) {
             return;
         }
-        let lost = out || self.log.loses_answer();
-        if lost {
+        let is_lost = is_out || self.log.loses_ack();
+        if is_lost {
             let wait = APPEND_TIMEOUT.as_millis() as u64;
-            return self.after(wait, Event::Deliver(life, Input::AppendFailed(append)));
+            return self.schedule_in(wait, Event::Deliver(process, Input::AppendFailed(append)));
         }
         let delay = self.delay();
-        self.after(delay, Event::Deliver(life, Input::Appended { append, offset: 0 }));
+        self.schedule_in(delay, Event::Deliver(process, Input::Appended { append, offset: 0 }));
     }
 
-    pub(super) fn call_arrives(&mut self, life: Life, call: Call) {
+    pub(super) fn deliver_call(&mut self, process: Process, call: Call) {
         let effect = self.endpoint(&call.endpoint).call(&call);
         if effect.runs
-            && let Some(caller) = self.oracle.caller_of(life, &call)
+            && let Some(caller) = self.oracle.caller_of(process, &call)
         {
-            self.oracle.runs(caller, &call);
+            self.oracle.record_run(caller, &call);
         }
         for (after, event) in effect.events {
             let at = self.now + after;
-            self.at(at, Event::Reply { life, call: call.id, event });
+            self.schedule(at, Event::Reply { process, call: call.id, event });
         }
     }
 
-    pub(super) fn poll(&mut self, life: Life, stream: Stream) {
-        let node = &self.nodes[life.0];
-        let Some(machine) = node.machine.as_ref().filter(|_| node.life == life.1) else { return };
+    pub(super) fn poll(&mut self, process: Process, stream: Stream) {
+        let node = &self.nodes[process.0];
+        let Some(instance) = node.instance.as_ref().filter(|_| node.incarnation == process.1)
+        else {
+            return;
+        };
         let now_ms = millis(self.now);
         let input = match stream {
             _ if self.log.is_out => Input::ReadFailed(stream),
             Stream::Config => {
-                Input::ConfigRead(self.log.config.read(machine.next_config_offset(), now_ms))
+                Input::ConfigRead(self.log.config.read(instance.next_config_offset(), now_ms))
             }
             Stream::Claims => {
-                Input::ClaimsRead(self.log.claims.read(machine.next_claims_offset(), now_ms))
+                Input::ClaimsRead(self.log.claims.read(instance.next_claims_offset(), now_ms))
             }
         };
         let delay = self.delay();
-        self.after(delay, Event::Deliver(life, input));
+        self.schedule_in(delay, Event::Deliver(process, input));
         let next = match stream {
-            Stream::Config => Event::PollConfig(life),
-            Stream::Claims => Event::PollClaims(life),
+            Stream::Config => Event::PollConfig(process),
+            Stream::Claims => Event::PollClaims(process),
         };
-        self.at(self.now + POLL + Duration::from_millis(delay), next);
+        self.schedule(self.now + POLL + Duration::from_millis(delay), next);
     }
 
-    pub(super) fn poll_list(&mut self, life: Life) {
-        self.deliver(life, Input::Listed(self.listing.clone()));
-        if self.nodes[life.0].life == life.1 {
-            self.at(self.now + POLL * 5, Event::PollList(life));
+    pub(super) fn poll_listing(&mut self, process: Process) {
+        self.deliver(process, Input::Listed(self.listing.clone()));
+        if self.nodes[process.0].incarnation == process.1 {
+            self.schedule(self.now + POLL * 5, Event::PollListing(process));
         }
     }
 
-    pub(super) fn refresh_list(&mut self) {
+    pub(super) fn refresh_listing(&mut self) {
         let instances = (0..NODES).map(|node| InstanceEntry {
             name: name(node),
             peer_addr: name(node),
@@ -263,13 +284,13 @@
             instances: instances.collect(),
             endpoints: self.endpoints.iter().map(|endpoint| endpoint.entry.clone()).collect(),
         };
-        self.at(self.now + LIST_LAG, Event::RefreshList);
+        self.schedule(self.now + LISTING_INTERVAL, Event::RefreshListing);
     }
 }
 
-/// The endpoints that an instance knows to be leaving, with their lives.
-fn leaving(machine: &Instance) -> Vec<(Arc<str>, Incarnation)> {
-    let endpoints = machine.status().endpoints.into_iter();
+/// The endpoints that an instance considers leaving, with their incarnations.
+fn leaving(instance: &Instance) -> Vec<(Arc<str>, Incarnation)> {
+    let endpoints = instance.status().endpoints.into_iter();
     let leaving = endpoints.filter(|known| known.state.name() == "leaving");
     leaving.map(|known| (known.name, known.incarnation)).collect()
 }
--- a/crates/core/tests/testsuite/latency.rs
+++ b/crates/core/tests/testsuite/latency.rs
@@ -1,4 +1,4 @@
-//! Online quantiles.
+//! Latency quantiles estimated from a stream of samples.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,18 +12,18 @@
     Duration::from_millis(ms)
 }
 
-/// Whether a quantile lies within a bucket of `want`.
+/// Whether a quantile differs from `want` by at most the width of a bucket.
 fn is_near(got: Option<Duration>, want: Duration) -> bool {
     got.is_some_and(|got| got >= want.mul_f64(0.9) && got <= want.mul_f64(1.11))
 }
 
 #[test]
-fn nothing_is_known_without_samples() {
+fn there_is_no_quantile_without_samples() {
     assert_eq!(Estimator::new().quantile(0.5), None);
 }
 
 #[test]
-fn quantiles_are_off_by_a_bucket_at_most() {
+fn the_error_of_quantiles_is_at_most_a_bucket() {
     let mut estimator = Estimator::new();
     (1..=1000).for_each(|took| estimator.record(ms(0), ms(took)));
     for (q, want) in [(0.5, 500), (0.9, 900), (0.99, 990)] {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn quantiles_of_even_samples_are_close() {
+fn quantiles_of_uniform_samples_are_within_two_percent() {
     let mut estimator = Estimator::new();
     (1..=1000).for_each(|took| estimator.record(ms(0), ms(took)));
     for (q, want) in [(0.25, 250.0), (0.5, 500.0), (0.9, 900.0)] {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_long_life_keeps_it_exact() {
+fn quantiles_stay_accurate_over_a_long_run_time() {
     let mut estimator = Estimator::new();
     for minute in 0..100_000 {
         estimator.record(MINUTE * minute, ms(20));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn samples_beyond_the_range_are_kept_at_its_ends() {
+fn samples_beyond_the_range_are_clamped_to_it() {
     let mut estimator = Estimator::new();
     estimator.record(ms(0), Duration::ZERO);
     estimator.record(ms(0), Duration::from_secs(1_000_000));
--- a/crates/core/tests/testsuite/limits.rs
+++ b/crates/core/tests/testsuite/limits.rs
@@ -1,4 +1,4 @@
-//! How limits move.
+//! How adaptive limits grow and shrink.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,8 +10,9 @@
     Duration::from_millis(ms)
 }
 
-/// A limit of 8, after rounds of calls that took `took` each.
-fn after(limit: &mut AdaptiveLimit, rounds: u32, took: u64, in_flight: u32) -> u32 {
+/// Records rounds of calls that took `took` milliseconds each, as many per round as the limit allows
+/// and at least 8. Returns the value of the limit.
+fn run_rounds(limit: &mut AdaptiveLimit, rounds: u32, took: u64, in_flight: u32) -> u32 {
     for _ in 0..rounds {
         (0..limit.value().max(8)).for_each(|_| limit.record_completion(ms(0), ms(took), in_flight));
     }
@@ -23,46 +24,46 @@
 }
 
 #[test]
-fn a_limit_in_use_grows_by_one_a_round() {
-    assert_eq!(after(&mut limit(), 4, 100, 64), 12);
+fn a_limit_in_use_grows_by_one_per_round() {
+    assert_eq!(run_rounds(&mut limit(), 4, 100, 64), 12);
 }
 
 #[test]
-fn a_limit_that_is_not_in_use_stays() {
-    assert_eq!(after(&mut limit(), 20, 100, 3), 8);
+fn a_limit_that_is_not_in_use_does_not_grow() {
+    assert_eq!(run_rounds(&mut limit(), 20, 100, 3), 8);
 }
 
 #[test]
-fn a_limit_shrinks_when_times_rise() {
+fn a_limit_shrinks_when_latency_rises() {
     let mut limit = limit();
-    after(&mut limit, 1, 100, 3);
-    assert_eq!(after(&mut limit, 1, 250, 3), 6);
+    run_rounds(&mut limit, 1, 100, 3);
+    assert_eq!(run_rounds(&mut limit, 1, 250, 3), 6);
 }
 
 #[test]
 fn one_slow_call_is_not_congestion() {
     let mut limit = limit();
-    after(&mut limit, 1, 100, 3);
+    run_rounds(&mut limit, 1, 100, 3);
     limit.record_completion(ms(0), ms(5000), 3);
     (0..7).for_each(|_| limit.record_completion(ms(0), ms(100), 3));
     assert_eq!(limit.value(), 8);
 }
 
 #[test]
-fn steady_load_does_not_become_usual() {
+fn sustained_load_does_not_raise_the_baseline_latency() {
     let mut limit = limit();
-    after(&mut limit, 2, 100, 3);
+    run_rounds(&mut limit, 2, 100, 3);
     for _ in 0..50 {
-        after(&mut limit, 1, 190, 64);
+        run_rounds(&mut limit, 1, 190, 64);
     }
     let before = limit.value();
-    assert!(after(&mut limit, 1, 250, 64) < before);
+    assert!(run_rounds(&mut limit, 1, 250, 64) < before);
 }
 
 #[test]
-fn calls_cut_short_count_as_slow_ones() {
+fn calls_cancelled_after_a_long_time_count_as_slow() {
     let mut limit = limit();
-    after(&mut limit, 1, 100, 3);
+    run_rounds(&mut limit, 1, 100, 3);
     (0..8).for_each(|_| limit.record_cancellation(ms(0), ms(50), 3));
     assert_eq!(limit.value(), 8);
     (0..8).for_each(|_| limit.record_cancellation(ms(0), ms(900), 3));
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn one_congestion_shrinks_once() {
+fn signals_of_calls_sent_before_the_last_decrease_are_ignored() {
     let mut limit = limit();
     limit.record_report(ms(1000), ms(500), 9, 4);
     limit.record_report(ms(1100), ms(900), 9, 4);
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_short_reported_queue_is_no_congestion() {
+fn a_short_reported_queue_is_not_congestion() {
     let mut limit = limit();
     limit.record_report(ms(1000), ms(500), 1, 4);
     assert_eq!(limit.value(), 8);
@@ -90,7 +91,7 @@
 #[test]
 fn a_limit_stays_within_its_bounds() {
     let mut limit = AdaptiveLimit::new(Settings { initial: 4, min: 2, max: 6 });
-    assert_eq!(after(&mut limit, 20, 100, 64), 6);
+    assert_eq!(run_rounds(&mut limit, 20, 100, 64), 6);
     (1..20).for_each(|at| limit.record_refusal(ms(at * 10), ms(at * 10 - 1)));
     assert_eq!(limit.value(), 2);
 }
--- a/crates/core/tests/testsuite/main.rs
+++ b/crates/core/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions: a module per feature, and stateful fuzzing.
+//! Tests of the core: a module per feature, and stateful fuzzing.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/core/tests/testsuite/membership.rs
+++ b/crates/core/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! Who is taken for alive, and what goes into a message.
+//! Which peers are considered alive, and what a gossip message contains.
 
 #![allow(clippy::unwrap_used)]
 
@@ -31,7 +31,7 @@
     LocalState { mark: ConfigMark::default(), snapshot: None, ready: true, leaving, endpoints }
 }
 
-/// What is in force where that version is.
+/// A snapshot with `version` in force.
 fn snapshot(version: u64) -> Snapshot {
     Snapshot {
         as_of: Some(7),
@@ -53,7 +53,7 @@
     members
 }
 
-/// One message from `from`, which counts `in_flight` calls to an endpoint.
+/// A message of `from`, which has `in_flight` calls to the endpoint.
 fn message(from: &mut Members, at: Duration, in_flight: u32) -> Envelope {
     let endpoint = Arc::from("endpoint");
     let states = [EndpointState { endpoint, in_flight, load: None }];
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn a_silent_peer_is_taken_for_dead_but_not_after_a_pause_of_ones_own() {
+fn a_silent_peer_is_considered_dead_but_not_because_of_a_pause_of_the_local_process() {
     let (mut a, mut b) = (member("a", &["a", "b"]), member("b", &["a", "b"]));
     assert!(a.alive(secs(0)).is_empty());
     a.receive(secs(1), &message(&mut b, secs(1), 0).message, &local(&[], &[]));
     assert_eq!(a.alive(secs(1)), [Arc::from("b")]);
-    // Paused for long: no time in which the peer could have been heard.
+    // The process was paused, so it could not have received anything from the peer.
     assert_eq!(a.alive(secs(1_000)), [Arc::from("b")]);
     a.tick(secs(1_000), &local(&[], &[]));
     assert_eq!(a.alive(secs(1_000)), [Arc::from("b")]);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_peer_that_cannot_be_reached_is_dead_until_it_is_heard_of() {
+fn an_unreachable_peer_is_considered_dead_until_a_message_of_it_arrives() {
     let (mut a, mut b) = (member("a", &["a", "b"]), member("b", &["a", "b"]));
     a.receive(secs(1), &message(&mut b, secs(1), 0).message, &local(&[], &[]));
     for _ in 0..3 {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn calls_in_flight_are_summed_and_age_out() {
+fn calls_in_flight_of_peers_are_summed_and_expire() {
     let all = ["a", "b", "c"];
     let (mut a, mut b, mut c) = (member("a", &all), member("b", &all), member("c", &all));
     let (old, new) = (message(&mut b, secs(1), 9), message(&mut b, secs(2), 3));
@@ -112,9 +112,9 @@
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut a = member("a", &all);
     for name in &all {
-        let mut hello = message(&mut member(name, &["a"]), secs(1), 0).message;
-        hello.wants_reply = false;
-        a.receive(secs(1), &hello, &local(&[], &[]));
+        let mut greeting = message(&mut member(name, &["a"]), secs(1), 0).message;
+        greeting.wants_reply = false;
+        a.receive(secs(1), &greeting, &local(&[], &[]));
     }
     let mark = |idx| LeavingMark {
         endpoint: Arc::from(format!("endpoint-{idx}")),
@@ -133,31 +133,31 @@
     assert_eq!(sizes, (64, 32, 32));
 }
 
-/// Whether `a` hands work to its only peer after having run for so long.
+/// Whether `a` considers its only peer usable once it has run for `run_time`.
 fn is_usable(a: &Members, run_time: Duration) -> bool {
     a.peer_statuses(run_time)[0].is_usable(run_time)
 }
 
 #[test]
-fn an_instance_that_has_just_started_counts_on_peers_it_has_not_heard_of() {
+fn a_new_instance_considers_peers_usable_before_their_first_message() {
     let (mut a, mut b) = (member("a", &["a", "b"]), member("b", &["a", "b"]));
     assert!(is_usable(&a, secs(1)));
-    assert!(!is_usable(&a, secs(3)), "by then it would have heard of it");
+    assert!(!is_usable(&a, secs(3)), "its first message would have arrived by then");
     a.receive(secs(3), &message(&mut b, secs(3), 0).message, &local(&[], &[]));
     assert!(is_usable(&a, secs(3)));
 }
 
 #[test]
-fn a_peer_to_which_a_message_failed_is_not_counted_on() {
+fn a_new_instance_considers_a_peer_unusable_after_a_failed_message() {
     let mut a = member("a", &["a", "b"]);
     a.send_failed(secs(1), &Arc::from("b"));
     assert!(!is_usable(&a, secs(1)));
 }
 
-/// Each round asks two or three peers that are ahead. While one of them is
-/// sending the document, copies from the others would only be in its way.
+/// Each round of gossip reaches two or three peers with a newer version. If all of them sent the
+/// document, the copies would compete for bandwidth.
 #[test]
-fn a_document_is_asked_of_one_peer_at_a_time() {
+fn a_document_is_requested_from_one_peer_at_a_time() {
     let all = ["a", "b", "c", "d", "e"];
     let snapshot = Arc::new(snapshot(2));
     let mark = ConfigMark { version: 2, offset: Some(7) };
@@ -165,16 +165,16 @@
     let mut peers: Vec<_> = all[1..].iter().map(|name| member(name, &all)).collect();
     let mut a = member("a", &all);
     for peer in &mut peers {
-        let hello = peer.tick(secs(1), &ahead()).remove(0);
-        a.receive(secs(1), &Gossip { wants_reply: false, ..hello.message }, &local(&[], &[]));
+        let greeting = peer.tick(secs(1), &ahead()).remove(0);
+        a.receive(secs(1), &Gossip { wants_reply: false, ..greeting.message }, &local(&[], &[]));
     }
-    // Nothing that they send arrives.
+    // Replies of the peers are lost.
     let mut sent = Vec::new();
     for tenth in 10..60 {
         let now = Duration::from_millis(tenth * 100);
-        for question in a.tick(now, &local(&[], &[])) {
-            let peer = peers.iter_mut().find(|peer| peer.identity().name == question.to).unwrap();
-            let reply = peer.receive(now, &question.message, &ahead()).unwrap();
+        for request in a.tick(now, &local(&[], &[])) {
+            let peer = peers.iter_mut().find(|peer| peer.identity().name == request.to).unwrap();
+            let reply = peer.receive(now, &request.message, &ahead()).unwrap();
             sent.extend(reply.message.snapshot.map(|_| now));
         }
     }
@@ -184,18 +184,18 @@
 }
 
 #[test]
-fn a_document_is_asked_of_another_peer_once_one_has_failed() {
+fn a_document_is_requested_again_once_a_message_has_failed() {
     let all = ["a", "b"];
     let snapshot = Arc::new(snapshot(2));
     let mark = ConfigMark { version: 2, offset: Some(7) };
     let ahead = LocalState { mark, snapshot: Some(snapshot), ..local(&[], &[]) };
     let (mut a, mut b) = (member("a", &all), member("b", &all));
     a.receive(secs(1), &b.tick(secs(1), &ahead).remove(0).message, &local(&[], &[]));
-    let mut asks = |at: Duration| {
+    let mut requests_snapshot = |at: Duration| {
         let sent = a.tick(at, &local(&[], &[]));
-        let asks = sent.iter().any(|envelope| envelope.message.wants_snapshot);
+        let requests_snapshot = sent.iter().any(|envelope| envelope.message.wants_snapshot);
         a.send_failed(at, &Arc::from("b"));
-        asks
+        requests_snapshot
     };
-    assert!(asks(secs(2)) && asks(secs(3)));
+    assert!(requests_snapshot(secs(2)) && requests_snapshot(secs(3)));
 }
--- a/crates/core/tests/testsuite/policy.rs
+++ b/crates/core/tests/testsuite/policy.rs
@@ -1,5 +1,4 @@
-//! Operators' scripts: what they decide, what stops them, and the examples of
-//! the reference page.
+//! Policy scripts: what they decide, how they are limited, and the examples of the reference page.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,12 +17,12 @@
     policy::compile(script).expect("the script compiles")
 }
 
-fn check_error(script: &str, want: Expect) {
-    want.assert_eq(&policy::compile(script).expect_err("the script is wrong").to_string());
+fn check_error(script: &str, expected: Expect) {
+    expected.assert_eq(&policy::compile(script).expect_err("the script is wrong").to_string());
 }
 
 #[test]
-fn each_function_decides() {
+fn each_function_returns_its_decision() {
     let program = program(
         "fn admit(ctx) { ctx.left_ms > 1000 }
          fn order(ctx) { if ctx.idempotent { 2 } else { 0.5 } }
@@ -39,7 +38,7 @@
 }
 
 #[test]
-fn what_is_not_defined_or_answers_nothing_is_built_in() {
+fn a_missing_function_or_result_falls_back_to_the_built_in_decision() {
     let program = program(
         "fn admit(ctx) { if never(ctx) { true } } fn never(x) { false }
                            fn order(ctx) { }",
@@ -51,7 +50,7 @@
 }
 
 #[test]
-fn an_error_falls_back_and_is_counted() {
+fn an_error_is_a_failed_decision_and_is_counted() {
     let program = program("fn admit(ctx) { if ctx.team == \"odd\" { throw \"no\" } true }");
     let odd = Facts { team: "odd".into(), ..facts() };
     assert!(matches!(program.admit(&odd), Decision::Failed(_)));
@@ -61,7 +60,7 @@
 }
 
 #[test]
-fn a_value_that_makes_no_sense_falls_back() {
+fn an_invalid_value_is_a_failed_decision() {
     let program = program(
         "fn order(ctx) { if ctx.team == \"odd\" { 0.0 / 0.0 } else { 1 } }
          fn refuse(ctx) { if ctx.team == \"odd\" { -5 } else { 5 } }",
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn errors_name_the_remedy() {
+fn errors_state_the_remedy() {
     check_error(
         "fn admit(ctx) { ",
         expect![
@@ -104,7 +103,7 @@
 }
 
 #[test]
-fn nothing_runs_without_end() {
+fn endless_scripts_are_stopped() {
     for body in [
         "loop { }",
         "let x = 0; while true { x += 1; } true",
@@ -119,7 +118,7 @@
 }
 
 #[test]
-fn nothing_reaches_out() {
+fn scripts_have_no_side_effects() {
     for body in [
         "eval(\"true\")",
         "sleep(1); true",
@@ -136,7 +135,7 @@
 }
 
 #[test]
-fn a_script_has_constants_and_keeps_no_state() {
+fn a_script_has_constants_and_no_state() {
     let program = program(
         "const FIRST = 7; let n = 0; n += 1;
          fn order(ctx) { ctx.waiting += 1; global::FIRST + ctx.waiting }",
@@ -145,7 +144,7 @@
     assert_eq!(program.order(&facts()), Decision::Given(8.0));
 }
 
-/// The scripts of the reference page, by the heading above each.
+/// The scripts of the reference page, each with its heading.
 fn examples() -> Vec<(&'static str, &'static str)> {
     let mut examples = Vec::new();
     for section in REFERENCE.split("\n## ").skip(1) {
--- a/crates/core/tests/testsuite/queue.rs
+++ b/crates/core/tests/testsuite/queue.rs
@@ -1,4 +1,4 @@
-//! Order within a team and shares between teams.
+//! Order of calls within a team, and shares of teams.
 
 #![allow(clippy::unwrap_used)]
 
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn equals_keep_their_order() {
+fn calls_with_equal_deadlines_keep_their_order() {
     let mut queue = Queue::new();
     (0..4).for_each(|key| queue.push(waiting(key, "a", 100)));
     assert_eq!(drain(&mut queue), [0, 1, 2, 3]);
 }
 
 #[test]
-fn teams_share_by_weight() {
+fn teams_are_served_by_weight() {
     let mut queue = Queue::new();
     for key in 0..20 {
         queue.push(WaitingCall { weight: 3, ..waiting(key, "large", 100) });
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn teams_share_by_cost() {
+fn teams_are_served_by_cost_and_not_by_number_of_calls() {
     let mut queue = Queue::new();
     for key in 0..20 {
         queue.push(WaitingCall { cost: 4.0, ..waiting(key, "costly", 100) });
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_unused_share_is_lent_and_not_owed() {
+fn an_unused_share_goes_to_other_teams_and_is_not_saved_up() {
     let mut queue = Queue::new();
     (0..30).for_each(|key| queue.push(waiting(key, "busy", 100)));
     queue.push(waiting(100, "idle", 100));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_small_team_that_comes_back_goes_first_once() {
+fn a_small_team_that_queues_again_is_served_first_once() {
     let mut queue = Queue::new();
     (0..60).for_each(|key| queue.push(WaitingCall { weight: 4, ..waiting(key, "large", 100) }));
     queue.push(waiting(100, "small", 100));
@@ -91,12 +91,12 @@
     (101..104).for_each(|key| queue.push(waiting(key, "small", 100)));
     let next: Vec<u32> = drain(&mut queue).into_iter().take(11).collect();
     let small: Vec<usize> = (0..11).filter(|idx| next[*idx] >= 100).collect();
-    // Once at once, then one in five; the turn decides between equals.
+    // One call is served at once, then one in five; ties are served in the order of the turns.
     assert_eq!(small, [0, 4, 9]);
 }
 
 #[test]
-fn credit_that_an_urgent_call_leaves_over_is_kept() {
+fn credit_that_remains_after_an_urgent_call_is_kept() {
     let mut queue = Queue::new();
     queue.push(WaitingCall { cost: 10.0, ..waiting(1, "a", 200) });
     (100..120).for_each(|key| queue.push(waiting(key, "b", 100)));
@@ -104,12 +104,12 @@
     queue.push(waiting(2, "a", 100));
     let order = drain(&mut queue);
     assert_eq!(order[0], 2);
-    // Five units were saved up and one was spent: six more rounds, not ten.
+    // Five units of credit were saved and one was spent, so it takes six more rounds, not ten.
     assert_eq!(order.iter().position(|key| *key == 1), Some(6));
 }
 
 #[test]
-fn an_expired_call_comes_out_first_and_costs_nothing() {
+fn an_expired_call_is_popped_first_and_costs_nothing() {
     let mut queue = Queue::new();
     queue.push(WaitingCall { cost: 100.0, ..waiting(1, "a", 10) });
     queue.push(waiting(2, "a", 500));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_call_that_got_no_place_leaves_its_team_its_turn() {
+fn a_refunded_call_does_not_use_up_the_turn_of_its_team() {
     let mut queue = Queue::new();
     for key in 0..20 {
         queue.push(waiting(key, "a", 100));
@@ -130,7 +130,7 @@
     let mut served = Vec::new();
     while served.len() < 10 {
         match queue.pop(Duration::ZERO) {
-            // Every other call of "a" is given up.
+            // Every other call of "a" is not sent.
             Some(key) if key < 100 && key % 2 == 0 => queue.refund("a", 1.0),
             Some(key) => served.push(key),
             None => break,
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_is_given_back_to_a_team_without_calls_is_not_owed() {
+fn a_refund_to_a_team_without_waiting_calls_gives_no_credit() {
     let mut queue = Queue::new();
     queue.push(waiting(1, "a", 100));
     queue.pop(Duration::ZERO);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_removed_call_is_gone() {
+fn a_removed_call_is_not_popped() {
     let mut queue = Queue::new();
     queue.push(waiting(1, "a", 100));
     queue.push(waiting(2, "b", 100));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn what_is_ahead_counts_own_earlier_calls_and_the_others_share() {
+fn cost_ahead_counts_earlier_calls_of_the_team_and_the_share_of_others() {
     let mut queue = Queue::new();
     for key in 0..10 {
         queue.push(waiting(key, "a", 100 * u64::from(key)));
--- a/crates/core/tests/testsuite/queue_states.rs
+++ b/crates/core/tests/testsuite/queue_states.rs
@@ -1,5 +1,5 @@
-//! The queue under any order of pushes, pops and removals: nothing is lost or
-//! doubled, and no team with demand stays behind its share.
+//! The queue under any order of pushes, pops and removals: no call is lost or popped twice, and no
+//! team with waiting calls gets less than its share.
 
 #![allow(clippy::unwrap_used)]
 
@@ -50,35 +50,35 @@
     #![proptest_config(config(512))]
 
     #[test]
-    fn nothing_is_lost_or_doubled(steps in prop::collection::vec(step(), 1..120)) {
+    fn no_call_is_lost_or_popped_twice(steps in prop::collection::vec(step(), 1..120)) {
         let mut queue = Queue::new();
-        let mut inside = BTreeSet::new();
+        let mut queued = BTreeSet::new();
         for (key, step) in (0_u32..).zip(steps) {
             match step {
                 Step::Push { team, deadline, cost, priority } => {
                     let deadline = Duration::from_millis(deadline);
                     let priority = f64::from(priority);
                     queue.push(WaitingCall { deadline, priority, ..waiting(key, team, 1, cost) });
-                    inside.insert(key);
+                    queued.insert(key);
                 }
                 Step::Pop { at } => match queue.pop(Duration::from_millis(at)) {
-                    Some(key) => prop_assert!(inside.remove(&key)),
-                    None => prop_assert!(inside.is_empty()),
+                    Some(key) => prop_assert!(queued.remove(&key)),
+                    None => prop_assert!(queued.is_empty()),
                 },
-                Step::Remove { key } => prop_assert_eq!(queue.remove(key), inside.remove(&key)),
+                Step::Remove { key } => prop_assert_eq!(queue.remove(key), queued.remove(&key)),
             }
-            prop_assert_eq!(queue.len(), inside.len());
+            prop_assert_eq!(queue.len(), queued.len());
         }
         while let Some(key) = queue.pop(Duration::ZERO) {
-            prop_assert!(inside.remove(&key));
+            prop_assert!(queued.remove(&key));
         }
-        prop_assert!(inside.is_empty());
+        prop_assert!(queued.is_empty());
     }
 
-    /// While all teams have demand, what each got over its weight differs by no
-    /// more than a call's cost over its weight.
+    /// While all teams have waiting calls, the costs served to two teams, each divided by the weight
+    /// of the team, differ by at most the sum of the largest cost of a call divided by each weight.
     #[test]
-    fn shares_hold_under_contention(
+    fn teams_get_their_shares_under_contention(
         weights in prop::collection::vec(1_u32..8, TEAMS.len()),
         costs in prop::collection::vec((0.5..20.0, 0.5..20.0, 0.5..20.0, 0.5..20.0), 60),
     ) {
@@ -93,17 +93,20 @@
                 largest = largest.max(*cost);
             }
         }
-        let mut got = [0.0; TEAMS.len()];
-        let mut left = [costs.len(); TEAMS.len()];
-        while left.iter().all(|left| *left > 0) {
+        let mut served = [0.0; TEAMS.len()];
+        let mut remaining = [costs.len(); TEAMS.len()];
+        while remaining.iter().all(|remaining| *remaining > 0) {
             let key = queue.pop(Duration::ZERO).unwrap();
             let (team, cost) = by_key[&key];
-            got[team] += cost;
-            left[team] -= 1;
+            served[team] += cost;
+            remaining[team] -= 1;
             for (a, b) in (0..TEAMS.len()).flat_map(|a| (0..TEAMS.len()).map(move |b| (a, b))) {
                 let (wa, wb) = (f64::from(weights[a]), f64::from(weights[b]));
-                let apart = got[a] / wa - got[b] / wb;
-                prop_assert!(apart <= largest / wa + largest / wb + 1e-6, "{apart} between {a} and {b}");
+                let difference = served[a] / wa - served[b] / wb;
+                prop_assert!(
+                    difference <= largest / wa + largest / wb + 1e-6,
+                    "{difference} between {a} and {b}"
+                );
             }
         }
     }
