--- a/crates/core/tests/testsuite/trace.rs
+++ b/crates/core/tests/testsuite/trace.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// One thing that an account is told.
+/// An input or action passed to the invariant checker.
 enum Step {
     In(Input),
     Out(Action),
@@ -80,7 +80,7 @@
     }]}}))
 }
 
-fn left(incarnation: u64) -> Step {
+fn leaving_mark(incarnation: u64) -> Step {
     input(json!({"Gossip": {
         "from": "m", "wants_reply": false, "mark": {"version": 0, "offset": null},
         "snapshot": null, "members": [], "endpoints": [],
@@ -90,22 +90,22 @@
 
 fn check<const N: usize>(steps: [Step; N], expected: Expect) {
     let instance = Instance::new(identity(), Settings::default(), 1);
-    let mut account = InvariantChecker::default();
+    let mut checker = InvariantChecker::default();
     for step in steps {
         match step {
             Step::In(input) => {
-                account.before_input(&input, &instance);
-                account.update_endpoints(&input);
+                checker.before_input(&input, &instance);
+                checker.update_endpoints(&input);
             }
-            Step::Out(action) => account.apply_action(&action),
+            Step::Out(action) => checker.apply_action(&action),
         }
     }
-    let faults: Vec<String> = account.take_faults().iter().map(ToString::to_string).collect();
+    let faults: Vec<String> = checker.take_faults().iter().map(ToString::to_string).collect();
     expected.assert_eq(&faults.join("\n"));
 }
 
 #[test]
-fn a_second_outcome_and_one_for_nobody_are_found() {
+fn a_second_outcome_and_one_without_a_request_are_found() {
     check(
         [submit(1, true), not_run(1), not_run(1), not_run(2)],
         expect![[r#"
@@ -115,21 +115,21 @@
 }
 
 #[test]
-fn not_run_is_true_only_while_nothing_was_written() {
+fn not_run_is_valid_only_if_no_call_may_have_run() {
     check([submit(1, true), call(1), failed(1, "NotSent"), not_run(1)], expect![""]);
     let found = expect![[r#"caller 1 is sent "not run", but a call of r may have run"#]];
     check([submit(1, true), call(1), failed(1, "Cut"), not_run(1)], found);
 }
 
 #[test]
-fn not_run_of_a_single_request_speaks_for_earlier_sendings() {
-    let gone = input(json!({"CallerGone": 1}));
+fn not_run_of_a_request_that_runs_once_covers_its_earlier_attempts() {
+    let caller_gone = input(json!({"CallerGone": 1}));
     let found = expect![[r#"caller 2 is sent "not run", but a call of r may have run"#]];
-    check([submit(1, false), call(1), gone, submit(2, false), not_run(2)], found);
+    check([submit(1, false), call(1), caller_gone, submit(2, false), not_run(2)], found);
 }
 
 #[test]
-fn a_single_stage_is_called_again_only_if_the_first_call_was_not_written() {
+fn a_stage_that_runs_once_is_called_again_only_if_the_first_call_was_not_sent() {
     check([submit(1, false), call(1), failed(1, "NotSent"), call(2)], expect![""]);
     let found = expect!["stage s of r may run only once, but is called again"];
     check([submit(1, false), call(1), failed(1, "Cut"), call(2)], found);
@@ -137,44 +137,44 @@
 }
 
 #[test]
-fn a_call_after_the_end_is_found() {
+fn a_call_after_the_outcome_is_found() {
     let found = expect!["stage s of r is called after the request has ended"];
     check([submit(1, true), not_run(1), call(1)], found);
 }
 
 #[test]
-fn a_call_to_a_leaving_life_is_found() {
+fn a_call_to_a_leaving_incarnation_is_found() {
     let found = expect!["e is known to be leaving, but is called"];
-    check([listed(1), left(1), submit(1, true), call(1)], found);
-    check([listed(2), left(1), submit(1, true), call(1)], expect![""]);
+    check([listed(1), leaving_mark(1), submit(1, true), call(1)], found);
+    check([listed(2), leaving_mark(1), submit(1, true), call(1)], expect![""]);
 }
 
 #[test]
 fn a_version_that_goes_back_is_found() {
-    let mut account = InvariantChecker::default();
+    let mut checker = InvariantChecker::default();
     for version in [2, 3, 2] {
         let snapshot = json!({
             "as_of": null, "version": version, "publish": null, "document": {}, "drains": [],
         });
-        assert_eq!(account.take_faults(), []);
-        account.check_version(Some(&serde_json::from_value(snapshot).unwrap()));
+        assert_eq!(checker.take_faults(), []);
+        checker.check_version(Some(&serde_json::from_value(snapshot).unwrap()));
     }
-    let [fault] = &account.take_faults()[..] else { panic!("one fault") };
+    let [fault] = &checker.take_faults()[..] else { panic!("one fault") };
     assert_eq!(fault.to_string(), "the version in force goes back from 3 to 2");
 }
 
 #[test]
-fn marks_of_pieces_stand_for_the_whole_text() {
+fn hashes_of_pieces_are_comparable_with_the_hash_of_the_whole_text() {
     let long = "a long text, whose start is what an engine may hold in its cache, and more";
     let pieces: String =
         [&long[..3], "", &long[3..]].map(|piece| content::hash_text(piece).to_string()).concat();
     assert!(Content::Hash.is_same(&pieces, &content::hash_text(long)));
     assert!(!Content::Hash.is_same(&pieces, &content::hash_text(&long[1..])));
-    let mark = content::hash_text(long);
-    assert_eq!(Content::Hash.prefix(&mark), Content::Keep.prefix(long));
-    let one = request(true, long);
-    let hashed = Request { input: content::hash_input(&one), ..one.clone() };
-    assert_eq!(Content::Hash.digest(&hashed), Content::Keep.digest(&one));
+    let hash = content::hash_text(long);
+    assert_eq!(Content::Hash.prefix(&hash), Content::Keep.prefix(long));
+    let original = request(true, long);
+    let hashed = Request { input: content::hash_input(&original), ..original.clone() };
+    assert_eq!(Content::Hash.digest(&hashed), Content::Keep.digest(&original));
     assert!(!hashed.input.contains("long"));
 }
 
@@ -188,15 +188,15 @@
     };
     let header = serde_json::to_string(&header).unwrap();
     let text: String = [&[&*header], lines].concat().join("\n");
-    let seen = match trace::replay(text.as_bytes()) {
+    let actual = match trace::replay(text.as_bytes()) {
         Ok(report) => format!("{} inputs, torn {}", report.inputs, report.torn),
         Err(error) => error.to_string(),
     };
-    expected.assert_eq(&seen);
+    expected.assert_eq(&actual);
 }
 
 #[test]
-fn what_is_no_trace_is_told_with_its_line() {
+fn errors_in_a_trace_state_the_line() {
     check_error(
         &["{\"at_us\":1,\"input\":\"Tick\"}", "{\"at_us\":1,\"inp"],
         expect!["1 inputs, torn true"],
