--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -2,9 +2,9 @@
 //!
 //! | request | response |
 //! | --- | --- |
-//! | `GET /quarantine` | the contents quarantined here, as JSON ([`Held`]) |
+//! | `GET /quarantine` | the contents quarantined here, as JSON ([`QuarantinedContent`]) |
 //! | `DELETE /quarantine/FINGERPRINT` | releases that content at all instances |
-//! | `GET /evacuations` | the evacuated data centres, as JSON ([`Evacuated`]) |
+//! | `GET /evacuations` | the evacuated data centres, as JSON ([`EvacuatedDataCentre`]) |
 //! | `GET /terms` | the terms that endpoints have stated, as JSON ([`EndpointTerms`]) |
 //! | anything else | counters and timings, as text |
 //!
@@ -20,7 +20,9 @@
 use ntex::http::{Method, Request, Response, StatusCode};
 use peatdeck_core::relay::{directory::Endpoint, fingerprint::Fingerprint, terms::Rate};
 use peatdeck_util::metrics::Registry;
-use peatdeck_wire::operators::{EVACUATIONS, EndpointTerms, Evacuated, Held, QUARANTINE, TERMS};
+use peatdeck_wire::operators::{
+    EVACUATIONS, EndpointTerms, EvacuatedDataCentre, QUARANTINE, QuarantinedContent, TERMS,
+};
 use serde::Serialize;
 
 use crate::{driver::Driver, records};
@@ -29,9 +31,9 @@
 #[derive(Debug)]
 pub enum Query {
     /// Lists the quarantined contents.
-    Quarantined(oneshot::Sender<Vec<Held>>),
+    Quarantined(oneshot::Sender<Vec<QuarantinedContent>>),
     /// Lists the evacuated data centres.
-    Evacuated(oneshot::Sender<Vec<Evacuated>>),
+    Evacuated(oneshot::Sender<Vec<EvacuatedDataCentre>>),
     /// Lists the terms that endpoints have stated.
     Terms(oneshot::Sender<Vec<EndpointTerms>>),
     /// Releases a content. The result is whether it was quarantined here.
@@ -133,10 +135,10 @@
     }
 }
 
-fn list_evacuated(driver: &Driver) -> Vec<Evacuated> {
+fn list_evacuated(driver: &Driver) -> Vec<EvacuatedDataCentre> {
     driver.inspect(|machine| {
         let directory = machine.directory();
-        let listed = directory.evacuated().map(|name| Evacuated {
+        let listed = directory.evacuated().map(|name| EvacuatedDataCentre {
             data_centre: name.clone(),
             endpoints: directory.ready_count_in(name),
         });
--- a/crates/wire/examples/peer_cost/heartbeats.rs
+++ b/crates/wire/examples/peer_cost/heartbeats.rs
@@ -1,13 +1,14 @@
-//! The two ways that gossip is compared with: heartbeats to everybody, and
-//! around a ring.
+//! The two algorithms that gossip is compared with: heartbeats from all members
+//! to all, and heartbeats around a ring.
 //!
-//! In the ring each member sends to its successor and watches its predecessor;
-//! a suspicion goes to everybody and the next one back is watched, as in the
-//! one-to-all variant of "Communication-optimal eventually perfect failure
-//! detection in partially synchronous systems" (Lafuente, Larrea, Soraluze,
-//! Cortiñas, 2014). The relay of a suspicion by each receiver, which makes the
-//! broadcast reliable there, is left out: it adds a burst of members² messages
-//! a suspicion. Timeouts do not grow after a wrong suspicion either.
+//! In the ring each member sends to its successor and monitors its predecessor.
+//! A suspicion is broadcast, and the predecessor's predecessor is monitored
+//! instead, as in the one-to-all variant of "Communication-optimal eventually
+//! perfect failure detection in partially synchronous systems" (Lafuente,
+//! Larrea, Soraluze, Cortiñas, 2014). There, each receiver forwards the
+//! suspicion to make the broadcast reliable; this is left out, since it adds a
+//! burst of members² messages per suspicion. Timeouts do not grow after a wrong
+//! suspicion either.
 
 use std::{collections::HashSet, sync::Arc, time::Duration, time::Instant};
 
@@ -27,80 +28,83 @@
     report::Figures,
 };
 
-/// Heartbeats written and read to find the time that one takes.
-const TIMED: u32 = 50_000;
-/// A step of a member's timer over more than this is a pause of its own.
-const PAUSE: Duration = Duration::from_secs(2);
+/// Number of heartbeats encoded and decoded to measure the time of one.
+const TIMED_HEARTBEATS: u32 = 50_000;
+/// A member whose timer fires later than this after the last time was itself paused.
+const OWN_PAUSE: Duration = Duration::from_secs(2);
 
-/// Each member sends to every other.
+/// Each member sends heartbeats to every other.
 pub fn all_to_all(count: usize) -> Figures {
-    let mut world = World::new(count);
-    while let Some((member, event)) = world.network.next() {
+    let mut simulation = Simulation::new(count);
+    while let Some((member, event)) = simulation.network.next() {
         match event {
             Event::Tick => {
-                world.forgive_own_pause(member);
+                simulation.discount_own_pause(member);
                 for to in (0..count).filter(|&to| to != member) {
-                    world.send(to, Message::Beat(member));
+                    simulation.send(to, Message::Heartbeat(member));
                 }
                 for other in (0..count).filter(|&other| other != member) {
-                    if world.is_silent(member, other) {
-                        world.suspect(member, other);
+                    if simulation.is_silent(member, other) {
+                        simulation.suspect(member, other);
                     }
                 }
-                world.wake(member);
+                simulation.wake(member);
             }
-            Event::Message(Message::Beat(from)) => world.hear(member, from),
+            Event::Message(Message::Heartbeat(from)) => simulation.receive(member, from),
             Event::Message(_) => {}
         }
     }
-    world.finish()
+    simulation.finish()
 }
 
-/// Each member sends to the next one that it does not suspect.
+/// Each member sends heartbeats to its successor, the next member that it does not
+/// suspect.
 pub fn ring(count: usize) -> Figures {
-    let mut world = World::new(count);
-    while let Some((member, event)) = world.network.next() {
+    let mut simulation = Simulation::new(count);
+    while let Some((member, event)) = simulation.network.next() {
         match event {
             Event::Tick => {
-                world.forgive_own_pause(member);
-                let next = world.neighbour(member, 1);
-                world.send(next, Message::Beat(member));
-                let previous = world.neighbour(member, count - 1);
-                if previous != member && world.is_silent(member, previous) {
-                    world.suspect(member, previous);
-                    world.tell_all(member, Message::Suspect(previous));
-                    // The next one back has a whole timeout to show itself.
-                    let watched = world.neighbour(member, count - 1);
-                    world.heard_at[member][watched] = world.network.now;
+                simulation.discount_own_pause(member);
+                let next = simulation.neighbour(member, 1);
+                simulation.send(next, Message::Heartbeat(member));
+                let previous = simulation.neighbour(member, count - 1);
+                if previous != member && simulation.is_silent(member, previous) {
+                    simulation.suspect(member, previous);
+                    simulation.broadcast(member, Message::Suspect(previous));
+                    // The newly monitored member has a full timeout to send a heartbeat.
+                    let watched = simulation.neighbour(member, count - 1);
+                    simulation.received_at[member][watched] = simulation.network.now;
                 }
-                world.wake(member);
+                simulation.wake(member);
             }
-            Event::Message(Message::Beat(from)) => {
-                if world.suspects[member].contains(&from) {
-                    world.tell_all(member, Message::Trust(from));
+            Event::Message(Message::Heartbeat(from)) => {
+                if simulation.suspects[member].contains(&from) {
+                    simulation.broadcast(member, Message::Trust(from));
                 }
-                world.hear(member, from);
+                simulation.receive(member, from);
             }
-            Event::Message(Message::Suspect(who)) if who != member => world.suspect(member, who),
-            // A member that is suspected goes on sending to its successor,
-            // which then takes the suspicion back.
+            Event::Message(Message::Suspect(who)) if who != member => {
+                simulation.suspect(member, who)
+            }
+            // A suspected member continues to send to its successor, which then
+            // withdraws the suspicion.
             Event::Message(Message::Suspect(_)) => {}
-            Event::Message(Message::Trust(who)) => world.hear(member, who),
+            Event::Message(Message::Trust(who)) => simulation.receive(member, who),
         }
     }
-    world.finish()
+    simulation.finish()
 }
 
 #[derive(Clone, Copy)]
 enum Message {
-    Beat(usize),
+    Heartbeat(usize),
     Suspect(usize),
     Trust(usize),
 }
 
-struct World {
+struct Simulation {
     network: Network<Message>,
-    heard_at: Vec<Vec<Duration>>,
+    received_at: Vec<Vec<Duration>>,
     ticked_at: Vec<Duration>,
     suspects: Vec<HashSet<usize>>,
     wrong_short: HashSet<(usize, usize)>,
@@ -110,12 +114,12 @@
     cost: Duration,
 }
 
-impl World {
-    fn new(count: usize) -> World {
-        let (size, cost) = beat_cost();
-        World {
+impl Simulation {
+    fn new(count: usize) -> Simulation {
+        let (size, cost) = heartbeat_cost();
+        Simulation {
             network: Network::new(count),
-            heard_at: vec![vec![Duration::ZERO; count]; count],
+            received_at: vec![vec![Duration::ZERO; count]; count],
             ticked_at: vec![Duration::ZERO; count],
             suspects: vec![HashSet::new(); count],
             wrong_short: HashSet::new(),
@@ -128,14 +132,14 @@
 
     fn send(&mut self, to: usize, message: Message) {
         if (WARM_UP..WARM_UP + MEASURED).contains(&self.network.now) {
-            self.figures.sent(self.size);
+            self.figures.record_sent(self.size);
             self.figures.processor += self.cost;
         }
         self.network.send(to, message);
     }
 
-    fn tell_all(&mut self, from: usize, message: Message) {
-        for to in (0..self.heard_at.len()).filter(|&to| to != from) {
+    fn broadcast(&mut self, from: usize, message: Message) {
+        for to in (0..self.received_at.len()).filter(|&to| to != from) {
             self.send(to, message);
         }
     }
@@ -144,29 +148,31 @@
         self.network.wake(self.network.now + TICK, member);
     }
 
-    fn hear(&mut self, member: usize, from: usize) {
-        self.heard_at[member][from] = self.network.now;
+    fn receive(&mut self, member: usize, from: usize) {
+        self.received_at[member][from] = self.network.now;
         self.suspects[member].remove(&from);
     }
 
-    /// As gossip does: one's own pause does not count against the others.
-    fn forgive_own_pause(&mut self, member: usize) {
+    /// Excludes a pause of the member itself from the silence of the others, as
+    /// gossip does.
+    fn discount_own_pause(&mut self, member: usize) {
         let step = self.network.now - self.ticked_at[member];
-        if step > PAUSE {
-            for heard_at in &mut self.heard_at[member] {
-                *heard_at += step;
+        if step > OWN_PAUSE {
+            for received_at in &mut self.received_at[member] {
+                *received_at += step;
             }
         }
         self.ticked_at[member] = self.network.now;
     }
 
     fn is_silent(&self, member: usize, other: usize) -> bool {
-        self.network.now.saturating_sub(self.heard_at[member][other]) > DEAD_AFTER
+        self.network.now.saturating_sub(self.received_at[member][other]) > DEAD_AFTER
     }
 
-    /// The next member in a direction that is not suspected.
+    /// The next member that is not suspected: the successor for a `step` of 1, the
+    /// predecessor for a `step` of one less than the number of members.
     fn neighbour(&self, member: usize, step: usize) -> usize {
-        let count = self.heard_at.len();
+        let count = self.received_at.len();
         let mut next = (member + step) % count;
         while self.suspects[member].contains(&next) {
             next = (next + step) % count;
@@ -177,9 +183,9 @@
     fn suspect(&mut self, member: usize, other: usize) {
         let now = self.network.now;
         self.suspects[member].insert(other);
-        if other == self.network.victim && now >= self.network.dies_at {
-            self.figures.detected[member].get_or_insert(now - self.network.dies_at);
-        } else if self.network.is_well(other, DEAD_AFTER) {
+        if other == self.network.crashing_member && now >= self.network.crashes_at {
+            self.figures.detected[member].get_or_insert(now - self.network.crashes_at);
+        } else if self.network.is_healthy(other, DEAD_AFTER) {
             self.wrong_short.insert((member, other));
         } else {
             self.wrong_long.insert((member, other));
@@ -193,8 +199,8 @@
     }
 }
 
-/// Bytes of a heartbeat, and the time to write and read one.
-fn beat_cost() -> (usize, Duration) {
+/// Size of a heartbeat in bytes, and the time to encode and decode it.
+fn heartbeat_cost() -> (usize, Duration) {
     let state = MemberState {
         name: Arc::from("instance-100"),
         incarnation: Incarnation(1),
@@ -202,7 +208,7 @@
         version: 3,
         ready: true,
     };
-    let beat = Gossip {
+    let heartbeat = Gossip {
         from: state.name.clone(),
         wants_reply: false,
         mark: ConfigMark { version: 3, offset: Some(9) },
@@ -214,16 +220,19 @@
     };
     let started = Instant::now();
     let mut size = 0;
-    for _ in 0..TIMED {
+    for _ in 0..TIMED_HEARTBEATS {
         let mut message = message::Builder::new_default();
-        peer::write_gossip(&beat, message.init_root()).expect("no snapshot to fail");
+        peer::write_gossip(&heartbeat, message.init_root())
+            .expect("a message without a snapshot can be encoded");
         let bytes = serialize::write_message_to_words(&message);
         size = bytes.len();
         let options = ReaderOptions::new();
-        let message =
-            serialize::read_message_from_flat_slice(&mut &bytes[..], options).expect("whole");
-        let root = message.get_root::<peer_capnp::gossip::Reader<'_>>().expect("a gossip");
-        peer::read_gossip(root).expect("a gossip");
+        let message = serialize::read_message_from_flat_slice(&mut &bytes[..], options)
+            .expect("the message is complete");
+        let root = message
+            .get_root::<peer_capnp::gossip::Reader<'_>>()
+            .expect("the message is valid gossip");
+        peer::read_gossip(root).expect("the message is valid gossip");
     }
-    (size, started.elapsed() / TIMED)
+    (size, started.elapsed() / TIMED_HEARTBEATS)
 }
