--- a/crates/cli/src/commands/burn.rs
+++ b/crates/cli/src/commands/burn.rs
@@ -77,7 +77,7 @@
         report.instances.join(", ")
     );
     for missing in &report.missing {
-        let _ = writeln!(text, "No answer from {}: {}", missing.instance, missing.reason);
+        let _ = writeln!(text, "No response from {}: {}", missing.instance, missing.reason);
     }
     let _ = writeln!(text, "{}", page::COVERAGE_NOTE);
     text
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -1,4 +1,4 @@
-//! `peatdeck quarantine`: lists or releases quarantined contents, which crashed endpoints.
+//! `peatdeck quarantine`: lists the contents quarantined for crashing endpoints, or releases one.
 
 use bpaf::{OptionParser, Parser, construct, long};
 use peatdeck_wire::operators::Held;
--- a/crates/cli/src/commands/replay.rs
+++ b/crates/cli/src/commands/replay.rs
@@ -24,7 +24,7 @@
 /// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
-    let file = positional::<String>("FILE").help("Trace that peatdeck-entry --trace wrote");
+    let file = positional::<String>("FILE").help("Trace written by peatdeck-entry --trace");
     construct!(Args { format, file })
         .to_options()
         .descr("Replay a recorded trace and compare the replies to callers.")
--- a/crates/cli/src/commands/restore.rs
+++ b/crates/cli/src/commands/restore.rs
@@ -35,7 +35,7 @@
     let file = positional::<String>("FILE").help("Configuration file in TOML");
     construct!(Args { change, version, id, file })
         .to_options()
-        .descr("Put a configuration file in force after the log has lost the one before.")
+        .descr("Put a configuration file in force after the log has lost the previous one.")
         .footer(
             "Use this only if publishes are refused with `no_state` and no instance has the \
              configuration any more. Only one operator must run it, and only once.\n \
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -111,7 +111,7 @@
 
 fn with_missing(mut text: String, status: &StatusReply) -> String {
     for missing in &status.missing {
-        let _ = writeln!(text, "no answer from {}: {}", missing.instance, missing.reason);
+        let _ = writeln!(text, "no response from {}: {}", missing.instance, missing.reason);
     }
     text
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -33,7 +33,7 @@
     },
     /// A trace could not be replayed.
     #[error("cannot replay {path}: {cause}")]
-    #[diagnostic(help("give a file that peatdeck-entry --trace wrote"))]
+    #[diagnostic(help("give a file written by `peatdeck-entry --trace`"))]
     Trace {
         /// Path of the trace.
         path: String,
@@ -69,7 +69,9 @@
     Source(#[from] source::Error),
     /// peatdeck-admin could not be reached.
     #[error("cannot reach peatdeck-admin at {admin}: {cause}")]
-    #[diagnostic(help("check --admin (PEATDECK_ADMIN) and that it runs; nothing was done"))]
+    #[diagnostic(help(
+        "check --admin (PEATDECK_ADMIN) and that peatdeck-admin is running; nothing was done"
+    ))]
     Unreachable {
         /// URL of peatdeck-admin.
         admin: String,
--- a/crates/cli/src/ops/client.rs
+++ b/crates/cli/src/ops/client.rs
@@ -208,9 +208,7 @@
     async fn post<T: DeserializeOwned>(&self, path: &str, body: Vec<u8>) -> Result<T, PostError> {
         let (status, body) = match exchange(self.request(Method::POST, path), body).await {
             Ok(answer) => answer,
-            Err(Failure::NotSent(cause)) => {
-                return Err(PostError::Refused(self.unreachable(cause)));
-            }
+            Err(Failure::NotSent(err)) => return Err(PostError::Refused(self.unreachable(err))),
             Err(Failure::NoAnswer(cause)) => return Err(PostError::NoAnswer(cause)),
         };
         read(status, &body).map_err(|error| match error {
