--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -12,7 +12,7 @@
     logging::start(settings.log_format, &settings.log_filter);
     let listener = server::bind(settings.listen)
         .into_diagnostic()
-        .wrap_err_with(|| format!("cannot listen on {}; choose a free one", settings.listen))?;
+        .wrap_err_with(|| format!("cannot listen on {}; choose a free address", settings.listen))?;
     let addr = listener.local_addr().into_diagnostic()?;
     println!("listening {addr}");
     server::start(listener, settings).into_diagnostic()?.await.into_diagnostic()
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -33,7 +33,9 @@
 /// If the listener cannot be registered with the server.
 pub fn start(listener: TcpListener, settings: Settings) -> std::io::Result<Server> {
     let factory = async move || {
-        let ctx = Context::new(&settings).await.expect("the metrics socket was tried at the start");
+        let ctx = Context::new(&settings)
+            .await
+            .expect("the HTTP client and the metrics socket can be created");
         App::new()
             .state(Rc::new(ctx))
             .configure(routes::configure)
--- a/crates/cli/src/ops/explain.rs
+++ b/crates/cli/src/ops/explain.rs
@@ -49,13 +49,13 @@
         lines.extend(text.lines().filter_map(|line| parse(&name, line)));
     }
     lines.sort_by(|a: &LogLine, b| a.time.cmp(&b.time));
-    let mut known = HashSet::new();
+    let mut links = HashSet::new();
     let content = lines.iter().find_map(|line| content_of(line, id));
     let refused_by = lines.iter().find_map(|line| evacuation_refusal(line, id));
     let deciders: Vec<_> = lines.iter().filter_map(|line| decision(line, id)).collect();
     let called: HashSet<_> = lines.iter().filter_map(|line| called_endpoint(line, id)).collect();
     lines.retain(|line| {
-        belongs_to(line, id, &mut known)
+        belongs_to(line, id, &mut links)
             || is_crash_or_quarantine(line, content.as_deref())
             || is_evacuation(line, refused_by.as_ref())
             || is_endpoint_terms(line, &called)
@@ -145,10 +145,10 @@
     Some(LogLine { time, instance, event, fields })
 }
 
-fn belongs_to(line: &LogLine, id: &str, known: &mut HashSet<(String, String)>) -> bool {
+fn belongs_to(line: &LogLine, id: &str, links: &mut HashSet<(String, String)>) -> bool {
     if line.event == "start" {
         // A restarted instance numbers its calls from the beginning.
-        known.retain(|(instance, _)| *instance != line.instance);
+        links.retain(|(instance, _)| *instance != line.instance);
         return false;
     }
     let field = |name: &str| line.fields.get(name);
@@ -158,9 +158,9 @@
     let named_ids = ID_FIELDS.iter().filter_map(|name| field(name)?.as_str());
     let is_named = named_ids.flat_map(str::split_whitespace).any(|name| is_id_of(name, id));
     let is_linked =
-        LINK_FIELDS.iter().filter_map(|name| link(name)).any(|link| known.contains(&link));
+        LINK_FIELDS.iter().filter_map(|name| link(name)).any(|link| links.contains(&link));
     if is_named {
-        known.extend(LINK_FIELDS.iter().filter_map(|name| link(name)));
+        links.extend(LINK_FIELDS.iter().filter_map(|name| link(name)));
     }
     is_named || is_linked
 }
