--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -15,7 +15,7 @@
     model::{DataCentre, EndpointName, Incarnation, InstanceName},
     record::Version,
 };
-use peatdeck_wire::admin::{ApiError, ErrorDetail, Winner};
+use peatdeck_wire::admin::{ApiError, ErrorDetail, VersionInForce};
 
 /// Value of `Retry-After` when the platform fails.
 const RETRY_AFTER: Duration = Duration::from_secs(5);
@@ -44,7 +44,7 @@
         /// The version that the publish was based on.
         base: Version,
         /// The version that is in force instead.
-        winner: Winner,
+        winner: VersionInForce,
     },
     /// The log holds a different publish with the same id.
     #[error("the log already holds publish `{0}` with another document, base or author")]
@@ -78,7 +78,7 @@
     NoState,
     /// The log determines the configuration in force, so there is nothing to restore.
     #[error("version {} is in force, so there is nothing to restore; this restore has no effect", .0.version)]
-    NotLost(Winner),
+    NotLost(VersionInForce),
     /// A listed instance still has a version in force.
     #[error(
         "instance `{instance}` still has version {version} in force, so it is not lost; nothing was appended"
@@ -262,7 +262,7 @@
     problems.first().map_or_else(String::new, |p| format!("{}: {}", p.path, p.message))
 }
 
-fn in_force(winner: &Winner) -> String {
+fn in_force(winner: &VersionInForce) -> String {
     match &winner.author {
         Some(author) => format!("version {}, published by {author}, is in force", winner.version),
         None => format!("version {} is in force", winner.version),
--- a/crates/admin/src/history.rs
+++ b/crates/admin/src/history.rs
@@ -13,7 +13,7 @@
     config_log::{ConfigReader, Verdict},
     record::{Batch, ConfigRecord, Drain, Entry, Evacuation, Offset, Publish, Snapshot, Version},
 };
-use peatdeck_wire::admin::{Act, ActKind, HistoryReply, PublishVerdict};
+use peatdeck_wire::admin::{HistoryEntry, HistoryReply, OperatorAction, PublishVerdict};
 use xxhash_rust::xxh3;
 
 /// Maximum number of acts kept; the oldest are dropped first. This holds ten
@@ -23,7 +23,7 @@
 /// The acts of operators on the configuration, oldest first.
 #[derive(Debug, Default)]
 pub struct History {
-    acts: VecDeque<Act>,
+    acts: VecDeque<HistoryEntry>,
     publishes: HashMap<Arc<str>, PublishSummary>,
     /// Offsets of publishes that the [`ConfigReader`] has not decided yet.
     undecided: Vec<Offset>,
@@ -67,7 +67,7 @@
     }
 
     /// The act of a publish; `None` if its record has not been read.
-    pub fn act(&self, id: &str) -> Option<&Act> {
+    pub fn act(&self, id: &str) -> Option<&HistoryEntry> {
         let known = self.publishes.get(id)?;
         let idx = self.acts.binary_search_by_key(&known.offset, |act| act.offset).ok()?;
         self.acts.get(idx)
@@ -76,9 +76,11 @@
     /// The verdict on a publish; `None` if its record has not been read or decided.
     pub fn verdict(&self, id: &str) -> Option<PublishVerdict> {
         match &self.act(id)?.what {
-            ActKind::Publish { verdict: PublishVerdict::Forgotten, .. } => None,
-            ActKind::Publish { verdict, .. } => Some(verdict.clone()),
-            ActKind::Restore { .. } | ActKind::Drain { .. } | ActKind::Evacuation { .. } => None,
+            OperatorAction::Publish { verdict: PublishVerdict::Forgotten, .. } => None,
+            OperatorAction::Publish { verdict, .. } => Some(verdict.clone()),
+            OperatorAction::Restore { .. }
+            | OperatorAction::Drain { .. }
+            | OperatorAction::Evacuation { .. } => None,
         }
     }
 
@@ -92,12 +94,10 @@
     /// the history does not contain it.
     pub fn origin(&self, wanted: Version) -> Option<(Arc<str>, Arc<str>)> {
         self.acts.iter().rev().find_map(|act| match &act.what {
-            ActKind::Publish { id, verdict: PublishVerdict::Accepted { version }, .. }
-                if *version == wanted =>
-            {
-                Some((Arc::clone(id), Arc::clone(&act.author)))
-            }
-            ActKind::Restore { id, version } if *version == wanted => {
+            OperatorAction::Publish {
+                id, verdict: PublishVerdict::Accepted { version }, ..
+            } if *version == wanted => Some((Arc::clone(id), Arc::clone(&act.author))),
+            OperatorAction::Restore { id, version } if *version == wanted => {
                 Some((Arc::clone(id), Arc::clone(&act.author)))
             }
             _ => None,
@@ -111,7 +111,7 @@
         let known = PublishSummary { offset: entry.offset, digest: digest(publish) };
         self.publishes.insert(Arc::clone(&publish.id), known);
         self.undecided.push(entry.offset);
-        let what = ActKind::Publish {
+        let what = OperatorAction::Publish {
             id: Arc::clone(&publish.id),
             base: publish.base,
             verdict: PublishVerdict::Forgotten,
@@ -120,7 +120,7 @@
     }
 
     fn add_drain(&mut self, entry: &Entry<ConfigRecord>, drain: &Drain) {
-        let what = ActKind::Drain {
+        let what = OperatorAction::Drain {
             endpoint: Arc::clone(&drain.endpoint),
             incarnation: drain.incarnation,
         };
@@ -128,7 +128,7 @@
     }
 
     fn add_evacuation(&mut self, entry: &Entry<ConfigRecord>, order: &Evacuation) {
-        let what = ActKind::Evacuation {
+        let what = OperatorAction::Evacuation {
             data_centre: Arc::clone(&order.data_centre),
             is_over: order.is_over,
         };
@@ -139,18 +139,27 @@
     /// too, so a known id is skipped.
     fn add_restore(&mut self, entry: &Entry<ConfigRecord>, snapshot: &Snapshot) {
         let (Some(author), Some(id)) = (&snapshot.restorer, &snapshot.publish) else { return };
-        let is_known =
-            |act: &Act| matches!(&act.what, ActKind::Restore { id: known, .. } if known == id);
+        let is_known = |act: &HistoryEntry| {
+            matches!(
+                &act.what,
+                OperatorAction::Restore { id: known, .. } if known == id
+            )
+        };
         if self.acts.iter().any(is_known) {
             return;
         }
-        let what = ActKind::Restore { id: Arc::clone(id), version: snapshot.version };
+        let what = OperatorAction::Restore { id: Arc::clone(id), version: snapshot.version };
         self.push(entry, author, what);
     }
 
-    fn push(&mut self, entry: &Entry<ConfigRecord>, author: &Arc<str>, what: ActKind) {
+    fn push(&mut self, entry: &Entry<ConfigRecord>, author: &Arc<str>, what: OperatorAction) {
         let author = Arc::clone(author);
-        self.acts.push_back(Act { offset: entry.offset, time_ms: entry.time_ms, author, what });
+        self.acts.push_back(HistoryEntry {
+            offset: entry.offset,
+            time_ms: entry.time_ms,
+            author,
+            what,
+        });
     }
 
     /// Copies verdicts that `config` has reached since. A [`ConfigReader`] that
@@ -159,7 +168,9 @@
         let acts = &mut self.acts;
         self.undecided.retain(|offset| {
             let Ok(idx) = acts.binary_search_by_key(offset, |act| act.offset) else { return false };
-            let ActKind::Publish { id, verdict, .. } = &mut acts[idx].what else { return false };
+            let OperatorAction::Publish { id, verdict, .. } = &mut acts[idx].what else {
+                return false;
+            };
             let Some(decided) = config.verdict(id) else { return true };
             *verdict = to_wire(decided);
             false
@@ -168,7 +179,7 @@
 
     fn drop_oldest(&mut self) {
         let Some(act) = self.acts.pop_front() else { return };
-        if let ActKind::Publish { id, .. } = act.what {
+        if let OperatorAction::Publish { id, .. } = act.what {
             self.publishes.remove(&id);
         }
     }
--- a/crates/admin/src/ops/publish.rs
+++ b/crates/admin/src/ops/publish.rs
@@ -13,7 +13,7 @@
     model::MAX_ID_BYTES,
     record::{ConfigRecord, Publish, Version},
 };
-use peatdeck_wire::admin::{PublishBody, PublishReply, PublishVerdict, Winner};
+use peatdeck_wire::admin::{PublishBody, PublishReply, PublishVerdict, VersionInForce};
 
 use crate::{
     context::Context,
@@ -127,7 +127,7 @@
 }
 
 /// A version with the id and author of the change that created it, for errors.
-pub fn winner(state: &State, version: Version) -> Winner {
+pub fn winner(state: &State, version: Version) -> VersionInForce {
     let (publish, author) = state.history.origin(version).unzip();
-    Winner { version, publish, author }
+    VersionInForce { version, publish, author }
 }
--- a/crates/admin/src/ops/status.rs
+++ b/crates/admin/src/ops/status.rs
@@ -12,7 +12,9 @@
     record::Version,
 };
 use peatdeck_macros::id;
-use peatdeck_wire::admin::{EntryStatus, Missing, OutcomeCount, OutcomesReply, StatusReply};
+use peatdeck_wire::admin::{
+    EntryStatus, MissingInstance, OutcomeCount, OutcomesReply, StatusReply,
+};
 
 use crate::{context::Context, error::Error};
 
@@ -33,7 +35,7 @@
     /// Instances that have it or a later one.
     pub in_force: Vec<InstanceName>,
     /// Live listed instances that have not confirmed it.
-    pub missing: Vec<Missing>,
+    pub missing: Vec<MissingInstance>,
 }
 
 /// Returns the status of every listed instance.
@@ -48,7 +50,7 @@
     while let Some((instance, answer)) = answers.next().await {
         match answer {
             Ok(status) => reply.entries.push(status),
-            Err(reason) => reply.missing.push(Missing { instance, reason: reason.into() }),
+            Err(reason) => reply.missing.push(MissingInstance { instance, reason: reason.into() }),
         }
     }
     reply.entries.sort_by(|a, b| a.instance.cmp(&b.instance));
@@ -72,7 +74,7 @@
                 instances.push(instance);
                 add(&mut sums, status.outcomes);
             }
-            Err(reason) => missing.push(Missing { instance, reason: reason.into() }),
+            Err(reason) => missing.push(MissingInstance { instance, reason: reason.into() }),
         }
     }
     instances.sort();
@@ -130,7 +132,7 @@
 async fn poll_instances(ctx: &Context, version: Version, rollout: &mut Rollout) -> bool {
     let Ok(listing) = ctx.list.read().await else {
         let reason = "the platform's list is unavailable, so the live instances are not known";
-        rollout.missing = vec![Missing { instance: "*".into(), reason: reason.into() }];
+        rollout.missing = vec![MissingInstance { instance: "*".into(), reason: reason.into() }];
         return false;
     };
     let is_pending = |instance: &InstanceEntry| {
@@ -149,7 +151,7 @@
     }
     rollout.missing = missing
         .into_iter()
-        .map(|(instance, reason)| Missing { instance, reason: reason.into() })
+        .map(|(instance, reason)| MissingInstance { instance, reason: reason.into() })
         .collect();
     rollout.missing.is_empty()
 }
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -1,7 +1,7 @@
 //! `peatdeck quarantine`: lists the contents quarantined for crashing endpoints, or releases one.
 
 use bpaf::{OptionParser, Parser, construct, long};
-use peatdeck_wire::operators::Held;
+use peatdeck_wire::operators::QuarantinedContent;
 
 use crate::{
     commands,
@@ -51,7 +51,7 @@
     }))
 }
 
-fn table(contents: &[Held]) -> String {
+fn table(contents: &[QuarantinedContent]) -> String {
     if contents.is_empty() {
         return "no content is quarantined\n".to_owned();
     }
--- a/crates/cli/src/ops/burn.rs
+++ b/crates/cli/src/ops/burn.rs
@@ -23,7 +23,7 @@
 };
 use peatdeck_macros::{id, message};
 use peatdeck_wire::{
-    admin::{Missing, OutcomeCount, OutcomesReply},
+    admin::{MissingInstance, OutcomeCount, OutcomesReply},
     caller::ANSWERED,
 };
 use serde::de::DeserializeOwned;
@@ -61,7 +61,7 @@
     /// Instances whose counts are included.
     pub instances: Vec<Arc<str>>,
     /// Instances that did not respond, with the reason.
-    pub missing: Vec<Missing>,
+    pub missing: Vec<MissingInstance>,
 }
 
 /// The figures of a pipeline, or of one team in it.
--- a/crates/cli/src/ops/quarantine.rs
+++ b/crates/cli/src/ops/quarantine.rs
@@ -1,7 +1,7 @@
 //! Lists and releases quarantined contents at the metrics address of a relay instance.
 
 use ntex::http::{Method, StatusCode};
-use peatdeck_wire::operators::{Held, QUARANTINE};
+use peatdeck_wire::operators::{QUARANTINE, QuarantinedContent};
 
 use crate::{
     error::Error,
@@ -13,7 +13,7 @@
 /// # Errors
 /// [`Error::Instance`] if the request fails, [`Error::Unreadable`] if the response is
 /// invalid.
-pub async fn list(instance: &str) -> Result<Vec<Held>, Error> {
+pub async fn list(instance: &str) -> Result<Vec<QuarantinedContent>, Error> {
     relay::list(instance, QUARANTINE).await
 }
 
--- a/crates/relay/src/native.rs
+++ b/crates/relay/src/native.rs
@@ -1,4 +1,4 @@
-//! The product's own dialect: names of headers, and bodies of piece calls.
+//! The product's own dialect: names of headers, and bodies of the relay's own calls.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,84 +10,83 @@
 };
 use peatdeck_macros::message;
 
-use crate::dialect::{self, Dialect, Names, Order};
+use crate::dialect::{self, Dialect, HeaderNames, PostRequest};
 
-/// A call for pieces.
+/// The body of a call that runs pieces.
 #[message]
-pub struct MakeBody {
-    /// The pieces.
+pub struct PiecesBody {
+    /// The pieces to run, in the order of the results.
     pub pieces: Vec<PieceBody>,
 }
 
 /// One piece of a call.
 #[message]
 pub struct PieceBody {
-    /// The caller's id of the request.
+    /// The id of the caller's request that the piece belongs to.
     pub request: Arc<str>,
     /// The stage's position in its route.
     pub stage: u16,
     /// The piece's number within the stage.
     pub number: u16,
-    /// Time until the caller gives up.
+    /// Time until the caller's deadline.
     pub remaining_ms: u64,
-    /// What it is made from, where the stage follows no other.
+    /// Key of the input, if the stage follows no other.
     pub key: Option<Arc<str>>,
-    /// The results that it is made from, where the stage follows others.
+    /// Handles of the input results, if the stage follows others.
     pub inputs: Vec<Handle>,
 }
 
-/// The answer to a call for pieces, in their order.
+/// The reply to a call for pieces.
 #[message]
-pub struct MadeBody {
-    /// The results.
+pub struct ResultsBody {
+    /// The results, in the order of the pieces.
     pub results: Vec<ResultBody>,
 }
 
-/// What became of one piece.
+/// Result of one piece.
 #[message]
 #[serde(rename_all = "snake_case")]
 pub enum ResultBody {
-    /// It was made; the result has this handle, `ip:port/name`.
+    /// The piece was run; its result has this handle, `ip:port/name`.
     Made(Handle),
-    /// Its time was over.
+    /// The deadline had passed.
     Late,
-    /// A result that it is made from is gone.
+    /// An input result no longer exists.
     InputGone,
-    /// There was no room for its result.
+    /// The endpoint had no memory left for the result.
     NoRoom,
-    /// It failed.
+    /// The piece failed for another reason.
     Failed,
 }
 
-/// Results that are given up.
+/// The body of a call that frees results.
 #[message]
 pub struct FreeBody {
-    /// Their handles.
+    /// Handles of the results to free.
     pub handles: Vec<Handle>,
 }
 
-/// Parts of prompts that an engine holds, in hexadecimal.
+/// The prompt parts that an engine holds.
 #[message]
 pub struct PartsBody {
-    /// Which of its lives the engine is in.
+    /// Incarnation of the engine, if it states one.
     pub incarnation: Option<u64>,
-    /// Their identities.
+    /// Ids of the parts, in hexadecimal.
     pub parts: Vec<Arc<str>>,
 }
 
-/// How callers and endpoints that speak the product's own format are spoken
-/// to.
+/// The dialect of callers and endpoints that use the product's own format.
 pub fn dialect() -> Dialect {
     let name = HeaderName::from_static;
     Dialect {
-        names: Names {
+        names: HeaderNames {
             request: name("peatdeck-request"),
             deadline: name("peatdeck-deadline-ms"),
             key: name("peatdeck-key"),
             team: name("peatdeck-team"),
             endpoint: name("peatdeck-endpoint"),
             resume: name("last-event-id"),
-            unrun: name("peatdeck-not-run"),
+            not_run: name("peatdeck-not-run"),
             load: name("peatdeck-load"),
             seal: name("peatdeck-seal"),
             rank: name("peatdeck-rank"),
@@ -100,19 +99,19 @@
             cold: name("peatdeck-cold-ms"),
             limit: name("peatdeck-limit"),
             leaving: name("peatdeck-leaving"),
-            free: Vec::new(),
-            // What an engine keeps free, and whose memory it goes on from.
+            extra: Vec::new(),
+            // How much memory an engine keeps free, and from whose memory it continues a run.
             reserved: vec![name("peatdeck-hold"), name("peatdeck-from")],
         },
-        make,
-        read_made,
-        free,
+        encode_pieces,
+        decode_results,
+        encode_free,
         parts_path: "/v1/parts",
-        read_parts,
+        decode_parts,
     }
 }
 
-fn make(pieces: &[Piece], now: Duration) -> Order {
+fn encode_pieces(pieces: &[Piece], now: Duration) -> PostRequest {
     let pieces = pieces.iter().map(|piece| PieceBody {
         request: piece.request.clone(),
         stage: piece.stage,
@@ -121,19 +120,19 @@
         key: piece.key.clone(),
         inputs: piece.inputs.clone(),
     });
-    Order { path: "/v1/pieces", body: json(&MakeBody { pieces: pieces.collect() }) }
+    PostRequest { path: "/v1/pieces", body: json(&PiecesBody { pieces: pieces.collect() }) }
 }
 
-fn read_made(body: &[u8]) -> Option<Vec<PieceResult>> {
-    let made: MadeBody = serde_json::from_slice(body).ok()?;
-    Some(made.results.into_iter().map(result).collect())
+fn decode_results(body: &[u8]) -> Option<Vec<PieceResult>> {
+    let reply: ResultsBody = serde_json::from_slice(body).ok()?;
+    Some(reply.results.into_iter().map(result).collect())
 }
 
-fn free(handles: &[Handle]) -> Order {
-    Order { path: "/v1/pieces/free", body: json(&FreeBody { handles: handles.to_vec() }) }
+fn encode_free(handles: &[Handle]) -> PostRequest {
+    PostRequest { path: "/v1/pieces/free", body: json(&FreeBody { handles: handles.to_vec() }) }
 }
 
-fn read_parts(body: &[u8]) -> Option<HeldParts> {
+fn decode_parts(body: &[u8]) -> Option<HeldParts> {
     let held: PartsBody = serde_json::from_slice(body).ok()?;
     let parts = held.parts.iter().filter_map(|id| dialect::part_id(id)).collect();
     Some(HeldParts { incarnation: held.incarnation.map(Incarnation), parts })
--- a/crates/relay/src/peers/versions.rs
+++ b/crates/relay/src/peers/versions.rs
@@ -1,9 +1,10 @@
-//! A newer configuration than the platform's table tells of.
+//! Configurations newer than the platform's table has.
 //!
-//! A version never goes back. Where the platform has lost one and nobody has written
-//! it again yet, an instance that has just started reads an older one, though its
-//! peers serve by the newer. Each says its version with every message, so whoever
-//! hears of a newer one that no table will bring asks for it, in slices.
+//! The version in force never decreases. If the platform has lost the newest version and
+//! nobody has written it again yet, an instance that has just started reads an older one,
+//! while its peers use the newer one. Each gossip message carries the sender's version, so
+//! an instance that receives a newer one, which no table will bring, requests it from
+//! that peer, in slices.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,66 +21,67 @@
     driver::Driver,
     peers::{EXCHANGE_TIMEOUT, learn},
     surroundings::TableName,
-    tables::{self, PORTION},
+    tables::{self, PORTION_BYTES},
 };
 
-/// Pause before a version that could not be had, or not be used, is asked for again.
-const PAUSE: Duration = Duration::from_secs(2);
+/// Delay before a newer version is requested again, if it could not be fetched or used.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The configuration in force, and who has a newer one.
+/// The configuration in force, and a peer that has a newer one.
 #[derive(Debug, Default)]
 pub struct Versions {
-    /// As it was written.
+    /// Record of the configuration in force, as it was written.
     in_force: RefCell<Option<Record>>,
-    newer: RefCell<Option<Newer>>,
-    asked: Cell<Option<Duration>>,
+    newer: RefCell<Option<NewerVersion>>,
+    requested_at: Cell<Option<Duration>>,
 }
 
 #[derive(Debug)]
-struct Newer {
+struct NewerVersion {
     addr: Arc<str>,
     version: u64,
 }
 
-/// A slice of a configuration.
-pub struct Slice {
-    /// Its version.
+/// A slice of the record of a configuration.
+pub struct ConfigSlice {
+    /// Version of the configuration.
     pub version: u64,
-    /// The key of its record.
+    /// Key of its record.
     pub key: Arc<str>,
-    /// Bytes of the whole.
+    /// Size of the whole value, in bytes.
     pub size: u64,
-    /// The slice.
+    /// The bytes of this slice.
     pub bytes: Bytes,
 }
 
 impl Versions {
-    /// This one is in force now.
+    /// Stores the record of the configuration that is now in force.
     pub fn set(&self, record: Record) {
         *self.in_force.borrow_mut() = Some(record);
     }
 }
 
-/// Takes in which version a peer has whose tables are so far.
-pub fn compare(driver: &Driver, addr: &Arc<str>, positions: &[Position], version: u64) {
-    let is_told_by_table = learn::lacks_config(driver, positions);
-    if version > own_version(driver) && !is_told_by_table {
-        let newer = Newer { addr: addr.clone(), version };
+/// Notes the version of a peer whose tables are at these positions, if it is newer. If this
+/// instance's configuration table is behind the peer's, the table will bring it instead.
+pub fn note_version(driver: &Driver, addr: &Arc<str>, positions: &[Position], version: u64) {
+    let is_table_behind = learn::lacks_config(driver, positions);
+    if version > own_version(driver) && !is_table_behind {
+        let newer = NewerVersion { addr: addr.clone(), version };
         *driver.peers.versions.newer.borrow_mut() = Some(newer);
     }
 }
 
-/// Asks for the version that was heard of, unless it has come meanwhile.
+/// Fetches the newer version noted last, unless it has arrived in the meantime.
 pub async fn catch_up(driver: &Rc<Driver>) {
     let versions = &driver.peers.versions;
     let newer = versions.newer.borrow_mut().take();
-    let Some(Newer { addr, version }) = newer else { return };
+    let Some(NewerVersion { addr, version }) = newer else { return };
     let now = driver.now();
-    let was_asked = versions.asked.get().is_some_and(|at| now < at + PAUSE);
-    if was_asked || version <= own_version(driver) {
+    let was_requested = versions.requested_at.get().is_some_and(|at| now < at + RETRY_DELAY);
+    if was_requested || version <= own_version(driver) {
         return;
     }
-    versions.asked.set(Some(now));
+    versions.requested_at.set(Some(now));
     match fetch(driver, &addr).await {
         Ok(Some(record)) => {
             driver.metrics.count("relay.versions_heard", 1);
@@ -93,26 +95,28 @@
     }
 }
 
-/// What a peer is told that has this much of the configuration in force.
-pub fn slice(driver: &Driver, at: u64) -> Option<Slice> {
+/// The slice of the configuration in force that starts at byte `at`; `None` past its end,
+/// or if there is no configuration.
+pub fn read_slice(driver: &Driver, at: u64) -> Option<ConfigSlice> {
     let record = driver.peers.versions.in_force.borrow();
     let (key, value) = record.as_ref().and_then(|it| Some((it.key.clone(), it.value.as_ref()?)))?;
     let at = usize::try_from(at).ok().filter(|at| *at < value.len())?;
-    let bytes = value.slice(at..value.len().min(at + PORTION));
-    Some(Slice { version: own_version(driver), key, size: value.len() as u64, bytes })
+    let bytes = value.slice(at..value.len().min(at + PORTION_BYTES));
+    Some(ConfigSlice { version: own_version(driver), key, size: value.len() as u64, bytes })
 }
 
 fn own_version(driver: &Driver) -> u64 {
-    driver.look(|machine| machine.config().map_or(0, |config| config.version))
+    driver.inspect(|machine| machine.config().map_or(0, |config| config.version))
 }
 
-/// The whole record; `None` if the peer has none, or has got another one meanwhile.
+/// Fetches the whole record from a peer; `None` if the peer has none, or its version
+/// changed in between.
 async fn fetch(driver: &Driver, addr: &Arc<str>) -> Result<Option<Record>, Error> {
     let mut value = BytesMut::new();
     let mut first = None;
     loop {
-        let slice = ask(driver, addr, value.len()).await?;
-        let Some(Slice { version, key, size, bytes }) = slice else { return Ok(None) };
+        let slice = request_slice(driver, addr, value.len()).await?;
+        let Some(ConfigSlice { version, key, size, bytes }) = slice else { return Ok(None) };
         if *first.get_or_insert(version) != version || bytes.is_empty() {
             return Ok(None);
         }
@@ -123,13 +127,17 @@
     }
 }
 
-async fn ask(driver: &Driver, addr: &Arc<str>, at: usize) -> Result<Option<Slice>, Error> {
+async fn request_slice(
+    driver: &Driver,
+    addr: &Arc<str>,
+    at: usize,
+) -> Result<Option<ConfigSlice>, Error> {
     let exchange = async |client: relay::Client| {
         let mut request = client.config_request();
         request.get().set_at(at as u64);
         let response = request.send().promise.await?;
         let response = response.get()?;
-        let slice = Slice {
+        let slice = ConfigSlice {
             version: response.get_version(),
             key: wire::read_name(response.get_key()?)?,
             size: response.get_size(),
