--- a/crates/entry/tests/entry/support.rs
+++ b/crates/entry/tests/entry/support.rs
@@ -113,7 +113,7 @@
     pub fn expected(&self, id: &str) -> String {
         let pipeline: &Pipeline = self.document.pipeline("two").unwrap();
         let request = RequestId { team: Arc::from("t"), id: Arc::from(id) };
-        answer::expected(&self.document, pipeline, &request, "input").unwrap()
+        answer::expected_output(&self.document, pipeline, &request, "input").unwrap()
     }
 
     /// Sets faults of the engine.
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -35,7 +35,7 @@
         Verifier::new(move |arrival| {
             let pipeline = document.pipeline(&arrival.pipeline)?;
             let request = RequestId { team: arrival.team.clone(), id: arrival.id.clone() };
-            answer::expected(&document, pipeline, &request, &arrival.input)
+            answer::expected_output(&document, pipeline, &request, &arrival.input)
         })
     }
 
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -2,7 +2,7 @@
 //!
 //! Any two calls that differ in stage, request or input differ in their
 //! output. A test or a load run can therefore compute the one right answer of
-//! a pipeline with [`expected`] and compare.
+//! a pipeline with [`expected_output`] and compare.
 
 use peatdeck_core::{
     document::{Document, Pipeline, PoolKind, Stage},
@@ -31,7 +31,7 @@
 
 /// The output of a whole pipeline: each stage's output is the next one's
 /// input. `None` if a stage names a pool that the document does not have.
-pub fn expected(
+pub fn expected_output(
     document: &Document,
     pipeline: &Pipeline,
     request: &RequestId,
--- a/crates/standin/src/calls.rs
+++ b/crates/standin/src/calls.rs
@@ -44,7 +44,7 @@
 
 impl CallRecord {
     /// Whether any of it ran.
-    pub fn ran(&self) -> bool {
+    pub fn has_run(&self) -> bool {
         self.started_ms.is_some()
     }
 }
--- a/crates/standin/tests/testsuite/answer.rs
+++ b/crates/standin/tests/testsuite/answer.rs
@@ -47,5 +47,5 @@
     let encoded = answer::service_output("encode", &key("r1"), "hello");
     let generated = answer::tokens("generate", &key("r1"), &encoded, Some(12)).concat();
     let issued = answer::service_output("ledger", &key("r1"), &generated);
-    assert_eq!(answer::expected(&document, pipeline, &key("r1"), "hello"), Some(issued));
+    assert_eq!(answer::expected_output(&document, pipeline, &key("r1"), "hello"), Some(issued));
 }
--- a/crates/standin/tests/testsuite/engine.rs
+++ b/crates/standin/tests/testsuite/engine.rs
@@ -52,7 +52,7 @@
     assert_eq!(*tokens, total);
     let calls = engine.calls().await;
     assert_eq!((calls[0].state, calls[0].tokens, calls[0].resumed), (Finished, total, 0));
-    assert!(calls[0].ran());
+    assert!(calls[0].has_run());
 }
 
 #[ntex::test]
@@ -132,7 +132,7 @@
     engine.wait_states(&[Running, Waiting]).await;
     engine.cancel(&body).await;
     engine.wait_states(&[Running, Cancelled]).await;
-    assert!(!engine.calls().await[1].ran());
+    assert!(!engine.calls().await[1].has_run());
 }
 
 #[ntex::test]
--- a/crates/test-support/src/callers.rs
+++ b/crates/test-support/src/callers.rs
@@ -155,7 +155,7 @@
     fn expected(&self, pipeline: &str, body: &RequestBody) -> Option<String> {
         let document = &self.document;
         let pipeline = document.pipeline(pipeline).or(document.pipelines.first())?;
-        answer::expected(document, pipeline, &fixture::key(&body.id), &body.input)
+        answer::expected_output(document, pipeline, &fixture::key(&body.id), &body.input)
     }
 }
 
@@ -231,7 +231,7 @@
 async fn runs(system: &System) -> Result<BTreeMap<Arc<str>, Vec<Run>>> {
     let mut runs: BTreeMap<Arc<str>, Vec<Run>> = BTreeMap::new();
     for (endpoint, call) in system.all_calls().await? {
-        if call.ran() {
+        if call.has_run() {
             runs.entry(call.echo.request.id.clone()).or_default().push((endpoint, call));
         }
     }
--- a/crates/test-support/src/processes/control.rs
+++ b/crates/test-support/src/processes/control.rs
@@ -245,6 +245,6 @@
     /// The one right output of a pipeline of the first document.
     pub fn expected(&self, pipeline: &str, id: &str, input: &str) -> Option<String> {
         let pipeline = self.document.pipeline(pipeline)?;
-        answer::expected(&self.document, pipeline, &fixture::key(id), input)
+        answer::expected_output(&self.document, pipeline, &fixture::key(id), input)
     }
 }
--- a/crates/testsuite/tests/testsuite/claims.rs
+++ b/crates/testsuite/tests/testsuite/claims.rs
@@ -33,7 +33,7 @@
 /// Ledger calls of a request that ran.
 async fn ledger_runs(bench: &Bench, id: &str) -> usize {
     let calls = bench.system.calls_for(id).await.unwrap();
-    calls.iter().filter(|(_, call)| &*call.stage == "ledger" && call.ran()).count()
+    calls.iter().filter(|(_, call)| &*call.stage == "ledger" && call.has_run()).count()
 }
 
 /// A request whose claim stands in the log and cannot be read back: `entry-1`
@@ -76,7 +76,7 @@
     let body = fixture::once("killed-before", "trailer 2");
     bench.system.set_pool_faults("encode", &hang()).await.unwrap();
     let pending = bench.send("entry-1", TICKET, &body);
-    bench.wait_calls("killed-before", "the encode call", |call| call.ran()).await;
+    bench.wait_calls("killed-before", "the encode call", |call| call.has_run()).await;
     bench.system.kill("entry-1").unwrap();
     assert_eq!(pending.told().await.to_string(), "lost");
     check_after_kill(bench, &body, "502 may_have_run/claimed_elsewhere", 0).await;
