--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -70,8 +70,8 @@
 fn token_count(digest: u64, max: u32) -> u32 {
     let max = max.max(1);
     let least = max.div_ceil(2);
-    let spread = u64::from(max - least + 1);
-    let extra = u32::try_from(digest % spread).unwrap_or(0);
+    let range = u64::from(max - least + 1);
+    let extra = u32::try_from(digest % range).unwrap_or(0);
     least + extra
 }
 
--- a/crates/standin/src/calls.rs
+++ b/crates/standin/src/calls.rs
@@ -79,21 +79,21 @@
 
 /// The records of one endpoint, the newest ones only when there are too many.
 #[derive(Debug)]
-pub struct CallBook {
+pub struct CallHistory {
     records: VecDeque<CallRecord>,
-    first: u64,
+    first_seq: u64,
     limit: usize,
 }
 
-impl CallBook {
+impl CallHistory {
     /// An empty book that keeps `limit` records.
-    pub fn new(limit: usize) -> CallBook {
-        CallBook { records: VecDeque::new(), first: 0, limit: limit.max(1) }
+    pub fn new(limit: usize) -> CallHistory {
+        CallHistory { records: VecDeque::new(), first_seq: 0, limit: limit.max(1) }
     }
 
     /// Records a call that was taken in.
-    pub fn arrived(&mut self, body: &CallBody, now_ms: u64) -> CallSeq {
-        let seq = CallSeq(self.first + self.records.len() as u64);
+    pub fn record_arrival(&mut self, body: &CallBody, now_ms: u64) -> CallSeq {
+        let seq = CallSeq(self.first_seq + self.records.len() as u64);
         self.records.push_back(CallRecord {
             seq,
             echo: body.echo.clone(),
@@ -111,20 +111,20 @@
     }
 
     /// Records that a call got a place.
-    pub fn started(&mut self, seq: CallSeq, now_ms: u64) {
+    pub fn record_start(&mut self, seq: CallSeq, now_ms: u64) {
         let Some(record) = self.record(seq) else { return };
         record.state = CallState::Running;
         record.started_ms = Some(now_ms);
     }
 
     /// Records one generated token.
-    pub fn token(&mut self, seq: CallSeq) {
+    pub fn record_token(&mut self, seq: CallSeq) {
         let Some(record) = self.record(seq) else { return };
         record.tokens += 1;
     }
 
     /// Records how a call left the endpoint.
-    pub fn ended(&mut self, seq: CallSeq, state: CallState, now_ms: u64) {
+    pub fn record_end(&mut self, seq: CallSeq, state: CallState, now_ms: u64) {
         let Some(record) = self.record(seq) else { return };
         record.state = state;
         record.ended_ms = Some(now_ms);
@@ -147,20 +147,20 @@
         let calls = self.records.iter().filter(|record| record.seq.0 >= from);
         CallsBody {
             endpoint: endpoint.clone(),
-            dropped: self.first,
+            dropped: self.first_seq,
             calls: calls.cloned().collect(),
         }
     }
 
     fn record(&mut self, seq: CallSeq) -> Option<&mut CallRecord> {
-        let idx = usize::try_from(seq.0.checked_sub(self.first)?).ok()?;
+        let idx = usize::try_from(seq.0.checked_sub(self.first_seq)?).ok()?;
         self.records.get_mut(idx)
     }
 
     fn trim(&mut self) {
         while self.records.len() > self.limit {
             self.records.pop_front();
-            self.first += 1;
+            self.first_seq += 1;
         }
     }
 }
--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -17,10 +17,10 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    calls::{CallBook, CallState},
+    calls::{CallHistory, CallState},
     faults::EndpointFaults,
     load::LaggedLoad,
-    places::{Places, Ticket},
+    places::{Slots, Ticket},
     prefix::PrefixCache,
     reply,
 };
@@ -143,13 +143,13 @@
     pub settings: Settings,
     name: Arc<str>,
     clock: SystemClock,
-    places: Arc<Places>,
+    slots: Arc<Slots>,
     state: Mutex<State>,
 }
 
 #[derive(Debug)]
 struct State {
-    book: CallBook,
+    history: CallHistory,
     active: SlotMap<ActiveKey, Active>,
     faults: EndpointFaults,
     load: LaggedLoad,
@@ -170,7 +170,7 @@
 
 /// A call that was taken in, its place to be, and the sign to stop.
 #[derive(Debug)]
-pub struct Taken {
+pub struct AcceptedCall {
     /// The call.
     pub call: Call,
     /// Its place in the queue.
@@ -182,51 +182,51 @@
 impl Endpoint {
     /// An idle endpoint.
     pub fn new(settings: Settings) -> Arc<Endpoint> {
-        let places = Places::new(settings.places, settings.queue);
+        let slots = Slots::new(settings.places, settings.queue);
         let lag = Duration::from_millis(settings.load_lag_ms);
         let state = State {
-            book: CallBook::new(settings.keep_calls),
+            history: CallHistory::new(settings.keep_calls),
             active: SlotMap::with_key(),
             faults: EndpointFaults::default(),
-            load: LaggedLoad::new(lag, load_of(&places)),
+            load: LaggedLoad::new(lag, load_of(&slots)),
             prefixes: PrefixCache::new(settings.prefixes),
             refused: 0,
         };
         let name = Arc::from(settings.name.as_str());
         let clock = SystemClock::new();
-        Arc::new(Endpoint { settings, name, clock, places, state: Mutex::new(state) })
+        Arc::new(Endpoint { settings, name, clock, slots, state: Mutex::new(state) })
     }
 
     /// Takes a call in, or says why not.
     ///
     /// # Errors
     /// If a fault refuses it or if the queue is full.
-    pub fn take(self: &Arc<Endpoint>, body: CallBody) -> Result<Taken, RefuseReason> {
+    pub fn accept(self: &Arc<Endpoint>, body: CallBody) -> Result<AcceptedCall, RefuseReason> {
         let faults = reply::lock(&self.state).next_faults();
         if let Some(reason) = faults.refuse {
             return Err(self.refuse(reason));
         }
-        let Some(ticket) = self.places.enter() else {
+        let Some(ticket) = self.slots.enter() else {
             return Err(self.refuse(RefuseReason::Busy));
         };
         let (cancel, cancelled) = oneshot::channel();
         let mut state = reply::lock(&self.state);
-        let seq = state.book.arrived(&body, self.now_ms());
+        let seq = state.history.record_arrival(&body, self.now_ms());
         let key = state.active.insert(Active { echo: body.echo.clone(), cancel });
         drop(state);
-        self.note_load();
+        self.record_load();
         let call = Call::new(self.clone(), key, seq, body, faults);
-        Ok(Taken { call, ticket, cancelled })
+        Ok(AcceptedCall { call, ticket, cancelled })
     }
 
     /// The load as it is reported.
-    pub fn reported(&self) -> Load {
+    pub fn reported_load(&self) -> Load {
         reply::lock(&self.state).load.report(self.clock.now())
     }
 
     /// Calls that run now.
     pub fn running(&self) -> u32 {
-        self.places.running()
+        self.slots.running()
     }
 
     /// Whether the prompt's prefix was cached.
@@ -239,9 +239,9 @@
         reason
     }
 
-    fn note_load(&self) {
-        let load = load_of(&self.places);
-        reply::lock(&self.state).load.note(self.clock.now(), load);
+    fn record_load(&self) {
+        let load = load_of(&self.slots);
+        reply::lock(&self.state).load.record(self.clock.now(), load);
     }
 
     fn now_ms(&self) -> u64 {
@@ -261,11 +261,11 @@
         EndpointState {
             name: self.name.clone(),
             incarnation: Incarnation(self.settings.incarnation),
-            load: load_of(&self.places),
+            load: load_of(&self.slots),
             refused: state.refused,
-            finished: state.book.count(CallState::Finished),
-            cancelled: state.book.count(CallState::Cancelled),
-            cut: state.book.count(CallState::Cut),
+            finished: state.history.count(CallState::Finished),
+            cancelled: state.history.count(CallState::Cancelled),
+            cut: state.history.count(CallState::Cut),
             faults: state.faults.clone(),
         }
     }
@@ -300,6 +300,6 @@
     }
 }
 
-fn load_of(places: &Places) -> Load {
-    Load { running: places.running(), queued: places.waiting(), places: places.limit(), age_ms: 0 }
+fn load_of(slots: &Slots) -> Load {
+    Load { running: slots.running(), queued: slots.waiting(), places: slots.limit(), age_ms: 0 }
 }
--- a/crates/standin/src/endpoint/call.rs
+++ b/crates/standin/src/endpoint/call.rs
@@ -9,7 +9,7 @@
 use crate::{
     calls::{CallSeq, CallState},
     faults::EndpointFaults,
-    places::Place,
+    places::Slot,
     reply,
 };
 
@@ -19,8 +19,8 @@
     endpoint: Arc<Endpoint>,
     key: ActiveKey,
     seq: CallSeq,
-    place: Option<Place>,
-    ended: bool,
+    slot: Option<Slot>,
+    has_ended: bool,
     /// What was asked.
     pub body: CallBody,
     /// Faults that hold for it.
@@ -35,20 +35,20 @@
         body: CallBody,
         faults: EndpointFaults,
     ) -> Call {
-        Call { endpoint, key, seq, place: None, ended: false, body, faults }
+        Call { endpoint, key, seq, slot: None, has_ended: false, body, faults }
     }
 
     /// It got a place and runs.
-    pub fn start(&mut self, place: Place) {
-        self.place = Some(place);
+    pub fn start(&mut self, slot: Slot) {
+        self.slot = Some(slot);
         let now_ms = self.endpoint.now_ms();
-        reply::lock(&self.endpoint.state).book.started(self.seq, now_ms);
-        self.endpoint.note_load();
+        reply::lock(&self.endpoint.state).history.record_start(self.seq, now_ms);
+        self.endpoint.record_load();
     }
 
     /// One token was generated.
     pub fn count_token(&self) {
-        reply::lock(&self.endpoint.state).book.token(self.seq);
+        reply::lock(&self.endpoint.state).history.record_token(self.seq);
     }
 
     /// It leaves the endpoint, and its place is free.
@@ -57,7 +57,7 @@
     }
 
     /// A time as the endpoint's faults stretch it.
-    pub fn stretched(&self, ms: f64) -> Duration {
+    pub fn scaled(&self, ms: f64) -> Duration {
         let factor = self.faults.slowdown.unwrap_or(1.0);
         Duration::try_from_secs_f64(ms * factor / 1_000.0).unwrap_or_default()
     }
@@ -68,12 +68,12 @@
     }
 
     /// What the reply echoes: the truth unless a fault says otherwise.
-    pub fn echoed(&self) -> Echo {
+    pub fn reply_echo(&self) -> Echo {
         if self.faults.wrong_echo { self.other_echo() } else { self.body.echo.clone() }
     }
 
     /// The request that the output is derived from.
-    pub fn answered(&self) -> RequestId {
+    pub fn output_request(&self) -> RequestId {
         if self.faults.swapped_output {
             self.other_echo().request
         } else {
@@ -83,32 +83,32 @@
 
     fn other_echo(&self) -> Echo {
         let state = reply::lock(&self.endpoint.state);
-        let other = state.book.other_echo(self.seq, &self.body.echo);
-        other.unwrap_or_else(|| made_up(&self.body.echo))
+        let other = state.history.other_echo(self.seq, &self.body.echo);
+        other.unwrap_or_else(|| unrelated_echo(&self.body.echo))
     }
 
     fn close(&mut self, state: CallState) {
-        self.ended = true;
-        self.place = None;
+        self.has_ended = true;
+        self.slot = None;
         let now_ms = self.endpoint.now_ms();
         let mut shared = reply::lock(&self.endpoint.state);
         shared.active.remove(self.key);
-        shared.book.ended(self.seq, state, now_ms);
+        shared.history.record_end(self.seq, state, now_ms);
         drop(shared);
-        self.endpoint.note_load();
+        self.endpoint.record_load();
     }
 }
 
 impl Drop for Call {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.has_ended {
             self.close(CallState::Cancelled);
         }
     }
 }
 
 /// An echo of a request that nobody sent.
-fn made_up(echo: &Echo) -> Echo {
+fn unrelated_echo(echo: &Echo) -> Echo {
     let request = RequestId {
         team: echo.request.team.clone(),
         id: Arc::from(format!("{}-other", echo.request.id)),
--- a/crates/standin/src/endpoint/routes.rs
+++ b/crates/standin/src/endpoint/routes.rs
@@ -25,7 +25,7 @@
 
 /// The answer to a call that was not taken in.
 pub fn refusal(endpoint: &Endpoint, reason: RefuseReason) -> HttpResponse {
-    let body = RefusalBody { ran: false, reason, load: Some(endpoint.reported()) };
+    let body = RefusalBody { ran: false, reason, load: Some(endpoint.reported_load()) };
     reply::json(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
 
@@ -44,7 +44,7 @@
 }
 
 async fn load(endpoint: types::State<Arc<Endpoint>>) -> HttpResponse {
-    reply::json(StatusCode::OK, &endpoint.reported())
+    reply::json(StatusCode::OK, &endpoint.reported_load())
 }
 
 async fn set_faults(
@@ -59,7 +59,7 @@
     endpoint: types::State<Arc<Endpoint>>,
     query: types::Query<CallsQuery>,
 ) -> HttpResponse {
-    let body = reply::lock(&endpoint.state).book.body(&endpoint.name, query.from);
+    let body = reply::lock(&endpoint.state).history.body(&endpoint.name, query.from);
     reply::json(StatusCode::OK, &body)
 }
 
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -23,13 +23,13 @@
 use crate::{
     answer,
     calls::CallState,
-    endpoint::{self, Call, Endpoint, Taken},
+    endpoint::{self, AcceptedCall, Call, Endpoint},
     places::Ticket,
     reply,
 };
 
 /// What a cached prefix leaves of the prompt's time.
-const CACHED_SHARE: f64 = 0.2;
+const CACHED_PROMPT_SHARE: f64 = 0.2;
 
 /// What goes into the body of a reply.
 type Line = Result<Bytes, Cut>;
@@ -49,13 +49,13 @@
     endpoint: types::State<Arc<Endpoint>>,
     body: types::Json<CallBody>,
 ) -> HttpResponse {
-    let taken = match endpoint.take(body.into_inner()) {
-        Ok(taken) => taken,
+    let accepted = match endpoint.accept(body.into_inner()) {
+        Ok(accepted) => accepted,
         Err(reason) => return endpoint::refusal(&endpoint, reason),
     };
     let (tx, rx) = mpsc::unbounded_channel();
     let io = req.io().cloned();
-    ntex::rt::spawn(run(Arc::clone(&endpoint), taken, tx, io.clone()));
+    ntex::rt::spawn(run(Arc::clone(&endpoint), accepted, tx, io.clone()));
     HttpResponse::Ok().content_type("application/x-ndjson").streaming(stream_body(rx, io))
 }
 
@@ -67,25 +67,25 @@
 ) -> impl Stream<Item = Result<Bytes, Infallible>> + Unpin {
     let body = stream::unfold((lines, io), async |(mut lines, io)| match lines.recv().await? {
         Ok(line) => Some((Ok(line), (lines, io))),
-        Err(Cut) => reply::break_off(io.as_ref()).await,
+        Err(Cut) => reply::abort_connection(io.as_ref()).await,
     });
     Box::pin(body)
 }
 
-async fn run(endpoint: Arc<Endpoint>, taken: Taken, lines: Lines, io: Option<IoRef>) {
-    let Taken { call, ticket, cancelled } = taken;
+async fn run(endpoint: Arc<Endpoint>, accepted: AcceptedCall, lines: Lines, io: Option<IoRef>) {
+    let AcceptedCall { call, ticket, cancelled } = accepted;
     let work = generate(&endpoint, call, ticket, &lines);
     tokio::select! {
         () = work => {}
-        () = gone(&lines, io.as_ref()) => {}
-        () = stopped(cancelled) => {
+        () = caller_disconnected(&lines, io.as_ref()) => {}
+        () = call_cancelled(cancelled) => {
             lines.send(Err(Cut)).ok();
         }
     }
 }
 
 /// Resolves when the caller's connection is closed.
-async fn gone(lines: &Lines, io: Option<&IoRef>) {
+async fn caller_disconnected(lines: &Lines, io: Option<&IoRef>) {
     let Some(io) = io else { return lines.closed().await };
     tokio::select! {
         () = lines.closed() => {}
@@ -94,29 +94,29 @@
 }
 
 /// Resolves when the call is cancelled, not when it ends.
-async fn stopped(cancelled: oneshot::Receiver<()>) {
+async fn call_cancelled(cancelled: oneshot::Receiver<()>) {
     if cancelled.await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
 async fn generate(endpoint: &Endpoint, mut call: Call, ticket: Ticket, lines: &Lines) {
-    let place = ticket.place().await;
-    call.start(place);
-    read_prompt(endpoint, &call).await;
+    let slot = ticket.slot().await;
+    call.start(slot);
+    prefill(endpoint, &call).await;
     if call.faults.hang {
         std::future::pending::<()>().await;
     }
-    let pieces = pieces(&call);
-    let total = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-    let held = u32::try_from(call.body.resume.len()).unwrap_or(u32::MAX);
-    let mut sender = Sender::new(&call, lines);
-    for (idx, piece) in (0..total).zip(pieces).skip(held as usize) {
-        if idx > held {
+    let tokens = output_tokens(&call);
+    let total = u32::try_from(tokens.len()).unwrap_or(u32::MAX);
+    let resumed = u32::try_from(call.body.resume.len()).unwrap_or(u32::MAX);
+    let mut sender = LineSender::new(&call, lines);
+    for (idx, token) in (0..total).zip(tokens).skip(resumed as usize) {
+        if idx > resumed {
             time::sleep(token_time(endpoint, &call)).await;
         }
         call.count_token();
-        if sender.chunk(idx, piece).is_err() {
+        if sender.chunk(idx, token).is_err() {
             call.end(CallState::Cut);
             return;
         }
@@ -128,55 +128,55 @@
         return;
     }
     let echo = sender.echo.clone();
-    let is_doubled = call.faults.duplicate;
+    let is_duplicated = call.faults.duplicate;
     call.end(CallState::Finished);
-    let load = Some(endpoint.reported());
+    let load = Some(endpoint.reported_load());
     let done = EngineLine::Done { echo, done: true, tokens: total, load };
-    send(lines, &done, is_doubled);
+    send(lines, &done, is_duplicated);
 }
 
-async fn read_prompt(endpoint: &Endpoint, call: &Call) {
+async fn prefill(endpoint: &Endpoint, call: &Call) {
     let is_cached = endpoint.touch_prefix(&call.body.input);
-    let share = if is_cached { CACHED_SHARE } else { 1.0 };
-    let prompt = call.stretched(endpoint.settings.call_ms * share);
+    let share = if is_cached { CACHED_PROMPT_SHARE } else { 1.0 };
+    let prompt = call.scaled(endpoint.settings.call_ms * share);
     time::sleep(call.delay() + prompt).await;
 }
 
 fn token_time(endpoint: &Endpoint, call: &Call) -> time::Duration {
     let others = f64::from(endpoint.running().saturating_sub(1));
     let batch = 1.0 + endpoint.settings.batch_cost * others;
-    call.stretched(endpoint.settings.token_ms * batch)
+    call.scaled(endpoint.settings.token_ms * batch)
 }
 
-fn pieces(call: &Call) -> Vec<String> {
+fn output_tokens(call: &Call) -> Vec<String> {
     let body = &call.body;
-    answer::tokens(&body.stage, &call.answered(), &body.input, body.max_tokens)
+    answer::tokens(&body.stage, &call.output_request(), &body.input, body.max_tokens)
 }
 
 /// Sends chunks, and breaks them as the faults ask for.
-struct Sender<'a> {
+struct LineSender<'a> {
     lines: &'a Lines,
     echo: Echo,
-    is_doubled: bool,
+    is_duplicated: bool,
     is_reordered: bool,
-    left: Option<u32>,
-    kept_back: Option<EngineLine>,
+    chunks_left: Option<u32>,
+    delayed: Option<EngineLine>,
 }
 
-impl<'a> Sender<'a> {
-    fn new(call: &Call, lines: &'a Lines) -> Sender<'a> {
-        Sender {
+impl<'a> LineSender<'a> {
+    fn new(call: &Call, lines: &'a Lines) -> LineSender<'a> {
+        LineSender {
             lines,
-            echo: call.echoed(),
-            is_doubled: call.faults.duplicate,
+            echo: call.reply_echo(),
+            is_duplicated: call.faults.duplicate,
             is_reordered: call.faults.reorder,
-            left: call.faults.cut_after,
-            kept_back: None,
+            chunks_left: call.faults.cut_after,
+            delayed: None,
         }
     }
 
     fn is_cut(&self) -> bool {
-        self.left == Some(0)
+        self.chunks_left == Some(0)
     }
 
     fn chunk(&mut self, index: u32, text: String) -> Result<(), Cut> {
@@ -184,10 +184,10 @@
             self.lines.send(Err(Cut)).ok();
             return Err(Cut);
         }
-        self.left = self.left.map(|left| left - 1);
+        self.chunks_left = self.chunks_left.map(|left| left - 1);
         let line = EngineLine::Chunk { echo: self.echo.clone(), index, text: text.into() };
-        if self.is_reordered && self.kept_back.is_none() {
-            self.kept_back = Some(line);
+        if self.is_reordered && self.delayed.is_none() {
+            self.delayed = Some(line);
             return Ok(());
         }
         self.send(&line);
@@ -196,20 +196,20 @@
     }
 
     fn flush(&mut self) {
-        if let Some(line) = self.kept_back.take() {
+        if let Some(line) = self.delayed.take() {
             self.send(&line);
         }
     }
 
     fn send(&self, line: &EngineLine) {
-        send(self.lines, line, self.is_doubled);
+        send(self.lines, line, self.is_duplicated);
     }
 }
 
-fn send(lines: &Lines, line: &EngineLine, is_doubled: bool) {
+fn send(lines: &Lines, line: &EngineLine, is_duplicated: bool) {
     let mut text = serde_json::to_string(line).expect("a line has string keys only");
     text.push('\n');
-    let copies = if is_doubled { 2 } else { 1 };
+    let copies = if is_duplicated { 2 } else { 1 };
     for _ in 0..copies {
         lines.send(Ok(Bytes::from(text.clone()))).ok();
     }
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -50,7 +50,7 @@
     }
 
     /// What it says now; `None` in an outage.
-    fn shown(&self) -> Option<Listing> {
+    fn visible(&self) -> Option<Listing> {
         let state = reply::lock(&self.state);
         if state.faults.outage {
             return None;
@@ -58,7 +58,7 @@
         let lag_ms = state.faults.lag_ms.unwrap_or(self.settings.lag_ms);
         let flap_ms = state.faults.flap_ms.unwrap_or(0);
         let lag = Lag { lag: Duration::from_millis(lag_ms), flap: Duration::from_millis(flap_ms) };
-        Some(state.listings.shown(self.clock.now(), lag))
+        Some(state.listings.visible(self.clock.now(), lag))
     }
 }
 
@@ -66,19 +66,19 @@
 pub fn configure(cfg: &mut web::ServiceConfig, list: Arc<List>) {
     cfg.state(list)
         .route("/v1/list", web::get().to(listing))
-        .route("/control/list", web::put().to(set_truth))
+        .route("/control/list", web::put().to(set_listing))
         .route("/control/faults", web::put().to(set_faults))
-        .route("/control/state", web::get().to(truth));
+        .route("/control/state", web::get().to(current));
 }
 
 async fn listing(list: types::State<Arc<List>>) -> HttpResponse {
-    match list.shown() {
-        Some(shown) => reply::json(StatusCode::OK, &shown),
+    match list.visible() {
+        Some(listing) => reply::json(StatusCode::OK, &listing),
         None => reply::unavailable(),
     }
 }
 
-async fn set_truth(list: types::State<Arc<List>>, body: types::Json<Listing>) -> HttpResponse {
+async fn set_listing(list: types::State<Arc<List>>, body: types::Json<Listing>) -> HttpResponse {
     let now = list.clock.now();
     reply::lock(&list.state).listings.set(now, body.into_inner());
     HttpResponse::NoContent().finish()
@@ -89,7 +89,7 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn truth(list: types::State<Arc<List>>) -> HttpResponse {
-    let truth = reply::lock(&list.state).listings.truth();
-    reply::json(StatusCode::OK, &truth)
+async fn current(list: types::State<Arc<List>>) -> HttpResponse {
+    let current = reply::lock(&list.state).listings.current();
+    reply::json(StatusCode::OK, &current)
 }
--- a/crates/standin/src/listings.rs
+++ b/crates/standin/src/listings.rs
@@ -21,34 +21,34 @@
 }
 
 /// Listings that are kept.
-const KEPT: usize = 1_000;
+const MAX_HISTORY: usize = 1_000;
 
 impl Listings {
     /// Sets the truth as of `now`.
     pub fn set(&mut self, now: Duration, listing: Listing) {
         self.history.push_back((now, listing));
-        if self.history.len() > KEPT {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
 
     /// The truth.
-    pub fn truth(&self) -> Listing {
+    pub fn current(&self) -> Listing {
         self.history.back().map(|(_, listing)| listing.clone()).unwrap_or_default()
     }
 
     /// What the list says at `now`.
-    pub fn shown(&self, now: Duration, lag: Lag) -> Listing {
+    pub fn visible(&self, now: Duration, lag: Lag) -> Listing {
         let horizon = now.saturating_sub(lag.lag);
         let count = self.history.partition_point(|(time, _)| *time <= horizon);
         // The first listing shows also before its lag has passed.
         let newest = count.saturating_sub(1);
-        let idx = if is_back(now, lag.flap) { newest.saturating_sub(1) } else { newest };
+        let idx = if shows_previous(now, lag.flap) { newest.saturating_sub(1) } else { newest };
         self.history.get(idx).map(|(_, listing)| listing.clone()).unwrap_or_default()
     }
 }
 
-fn is_back(now: Duration, flap: Duration) -> bool {
+fn shows_previous(now: Duration, flap: Duration) -> bool {
     if flap.is_zero() {
         return false;
     }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -24,20 +24,20 @@
     }
 
     /// Takes in the load as of `now`.
-    pub fn note(&mut self, now: Duration, load: Load) {
+    pub fn record(&mut self, now: Duration, load: Load) {
         self.history.push_back((now, load));
-        self.forget(now);
+        self.drop_expired(now);
     }
 
     /// The load as it is reported at `now`.
     pub fn report(&mut self, now: Duration) -> Load {
-        self.forget(now);
+        self.drop_expired(now);
         let age_ms = u32::try_from(self.lag.as_millis()).unwrap_or(u32::MAX);
         let (_, load) = self.history.front().expect("one entry is always kept");
         Load { age_ms, ..*load }
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn drop_expired(&mut self, now: Duration) {
         let horizon = now.saturating_sub(self.lag);
         while self.history.get(1).is_some_and(|(time, _)| *time <= horizon) {
             self.history.pop_front();
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -25,7 +25,7 @@
 };
 
 /// Records that one read gives at the most.
-const MAX_READ: usize = 10_000;
+const MAX_READ_RECORDS: usize = 10_000;
 /// The longest that one read waits.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
@@ -108,16 +108,16 @@
 }
 
 /// A read that waits; counted until it is dropped.
-struct Waiting<'a>(&'a Log);
+struct WaitingRead<'a>(&'a Log);
 
-impl<'a> Waiting<'a> {
-    fn new(log: &'a Log) -> Waiting<'a> {
+impl<'a> WaitingRead<'a> {
+    fn new(log: &'a Log) -> WaitingRead<'a> {
         reply::lock(&log.state).counts.waiting += 1;
-        Waiting(log)
+        WaitingRead(log)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingRead<'_> {
     fn drop(&mut self) {
         reply::lock(&self.0.state).counts.waiting -= 1;
     }
@@ -125,7 +125,7 @@
 
 /// What becomes of one append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum AppendOutcome {
     Acknowledge,
     Lose,
     Drop,
@@ -142,7 +142,7 @@
 }
 
 fn default_max() -> usize {
-    MAX_READ
+    MAX_READ_RECORDS
 }
 
 impl Log {
@@ -184,7 +184,7 @@
             state.counts.rejected += 1;
             return None;
         }
-        let max = query.max.min(MAX_READ);
+        let max = query.max.min(MAX_READ_RECORDS);
         Some(state.streams.read(stream, query.from, max, now_ms))
     }
 
@@ -198,7 +198,7 @@
             if !read.records.is_empty() {
                 return Some(read);
             }
-            let _waiting = Waiting::new(self);
+            let _waiting = WaitingRead::new(self);
             if time::timeout_at(until, changed).await.is_err() {
                 return self.read(stream, query);
             }
@@ -210,7 +210,7 @@
         pause(delay_ms).await;
     }
 
-    async fn hold_answer(&self) {
+    async fn delay_answer(&self) {
         let answer_ms = reply::lock(&self.state).faults.answer_ms;
         pause(answer_ms).await;
     }
@@ -238,42 +238,42 @@
 
 impl State {
     /// Turns an append away, where an outage or the rate asks for it.
-    fn turn_away(&mut self, now: Duration) -> Option<StatusCode> {
+    fn reject(&mut self, now: Duration) -> Option<StatusCode> {
         if self.faults.outage || self.faults.reject_appends {
             self.counts.rejected += 1;
             return Some(StatusCode::SERVICE_UNAVAILABLE);
         }
-        if !self.bucket.take(now) {
+        if !self.bucket.try_take(now) {
             self.counts.limited += 1;
             return Some(StatusCode::TOO_MANY_REQUESTS);
         }
         None
     }
 
-    fn fate(&mut self, stream: &str) -> Fate {
+    fn append_outcome(&mut self, stream: &str) -> AppendOutcome {
         if self.faults.stream.as_deref().is_some_and(|only| only != stream) {
-            return Fate::Acknowledge;
+            return AppendOutcome::Acknowledge;
         }
         if self.faults.drop_appends > 0 {
             self.faults.drop_appends -= 1;
-            return Fate::Drop;
+            return AppendOutcome::Drop;
         }
         if self.faults.lose_appends > 0 {
             self.faults.lose_appends -= 1;
-            return Fate::Lose;
+            return AppendOutcome::Lose;
         }
         let chance = self.faults.lose_chance.clamp(0.0, 1.0);
         if chance > 0.0 && self.random.random_bool(chance) {
-            return Fate::Lose;
+            return AppendOutcome::Lose;
         }
-        Fate::Acknowledge
+        AppendOutcome::Acknowledge
     }
 
-    fn count(&mut self, fate: Fate) {
-        match fate {
-            Fate::Acknowledge => self.counts.appended += 1,
-            Fate::Lose => self.counts.lost += 1,
-            Fate::Drop => self.counts.dropped += 1,
+    fn count(&mut self, outcome: AppendOutcome) {
+        match outcome {
+            AppendOutcome::Acknowledge => self.counts.appended += 1,
+            AppendOutcome::Lose => self.counts.lost += 1,
+            AppendOutcome::Drop => self.counts.dropped += 1,
         }
     }
 }
@@ -300,30 +300,35 @@
     body: types::Json<AppendBody>,
 ) -> HttpResponse {
     log.delay().await;
-    let fate = {
+    let outcome = {
         let now = log.clock.now();
         let mut state = reply::lock(&log.state);
-        if let Some(status) = state.turn_away(now) {
+        if let Some(status) = state.reject(now) {
             return HttpResponse::new(status);
         }
-        let fate = state.fate(&stream);
-        state.count(fate);
-        fate
+        let outcome = state.append_outcome(&stream);
+        state.count(outcome);
+        outcome
     };
     let data = body.into_inner().data;
-    match fate {
-        Fate::Acknowledge => {
+    match outcome {
+        AppendOutcome::Acknowledge => {
             let offset = log.append(&stream, data);
-            log.hold_answer().await;
+            log.delay_answer().await;
             reply::json(StatusCode::OK, &AppendReply { offset })
         }
-        Fate::Lose => lose(&req, &log, &stream, data).await,
-        Fate::Drop => reply::hang_up(&req).await,
+        AppendOutcome::Lose => append_unacknowledged(&req, &log, &stream, data).await,
+        AppendOutcome::Drop => reply::close_unanswered(&req).await,
     }
 }
 
 /// Lets the append take effect, now or later, and its answer go missing.
-async fn lose(req: &HttpRequest, log: &Arc<Log>, stream: &str, data: Arc<str>) -> HttpResponse {
+async fn append_unacknowledged(
+    req: &HttpRequest,
+    log: &Arc<Log>,
+    stream: &str,
+    data: Arc<str>,
+) -> HttpResponse {
     let (land_ms, lose_by) = {
         let state = reply::lock(&log.state);
         (state.faults.land_ms, state.faults.lose_by)
@@ -339,7 +344,7 @@
         });
     }
     match lose_by {
-        LoseBy::Close => reply::hang_up(req).await,
+        LoseBy::Close => reply::close_unanswered(req).await,
         LoseBy::Error => HttpResponse::InternalServerError().finish(),
     }
 }
@@ -354,7 +359,7 @@
         return reply::unavailable();
     };
     reply::lock(&log.state).counts.reads += 1;
-    log.hold_answer().await;
+    log.delay_answer().await;
     reply::json(StatusCode::OK, &read)
 }
 
--- a/crates/standin/src/places.rs
+++ b/crates/standin/src/places.rs
@@ -1,4 +1,4 @@
-//! Places to run in, and the bounded queue before them.
+//! Slots to run in, and the bounded queue before them.
 
 use std::sync::{
     Arc,
@@ -9,7 +9,7 @@
 
 /// How many calls run at once and how many may wait.
 #[derive(Debug)]
-pub struct Places {
+pub struct Slots {
     free: Arc<Semaphore>,
     limit: u32,
     queue: u32,
@@ -18,7 +18,7 @@
 
 /// A place that is held; dropping it frees the place.
 #[derive(Debug)]
-pub struct Place {
+pub struct Slot {
     _permit: OwnedSemaphorePermit,
 }
 
@@ -26,21 +26,21 @@
 #[derive(Debug)]
 pub enum Ticket {
     /// A place was free.
-    Placed(Place),
+    Ready(Slot),
     /// It waits.
-    Waiting(Waiting),
+    Waiting(QueuePosition),
 }
 
 /// A position in the queue; dropping it leaves the queue.
 #[derive(Debug)]
-pub struct Waiting {
-    places: Arc<Places>,
+pub struct QueuePosition {
+    slots: Arc<Slots>,
 }
 
-impl Places {
+impl Slots {
     /// `limit` places and room for `queue` waiting calls.
-    pub fn new(limit: u32, queue: u32) -> Arc<Places> {
-        Arc::new(Places {
+    pub fn new(limit: u32, queue: u32) -> Arc<Slots> {
+        Arc::new(Slots {
             free: Arc::new(Semaphore::new(limit as usize)),
             limit,
             queue,
@@ -49,23 +49,23 @@
     }
 
     /// A place, or a position in the queue; `None` when that is full.
-    pub fn enter(self: &Arc<Places>) -> Option<Ticket> {
+    pub fn enter(self: &Arc<Slots>) -> Option<Ticket> {
         if let Ok(permit) = self.free.clone().try_acquire_owned() {
-            return Some(Ticket::Placed(Place { _permit: permit }));
+            return Some(Ticket::Ready(Slot { _permit: permit }));
         }
         if self.waiting() >= self.queue {
             return None;
         }
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        Some(Ticket::Waiting(Waiting { places: self.clone() }))
+        Some(Ticket::Waiting(QueuePosition { slots: self.clone() }))
     }
 
-    /// Places in all.
+    /// Slots in all.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Places that are held.
+    /// Slots that are held.
     pub fn running(&self) -> u32 {
         let free = u32::try_from(self.free.available_permits()).unwrap_or(u32::MAX);
         self.limit.saturating_sub(free)
@@ -79,24 +79,24 @@
 
 impl Ticket {
     /// Waits for the place, first come first served.
-    pub async fn place(self) -> Place {
+    pub async fn slot(self) -> Slot {
         match self {
-            Ticket::Placed(place) => place,
-            Ticket::Waiting(waiting) => waiting.place().await,
+            Ticket::Ready(slot) => slot,
+            Ticket::Waiting(position) => position.slot().await,
         }
     }
 }
 
-impl Waiting {
-    async fn place(self) -> Place {
-        let free = self.places.free.clone();
+impl QueuePosition {
+    async fn slot(self) -> Slot {
+        let free = self.slots.free.clone();
         let permit = free.acquire_owned().await.expect("the semaphore is never closed");
-        Place { _permit: permit }
+        Slot { _permit: permit }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuePosition {
     fn drop(&mut self) {
-        self.places.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.slots.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/standin/src/prefix.rs
+++ b/crates/standin/src/prefix.rs
@@ -24,7 +24,7 @@
     pub fn touch(&mut self, prompt: &str) -> bool {
         let prompt = prompt.as_bytes();
         let prefix = xxh3::xxh3_64(&prompt[..prompt.len().min(PREFIX_BYTES)]);
-        let found = self.recent.iter().position(|held| *held == prefix);
+        let found = self.recent.iter().position(|cached| *cached == prefix);
         if let Some(idx) = found {
             self.recent.remove(idx);
         }
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -21,7 +21,7 @@
 
 /// Sends what was written so far and closes the connection. The server drops
 /// the future that waits here as soon as it sees the connection gone.
-pub async fn break_off<T>(io: Option<&IoRef>) -> T {
+pub async fn abort_connection<T>(io: Option<&IoRef>) -> T {
     if let Some(io) = io {
         io.send_buf().ok();
         io.terminate();
@@ -30,17 +30,17 @@
 }
 
 /// Closes the connection without an answer.
-pub async fn hang_up(req: &HttpRequest) -> HttpResponse {
-    break_off(req.io()).await
+pub async fn close_unanswered(req: &HttpRequest) -> HttpResponse {
+    abort_connection(req.io()).await
 }
 
 /// Writes `text` as it is and closes the connection behind it. The server's
 /// own reply never follows.
-pub async fn cut(req: &HttpRequest, text: &str) -> HttpResponse {
+pub async fn send_and_close(req: &HttpRequest, text: &str) -> HttpResponse {
     if let Some(io) = req.io() {
         io.encode_slice(text.as_bytes()).ok();
     }
-    break_off(req.io()).await
+    abort_connection(req.io()).await
 }
 
 /// One whole JSON response as it stands on the connection.
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -16,16 +16,16 @@
 use crate::{
     answer,
     calls::CallState,
-    endpoint::{self, Call, Endpoint, Taken},
+    endpoint::{self, AcceptedCall, Call, Endpoint},
     places::Ticket,
     reply,
 };
 
 /// The work is done and this is what to send.
-struct Done {
+struct FinishedCall {
     body: ReplyBody,
     cut_after: Option<u32>,
-    is_doubled: bool,
+    is_duplicated: bool,
 }
 
 /// Adds a service's resources.
@@ -39,58 +39,58 @@
     endpoint: types::State<Arc<Endpoint>>,
     body: types::Json<CallBody>,
 ) -> HttpResponse {
-    let taken = match endpoint.take(body.into_inner()) {
-        Ok(taken) => taken,
+    let accepted = match endpoint.accept(body.into_inner()) {
+        Ok(accepted) => accepted,
         Err(reason) => return endpoint::refusal(&endpoint, reason),
     };
     let (tx, rx) = oneshot::channel();
     let worker = Arc::clone(&endpoint);
     ntex::rt::spawn(async move {
-        if let Some(done) = run(&worker, taken).await {
-            tx.send(done).ok();
+        if let Some(finished) = run(&worker, accepted).await {
+            tx.send(finished).ok();
         }
     });
     match rx.await {
-        Ok(done) => send(&req, done).await,
-        Err(oneshot::Canceled) => reply::hang_up(&req).await,
+        Ok(finished) => send(&req, finished).await,
+        Err(oneshot::Canceled) => reply::close_unanswered(&req).await,
     }
 }
 
 /// The reply; `None` when the call was cancelled.
-async fn run(endpoint: &Endpoint, taken: Taken) -> Option<Done> {
-    let Taken { call, ticket, cancelled } = taken;
+async fn run(endpoint: &Endpoint, accepted: AcceptedCall) -> Option<FinishedCall> {
+    let AcceptedCall { call, ticket, cancelled } = accepted;
     tokio::select! {
-        done = work(endpoint, call, ticket) => Some(done),
+        finished = work(endpoint, call, ticket) => Some(finished),
         Ok(()) = cancelled => None,
     }
 }
 
-async fn work(endpoint: &Endpoint, mut call: Call, ticket: Ticket) -> Done {
-    let place = ticket.place().await;
-    call.start(place);
-    time::sleep(call.delay() + call.stretched(endpoint.settings.call_ms)).await;
+async fn work(endpoint: &Endpoint, mut call: Call, ticket: Ticket) -> FinishedCall {
+    let slot = ticket.slot().await;
+    call.start(slot);
+    time::sleep(call.delay() + call.scaled(endpoint.settings.call_ms)).await;
     if call.faults.hang {
         std::future::pending::<()>().await;
     }
-    let output = answer::service_output(&call.body.stage, &call.answered(), &call.body.input);
-    let echo = call.echoed();
+    let output = answer::service_output(&call.body.stage, &call.output_request(), &call.body.input);
+    let echo = call.reply_echo();
     let cut_after = call.faults.cut_after;
-    let is_doubled = call.faults.duplicate;
+    let is_duplicated = call.faults.duplicate;
     let state = if cut_after.is_some() { CallState::Cut } else { CallState::Finished };
     call.end(state);
-    let body = ReplyBody { echo, output: output.into(), load: Some(endpoint.reported()) };
-    Done { body, cut_after, is_doubled }
+    let body = ReplyBody { echo, output: output.into(), load: Some(endpoint.reported_load()) };
+    FinishedCall { body, cut_after, is_duplicated }
 }
 
-async fn send(req: &HttpRequest, done: Done) -> HttpResponse {
-    let text = serde_json::to_string(&done.body).expect("a reply has string keys only");
-    if done.is_doubled {
+async fn send(req: &HttpRequest, finished: FinishedCall) -> HttpResponse {
+    let text = serde_json::to_string(&finished.body).expect("a reply has string keys only");
+    if finished.is_duplicated {
         send_early_copy(req, &text);
     }
-    match done.cut_after {
-        None => reply::json(StatusCode::OK, &done.body),
-        Some(0) => reply::hang_up(req).await,
-        Some(bytes) => reply::cut(req, &cut_response(&text, bytes as usize)).await,
+    match finished.cut_after {
+        None => reply::json(StatusCode::OK, &finished.body),
+        Some(0) => reply::close_unanswered(req).await,
+        Some(bytes) => reply::send_and_close(req, &cut_response(&text, bytes as usize)).await,
     }
 }
 
--- a/crates/standin/src/streams.rs
+++ b/crates/standin/src/streams.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 struct Records {
     earliest: u64,
-    kept: VecDeque<RecordBody>,
+    records: VecDeque<RecordBody>,
 }
 
 impl Streams {
@@ -82,7 +82,7 @@
 
 impl Records {
     fn next(&self) -> u64 {
-        self.earliest + self.kept.len() as u64
+        self.earliest + self.records.len() as u64
     }
 
     fn state(&self) -> StreamState {
@@ -91,14 +91,15 @@
 
     fn push(&mut self, data: Arc<str>, now_ms: u64) -> u64 {
         let offset = self.next();
-        let newest = self.kept.back().map_or(0, |record| record.time_ms);
-        self.kept.push_back(RecordBody { offset, time_ms: now_ms.max(newest), data });
+        let newest = self.records.back().map_or(0, |record| record.time_ms);
+        self.records.push_back(RecordBody { offset, time_ms: now_ms.max(newest), data });
         offset
     }
 
     fn read(&self, from: u64, max: usize, now_ms: u64) -> ReadReply {
         let skipped = usize::try_from(from.saturating_sub(self.earliest)).unwrap_or(usize::MAX);
-        let records: Vec<RecordBody> = self.kept.iter().skip(skipped).take(max).cloned().collect();
+        let records: Vec<RecordBody> =
+            self.records.iter().skip(skipped).take(max).cloned().collect();
         let next = records.last().map_or(self.next(), |record| record.offset + 1);
         ReadReply { earliest: self.earliest, next, now_ms, records }
     }
@@ -107,13 +108,13 @@
         let age_ms = u64::try_from(retention.age.as_millis()).unwrap_or(u64::MAX);
         let horizon = now_ms.saturating_sub(age_ms);
         let is_old = |record: &RecordBody| record.time_ms < horizon;
-        while self.kept.len() > retention.count || self.kept.front().is_some_and(is_old) {
+        while self.records.len() > retention.count || self.records.front().is_some_and(is_old) {
             self.drop_oldest();
         }
     }
 
     fn drop_oldest(&mut self) -> bool {
-        let dropped = self.kept.pop_front().is_some();
+        let dropped = self.records.pop_front().is_some();
         self.earliest += u64::from(dropped);
         dropped
     }
--- a/crates/standin/tests/testsuite/list.rs
+++ b/crates/standin/tests/testsuite/list.rs
@@ -26,7 +26,7 @@
 
 fn shown(listings: &Listings, now: u64, lag: u64, flap: u64) -> String {
     let lag = Lag { lag: Duration::from_secs(lag), flap: Duration::from_secs(flap) };
-    let listing = listings.shown(Duration::from_secs(now), lag);
+    let listing = listings.visible(Duration::from_secs(now), lag);
     listing.instances.first().map(|entry| entry.name.to_string()).unwrap_or_default()
 }
 
--- a/crates/standin/tests/testsuite/load_lag.rs
+++ b/crates/standin/tests/testsuite/load_lag.rs
@@ -14,9 +14,9 @@
 #[test]
 fn a_lag_set_later_holds_from_then_on() {
     let mut lagged = LaggedLoad::new(Duration::ZERO, load(0));
-    lagged.note(Duration::from_secs(1), load(1));
+    lagged.record(Duration::from_secs(1), load(1));
     lagged.set_lag(Duration::from_secs(5));
-    lagged.note(Duration::from_secs(2), load(2));
+    lagged.record(Duration::from_secs(2), load(2));
     assert_eq!(lagged.report(Duration::from_secs(3)), Load { age_ms: 5000, ..load(1) });
     assert_eq!(lagged.report(Duration::from_secs(7)), Load { age_ms: 5000, ..load(2) });
 }
--- a/crates/standin/tests/testsuite/streams.rs
+++ b/crates/standin/tests/testsuite/streams.rs
@@ -85,7 +85,7 @@
 #[test]
 fn a_rate_allows_its_burst_then_its_average() {
     let mut bucket = TokenBucket::new(10, 3);
-    let mut taken = |ms| bucket.take(Duration::from_millis(ms));
+    let mut taken = |ms| bucket.try_take(Duration::from_millis(ms));
     assert_eq!([taken(0), taken(0), taken(0), taken(0)], [true, true, true, false]);
     assert_eq!([taken(99), taken(101), taken(101)], [false, true, false]);
 }
