--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,7 +1,7 @@
-//! What an endpoint answers, derived from the call alone.
+//! Outputs of endpoints, derived from the call alone.
 //!
 //! Any two calls that differ in stage, request or input differ in their
-//! output. A test or a load run can therefore compute the one right answer of
+//! output. A test or a load run can therefore compute the one correct output of
 //! a pipeline with [`expected_output`] and compare.
 
 use peatdeck_core::{
@@ -10,7 +10,7 @@
 };
 use xxhash_rust::xxh3;
 
-/// Tokens that an engine generates at the most when a call names no limit.
+/// Maximum number of tokens that an engine generates when a call sets no limit.
 pub const DEFAULT_TOKENS: u32 = 16;
 
 /// The output of a service for one call.
@@ -20,7 +20,7 @@
 }
 
 /// The tokens of an engine for one call, in order; their concatenation is the
-/// output. Between half of `max` and `max`, at least one.
+/// output. Their number is between half of `max` and `max`, and at least one.
 pub fn tokens(stage: &str, request: &RequestId, input: &str, max: Option<u32>) -> Vec<String> {
     let digest = digest(stage, request, input);
     let count = token_count(digest, max.unwrap_or(DEFAULT_TOKENS));
@@ -53,7 +53,7 @@
     }
 }
 
-/// Digest of an input, as call records give it.
+/// Digest of an input, as stored in call records.
 pub fn input_hash(input: &str) -> u64 {
     xxh3::xxh3_64(input.as_bytes())
 }
--- a/crates/standin/src/cli.rs
+++ b/crates/standin/src/cli.rs
@@ -8,54 +8,54 @@
 
 use crate::{endpoint, list, log};
 
-/// A role with its settings.
+/// What a stand-in stands in for, with its settings.
 #[data]
 #[derive(Bpaf)]
 pub enum Role {
     /// The platform's log service
     #[bpaf(command("log"))]
     Log {
-        /// Where to listen.
+        /// Address to listen on.
         #[bpaf(external)]
         listen: SocketAddr,
-        /// Its settings.
+        /// Settings of the role.
         #[bpaf(external(log::settings))]
         settings: log::Settings,
     },
     /// The platform's list of instances and endpoints
     #[bpaf(command("list"))]
     List {
-        /// Where to listen.
+        /// Address to listen on.
         #[bpaf(external)]
         listen: SocketAddr,
-        /// Its settings.
+        /// Settings of the role.
         #[bpaf(external(list::settings))]
         settings: list::Settings,
     },
     /// A model engine: streams tokens, resumes and cancels
     #[bpaf(command("engine"))]
     Engine {
-        /// Where to listen.
+        /// Address to listen on.
         #[bpaf(external)]
         listen: SocketAddr,
-        /// Its settings.
+        /// Settings of the role.
         #[bpaf(external(endpoint::settings))]
         settings: endpoint::Settings,
     },
-    /// A plain service: one reply a call
+    /// A plain service: one reply per call
     #[bpaf(command("service"))]
     Service {
-        /// Where to listen.
+        /// Address to listen on.
         #[bpaf(external)]
         listen: SocketAddr,
-        /// Its settings.
+        /// Settings of the role.
         #[bpaf(external(endpoint::settings))]
         settings: endpoint::Settings,
     },
 }
 
 impl Role {
-    /// Where to listen.
+    /// Address to listen on.
     pub fn listen(&self) -> SocketAddr {
         match self {
             Role::Log { listen, .. }
@@ -66,7 +66,7 @@
     }
 }
 
-/// The command line.
+/// Parser of the command line.
 pub fn options() -> OptionParser<Role> {
     role()
         .to_options()
@@ -82,7 +82,7 @@
 fn listen() -> impl Parser<SocketAddr> {
     bpaf::long("listen")
         .env("PEATDECK_LISTEN")
-        .help("Where to listen; port 0 takes a free one, printed as `listening IP:PORT`")
+        .help("Address to listen on; port 0 picks a free one, printed as `listening IP:PORT`")
         .argument::<String>("IP:PORT")
         .parse(|text| settings::address(&text))
         .fallback(SocketAddr::from(([127, 0, 0, 1], 0)))
--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! What engines and services share: places, records, faults, load, cancel.
+//! What engines and services share: slots, call records, faults, load reports
+//! and cancellation.
 
 use std::{
     sync::{Arc, Mutex},
@@ -35,7 +36,7 @@
 #[data]
 #[derive(Bpaf)]
 pub struct Settings {
-    /// Its name
+    /// Name of the endpoint
     #[bpaf(
         long("name"),
         env("PEATDECK_NAME"),
@@ -44,7 +45,7 @@
         display_fallback
     )]
     pub name: String,
-    /// Its life; larger after a restart
+    /// Incarnation of the endpoint; larger after each restart
     #[bpaf(
         long("incarnation"),
         env("PEATDECK_INCARNATION"),
@@ -53,13 +54,13 @@
         display_fallback
     )]
     pub incarnation: u64,
-    /// Calls that run at once
+    /// Calls that run concurrently
     #[bpaf(long("places"), env("PEATDECK_PLACES"), argument("N"), fallback(8), display_fallback)]
     pub places: u32,
-    /// Calls that wait inside; beyond them it is busy
+    /// Calls that may queue; further calls are refused as busy
     #[bpaf(long("queue"), env("PEATDECK_QUEUE"), argument("N"), fallback(16), display_fallback)]
     pub queue: u32,
-    /// Time of a call, of an engine's prompt, in milliseconds
+    /// Time that a service's call or an engine's prefill takes, in milliseconds
     #[bpaf(
         long("call-ms"),
         env("PEATDECK_CALL_MS"),
@@ -68,7 +69,7 @@
         display_fallback
     )]
     pub call_ms: f64,
-    /// Time of a token, in milliseconds; engines only
+    /// Time to generate a token, in milliseconds; engines only
     #[bpaf(
         long("token-ms"),
         env("PEATDECK_TOKEN_MS"),
@@ -77,7 +78,7 @@
         display_fallback
     )]
     pub token_ms: f64,
-    /// Share by which each further running call slows a token; engines only
+    /// Share by which each further running call slows down a token; engines only
     #[bpaf(
         long("batch-cost"),
         env("PEATDECK_BATCH_COST"),
@@ -104,7 +105,7 @@
         display_fallback
     )]
     pub load_lag_ms: u64,
-    /// Call records that are kept
+    /// Number of call records that are kept
     #[bpaf(
         long("keep-calls"),
         env("PEATDECK_KEEP_CALLS"),
@@ -118,28 +119,28 @@
 /// Body of `GET /control/state`.
 #[message]
 pub struct EndpointState {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Its life.
+    /// Incarnation of the endpoint.
     pub incarnation: Incarnation,
-    /// Its load as it is now, without lag.
+    /// Current load, without the lag of load reports.
     pub load: Load,
-    /// Calls refused.
+    /// Number of calls refused since the start.
     pub refused: u64,
-    /// Calls kept in the record that were finished.
+    /// Number of kept call records that finished.
     pub finished: usize,
-    /// Calls kept in the record that were cancelled.
+    /// Number of kept call records that were cancelled.
     pub cancelled: usize,
-    /// Calls kept in the record that were cut.
+    /// Number of kept call records whose reply was cut.
     pub cut: usize,
     /// Faults that are set.
     pub faults: EndpointFaults,
 }
 
-/// An endpoint's state.
+/// An engine or a service: its settings, slots and calls.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its settings.
+    /// Settings from the command line.
     pub settings: Settings,
     name: Arc<str>,
     clock: SystemClock,
@@ -168,19 +169,19 @@
     cancel: oneshot::Sender<()>,
 }
 
-/// A call that was taken in, its place to be, and the sign to stop.
+/// A call that was accepted, its ticket for a slot, and its cancel signal.
 #[derive(Debug)]
 pub struct AcceptedCall {
     /// The call.
     pub call: Call,
-    /// Its place in the queue.
+    /// A slot, or the call's position in the queue.
     pub ticket: Ticket,
-    /// Resolves when somebody cancels the call.
+    /// Resolves with `Ok` when the caller cancels the call.
     pub cancelled: oneshot::Receiver<()>,
 }
 
 impl Endpoint {
-    /// An idle endpoint.
+    /// Creates an idle endpoint.
     pub fn new(settings: Settings) -> Arc<Endpoint> {
         let slots = Slots::new(settings.places, settings.queue);
         let lag = Duration::from_millis(settings.load_lag_ms);
@@ -197,10 +198,10 @@
         Arc::new(Endpoint { settings, name, clock, slots, state: Mutex::new(state) })
     }
 
-    /// Takes a call in, or says why not.
+    /// Accepts and records a call.
     ///
     /// # Errors
-    /// If a fault refuses it or if the queue is full.
+    /// The reason of the refusal, if a fault refuses the call or the queue is full.
     pub fn accept(self: &Arc<Endpoint>, body: CallBody) -> Result<AcceptedCall, RefuseReason> {
         let faults = reply::lock(&self.state).next_faults();
         if let Some(reason) = faults.refuse {
@@ -219,17 +220,17 @@
         Ok(AcceptedCall { call, ticket, cancelled })
     }
 
-    /// The load as it is reported.
+    /// The load that is reported to callers, with its lag.
     pub fn reported_load(&self) -> Load {
         reply::lock(&self.state).load.report(self.clock.now())
     }
 
-    /// Calls that run now.
+    /// Number of calls that run now.
     pub fn running(&self) -> u32 {
         self.slots.running()
     }
 
-    /// Whether the prompt's prefix was cached.
+    /// Whether the prompt's prefix was cached; it is cached from now on.
     pub fn touch_prefix(&self, prompt: &str) -> bool {
         reply::lock(&self.state).prefixes.touch(prompt)
     }
@@ -282,7 +283,7 @@
 }
 
 impl State {
-    /// The faults that hold for one more call.
+    /// The faults that apply to the next call; counts that call.
     fn next_faults(&mut self) -> EndpointFaults {
         let faults = self.faults.clone();
         if let Some(calls) = &mut self.faults.calls {
--- a/crates/standin/src/endpoint/call.rs
+++ b/crates/standin/src/endpoint/call.rs
@@ -13,7 +13,8 @@
     reply,
 };
 
-/// A call that was taken in. Dropped before [`Call::end`], it counts as cancelled.
+/// A call that was accepted. It is recorded as cancelled if it is dropped before
+/// [`Call::end`].
 #[derive(Debug)]
 pub struct Call {
     endpoint: Arc<Endpoint>,
@@ -21,9 +22,9 @@
     seq: CallSeq,
     slot: Option<Slot>,
     has_ended: bool,
-    /// What was asked.
+    /// The call's body as received.
     pub body: CallBody,
-    /// Faults that hold for it.
+    /// Faults that apply to the call.
     pub faults: EndpointFaults,
 }
 
@@ -38,7 +39,7 @@
         Call { endpoint, key, seq, slot: None, has_ended: false, body, faults }
     }
 
-    /// It got a place and runs.
+    /// Records that the call got a slot and started.
     pub fn start(&mut self, slot: Slot) {
         self.slot = Some(slot);
         let now_ms = self.endpoint.now_ms();
@@ -46,33 +47,33 @@
         self.endpoint.record_load();
     }
 
-    /// One token was generated.
+    /// Records one generated token.
     pub fn count_token(&self) {
         reply::lock(&self.endpoint.state).history.record_token(self.seq);
     }
 
-    /// It leaves the endpoint, and its place is free.
+    /// Records the end of the call and frees its slot.
     pub fn end(mut self, state: CallState) {
         self.close(state);
     }
 
-    /// A time as the endpoint's faults stretch it.
+    /// A time in milliseconds, multiplied by the fault `slowdown`.
     pub fn scaled(&self, ms: f64) -> Duration {
         let factor = self.faults.slowdown.unwrap_or(1.0);
         Duration::try_from_secs_f64(ms * factor / 1_000.0).unwrap_or_default()
     }
 
-    /// The time that a fault adds before the work.
+    /// The delay before the work that the fault `delay_ms` sets.
     pub fn delay(&self) -> Duration {
         Duration::from_millis(self.faults.delay_ms)
     }
 
-    /// What the reply echoes: the truth unless a fault says otherwise.
+    /// The echo of the reply: the call's own, unless a fault is set.
     pub fn reply_echo(&self) -> Echo {
         if self.faults.wrong_echo { self.other_echo() } else { self.body.echo.clone() }
     }
 
-    /// The request that the output is derived from.
+    /// The request that the output is derived from: another one if a fault is set.
     pub fn output_request(&self) -> RequestId {
         if self.faults.swapped_output {
             self.other_echo().request
@@ -107,7 +108,7 @@
     }
 }
 
-/// An echo of a request that nobody sent.
+/// An echo of a request that no caller sent.
 fn unrelated_echo(echo: &Echo) -> Echo {
     let request = RequestId {
         team: echo.request.team.clone(),
--- a/crates/standin/src/endpoint/routes.rs
+++ b/crates/standin/src/endpoint/routes.rs
@@ -1,4 +1,4 @@
-//! The paths that engines and services share.
+//! The routes that engines and services share.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use super::Endpoint;
 use crate::{faults::EndpointFaults, reply};
 
-/// Adds the resources that engines and services share.
+/// Adds the routes that engines and services share.
 pub fn configure(cfg: &mut web::ServiceConfig, endpoint: Arc<Endpoint>) {
     cfg.state(endpoint)
         .route("/v1/cancel", web::post().to(cancel))
@@ -23,7 +23,7 @@
         .route("/control/state", web::get().to(state));
 }
 
-/// The answer to a call that was not taken in.
+/// The response to a call that was refused.
 pub fn refusal(endpoint: &Endpoint, reason: RefuseReason) -> HttpResponse {
     let body = RefusalBody { ran: false, reason, load: Some(endpoint.reported_load()) };
     reply::json(StatusCode::SERVICE_UNAVAILABLE, &body)
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,9 +1,9 @@
-//! A model engine: many calls at once, tokens streamed as lines of JSON.
+//! A model engine: concurrent calls, tokens streamed as lines of JSON.
 //!
-//! A call waits for a place, reads its prompt (faster where the prefix is
-//! cached), then sends a token at a time. Each further running call slows the
-//! tokens of all, as in a continuous batch. A call stops as soon as it is
-//! cancelled or its connection is closed.
+//! A call waits for a slot, prefills its prompt (faster if the prefix is
+//! cached), then sends one token at a time. Each further running call slows
+//! down the tokens of all, as in a continuous batch. A call stops as soon as it
+//! is cancelled or its connection is closed.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -28,17 +28,17 @@
     reply,
 };
 
-/// What a cached prefix leaves of the prompt's time.
+/// Share of the prefill time that remains if the prompt's prefix is cached.
 const CACHED_PROMPT_SHARE: f64 = 0.2;
 
-/// What goes into the body of a reply.
+/// An item of a reply's body.
 type Line = Result<Bytes, Cut>;
 type Lines = mpsc::UnboundedSender<Line>;
 
-/// The stream ends here, without its last line.
+/// Ends the stream without its last line.
 struct Cut;
 
-/// Adds an engine's resources.
+/// Adds the routes of an engine.
 pub fn configure(cfg: &mut web::ServiceConfig, endpoint: Arc<Endpoint>) {
     endpoint::configure(cfg, endpoint);
     cfg.route("/v1/call", web::post().to(call));
@@ -59,8 +59,8 @@
     HttpResponse::Ok().content_type("application/x-ndjson").streaming(stream_body(rx, io))
 }
 
-/// The reply's body. A cut closes the connection behind what was sent before
-/// it, without the mark that ends a whole body.
+/// The reply's body. [`Cut`] closes the connection after the lines sent before
+/// it, without the final chunk that ends a complete HTTP body.
 fn stream_body(
     lines: mpsc::UnboundedReceiver<Line>,
     io: Option<IoRef>,
@@ -153,7 +153,7 @@
     answer::tokens(&body.stage, &call.output_request(), &body.input, body.max_tokens)
 }
 
-/// Sends chunks, and breaks them as the faults ask for.
+/// Sends chunks, with the faults applied that are set for the call.
 struct LineSender<'a> {
     lines: &'a Lines,
     echo: Echo,
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults that can be set while a stand-in runs: `PUT /control/faults`.
 //!
-//! A `PUT` replaces all faults of the role; every field is optional and an
-//! empty object mends everything.
+//! A `PUT` replaces all faults of the stand-in. Every field is optional; an
+//! empty object removes all faults.
 
 use std::sync::Arc;
 
@@ -13,28 +13,28 @@
 #[derive(Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct EndpointFaults {
-    /// They hold for this many more calls; for all calls when absent.
+    /// The faults apply to this many further calls; to all calls when absent.
     pub calls: Option<u32>,
     /// Wait this long before the work, in milliseconds.
     pub delay_ms: u64,
-    /// Take the call, start it, and never reply.
+    /// Accept the call, start it, and never reply.
     pub hang: bool,
     /// Close the connection after this many chunks (engine) or after this
-    /// many bytes of the reply (service). The work was done by then.
+    /// many bytes of the reply (service). A service has done its work by then.
     pub cut_after: Option<u32>,
-    /// Refuse without running anything.
+    /// Refuse calls with this reason, without running anything.
     pub refuse: Option<RefuseReason>,
-    /// Echo the id of another request, the newest other one if there is any.
+    /// Echo the id of another request: the newest other one, or an invented id.
     pub wrong_echo: bool,
-    /// Give another request's output under the right echo.
+    /// Send another request's output with the correct echo.
     pub swapped_output: bool,
     /// Send the whole reply twice (service) or each line twice (engine).
     pub duplicate: bool,
-    /// Send chunks pairwise in the wrong order (engine).
+    /// Swap each two successive chunks (engine).
     pub reorder: bool,
     /// Multiply all times by this factor.
     pub slowdown: Option<f64>,
-    /// Report load that is this old instead of as the setting says, in milliseconds.
+    /// Age of load reports in milliseconds, instead of the setting's.
     pub load_lag_ms: Option<u64>,
 }
 
@@ -49,47 +49,47 @@
     pub reject_reads: bool,
     /// Answer 503 to appends.
     pub reject_appends: bool,
-    /// Wait this long before anything is done, in milliseconds.
+    /// Wait this long before a request is processed, in milliseconds.
     pub delay_ms: u64,
-    /// Hold the answer back for this long when all is done, in milliseconds.
+    /// Delay the response by this long after the request is processed, in milliseconds.
     pub answer_ms: u64,
-    /// Lose the answers of the next so many appends. They take effect.
+    /// Lose the responses to this many of the next appends, which take effect.
     pub lose_appends: u32,
-    /// Lose an append's answer with this chance, between 0 and 1.
+    /// Probability, from 0 to 1, that an append's response is lost.
     pub lose_chance: f64,
-    /// Seeds the draws for `lose_chance`.
+    /// Seed of the random numbers for `lose_chance`.
     pub seed: u64,
-    /// What the appender sees of a lost answer.
+    /// How a lost response appears to the appender.
     pub lose_by: LoseBy,
-    /// Let a lost append take effect this long after its appender lost the
-    /// connection, in milliseconds.
+    /// Let an append take effect this long after its response was lost, in
+    /// milliseconds.
     pub land_ms: u64,
-    /// Lose the next so many appends whole: no answer and no effect.
+    /// Drop this many of the next appends: no response and no effect.
     pub drop_appends: u32,
-    /// Lost and dropped appends are those to this stream only.
+    /// Lose and drop appends to this stream only; to all streams when absent.
     pub stream: Option<Arc<str>>,
-    /// Drop records for good, once.
+    /// Records to delete once, when the faults are set.
     pub expire: Vec<Expire>,
 }
 
-/// What the appender sees of a lost answer.
+/// How a lost response appears to the appender.
 #[message]
 #[derive(Copy, Eq, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum LoseBy {
-    /// The connection is closed without an answer.
+    /// The connection is closed without a response.
     #[default]
     Close,
-    /// The answer is an error.
+    /// The response has the status 500.
     Error,
 }
 
-/// Records to drop.
+/// Records of a stream to delete.
 #[message]
 pub struct Expire {
-    /// The stream.
+    /// Name of the stream.
     pub stream: Arc<str>,
-    /// Everything before this offset goes.
+    /// Records before this offset are deleted.
     pub before: u64,
 }
 
@@ -98,10 +98,11 @@
 #[derive(Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListFaults {
-    /// Answer 503.
+    /// Answer 503 to every read of the list.
     pub outage: bool,
-    /// Lag behind the truth by this much instead of by the setting, in milliseconds.
+    /// Delay until a change appears, in milliseconds, instead of the setting's.
     pub lag_ms: Option<u64>,
-    /// Switch this often between the newest listing and the one before, in milliseconds.
+    /// Interval in milliseconds at which the list alternates between the newest
+    /// listing and the one before.
     pub flap_ms: Option<u64>,
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,22 +1,21 @@
-//! Stand-ins for what peatdeck runs against: the platform's log service and
-//! list, model engines and plain services.
+//! Stand-ins for the services that peatdeck depends on: the platform's log
+//! service and list, model engines and plain services.
 //!
-//! They speak the formats of `peatdeck-wire` and nothing else, keep all state
-//! in memory and can be made to fail on demand. Three rules make them useful
-//! in tests:
+//! They use the formats of `peatdeck-wire` only, keep all state in memory and
+//! can be made to fail on demand. Three properties make them useful in tests:
 //!
-//! - **Answers are derived**, not stored: [`answer`] computes an output from
-//!   the stage, the request and the input, so that a lost piece, a swapped
-//!   answer or another request's answer shows.
-//! - **Every call is recorded** ([`calls`]): what an endpoint ran can be
-//!   compared with what callers were told.
+//! - **Outputs are derived**, not stored: [`answer`] computes an output from
+//!   the stage, the request and the input, so that a test detects a lost chunk,
+//!   a swapped output or the output of another request.
+//! - **Every call is recorded** ([`calls`]): tests compare what an endpoint ran
+//!   with what callers received.
 //! - **Faults are data** ([`faults`]), set over HTTP while a stand-in runs.
 //!
-//! Map of the modules:
+//! Modules:
 //!
 //! - [`cli`]: roles and their settings; [`serve`]: binding and running one.
 //! - [`log`], with [`streams`] and [`rate`]: the log service.
-//! - [`list`], with [`listings`]: the lagging list.
+//! - [`list`], with [`listings`]: the platform's list, which lags.
 //! - [`engine`] and [`service`]: endpoints, on top of [`endpoint`],
 //!   [`places`], [`prefix`] and [`load`].
 //! - [`answer`], [`calls`], [`faults`]: what tests use as a library.
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,4 +1,5 @@
-//! The list: live and leaving instances and endpoints, as of some time ago.
+//! The platform's list of live and leaving instances and endpoints, as of some
+//! time ago.
 
 use std::{
     sync::{Arc, Mutex},
@@ -24,12 +25,12 @@
 #[data]
 #[derive(Bpaf)]
 pub struct Settings {
-    /// How long a change takes to show, in milliseconds
+    /// Delay until a change appears in the list, in milliseconds
     #[bpaf(long("lag-ms"), env("PEATDECK_LAG_MS"), argument("MS"), fallback(0), display_fallback)]
     pub lag_ms: u64,
 }
 
-/// The list's state.
+/// The list: its settings, the listings set so far and the faults.
 #[derive(Debug)]
 pub struct List {
     settings: Settings,
@@ -44,12 +45,12 @@
 }
 
 impl List {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new(settings: Settings) -> Arc<List> {
         Arc::new(List { settings, clock: SystemClock::new(), state: Mutex::default() })
     }
 
-    /// What it says now; `None` in an outage.
+    /// The listing that clients receive now; `None` in an outage.
     fn visible(&self) -> Option<Listing> {
         let state = reply::lock(&self.state);
         if state.faults.outage {
@@ -62,7 +63,7 @@
     }
 }
 
-/// Adds the list's resources.
+/// Adds the routes of the list.
 pub fn configure(cfg: &mut web::ServiceConfig, list: Arc<List>) {
     cfg.state(list)
         .route("/v1/list", web::get().to(listing))
--- a/crates/standin/src/listings.rs
+++ b/crates/standin/src/listings.rs
@@ -1,30 +1,31 @@
-//! The truth about instances and endpoints, and what the list says of it.
+//! The current listing of instances and endpoints, and the delayed one that
+//! clients receive.
 
 use std::{collections::VecDeque, time::Duration};
 
 use peatdeck_core::model::Listing;
 
-/// How far the list is behind and how it wavers.
+/// Delay and flapping of the list.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Lag {
-    /// How long a change takes to show.
+    /// Delay until a change appears.
     pub lag: Duration,
-    /// How often it switches between the newest shown listing and the one
-    /// before it; never when zero.
+    /// Interval at which the list alternates between the newest visible listing
+    /// and the one before it; zero turns this off.
     pub flap: Duration,
 }
 
-/// Listings over time. The first one set shows at once.
+/// Listings over time. The first one set is visible at once.
 #[derive(Debug, Default)]
 pub struct Listings {
     history: VecDeque<(Duration, Listing)>,
 }
 
-/// Listings that are kept.
+/// Number of listings that are kept.
 const MAX_HISTORY: usize = 1_000;
 
 impl Listings {
-    /// Sets the truth as of `now`.
+    /// Sets the current listing as of `now`.
     pub fn set(&mut self, now: Duration, listing: Listing) {
         self.history.push_back((now, listing));
         if self.history.len() > MAX_HISTORY {
@@ -32,16 +33,16 @@
         }
     }
 
-    /// The truth.
+    /// The listing set last, without lag.
     pub fn current(&self) -> Listing {
         self.history.back().map(|(_, listing)| listing.clone()).unwrap_or_default()
     }
 
-    /// What the list says at `now`.
+    /// The listing that clients receive at `now`.
     pub fn visible(&self, now: Duration, lag: Lag) -> Listing {
         let horizon = now.saturating_sub(lag.lag);
         let count = self.history.partition_point(|(time, _)| *time <= horizon);
-        // The first listing shows also before its lag has passed.
+        // The first listing is visible even before its lag has passed.
         let newest = count.saturating_sub(1);
         let idx = if shows_previous(now, lag.flap) { newest.saturating_sub(1) } else { newest };
         self.history.get(idx).map(|(_, listing)| listing.clone()).unwrap_or_default()
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -12,24 +12,24 @@
 }
 
 impl LaggedLoad {
-    /// A report that lags by `lag` behind, starting with `load`.
+    /// Creates reports that lag by `lag`, starting with `load`.
     pub fn new(lag: Duration, load: Load) -> LaggedLoad {
         LaggedLoad { lag, history: VecDeque::from([(Duration::ZERO, load)]) }
     }
 
-    /// Lags by `lag` from now on. What is older than the lag before is gone, so
-    /// that a longer lag takes its time to show.
+    /// Sets the lag. Loads older than the previous lag have been dropped, so a
+    /// longer lag takes effect gradually.
     pub fn set_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
 
-    /// Takes in the load as of `now`.
+    /// Records the load as of `now`.
     pub fn record(&mut self, now: Duration, load: Load) {
         self.history.push_back((now, load));
         self.drop_expired(now);
     }
 
-    /// The load as it is reported at `now`.
+    /// The load to report at `now`.
     pub fn report(&mut self, now: Duration) -> Load {
         self.drop_expired(now);
         let age_ms = u32::try_from(self.lag.as_millis()).unwrap_or(u32::MAX);
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The log service.
+//! The platform's log service, over HTTP.
 
 use std::{
     collections::BTreeMap,
@@ -24,9 +24,9 @@
     streams::{Retention, StreamState, Streams},
 };
 
-/// Records that one read gives at the most.
+/// Maximum number of records that one read returns.
 const MAX_READ_RECORDS: usize = 10_000;
-/// The longest that one read waits.
+/// Longest time that one read waits for a record.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Settings of the log service.
@@ -42,7 +42,7 @@
         display_fallback
     )]
     pub retain_ms: u64,
-    /// Records of a stream that are kept
+    /// Number of records kept for each stream
     #[bpaf(
         long("retain-count"),
         env("PEATDECK_RETAIN_COUNT"),
@@ -51,10 +51,10 @@
         display_fallback
     )]
     pub retain_count: usize,
-    /// Appends a second, over all streams; 0 for no limit
+    /// Appends per second, over all streams; 0 for no limit
     #[bpaf(long("rate"), env("PEATDECK_RATE"), argument("N"), fallback(500), display_fallback)]
     pub rate: u32,
-    /// Appends at once, before the rate limits them
+    /// Appends accepted in a burst before the rate limit applies
     #[bpaf(long("burst"), env("PEATDECK_BURST"), argument("N"), fallback(100), display_fallback)]
     pub burst: u32,
 }
@@ -62,15 +62,15 @@
 /// Body of `GET /control/state`.
 #[message]
 pub struct LogState {
-    /// Where each stream stands.
+    /// Oldest and next offset of each stream.
     pub streams: BTreeMap<Arc<str>, StreamState>,
-    /// What became of appends and reads.
+    /// Numbers of appends and reads by outcome.
     pub counts: Counts,
     /// Faults that are set.
     pub faults: LogFaults,
 }
 
-/// What became of appends and reads.
+/// Numbers of appends and reads by outcome, since the start.
 #[message]
 #[derive(Copy, Default)]
 pub struct Counts {
@@ -78,19 +78,19 @@
     pub appended: u64,
     /// Appends that took effect without an acknowledgement.
     pub lost: u64,
-    /// Appends that left nothing.
+    /// Appends dropped by a fault, without effect.
     pub dropped: u64,
-    /// Appends over the rate.
+    /// Appends refused because of the rate limit.
     pub limited: u64,
-    /// Requests turned away by an outage.
+    /// Appends and reads rejected by a fault.
     pub rejected: u64,
     /// Reads answered.
     pub reads: u64,
-    /// Reads that wait for a record now.
+    /// Reads that currently wait for a record.
     pub waiting: u64,
 }
 
-/// The log service's state.
+/// The log service: its streams, rate limit and faults.
 #[derive(Debug)]
 pub struct Log {
     clock: SystemClock,
@@ -107,7 +107,7 @@
     counts: Counts,
 }
 
-/// A read that waits; counted until it is dropped.
+/// A read that waits for a record; it is counted as waiting until it is dropped.
 struct WaitingRead<'a>(&'a Log);
 
 impl<'a> WaitingRead<'a> {
@@ -123,7 +123,7 @@
     }
 }
 
-/// What becomes of one append.
+/// What happens to one append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AppendOutcome {
     Acknowledge,
@@ -146,7 +146,7 @@
 }
 
 impl Log {
-    /// A log without streams.
+    /// Creates a log without streams.
     pub fn new(settings: &Settings) -> Arc<Log> {
         let age = Duration::from_millis(settings.retain_ms);
         let retention = Retention { age, count: settings.retain_count };
@@ -176,7 +176,7 @@
         offset
     }
 
-    /// `None` in an outage.
+    /// Reads records without waiting; `None` in an outage.
     fn read(&self, stream: &str, query: &ReadQuery) -> Option<ReadReply> {
         let now_ms = self.now_ms();
         let mut state = reply::lock(&self.state);
@@ -188,7 +188,7 @@
         Some(state.streams.read(stream, query.from, max, now_ms))
     }
 
-    /// Reads, and waits for a record if there is none yet.
+    /// Reads records, and waits for one if there is none yet. `None` in an outage.
     async fn poll(&self, stream: &str, query: &ReadQuery) -> Option<ReadReply> {
         let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
         let until = time::Instant::now() + wait;
@@ -237,7 +237,7 @@
 }
 
 impl State {
-    /// Turns an append away, where an outage or the rate asks for it.
+    /// The error status of an append that an outage or the rate limit rejects.
     fn reject(&mut self, now: Duration) -> Option<StatusCode> {
         if self.faults.outage || self.faults.reject_appends {
             self.counts.rejected += 1;
@@ -284,7 +284,7 @@
     }
 }
 
-/// Adds the log service's resources.
+/// Adds the routes of the log service.
 pub fn configure(cfg: &mut web::ServiceConfig, log: Arc<Log>) {
     cfg.state(log)
         .route("/v1/streams/{stream}/records", web::post().to(append))
@@ -322,7 +322,7 @@
     }
 }
 
-/// Lets the append take effect, now or later, and its answer go missing.
+/// Appends the record, now or later as the faults say, and loses the response.
 async fn append_unacknowledged(
     req: &HttpRequest,
     log: &Arc<Log>,
--- a/crates/standin/src/places.rs
+++ b/crates/standin/src/places.rs
@@ -1,4 +1,4 @@
-//! Slots to run in, and the bounded queue before them.
+//! Slots for running calls, and the bounded queue for them.
 
 use std::sync::{
     Arc,
@@ -7,7 +7,7 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// How many calls run at once and how many may wait.
+/// Slots for concurrent calls and a bounded queue of waiting ones.
 #[derive(Debug)]
 pub struct Slots {
     free: Arc<Semaphore>,
@@ -16,18 +16,18 @@
     waiting: AtomicU32,
 }
 
-/// A place that is held; dropping it frees the place.
+/// A slot that is in use; dropping it frees the slot.
 #[derive(Debug)]
 pub struct Slot {
     _permit: OwnedSemaphorePermit,
 }
 
-/// A position in the queue, or already a place.
+/// A slot, or a position in the queue for one.
 #[derive(Debug)]
 pub enum Ticket {
-    /// A place was free.
+    /// A slot was free.
     Ready(Slot),
-    /// It waits.
+    /// The call waits in the queue.
     Waiting(QueuePosition),
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Slots {
-    /// `limit` places and room for `queue` waiting calls.
+    /// Creates `limit` slots and a queue for `queue` calls.
     pub fn new(limit: u32, queue: u32) -> Arc<Slots> {
         Arc::new(Slots {
             free: Arc::new(Semaphore::new(limit as usize)),
@@ -48,7 +48,7 @@
         })
     }
 
-    /// A place, or a position in the queue; `None` when that is full.
+    /// Takes a slot or a position in the queue; `None` when the queue is full.
     pub fn enter(self: &Arc<Slots>) -> Option<Ticket> {
         if let Ok(permit) = self.free.clone().try_acquire_owned() {
             return Some(Ticket::Ready(Slot { _permit: permit }));
@@ -60,25 +60,25 @@
         Some(Ticket::Waiting(QueuePosition { slots: self.clone() }))
     }
 
-    /// Slots in all.
+    /// Number of slots, free and in use.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Slots that are held.
+    /// Number of slots in use.
     pub fn running(&self) -> u32 {
         let free = u32::try_from(self.free.available_permits()).unwrap_or(u32::MAX);
         self.limit.saturating_sub(free)
     }
 
-    /// Calls in the queue.
+    /// Number of calls in the queue.
     pub fn waiting(&self) -> u32 {
         self.waiting.load(Ordering::Relaxed)
     }
 }
 
 impl Ticket {
-    /// Waits for the place, first come first served.
+    /// Waits for the slot, in order of arrival.
     pub async fn slot(self) -> Slot {
         match self {
             Ticket::Ready(slot) => slot,
--- a/crates/standin/src/prefix.rs
+++ b/crates/standin/src/prefix.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3;
 
-/// Bytes of a prompt that count as its prefix.
+/// Number of bytes of a prompt that form its prefix.
 pub const PREFIX_BYTES: usize = 64;
 
 /// The most recently used prefixes, up to a limit.
@@ -15,12 +15,12 @@
 }
 
 impl PrefixCache {
-    /// An empty cache for `limit` prefixes; 0 turns it off.
+    /// Creates an empty cache for `limit` prefixes; 0 turns it off.
     pub fn new(limit: usize) -> PrefixCache {
         PrefixCache { limit, recent: VecDeque::new() }
     }
 
-    /// Whether the prompt's prefix was cached; it is from now on.
+    /// Whether the prompt's prefix was cached; it is cached from now on.
     pub fn touch(&mut self, prompt: &str) -> bool {
         let prompt = prompt.as_bytes();
         let prefix = xxh3::xxh3_64(&prompt[..prompt.len().min(PREFIX_BYTES)]);
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -1,8 +1,8 @@
-//! A limited rate: a token bucket.
+//! Rate limit by a token bucket.
 
 use std::time::Duration;
 
-/// Allows so many events a second on average, and a burst of them at once.
+/// Allows `rate` events per second on average, and bursts of up to `burst`.
 #[derive(Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -12,13 +12,13 @@
 }
 
 impl TokenBucket {
-    /// A full bucket; a `rate` of 0 allows everything.
+    /// Creates a full bucket; a `rate` of 0 allows everything.
     pub fn new(rate: u32, burst: u32) -> TokenBucket {
         let burst = f64::from(burst.max(1));
         TokenBucket { rate: f64::from(rate), burst, level: burst, refilled_at: Duration::ZERO }
     }
 
-    /// Whether one more event is within the rate at `now`; it counts if so.
+    /// Takes a token for one event at `now`; `false` if the rate is exceeded.
     pub fn try_take(&mut self, now: Duration) -> bool {
         if self.rate == 0.0 {
             return true;
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Binding and running one stand-in.
+//! Binds the address of a stand-in and serves it.
 
 use std::{
     io::{self, Write},
@@ -10,9 +10,9 @@
 
 use crate::{cli::Role, endpoint::Endpoint, engine, list, log, service};
 
-/// The largest body taken, in bytes.
+/// Largest request body accepted, in bytes.
 const MAX_BODY: usize = 16 << 20;
-/// How long a stop waits for open connections.
+/// How long a shutdown waits for open connections.
 const STOP_GRACE: ntex::time::Seconds = ntex::time::Seconds(1);
 
 /// A stand-in that could not start or run.
@@ -21,9 +21,9 @@
     /// The address could not be bound.
     #[error("could not listen on {addr}: {source}; give another address with --listen")]
     Bind {
-        /// The address.
+        /// Address from the command line.
         addr: SocketAddr,
-        /// Why.
+        /// Cause of the failure.
         source: io::Error,
     },
     /// The server failed.
@@ -31,7 +31,7 @@
     Server(#[from] io::Error),
 }
 
-/// Binds, prints `listening IP:PORT`, and serves until a signal comes.
+/// Binds, prints `listening IP:PORT`, and serves until the process gets a signal.
 ///
 /// # Errors
 /// If the address cannot be bound, or if the server fails.
@@ -40,7 +40,7 @@
     let listener = TcpListener::bind(addr).map_err(|source| ServeError::Bind { addr, source })?;
     announce(&listener)?;
     let setup = setup(role);
-    // One worker: a role's state has one home.
+    // With one worker, all requests share the one state of the role.
     HttpServer::new(async move || App::new().state(json_config()).configure(setup.clone()))
         .workers(1)
         .listen(listener)?
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,7 +1,7 @@
-//! A plain service: one reply a call.
+//! A plain service: one reply per call.
 //!
-//! The work goes on when the connection is lost, as it does in a service that
-//! has effects of its own; only a cancel stops it.
+//! The work continues when the connection is lost, as in a service with side
+//! effects; only a cancel request stops it.
 
 use std::sync::Arc;
 
@@ -21,14 +21,14 @@
     reply,
 };
 
-/// The work is done and this is what to send.
+/// A call whose work is done, and how to send its reply.
 struct FinishedCall {
     body: ReplyBody,
     cut_after: Option<u32>,
     is_duplicated: bool,
 }
 
-/// Adds a service's resources.
+/// Adds the routes of a service.
 pub fn configure(cfg: &mut web::ServiceConfig, endpoint: Arc<Endpoint>) {
     endpoint::configure(cfg, endpoint);
     cfg.route("/v1/call", web::post().to(call));
@@ -56,7 +56,7 @@
     }
 }
 
-/// The reply; `None` when the call was cancelled.
+/// Runs the call; `None` if it was cancelled.
 async fn run(endpoint: &Endpoint, accepted: AcceptedCall) -> Option<FinishedCall> {
     let AcceptedCall { call, ticket, cancelled } = accepted;
     tokio::select! {
@@ -94,14 +94,14 @@
     }
 }
 
-/// Writes one whole response ahead of the one that the server will write, so
-/// that a second response stands on the connection, unasked for.
+/// Writes a complete response before the one that the server writes, so that
+/// the caller receives a second response to one request.
 fn send_early_copy(req: &HttpRequest, text: &str) {
     let Some(io) = req.io() else { return };
     io.encode_slice(reply::raw_json(text).as_bytes()).ok();
 }
 
-/// The response without the end of its body; `bytes` of the body remain.
+/// A response truncated after `bytes` of its body, and before the body's end.
 fn cut_response(text: &str, bytes: usize) -> String {
     let whole = reply::raw_json(text);
     let head = whole.len() - text.len();
--- a/crates/standin/src/streams.rs
+++ b/crates/standin/src/streams.rs
@@ -1,7 +1,7 @@
 //! The log's streams: offsets without gaps, limited retention.
 //!
-//! A stream counts from 0. Records leave at the front only, by age or by
-//! count, and never change while they stand.
+//! Offsets of a stream start at 0. Only the oldest records are dropped, by age
+//! or by count; kept records never change.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -15,9 +15,9 @@
 /// How long records are kept.
 #[data]
 pub struct Retention {
-    /// The longest a record stands.
+    /// Maximum age of a record.
     pub age: Duration,
-    /// The most records of a stream that stand.
+    /// Maximum number of records of a stream.
     pub count: usize,
 }
 
@@ -28,10 +28,10 @@
     streams: BTreeMap<Arc<str>, Records>,
 }
 
-/// Where one stream stands.
+/// Offsets of one stream.
 #[message]
 pub struct StreamState {
-    /// The oldest offset kept.
+    /// Offset of the oldest kept record, or `next` if there is none.
     pub earliest: u64,
     /// The offset of the next append.
     pub next: u64,
@@ -44,13 +44,13 @@
 }
 
 impl Streams {
-    /// No streams yet.
+    /// Creates a log without streams.
     pub fn new(retention: Retention) -> Streams {
         Streams { retention, streams: BTreeMap::new() }
     }
 
-    /// Appends one record and gives its offset. A time before the stream's
-    /// newest record counts as that record's time.
+    /// Appends one record and returns its offset. The record gets the time of the
+    /// stream's newest record if `now_ms` is earlier.
     pub fn append(&mut self, stream: &str, data: Arc<str>, now_ms: u64) -> u64 {
         let records = self.streams.entry(Arc::from(stream)).or_default();
         let offset = records.push(data, now_ms);
@@ -58,7 +58,7 @@
         offset
     }
 
-    /// At most `max` records from `from` on.
+    /// Reads at most `max` records, starting at offset `from`.
     pub fn read(&mut self, stream: &str, from: u64, max: usize, now_ms: u64) -> ReadReply {
         let Some(records) = self.streams.get_mut(stream) else {
             return ReadReply { earliest: 0, next: 0, now_ms, records: Vec::new() };
@@ -67,13 +67,14 @@
         records.read(from, max, now_ms)
     }
 
-    /// Drops everything before `before`, and nothing that was not appended yet.
+    /// Drops the records before offset `before`; an offset past the end of the
+    /// stream drops all of them.
     pub fn expire(&mut self, stream: &str, before: u64) {
         let Some(records) = self.streams.get_mut(stream) else { return };
         while records.earliest < before && records.drop_oldest() {}
     }
 
-    /// Where each stream stands.
+    /// Oldest and next offset of each stream.
     pub fn states(&self) -> BTreeMap<Arc<str>, StreamState> {
         let states = self.streams.iter();
         states.map(|(name, records)| (name.clone(), records.state())).collect()
