--- a/crates/admin/tests/testsuite/drain.rs
+++ b/crates/admin/tests/testsuite/drain.rs
@@ -11,7 +11,7 @@
 const PATH: &str = "/v1/endpoints/engine-1/drain";
 
 #[peatdeck_macros::on_system]
-async fn a_drain_holds_for_the_listed_incarnation() {
+async fn a_drain_applies_to_the_listed_incarnation() {
     let bench = Bench::start().await;
     bench.platform.list_endpoint("engine-1", 3);
     expect![[r#"
@@ -58,7 +58,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_log_that_does_not_say_leaves_the_drain_unknown() {
+async fn an_unconfirmed_append_leaves_the_drain_unknown() {
     let bench = Bench::start().await;
     bench.platform.list_endpoint("engine-1", 3);
     bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
--- a/crates/admin/tests/testsuite/evacuate.rs
+++ b/crates/admin/tests/testsuite/evacuate.rs
@@ -11,7 +11,7 @@
 const PATH: &str = "/v1/data-centres/dc1/evacuation";
 
 #[peatdeck_macros::on_system]
-async fn a_data_centre_is_evacuated_until_that_is_taken_back() {
+async fn a_data_centre_is_evacuated_until_the_evacuation_is_ended() {
     let bench = Bench::start().await;
     bench.platform.list_endpoint("engine-1", 3);
     expect![[r#"
@@ -33,7 +33,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_order_that_holds_is_not_appended_again() {
+async fn an_evacuation_in_force_is_not_appended_again() {
     let bench = Bench::start().await;
     bench.platform.state().append_faults.push_back(AppendFault::LoseAnswer);
     for _ in 0..2 {
@@ -48,7 +48,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_name_that_is_none_is_refused() {
+async fn an_invalid_name_or_field_is_refused() {
     let bench = Bench::start().await;
     let answer = bench.post("/v1/data-centres/%20/evacuation", json!({"author": "mair"})).await;
     assert!(answer.starts_with("400"), "{answer}");
@@ -57,7 +57,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_log_that_does_not_say_leaves_the_order_unknown() {
+async fn an_unconfirmed_append_leaves_the_evacuation_unknown() {
     let bench = Bench::start().await;
     bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
     let answer = bench.post(PATH, json!({"author": "mair"})).await;
--- a/crates/admin/tests/testsuite/publish.rs
+++ b/crates/admin/tests/testsuite/publish.rs
@@ -18,7 +18,7 @@
 const OTHER: &str = "[[team]]\nname = \"other\"\n";
 
 #[peatdeck_macros::on_system]
-async fn an_accepted_publish_says_where_it_is_in_force() {
+async fn an_accepted_publish_reports_where_it_is_in_force() {
     let bench = Bench::start().await;
     let _one = bench.platform.add_instance("entry-1");
     bench.platform.list_instance("entry-2", "127.0.0.1:1");
@@ -53,7 +53,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn racing_publishes_have_one_winner() {
+async fn one_of_two_concurrent_publishes_is_accepted() {
     let bench = Bench::start().await;
     let another = bench.another().await;
     let (one, two) =
@@ -65,7 +65,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_conflict_seen_only_in_the_log_is_told() {
+async fn a_conflict_seen_only_in_the_log_is_reported() {
     let bench = Bench::start().await;
     bench.platform.overtake(&ConfigRecord::Publish(Publish {
         id: "p-1".into(),
@@ -82,7 +82,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_lost_answer_is_settled_by_reading() {
+async fn an_append_with_a_lost_response_is_confirmed_by_reading() {
     let bench = Bench::start().await;
     bench.platform.state().append_faults.push_back(AppendFault::LoseAnswer);
     let answer = bench.publish("p-1", 0, TEAM).await;
@@ -91,7 +91,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_append_without_effect_or_answer_is_sent_again() {
+async fn an_append_without_effect_or_response_is_sent_again() {
     let bench = Bench::start().await;
     bench.platform.state().append_faults.push_back(AppendFault::Swallow);
     let answer = bench.publish("p-1", 0, TEAM).await;
@@ -114,7 +114,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_record_that_stands_twice_counts_once() {
+async fn a_duplicate_record_counts_once() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
     let record = bench.platform.state().records[0].clone();
@@ -143,7 +143,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_log_that_does_not_say_leaves_the_publish_unknown() {
+async fn an_unconfirmed_append_leaves_the_publish_unknown() {
     let bench = Bench::start().await;
     bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
     expect![[r#"
--- a/crates/admin/tests/testsuite/restore.rs
+++ b/crates/admin/tests/testsuite/restore.rs
@@ -32,7 +32,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn publishing_is_impossible_before_and_possible_after() {
+async fn publishing_works_only_after_the_restore() {
     let bench = lost().await;
     let before = bench.publish("p-3", 2, TEAM).await;
     assert!(before.contains("\"code\":\"no_state\""), "{before}");
@@ -56,7 +56,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_restore_is_refused_while_the_log_tells_what_is_in_force() {
+async fn a_restore_is_refused_while_the_log_holds_the_version_in_force() {
     let bench = Bench::start().await;
     let empty = restore(&bench, "r-1", 0).await;
     assert!(empty.contains("\"code\":\"not_lost\""), "{empty}");
@@ -96,7 +96,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn of_two_restores_at_once_the_first_record_counts() {
+async fn of_two_concurrent_restores_the_first_record_counts() {
     let bench = lost().await;
     bench.platform.overtake(&ConfigRecord::Snapshot(Snapshot {
         as_of: Some(1),
@@ -116,7 +116,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_restore_does_not_go_back_behind_a_version_that_was_read() {
+async fn a_restore_cannot_go_below_a_version_that_was_read() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
     let another = bench.another().await;
@@ -132,7 +132,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn what_is_restored_is_checked_as_a_publish_is() {
+async fn a_restored_document_is_checked_like_a_published_one() {
     let bench = lost().await;
     let body = json!({"id": "r-1", "version": 2, "author": "ann",
         "document": {"team": [{"name": "bala", "weight": 0}]}});
--- a/crates/admin/tests/testsuite/settings.rs
+++ b/crates/admin/tests/testsuite/settings.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_must_be_given_is_named_with_its_variable() {
+fn a_missing_setting_is_named_with_its_variable() {
     expect![[r#"
           x 2 of the settings cannot be used; nothing was started
           help: run `peatdeck-admin --help` for all settings with examples
--- a/crates/admin/tests/testsuite/show.rs
+++ b/crates/admin/tests/testsuite/show.rs
@@ -23,7 +23,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_outage_of_the_log_is_said_and_hides_nothing() {
+async fn during_a_log_outage_the_last_config_is_shown_as_unconfirmed() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
     bench.platform.state().reads_out = true;
@@ -35,7 +35,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn expired_records_without_a_snapshot_are_not_taken_for_a_state() {
+async fn expired_records_without_a_snapshot_give_no_state() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
     bench.publish("p-2", 1, TEAM).await;
@@ -51,7 +51,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn records_of_others_are_read_over_to_the_end() {
+async fn unreadable_records_are_skipped_up_to_the_end() {
     let bench = Bench::start().await;
     bench.platform.state().records = vec!["of others".into(); 200];
     bench.publish("p-1", 0, TEAM).await;
@@ -87,7 +87,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn the_history_comes_in_pages() {
+async fn the_history_is_paginated() {
     let bench = Bench::start().await;
     bench.platform.list_endpoint("engine-1", 3);
     bench.publish("p-1", 0, TEAM).await;
@@ -108,7 +108,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn the_status_names_those_that_did_not_answer() {
+async fn the_status_names_instances_that_did_not_respond() {
     let bench = Bench::start().await;
     let _one = bench.platform.add_instance("entry-1");
     bench.platform.list_instance("entry-2", "127.0.0.1:1");
@@ -124,7 +124,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn outcomes_are_added_up_over_the_instances() {
+async fn outcomes_are_summed_over_the_instances() {
     let bench = Bench::start().await;
     let row = |slot, count| OutcomeCount {
         slot,
--- a/crates/admin/tests/testsuite/token.rs
+++ b/crates/admin/tests/testsuite/token.rs
@@ -56,7 +56,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_unknown_path_is_told_so() {
+async fn an_unknown_path_is_reported() {
     let bench = Bench::start().await;
     expect![[r#"
         404
--- a/crates/cli/tests/testsuite/burn.rs
+++ b/crates/cli/tests/testsuite/burn.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn without_requests_nothing_burns() {
+fn without_requests_there_is_no_burn_rate() {
     check(
         &[],
         expect![[r#"
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_lasting_loss_is_a_slow_burn() {
+fn a_sustained_miss_rate_is_a_slow_burn() {
     check(
         &[
             (1800, 93, "ticket bala answered"),
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn requests_that_are_wrong_in_themselves_count_neither_way() {
+fn invalid_requests_count_neither_as_hits_nor_as_misses() {
     let report = report(&[(60, 5, "ticket bala key_reused"), (60, 1, "ticket bala answered")]);
     assert_eq!(report.invalid, 5);
     assert_eq!(report.rows[1].requests, 1);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn codes_are_known_by_their_kind() {
+fn codes_are_mapped_to_their_kind() {
     let codes = ["answered", "infeasible", "claim_horizon", "timed_out", "unknown_team", "new"];
     let kinds = codes.map(burn::kind);
     let expected =
@@ -267,7 +267,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn the_command_gathers_from_all_instances() {
+async fn the_command_sums_the_counts_of_all_instances() {
     let bench = Bench::start("burn").await;
     let file = bench.file("fleet.toml", FLEET);
     bench.run(&["publish", "--author", "mair", &file]).await;
@@ -306,7 +306,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_page_that_cannot_be_written_is_told() {
+async fn a_page_that_cannot_be_written_is_reported() {
     let bench = Bench::start("burn-write").await;
     let answer = bench.run(&["burn", "--html", "/nowhere/burn.html"]).await;
     expect![[r#"
--- a/crates/cli/tests/testsuite/check.rs
+++ b/crates/cli/tests/testsuite/check.rs
@@ -13,7 +13,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_valid_file_is_summed_up() {
+async fn a_valid_file_is_summarised() {
     let text = "[[team]]\nname = \"bala\"\n";
     check(
         "check-valid",
@@ -27,7 +27,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn what_is_not_toml_is_pointed_at() {
+async fn a_syntax_error_is_pointed_at() {
     check(
         "check-syntax",
         "[[team]]\nname = \"bala\n",
@@ -144,7 +144,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_file_that_is_not_there_is_told() {
+async fn a_missing_file_is_reported() {
     let bench = Bench::start("check-absent").await;
     expect![[r#"
         exit 1
--- a/crates/cli/tests/testsuite/drain.rs
+++ b/crates/cli/tests/testsuite/drain.rs
@@ -7,7 +7,7 @@
 use crate::support::Bench;
 
 #[peatdeck_macros::on_system]
-async fn a_drain_says_which_incarnation_it_holds_for() {
+async fn a_drain_prints_the_incarnation_it_applies_to() {
     let bench = Bench::start("drain").await;
     bench.platform.list_endpoint("engine 1/a", 3);
     let answer = bench.run(&["drain", "engine 1/a", "--author", "mair"]).await;
@@ -19,7 +19,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_endpoint_that_is_not_listed_is_told() {
+async fn an_endpoint_that_is_not_listed_is_reported() {
     let bench = Bench::start("drain-unknown").await;
     let answer = bench.run(&["drain", "engine-9", "--author", "mair"]).await;
     expect![[r#"
--- a/crates/cli/tests/testsuite/evacuate.rs
+++ b/crates/cli/tests/testsuite/evacuate.rs
@@ -7,7 +7,7 @@
 use crate::support::Bench;
 
 #[peatdeck_macros::on_system]
-async fn an_evacuation_says_how_many_endpoints_it_means() {
+async fn an_evacuation_prints_the_number_of_endpoints() {
     let bench = Bench::start("evacuate").await;
     bench.platform.list_endpoint("engine-1", 3);
     let answer = bench.run(&["evacuate", "dc1", "--author", "mair"]).await;
--- a/crates/cli/tests/testsuite/evacuations.rs
+++ b/crates/cli/tests/testsuite/evacuations.rs
@@ -5,7 +5,7 @@
 use crate::support::{self, instance};
 
 #[peatdeck_macros::on_system]
-async fn what_is_evacuated_is_listed() {
+async fn evacuated_data_centres_are_listed() {
     let listed = r#"[{"data_centre":"east","endpoints":35},{"data_centre":"north","endpoints":0}]"#;
     let addr = instance("/evacuations", &[(200, listed), (200, "[]"), (503, "stopping\n")]);
     let shown = support::run(None, &["evacuations", "--at", &addr]).await;
--- a/crates/cli/tests/testsuite/explain.rs
+++ b/crates/cli/tests/testsuite/explain.rs
@@ -26,7 +26,7 @@
 "#;
 
 #[peatdeck_macros::on_system]
-async fn a_story_is_told_in_order_across_instances() {
+async fn lines_are_ordered_across_instances() {
     let bench = Bench::start("explain-story").await;
     let (asked, made) = (bench.file("edge-1.log", ASKED), bench.file("all.log", MADE));
     let shown = support::run(None, &["explain", "r1", &asked, &made]).await;
@@ -45,7 +45,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_request_that_nobody_saw_is_told_so() {
+async fn a_request_without_lines_is_reported() {
     let bench = Bench::start("explain-none").await;
     let asked = bench.file("edge-1.log", ASKED);
     let shown = support::run(None, &["explain", "r2", &asked]).await;
@@ -69,7 +69,7 @@
 
 /// A request that is refused for what others of the same content did.
 #[peatdeck_macros::on_system]
-async fn a_story_has_the_crashes_under_the_same_content() {
+async fn crashes_of_the_same_content_are_included() {
     let bench = Bench::start("explain-crashed").await;
     let logs = bench.file("edge-1.log", CRASHED);
     let shown = support::run(None, &["explain", "r2", &logs]).await;
@@ -90,7 +90,7 @@
 "#;
 
 #[peatdeck_macros::on_system]
-async fn a_refusal_for_an_evacuation_shows_the_orders_that_its_instance_knew() {
+async fn a_refusal_for_an_evacuation_includes_the_evacuations_of_its_instance() {
     let bench = Bench::start("explain-evacuated").await;
     let own = bench.file("edge-1.log", EVACUATED);
     let other = bench.file("edge-2.log", EVACUATED.lines().nth(1).unwrap());
@@ -112,7 +112,7 @@
 
 /// What the endpoint that it was sent to had said of itself.
 #[peatdeck_macros::on_system]
-async fn a_story_has_the_terms_of_its_endpoints() {
+async fn terms_of_the_endpoints_used_are_included() {
     let bench = Bench::start("explain-limited").await;
     let logs = bench.file("edge-1.log", LIMITED);
     let shown = support::run(None, &["explain", "r1", &logs]).await;
@@ -132,7 +132,7 @@
 
 /// Which older copy of the store the instance that decided had heard of, and no other's.
 #[peatdeck_macros::on_system]
-async fn a_story_has_the_older_copies_of_the_store() {
+async fn older_copies_of_the_store_are_included() {
     let bench = Bench::start("explain-copied").await;
     let own = bench.file("edge-1.log", COPIED);
     let other = bench.file("edge-2.log", COPIED.lines().nth(1).unwrap());
--- a/crates/cli/tests/testsuite/publish.rs
+++ b/crates/cli/tests/testsuite/publish.rs
@@ -16,7 +16,7 @@
 const PUBLISH: [&str; 5] = ["publish", "--author", "mair", "--id", "p-1"];
 
 #[peatdeck_macros::on_system]
-async fn without_a_base_the_version_in_force_is_taken_and_said() {
+async fn without_a_base_the_version_in_force_is_used_and_printed() {
     let bench = Bench::start("publish-base").await;
     let _one = bench.platform.add_instance("entry-1");
     let file = bench.file("fleet.toml", TEAM);
@@ -31,7 +31,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_instance_that_lags_is_said() {
+async fn an_instance_without_the_version_is_reported() {
     let bench = Bench::start("publish-missing").await;
     bench.platform.list_instance("entry-2", "127.0.0.1:1");
     let file = bench.file("fleet.toml", TEAM);
@@ -59,7 +59,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn what_is_unknown_is_not_called_a_failure() {
+async fn an_unknown_result_is_not_reported_as_a_failure() {
     let bench = Bench::start("publish-unknown").await;
     bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
     let file = bench.file("fleet.toml", TEAM);
@@ -82,7 +82,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_missing_or_wrong_token_is_told() {
+async fn a_missing_or_wrong_token_is_reported() {
     let mut bench = Bench::start("publish-token").await;
     let file = bench.file("fleet.toml", TEAM);
     let args = [&PUBLISH[..], &[&file]].concat();
@@ -103,7 +103,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_api_that_is_not_there_is_told() {
+async fn an_unreachable_api_is_reported() {
     let bench = Bench::start("publish-unreachable").await;
     let file = bench.file("fleet.toml", TEAM);
     let admin = ["--admin", "http://127.0.0.1:1", &file];
@@ -154,26 +154,26 @@
                        {\"code\":\"log_out\",\"message\":\"\",\"remedy\":\"\"}";
 
 #[peatdeck_macros::on_system]
-async fn an_api_that_breaks_off_leaves_it_unknown() {
+async fn an_api_that_closes_the_connection_leaves_the_result_unknown() {
     let answer = publish_to("publish-cut", [CUT, CUT, CUT]).await;
     assert!(answer.starts_with("exit 5\n"), "{answer}");
     assert!(answer.contains("--id p-1 --base 0"), "{answer}");
 }
 
 #[peatdeck_macros::on_system]
-async fn an_answer_of_something_else_leaves_it_unknown() {
+async fn a_response_of_a_gateway_leaves_the_result_unknown() {
     let answer = publish_to("publish-gateway", [GATEWAY, GATEWAY, GATEWAY]).await;
     assert!(answer.starts_with("exit 5\n"), "{answer}");
 }
 
 #[peatdeck_macros::on_system]
-async fn a_later_refusal_does_not_hide_an_earlier_doubt() {
+async fn a_later_refusal_does_not_hide_an_earlier_unknown_result() {
     let answer = publish_to("publish-doubt", [CUT, LOG_OUT, LOG_OUT]).await;
     assert!(answer.starts_with("exit 5\n"), "{answer}");
 }
 
 #[peatdeck_macros::on_system]
-async fn a_wrong_command_line_is_told() {
+async fn a_wrong_command_line_is_reported() {
     let bench = Bench::start("publish-usage").await;
     let answer = bench.run(&["publish", "--author", "mair", "--base", "one", "f"]).await;
     expect![[r#"
--- a/crates/cli/tests/testsuite/quarantine.rs
+++ b/crates/cli/tests/testsuite/quarantine.rs
@@ -5,7 +5,7 @@
 use crate::support::{self, instance};
 
 #[peatdeck_macros::on_system]
-async fn what_is_held_back_is_listed() {
+async fn quarantined_contents_are_listed() {
     let listed =
         r#"[{"content":"00ff","crashes":3,"held_ms":61500,"left_ms":600900,"refused":17}]"#;
     let addr = instance("/quarantine", &[(200, listed), (200, "[]")]);
--- a/crates/cli/tests/testsuite/replay.rs
+++ b/crates/cli/tests/testsuite/replay.rs
@@ -31,7 +31,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_difference_is_told_and_has_its_exit_code() {
+async fn a_difference_is_reported_and_has_its_exit_code() {
     let altered = TRACE.replace("claimed_elsewhere", "timed_out");
     check("replay-differs", &altered, expect![[r#"
         exit 7
@@ -45,7 +45,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn what_is_no_trace_is_told() {
+async fn a_file_that_is_no_trace_is_reported() {
     check(
         "replay-none",
         "{}\n",
--- a/crates/cli/tests/testsuite/show.rs
+++ b/crates/cli/tests/testsuite/show.rs
@@ -61,7 +61,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn the_history_is_a_table_with_a_way_on() {
+async fn the_history_is_a_table_with_a_continuation() {
     let bench = Bench::start("show-history").await;
     bench.platform.list_endpoint("engine-1", 3);
     let file = bench.file("fleet.toml", FLEET);
@@ -85,7 +85,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn the_verdict_of_a_publish_can_be_asked_for() {
+async fn the_verdict_of_a_publish_can_be_requested() {
     let bench = Bench::start("show-verdict").await;
     let file = bench.file("fleet.toml", FLEET);
     bench.run(&["publish", "--author", "mair", "--id", "p-1", &file]).await;
@@ -103,7 +103,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn json_is_what_the_api_gives() {
+async fn json_output_is_the_response_of_the_api() {
     let bench = Bench::start("show-json").await;
     expect![[r#"
         exit 0
@@ -125,7 +125,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_outage_is_said_in_the_file_and_by_the_exit_code() {
+async fn an_outage_shows_in_the_file_and_the_exit_code() {
     let bench = Bench::start("show-outage").await;
     bench.run(&["show"]).await;
     bench.platform.state().reads_out = true;
--- a/crates/cli/tests/testsuite/terms.rs
+++ b/crates/cli/tests/testsuite/terms.rs
@@ -5,7 +5,7 @@
 use crate::support::{self, instance};
 
 #[peatdeck_macros::on_system]
-async fn what_endpoints_say_is_listed() {
+async fn terms_of_endpoints_are_listed() {
     let listed = r#"[{"endpoint":"e1","service":"llm","limit":0.5,"rest_ms":0,"is_leaving":false},
         {"endpoint":"e2","service":"llm","limit":null,"rest_ms":2900,"is_leaving":false},
         {"endpoint":"d1","service":"desk","limit":null,"rest_ms":0,"is_leaving":true}]"#;
--- a/crates/client/tests/client/endpoint.rs
+++ b/crates/client/tests/client/endpoint.rs
@@ -125,13 +125,13 @@
 }
 
 #[ntex::test]
-async fn an_error_status_does_not_say_that_nothing_ran() {
+async fn an_error_status_does_not_mean_that_nothing_ran() {
     check_service("500 Internal Server Error", "", expect!["failed Malformed"]).await;
     check_service("404 Not Found", "", expect!["failed Malformed"]).await;
 }
 
 #[ntex::test]
-async fn only_a_503_that_says_so_means_that_nothing_ran() {
+async fn only_a_503_with_a_refusal_body_means_that_nothing_ran() {
     let status = "503 Service Unavailable";
     check_service(status, r#"{"ran":false,"reason":"busy"}"#, expect!["refused Busy"]).await;
     check_service(status, r#"{"ran":true,"reason":"busy"}"#, expect!["failed Malformed"]).await;
@@ -139,7 +139,7 @@
 }
 
 #[ntex::test]
-async fn a_stream_gives_its_chunks_and_its_end() {
+async fn a_stream_yields_its_chunks_and_its_end() {
     check_engine(
         &[&chunk(0, "a"), &chunk(1, "b"), &done(true)],
         expect!["chunk 0 a; chunk 1 b; reply None Some(2) queued None"],
@@ -148,7 +148,7 @@
 }
 
 #[ntex::test]
-async fn a_stream_torn_within_lines_gives_the_same() {
+async fn a_stream_split_within_lines_yields_the_same() {
     let all = [chunk(0, "a"), chunk(1, "b"), done(true)].concat();
     let (first, rest) = all.split_at(30);
     let (second, third) = rest.split_at(70);
@@ -165,7 +165,7 @@
 }
 
 #[ntex::test]
-async fn a_last_line_torn_at_the_end_is_cut() {
+async fn a_last_line_without_a_line_end_is_cut() {
     check_engine(&[&chunk(0, "a"), done(true).trim_end()], expect!["chunk 0 a; failed Cut"]).await;
 }
 
@@ -183,7 +183,7 @@
 }
 
 #[ntex::test]
-async fn nothing_behind_the_end_is_reported() {
+async fn nothing_after_the_end_is_reported() {
     check_engine(&[&done(true), &chunk(5, "x")], expect!["reply None Some(2) queued None"]).await;
 }
 
--- a/crates/client/tests/client/lines.rs
+++ b/crates/client/tests/client/lines.rs
@@ -26,17 +26,17 @@
 }
 
 #[test]
-fn whole_lines_come_one_by_one() {
+fn complete_lines_are_returned_one_by_one() {
     check(&["a\nbc\n", "d\n"], expect!["a bc d"]);
 }
 
 #[test]
-fn a_line_torn_over_chunks_comes_once_whole() {
+fn a_line_split_over_chunks_is_returned_once_complete() {
     check(&["a", "b", "c\nd", "e\n"], expect!["abc de"]);
 }
 
 #[test]
-fn a_character_torn_over_chunks_comes_whole() {
+fn a_character_split_over_chunks_is_returned_complete() {
     let mut lines = Lines::new(8);
     lines.push(&"ŵ\n".as_bytes()[..1]);
     assert_eq!(lines.next_line(), Ok(None));
@@ -50,17 +50,17 @@
 }
 
 #[test]
-fn a_last_line_without_end_is_torn() {
+fn a_last_line_without_a_line_end_is_partial() {
     check(&["a\nb"], expect!["a (torn)"]);
 }
 
 #[test]
-fn a_line_of_the_limit_is_taken() {
+fn a_line_as_long_as_the_limit_is_accepted() {
     check(&["12345678\n"], expect!["12345678"]);
 }
 
 #[test]
-fn a_whole_line_over_the_limit_is_refused() {
+fn a_complete_line_over_the_limit_is_refused() {
     check(
         &["a\n123456789\nb\n"],
         expect![
--- a/crates/client/tests/client/log.rs
+++ b/crates/client/tests/client/log.rs
@@ -37,14 +37,14 @@
 }
 
 #[ntex::test]
-async fn an_append_gives_its_offset() {
+async fn an_append_returns_its_offset() {
     let server = Server::start(vec![vec![support::response("200 OK", r#"{"offset":42}"#)]]);
     assert_eq!(append(&server.addr).await.unwrap(), 42);
     expect![[r#"{"data":"7"}"#]].assert_eq(&server.requests().await[0]);
 }
 
 #[ntex::test]
-async fn an_append_that_was_not_sent_says_so() {
+async fn an_append_that_was_not_sent_is_reported_as_unsent() {
     let addr = support::nobody();
     check_error(
         &addr,
@@ -78,14 +78,14 @@
 }
 
 #[ntex::test]
-async fn a_read_gives_records_and_where_to_go_on() {
+async fn a_read_returns_records_and_the_next_offset() {
     let body = r#"{"earliest":3,"next":5,"now_ms":9,"records":[
         {"offset":3,"time_ms":1,"data":"30"},{"offset":4,"time_ms":2,"data":"40"}]}"#;
     expect!["3 5 [(3, 30), (4, 40)]"].assert_eq(&read(body).await.unwrap());
 }
 
 #[ntex::test]
-async fn a_record_that_is_not_json_is_passed_over() {
+async fn a_record_that_is_not_json_is_skipped() {
     let body = r#"{"earliest":3,"next":5,"now_ms":9,"records":[
         {"offset":3,"time_ms":1,"data":"noise"},{"offset":4,"time_ms":2,"data":"40"}]}"#;
     expect!["3 5 [(4, 40)]"].assert_eq(&read(body).await.unwrap());
@@ -108,7 +108,7 @@
 /// An instance that is far behind is sent megabytes. Cut off by a limit on the
 /// whole, the same read would begin anew, as often as it is tried.
 #[ntex::test]
-async fn a_read_that_keeps_coming_is_waited_for() {
+async fn a_read_that_makes_progress_does_not_time_out() {
     let pieces =
         [r#"{"earliest":"#, "0", r#","next":"#, "5", r#","now_ms":"#, "9", r#","records":[]}"#];
     let reply = support::chunked(&pieces);
--- a/crates/entry/tests/entry/burn.rs
+++ b/crates/entry/tests/entry/burn.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn names_that_callers_made_up_are_not_kept() {
+fn unknown_pipeline_and_team_names_are_not_stored() {
     let mut burn = OutcomeHistory::default();
     count(&mut burn, 0, "made-up-1", "t", &Outcome::Invalid(Invalid::UnknownPipeline));
     count(&mut burn, 0, "p", "made-up-2", &Outcome::Invalid(Invalid::UnknownTeam));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_minute_holds_a_bounded_number_of_rows_and_loses_no_count() {
+fn a_minute_has_a_bounded_number_of_rows_and_loses_no_count() {
     let mut burn = OutcomeHistory::default();
     let total = 2 * MAX_ROWS;
     for idx in 0..total {
--- a/crates/entry/tests/entry/flush.rs
+++ b/crates/entry/tests/entry/flush.rs
@@ -19,12 +19,12 @@
 }
 
 #[ntex::test]
-async fn without_responses_there_is_nothing_to_wait_for() {
+async fn without_responses_the_wait_ends_at_once() {
     assert!(FlushTracker::default().wait(LONG).await);
 }
 
 #[ntex::test]
-async fn a_response_in_the_making_is_waited_for() {
+async fn an_unfinished_response_is_waited_for() {
     let flush = Rc::new(FlushTracker::default());
     let response = flush.track(None);
     assert!(!flush.wait(Duration::ZERO).await);
--- a/crates/entry/tests/entry/intake.rs
+++ b/crates/entry/tests/entry/intake.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_right_body_becomes_a_request() {
+fn a_valid_body_becomes_a_request() {
     check(
         &good().to_string(),
         expect![[
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_not_json_is_named() {
+fn a_body_that_is_not_json_is_reported() {
     check(
         "{\"id\":",
         expect![
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_unknown_field_is_repeated_in_part_only() {
+fn a_long_unknown_field_is_truncated_in_the_message() {
     check(
         &with(&"f".repeat(500), json!(1)),
         expect![
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn deadlines_that_cannot_be_are_refused() {
+fn invalid_deadlines_are_refused() {
     check(
         &with("deadline_ms", json!(0)),
         expect![
@@ -174,12 +174,12 @@
 }
 
 #[test]
-fn the_longest_deadline_is_taken() {
+fn the_longest_deadline_is_accepted() {
     assert!(intake::parse("p", with("deadline_ms", json!(600_000)).as_bytes()).is_ok());
 }
 
 #[test]
-fn ids_that_cannot_be_are_refused() {
+fn invalid_ids_are_refused() {
     check(
         &with("id", json!("")),
         expect![
@@ -201,12 +201,12 @@
 }
 
 #[test]
-fn the_longest_id_is_taken() {
+fn the_longest_id_is_accepted() {
     assert!(intake::parse("p", with("id", json!("x".repeat(128))).as_bytes()).is_ok());
 }
 
 #[test]
-fn names_that_cannot_be_are_refused() {
+fn invalid_names_are_refused() {
     check(
         &with("team", json!("")),
         expect![
--- a/crates/entry/tests/entry/outcome.rs
+++ b/crates/entry/tests/entry/outcome.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_refusal_says_that_nothing_ran_and_when_to_come_back() {
+fn a_refusal_says_that_nothing_ran_and_when_to_retry() {
     check(
         refusal(RefusalKind::Infeasible, 1_001),
         expect![[r#"
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_doubt_names_the_stage() {
+fn an_uncertain_outcome_names_the_stage() {
     check(
         doubt(UncertaintyKind::TimedOut, Some(Duration::from_millis(250))),
         expect![[r#"
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_doubt_that_must_not_be_repeated_has_no_retry_after() {
+fn an_uncertain_outcome_that_must_not_be_repeated_has_no_retry_after() {
     check(
         doubt(UncertaintyKind::StageFailed, None),
         expect![[r#"
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn every_doubt_has_its_status_and_code() {
+fn every_uncertain_outcome_has_its_status_and_code() {
     use UncertaintyKind::*;
     let kinds =
         [TimedOut, StageFailed, InProgress, ClaimedElsewhere, AlreadyFinished, EarlierUnknown];
--- a/crates/entry/tests/entry/serving.rs
+++ b/crates/entry/tests/entry/serving.rs
@@ -12,7 +12,7 @@
 const REQUESTS: &str = "/v1/pipelines/two/requests";
 
 #[ntex::test]
-async fn a_whole_answer_is_the_requests_own() {
+async fn each_request_gets_its_own_answer() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     for id in ["r1", "r2"] {
@@ -27,7 +27,7 @@
 }
 
 #[ntex::test]
-async fn a_stream_gives_the_answer_piece_by_piece_and_its_end() {
+async fn a_stream_delivers_the_answer_in_pieces_and_its_end() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     let response = bench.send(&entry, "r1", true).await;
@@ -64,7 +64,7 @@
 }
 
 #[ntex::test]
-async fn a_caller_that_closes_its_stream_is_noticed_while_no_text_comes() {
+async fn a_closed_stream_is_detected_while_no_text_is_sent() {
     let bench = Bench::start(&["--token-ms", "600000"]).await;
     let entry = bench.entry("e1").await;
     let mut connection = open(&entry, "r1", true).await;
@@ -81,7 +81,7 @@
 }
 
 #[ntex::test]
-async fn a_caller_that_has_its_answer_is_not_gone() {
+async fn a_caller_that_has_its_answer_is_not_counted_as_disconnected() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     support::read(bench.send(&entry, "r1", false).await).await;
@@ -90,7 +90,7 @@
 }
 
 #[ntex::test]
-async fn nothing_runs_of_a_request_with_a_wrong_form() {
+async fn a_malformed_request_runs_nothing() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     let mut absurd = support::body("r1", false);
@@ -114,7 +114,7 @@
 }
 
 #[ntex::test]
-async fn outcomes_show_in_the_status() {
+async fn the_status_includes_outcomes() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     support::read(bench.send(&entry, "r1", false).await).await;
@@ -125,7 +125,7 @@
 }
 
 #[ntex::test]
-async fn two_entries_meet_as_peers() {
+async fn two_entries_become_peers() {
     let bench = Bench::start(&[]).await;
     let (one, two) = (bench.entry("e1").await, bench.entry("e2").await);
     bench.list_instances(&[&one, &two]).await;
--- a/crates/entry/tests/entry/settings.rs
+++ b/crates/entry/tests/entry/settings.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn right_settings_pass_with_their_defaults() {
+fn valid_settings_pass_with_their_defaults() {
     let settings = flags(&right_with(&["--incarnation", "7"])).check().unwrap();
     assert_eq!(settings.instance, Default::default());
     let seen = (settings.identity, settings.limits, settings.connect_timeout, settings.log_filter);
--- a/crates/entry/tests/entry/stopping.rs
+++ b/crates/entry/tests/entry/stopping.rs
@@ -8,7 +8,7 @@
 use crate::support::{self, Bench};
 
 #[test]
-fn wrong_settings_start_nothing() {
+fn invalid_settings_start_nothing() {
     let output = support::command().stderr(Stdio::piped()).output().unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(output.stdout.is_empty());
@@ -39,7 +39,7 @@
 }
 
 #[ntex::test]
-async fn an_entry_without_its_platform_is_live_but_not_ready_and_stops() {
+async fn an_entry_without_a_platform_is_live_but_not_ready_and_stops() {
     let bench = Bench::start(&[]).await;
     let nowhere = ["--name", "e1", "--data-centre", "d", "--log", "127.0.0.1:1"];
     let entry = support::Entry::start(&[&nowhere[..], &["--list", "127.0.0.1:1"]].concat());
--- a/crates/entry/tests/entry/trace.rs
+++ b/crates/entry/tests/entry/trace.rs
@@ -45,7 +45,7 @@
 }
 
 #[ntex::test]
-async fn a_trace_of_a_killed_entry_replays_and_holds_no_text() {
+async fn a_trace_of_a_killed_entry_replays_and_contains_no_text() {
     let (bench, folder) = (Bench::start(&[]).await, Folder::new("hash"));
     let (report, text) = recorded(&bench, &folder.file(), &[]).await;
     check_clean(&report);
@@ -53,7 +53,7 @@
 }
 
 #[ntex::test]
-async fn a_trace_keeps_texts_where_that_is_asked_for() {
+async fn a_trace_contains_texts_if_the_setting_asks_for_it() {
     let (bench, folder) = (Bench::start(&[]).await, Folder::new("keep"));
     let (report, text) = recorded(&bench, &folder.file(), &["--trace-content", "keep"]).await;
     check_clean(&report);
--- a/crates/standin/tests/testsuite/answer.rs
+++ b/crates/standin/tests/testsuite/answer.rs
@@ -10,13 +10,13 @@
 use crate::support::key;
 
 #[test]
-fn an_answer_names_its_stage_and_request() {
+fn an_output_names_its_stage_and_request() {
     let output = answer::service_output("encode", &key("r1"), "hello");
     expect!["encode:team/r1:658e9ea27a915a25"].assert_eq(&output);
 }
 
 #[test]
-fn any_difference_between_calls_shows_in_the_answer() {
+fn different_calls_have_different_outputs() {
     let other_team = RequestId { team: "other".into(), id: "r1".into() };
     let outputs = [
         answer::service_output("encode", &key("r1"), "hello"),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn tokens_keep_to_the_limit_of_the_call() {
+fn the_number_of_tokens_respects_the_limit_of_the_call() {
     for max in 1..40 {
         let count = answer::tokens("generate", &key("r1"), "hello", Some(max)).len();
         assert!((max.div_ceil(2) as usize..=max as usize).contains(&count), "{count} of {max}");
--- a/crates/standin/tests/testsuite/engine.rs
+++ b/crates/standin/tests/testsuite/engine.rs
@@ -40,7 +40,7 @@
 }
 
 #[ntex::test]
-async fn a_stream_gives_every_token_once_and_then_its_end() {
+async fn a_stream_sends_every_token_once_and_then_its_end() {
     let engine = start().await;
     let body = call("r1");
     let (lines, is_whole) = engine.lines(&body).await;
@@ -56,7 +56,7 @@
 }
 
 #[ntex::test]
-async fn a_resumed_stream_goes_on_behind_the_pieces_held() {
+async fn a_resumed_stream_continues_after_the_chunks_received() {
     let engine = start().await;
     let mut body = call("r1");
     body.resume = tokens(&body).iter().take(3).map(|piece| piece.as_str().into()).collect();
@@ -105,7 +105,7 @@
 }
 
 #[ntex::test]
-async fn calls_beyond_the_places_wait_and_beyond_the_queue_are_refused() {
+async fn calls_beyond_the_slots_wait_and_beyond_the_queue_are_refused() {
     let engine = Standin::start(&["engine", "--places", "1", "--queue", "1"]).await;
     engine.fail_next(EndpointFaults { hang: true, ..EndpointFaults::default() }).await;
     let first = call("r1");
@@ -136,7 +136,7 @@
 }
 
 #[ntex::test]
-async fn a_cut_stream_ends_after_the_chunks_asked_for_without_its_end() {
+async fn a_cut_stream_stops_after_the_configured_chunks_without_its_end() {
     let engine = start().await;
     engine.fail_next(EndpointFaults { cut_after: Some(3), ..EndpointFaults::default() }).await;
     let body = call("r1");
@@ -148,7 +148,7 @@
 }
 
 #[ntex::test]
-async fn faults_break_the_stream_as_asked() {
+async fn each_fault_breaks_the_stream_in_its_way() {
     let engine = start().await;
     let body = call("r1");
     let right = right(&body, 0);
--- a/crates/standin/tests/testsuite/list.rs
+++ b/crates/standin/tests/testsuite/list.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_change_shows_after_the_lag() {
+fn a_change_is_visible_after_the_lag() {
     let listings = changed_at_10();
     assert_eq!(shown(&listings, 14, 5, 0), "old");
     assert_eq!(shown(&listings, 15, 5, 0), "new");
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn the_first_listing_shows_at_once() {
+fn the_first_listing_is_visible_at_once() {
     assert_eq!(shown(&changed_at_10(), 1, 100, 0), "old");
 }
 
 #[test]
-fn a_flapping_list_goes_back_and_forth() {
+fn a_flapping_list_alternates_between_listings() {
     let listings = changed_at_10();
     let seen: Vec<String> = (20..26).map(|now| shown(&listings, now, 0, 2)).collect();
     assert_eq!(seen, ["new", "new", "old", "old", "new", "new"]);
@@ -69,7 +69,7 @@
 }
 
 #[ntex::test]
-async fn the_list_serves_what_was_set_behind_its_lag() {
+async fn the_list_serves_the_listing_set_before_the_lag() {
     let list = Standin::start(&["list"]).await;
     assert_eq!(list.shown().await, "");
     list.set_list("old").await;
@@ -81,7 +81,7 @@
 }
 
 #[ntex::test]
-async fn a_lag_by_setting_passes() {
+async fn a_change_appears_after_the_lag_of_the_setting() {
     let list = Standin::start(&["list", "--lag-ms", "300"]).await;
     list.set_list("old").await;
     list.set_list("new").await;
@@ -90,7 +90,7 @@
 }
 
 #[ntex::test]
-async fn the_list_is_out_while_told_so() {
+async fn the_list_is_unavailable_during_an_outage_fault() {
     let list = Standin::start(&["list"]).await;
     list.set_faults(&ListFaults { outage: true, ..ListFaults::default() }).await;
     assert_eq!(list.http.get(&list.addr, "/v1/list").await.unwrap().status, 503);
--- a/crates/standin/tests/testsuite/load_lag.rs
+++ b/crates/standin/tests/testsuite/load_lag.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_lag_set_later_holds_from_then_on() {
+fn a_lag_set_later_applies_from_then_on() {
     let mut lagged = LaggedLoad::new(Duration::ZERO, load(0));
     lagged.record(Duration::from_secs(1), load(1));
     lagged.set_lag(Duration::from_secs(5));
--- a/crates/standin/tests/testsuite/log.rs
+++ b/crates/standin/tests/testsuite/log.rs
@@ -50,7 +50,7 @@
 }
 
 #[ntex::test]
-async fn appends_that_race_leave_no_gap() {
+async fn concurrent_appends_leave_no_gap() {
     let log = start().await;
     let data: Vec<String> = (0..50).map(|idx| idx.to_string()).collect();
     let mut offsets = future::join_all(data.iter().map(|data| log.append_ok(data))).await;
@@ -100,7 +100,7 @@
 }
 
 #[ntex::test]
-async fn a_lost_answer_leaves_the_record() {
+async fn an_append_with_a_lost_response_leaves_the_record() {
     let log = start().await;
     log.set_faults(&LogFaults { lose_appends: 1, ..LogFaults::default() }).await;
     assert!(log.append("lost").await.is_err());
@@ -109,7 +109,7 @@
 }
 
 #[ntex::test]
-async fn a_lost_answer_can_be_an_error() {
+async fn a_lost_response_can_be_an_error() {
     let log = start().await;
     let faults = LogFaults { lose_appends: 1, lose_by: LoseBy::Error, ..LogFaults::default() };
     log.set_faults(&faults).await;
@@ -127,7 +127,7 @@
 }
 
 #[ntex::test]
-async fn a_lost_append_can_land_behind_later_ones() {
+async fn a_lost_append_can_take_effect_after_later_ones() {
     let log = start().await;
     let faults = LogFaults { lose_appends: 1, land_ms: 3_000, ..LogFaults::default() };
     log.set_faults(&faults).await;
@@ -139,7 +139,7 @@
 }
 
 #[ntex::test]
-async fn losses_keep_to_the_stream_that_is_named() {
+async fn losses_affect_only_the_configured_stream() {
     let log = start().await;
     let faults = LogFaults { lose_appends: 1, stream: Some("b".into()), ..LogFaults::default() };
     log.set_faults(&faults).await;
@@ -147,7 +147,7 @@
 }
 
 #[ntex::test]
-async fn losses_by_chance_repeat_with_their_seed() {
+async fn random_losses_repeat_with_their_seed() {
     let log = start().await;
     let mut rounds = Vec::new();
     for _ in 0..2 {
@@ -181,7 +181,7 @@
 }
 
 #[ntex::test]
-async fn reads_and_appends_fail_apart() {
+async fn reads_and_appends_can_fail_separately() {
     let log = start().await;
     log.set_faults(&LogFaults { reject_appends: true, ..LogFaults::default() }).await;
     assert_eq!(log.append("x").await.unwrap().status, 503);
--- a/crates/standin/tests/testsuite/service.rs
+++ b/crates/standin/tests/testsuite/service.rs
@@ -53,7 +53,7 @@
 }
 
 #[ntex::test]
-async fn faults_hold_for_as_many_calls_as_asked() {
+async fn faults_apply_to_the_configured_number_of_calls() {
     let service = start().await;
     let refuse = Some(RefuseReason::Leaving);
     let faults = EndpointFaults { refuse, calls: Some(2), ..EndpointFaults::default() };
@@ -66,7 +66,7 @@
 }
 
 #[ntex::test]
-async fn the_work_goes_on_when_the_connection_is_lost() {
+async fn the_work_continues_when_the_connection_is_lost() {
     let service = start().await;
     service.fail_next(EndpointFaults { delay_ms: 2_000, ..EndpointFaults::default() }).await;
     let stream = send_raw(&service, &call("r1"));
@@ -91,7 +91,7 @@
 }
 
 #[ntex::test]
-async fn a_cut_reply_ends_in_its_middle_though_the_work_was_done() {
+async fn a_cut_reply_is_truncated_although_the_work_was_done() {
     let service = start().await;
     let body = call("r1");
     for cut_after in [0, 20] {
@@ -104,7 +104,7 @@
 }
 
 #[ntex::test]
-async fn a_doubled_reply_stands_on_the_connection_twice() {
+async fn a_duplicated_reply_is_sent_twice_on_the_connection() {
     let service = start().await;
     service.fail_next(EndpointFaults { duplicate: true, ..EndpointFaults::default() }).await;
     let mut text = String::new();
@@ -132,7 +132,7 @@
 }
 
 #[ntex::test]
-async fn without_another_request_a_wrong_echo_is_made_up() {
+async fn without_another_request_a_wrong_echo_has_an_invented_id() {
     let service = start().await;
     service.fail_next(EndpointFaults { wrong_echo: true, ..EndpointFaults::default() }).await;
     let reply: ReplyBody = service.call(&call("r1")).await.json().unwrap();
--- a/crates/standin/tests/testsuite/streams.rs
+++ b/crates/standin/tests/testsuite/streams.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_read_stops_at_its_limit_and_says_where_to_go_on() {
+fn a_read_stops_at_its_limit_and_returns_the_next_offset() {
     let mut streams = streams(1_000, 100);
     for _ in 0..5 {
         streams.append("a", "x".into(), 0);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn records_leave_by_count_and_offsets_go_on() {
+fn records_expire_by_count_and_offsets_continue() {
     let mut streams = streams(1_000, 2);
     for _ in 0..5 {
         streams.append("a", "x".into(), 0);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn records_leave_by_age_even_without_appends() {
+fn records_expire_by_age_even_without_appends() {
     let mut streams = streams(1_000, 100);
     streams.append("a", "x".into(), 0);
     streams.append("a", "x".into(), 600);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn record_times_never_fall() {
+fn record_times_never_decrease() {
     let mut streams = streams(1_000, 100);
     streams.append("a", "x".into(), 500);
     streams.append("a", "x".into(), 400);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_prefix_cache_forgets_the_least_recently_used() {
+fn the_prefix_cache_evicts_the_least_recently_used() {
     let mut cache = PrefixCache::new(2);
     assert!(!cache.touch("a"));
     assert!(!cache.touch("b"));
