--- a/crates/admin/tests/testsuite/restore.rs
+++ b/crates/admin/tests/testsuite/restore.rs
@@ -1,4 +1,5 @@
-//! Restoring: only where nobody knows what was in force, and then once.
+//! Restoring: only if neither the log nor an instance has the version in force,
+//! and then once.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,12 +18,12 @@
 const TEAM: &str = "[[team]]\nname = \"bala\"\n";
 
 /// An API that starts when all records have expired and no instance runs.
-async fn lost() -> Bench {
+async fn start_without_state() -> Bench {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
     bench.publish("p-2", 1, TEAM).await;
     bench.platform.state().earliest = 2;
-    bench.another().await
+    bench.second_api().await
 }
 
 async fn restore(bench: &Bench, id: &str, version: u64) -> String {
@@ -33,7 +34,7 @@
 
 #[peatdeck_macros::on_system]
 async fn publishing_works_only_after_the_restore() {
-    let bench = lost().await;
+    let bench = start_without_state().await;
     let before = bench.publish("p-3", 2, TEAM).await;
     assert!(before.contains("\"code\":\"no_state\""), "{before}");
     expect![[r#"
@@ -42,12 +43,12 @@
     "#]]
     .assert_eq(&restore(&bench, "r-1", 2).await);
     assert_eq!(bench.platform.state().records.len(), 3);
-    for api in [&bench, &bench.another().await] {
+    for api in [&bench, &bench.second_api().await] {
         let config = api.get("/v1/config").await;
         assert!(config.contains("\"author\":\"ann\",\"confirmed\":true"), "{config}");
         assert!(config.contains("\"publish\":\"r-1\",\"version\":3"), "{config}");
     }
-    let after = bench.another().await.publish("p-3", 3, TEAM).await;
+    let after = bench.second_api().await.publish("p-3", 3, TEAM).await;
     assert!(after.starts_with("200") && after.contains("\"version\":4"), "{after}");
     expect![[r#"
         200
@@ -70,7 +71,7 @@
 
 #[peatdeck_macros::on_system]
 async fn a_restore_is_refused_while_an_instance_has_a_version() {
-    let bench = lost().await;
+    let bench = start_without_state().await;
     let _one = bench.platform.add_instance("entry-1");
     expect![[r#"
         409
@@ -84,12 +85,12 @@
 
 #[peatdeck_macros::on_system]
 async fn a_restore_sent_twice_or_without_an_answer_counts_once() {
-    let bench = lost().await;
+    let bench = start_without_state().await;
     bench.platform.state().append_faults.push_back(AppendFault::LoseAnswer);
     let first = restore(&bench, "r-1", 2).await;
     assert!(first.starts_with("200"), "{first}");
     assert_eq!(restore(&bench, "r-1", 2).await, first);
-    assert_eq!(restore(&bench.another().await, "r-1", 2).await, first);
+    assert_eq!(restore(&bench.second_api().await, "r-1", 2).await, first);
     assert_eq!(bench.platform.state().records.len(), 3);
     let second = restore(&bench, "r-2", 2).await;
     assert!(second.contains("\"code\":\"not_lost\""), "{second}");
@@ -97,7 +98,7 @@
 
 #[peatdeck_macros::on_system]
 async fn of_two_concurrent_restores_the_first_record_counts() {
-    let bench = lost().await;
+    let bench = start_without_state().await;
     bench.platform.overtake(&ConfigRecord::Snapshot(Snapshot {
         as_of: Some(1),
         version: 8,
@@ -111,7 +112,7 @@
         409
         {"code":"not_lost","detail":{"author":"mair","kind":"conflict","publish":"r-0","version":8},"message":"version 8 is in force, so there is nothing to restore; this restore has no effect","remedy":"publish on base 8 instead"}
     "#]].assert_eq(&restore(&bench, "r-1", 2).await);
-    let config = bench.another().await.get("/v1/config").await;
+    let config = bench.second_api().await.get("/v1/config").await;
     assert!(config.contains("\"version\":8"), "{config}");
 }
 
@@ -119,7 +120,7 @@
 async fn a_restore_cannot_go_below_a_version_that_was_read() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
-    let another = bench.another().await;
+    let another = bench.second_api().await;
     another.publish("p-2", 1, TEAM).await;
     another.publish("p-3", 2, TEAM).await;
     bench.platform.state().earliest = 3;
@@ -133,7 +134,7 @@
 
 #[peatdeck_macros::on_system]
 async fn a_restored_document_is_checked_like_a_published_one() {
-    let bench = lost().await;
+    let bench = start_without_state().await;
     let body = json!({"id": "r-1", "version": 2, "author": "ann",
         "document": {"team": [{"name": "bala", "weight": 0}]}});
     let answer = bench.post("/v1/config/restore", body).await;
--- a/crates/admin/tests/testsuite/settings.rs
+++ b/crates/admin/tests/testsuite/settings.rs
@@ -1,4 +1,4 @@
-//! Settings, checked as a whole.
+//! All settings are checked at once.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 use peatdeck_admin::settings;
 
 fn refusal(args: &[&str], token: Option<&str>) -> String {
-    let flags = settings::options().run_inner(args).expect("the form is right");
+    let flags = settings::options().run_inner(args).expect("flags that parse");
     let problems = settings::check(&flags, token.map(str::to_owned)).expect_err("a refusal");
     let mut text = String::new();
     let handler = GraphicalReportHandler::new_themed(GraphicalTheme::none());
@@ -97,7 +97,7 @@
 fn the_scheme_may_be_written_out() {
     let args =
         ["--listen=http://127.0.0.1:0", "--log=http://10.0.0.5:7100", "--list=10.0.0.5:7101"];
-    let flags = settings::options().run_inner(&args[..]).expect("the form is right");
+    let flags = settings::options().run_inner(&args[..]).expect("flags that parse");
     let settings = settings::check(&flags, Some("a token of sixteen".to_owned())).unwrap();
     assert_eq!(settings.listen.to_string(), "127.0.0.1:0");
     assert_eq!((&*settings.log, &*settings.list), ("10.0.0.5:7100", "10.0.0.5:7101"));
--- a/crates/admin/tests/testsuite/show.rs
+++ b/crates/admin/tests/testsuite/show.rs
@@ -1,4 +1,4 @@
-//! What is in force, who did what, and the status of the instances.
+//! The configuration in force, its history, and the status of the instances.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,7 +30,7 @@
     let answer = bench.get("/v1/config").await;
     assert!(answer.starts_with("200"), "{answer}");
     assert!(answer.contains("\"confirmed\":false"), "{answer}");
-    let fresh = bench.another().await.get("/v1/config").await;
+    let fresh = bench.second_api().await.get("/v1/config").await;
     assert!(fresh.contains("\"code\":\"log_out\""), "{fresh}");
 }
 
@@ -40,7 +40,7 @@
     bench.publish("p-1", 0, TEAM).await;
     bench.publish("p-2", 1, TEAM).await;
     bench.platform.state().earliest = 1;
-    let late = bench.another().await;
+    let late = bench.second_api().await;
     expect![[r#"
         503
         Retry-After: 5
@@ -55,14 +55,14 @@
     let bench = Bench::start().await;
     bench.platform.state().records = vec!["of others".into(); 200];
     bench.publish("p-1", 0, TEAM).await;
-    let config = bench.another().await.get("/v1/config").await;
+    let config = bench.second_api().await.get("/v1/config").await;
     assert!(config.contains("\"version\":1"), "{config}");
 }
 
 #[peatdeck_macros::on_system]
 async fn an_api_that_missed_records_waits_for_a_snapshot() {
     let bench = Bench::start().await;
-    let another = bench.another().await;
+    let another = bench.second_api().await;
     bench.publish("p-1", 0, TEAM).await;
     another.publish("p-2", 1, TEAM).await;
     another.publish("p-3", 2, TEAM).await;
@@ -112,8 +112,8 @@
     let bench = Bench::start().await;
     let _one = bench.platform.add_instance("entry-1");
     bench.platform.list_instance("entry-2", "127.0.0.1:1");
-    // An equality says what differs; the difference that `expect!` prints goes to
-    // the test that ran first on the shared system.
+    // Not `expect!`: the difference that it prints appears in the output of the test
+    // that ran first on the shared runtime, not of this one.
     let expected = r#"200
 {"entries":[{"counters":{},"data_centre":"dc1","endpoints":[],"incarnation":1,"instance":"entry-1","outcomes":[],"peers":[],"ready":true,"reasons":[],"running":0,"version":0}],"missing":[{"instance":"entry-2","reason":"no connection to 127.0.0.1:1: Connection refused (os error 111); check the address and that the service runs"}]}
 "#;
--- a/crates/admin/tests/testsuite/token.rs
+++ b/crates/admin/tests/testsuite/token.rs
@@ -21,22 +21,25 @@
 #[peatdeck_macros::on_system]
 async fn a_wrong_token_is_refused() {
     let bench = Bench::start().await;
-    let request = bench.bare(Method::GET, "/v1/config").bearer_auth("a token of another's own");
+    let request = bench
+        .request_without_token(Method::GET, "/v1/config")
+        .bearer_auth("a token of another's own");
     expect![[r#"
         401
         {"code":"unauthorized","message":"the bearer token is missing or wrong","remedy":"send `Authorization: Bearer` with the token that the process was started with"}
     "#]]
-    .assert_eq(&support::answer(request, None).await);
+    .assert_eq(&support::send(request, None).await);
 }
 
 #[peatdeck_macros::on_system]
 async fn every_operation_needs_the_token() {
     let bench = Bench::start().await;
     for (method, path) in PATHS {
-        let bare = support::answer(bench.bare(method.clone(), path), None).await;
+        let bare = support::send(bench.request_without_token(method.clone(), path), None).await;
         assert!(bare.starts_with("401"), "{method} {path}: {bare}");
-        let basic = bench.bare(method.clone(), path).basic_auth(support::TOKEN, None);
-        let basic = support::answer(basic, None).await;
+        let basic =
+            bench.request_without_token(method.clone(), path).basic_auth(support::TOKEN, None);
+        let basic = support::send(basic, None).await;
         assert!(basic.starts_with("401"), "{method} {path}: {basic}");
     }
     assert!(bench.platform.state().records.is_empty());
@@ -45,13 +48,13 @@
 #[peatdeck_macros::on_system]
 async fn liveness_and_readiness_need_no_token() {
     let bench = Bench::start().await;
-    let live = support::answer(bench.bare(Method::GET, "/livez"), None).await;
+    let live = support::send(bench.request_without_token(Method::GET, "/livez"), None).await;
     assert_eq!(live, "200\nlive\n");
     bench.platform.state().reads_out = true;
-    let ready = support::answer(bench.bare(Method::GET, "/readyz"), None).await;
+    let ready = support::send(bench.request_without_token(Method::GET, "/readyz"), None).await;
     assert!(ready.starts_with("503\nnot ready: "), "{ready}");
     bench.platform.state().reads_out = false;
-    let ready = support::answer(bench.bare(Method::GET, "/readyz"), None).await;
+    let ready = support::send(bench.request_without_token(Method::GET, "/readyz"), None).await;
     assert_eq!(ready, "200\nready\n");
 }
 
--- a/crates/cli/tests/testsuite/burn.rs
+++ b/crates/cli/tests/testsuite/burn.rs
@@ -1,4 +1,4 @@
-//! The report on service-level burn.
+//! The error budget burn report.
 
 use expect_test::{Expect, expect};
 use peatdeck::ops::burn::{self, Kind, page, plot};
@@ -42,7 +42,7 @@
 }
 
 fn report(lines: &[(u64, u64, &str)]) -> burn::Report {
-    let document: Document = toml::from_str(FLEET).expect("the test writes TOML");
+    let document: Document = toml::from_str(FLEET).expect("valid TOML");
     let instances = vec!["entry-1".into()];
     let missing =
         vec![MissingInstance { instance: "entry-<2>".into(), reason: "no \"answer\"".into() }];
@@ -255,7 +255,7 @@
         </html>
     "#]].assert_eq(body);
     for outside in ["http:", "https:", "<script", "src="] {
-        assert!(!html.contains(outside), "the page needs nothing but itself: {outside}");
+        assert!(!html.contains(outside), "the page refers to something outside it: {outside}");
     }
 }
 
--- a/crates/cli/tests/testsuite/check.rs
+++ b/crates/cli/tests/testsuite/check.rs
@@ -1,4 +1,4 @@
-//! `peatdeck check`: errors that point into the file.
+//! `peatdeck check`: errors with their positions in the file.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/cli/tests/testsuite/evacuations.rs
+++ b/crates/cli/tests/testsuite/evacuations.rs
@@ -1,4 +1,4 @@
-//! `peatdeck evacuations`: data centres whose endpoints get nothing.
+//! `peatdeck evacuations`: data centres whose endpoints receive no work.
 
 use expect_test::expect;
 
--- a/crates/cli/tests/testsuite/explain.rs
+++ b/crates/cli/tests/testsuite/explain.rs
@@ -1,4 +1,4 @@
-//! `peatdeck explain`: one request's story across instances.
+//! `peatdeck explain`: the log lines of one request across instances.
 
 use expect_test::expect;
 
@@ -13,7 +13,7 @@
 this line is no JSON
 "#;
 
-/// As a collector writes it: a time and the instance before each line.
+/// Log in the format of a collector: a time and the instance before each line.
 const MADE: &str = r#"
  1.0011 edge-2 {"timestamp":"2026-05-01T04:00:01.001500Z","level":"INFO","event":"take_over","id":"r1","ticket":9,"stage":0,"count":2}
  1.0012 edge-2 {"timestamp":"2026-05-01T04:00:01.001600Z","level":"INFO","event":"make","call":"CallKey(1v1)","endpoint":"l1","pieces":"r0/0/0 r1/0/0 r1/0/1"}
@@ -67,7 +67,8 @@
 {"timestamp":"2026-05-01T04:00:02.000100Z","level":"WARN","event":"refuse","id":"r2","reason":"quarantined","status":503}
 "#;
 
-/// A request that is refused for what others of the same content did.
+/// The request is refused because earlier requests of the same content crashed
+/// endpoints.
 #[peatdeck_macros::on_system]
 async fn crashes_of_the_same_content_are_included() {
     let bench = Bench::start("explain-crashed").await;
@@ -110,7 +111,7 @@
 {"timestamp":"2026-05-01T04:00:02.100000Z","level":"INFO","event":"send","id":"r2","call":"CallKey(2v1)","endpoint":"e2"}
 "#;
 
-/// What the endpoint that it was sent to had said of itself.
+/// Only the terms of the endpoint that the request was sent to are included.
 #[peatdeck_macros::on_system]
 async fn terms_of_the_endpoints_used_are_included() {
     let bench = Bench::start("explain-limited").await;
@@ -130,7 +131,7 @@
 {"timestamp":"2026-05-01T04:00:03.000000Z","level":"WARN","event":"table_copied","table":"config","from":2,"timeline":3,"end_before":9,"end":6}
 "#;
 
-/// Which older copy of the store the instance that decided had heard of, and no other's.
+/// Only copies that the instance that sent the request had read before are included.
 #[peatdeck_macros::on_system]
 async fn older_copies_of_the_store_are_included() {
     let bench = Bench::start("explain-copied").await;
--- a/crates/cli/tests/testsuite/publish.rs
+++ b/crates/cli/tests/testsuite/publish.rs
@@ -116,19 +116,21 @@
     .assert_eq(&support::run(bench.token.clone(), &args).await);
 }
 
-/// Publishes to something that gives these bytes to each attempt in turn.
+/// Publishes to a server that sends these bytes, one item per attempt.
 async fn publish_to(name: &str, replies: [&'static str; 3]) -> String {
     let bench = Bench::start(name).await;
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let url = format!("http://{}", listener.local_addr().expect("bound"));
-    std::thread::spawn(move || replies.into_iter().try_for_each(|reply| give(&listener, reply)));
+    let url = format!("http://{}", listener.local_addr().expect("a bound address"));
+    std::thread::spawn(move || {
+        replies.into_iter().try_for_each(|reply| serve_one(&listener, reply))
+    });
     let file = bench.file("fleet.toml", TEAM);
     let args = [&PUBLISH[..], &["--admin", &url, "--base", "0", &file]].concat();
     support::run(bench.token.clone(), &args).await
 }
 
-/// Reads one request whole, gives the reply and closes.
-fn give(listener: &TcpListener, reply: &str) -> std::io::Result<()> {
+/// Reads one complete request, sends the reply and closes the connection.
+fn serve_one(listener: &TcpListener, reply: &str) -> std::io::Result<()> {
     let (mut stream, _) = listener.accept()?;
     let mut request = BufReader::new(stream.try_clone()?);
     let mut length = 0;
--- a/crates/cli/tests/testsuite/quarantine.rs
+++ b/crates/cli/tests/testsuite/quarantine.rs
@@ -1,4 +1,4 @@
-//! `peatdeck quarantine`: what relay instances hold back.
+//! `peatdeck quarantine`: contents that relay instances have quarantined.
 
 use expect_test::expect;
 
--- a/crates/cli/tests/testsuite/replay.rs
+++ b/crates/cli/tests/testsuite/replay.rs
@@ -1,4 +1,4 @@
-//! `peatdeck replay`: a table, and an exit code that a script can rely on.
+//! `peatdeck replay`: a table, and an exit code for scripts.
 
 use expect_test::{Expect, expect};
 
--- a/crates/cli/tests/testsuite/restore.rs
+++ b/crates/cli/tests/testsuite/restore.rs
@@ -12,7 +12,7 @@
 async fn a_lost_configuration_is_restored_and_published_on() {
     let bench = Bench::start("restore").await;
     let file = bench.file("fleet.toml", TEAM);
-    // Records that have expired.
+    // All records of the log have expired.
     bench.platform.state().records = vec!["expired".into(), "expired".into()];
     bench.platform.state().earliest = 2;
     let publish = ["publish", "--author", "mair", "--base", "12", "--id", "p-1", &file];
--- a/crates/cli/tests/testsuite/support.rs
+++ b/crates/cli/tests/testsuite/support.rs
@@ -1,5 +1,5 @@
-//! Commands run as the process would run them, against a real API on a
-//! platform of the test's own.
+//! Runs commands as the process does, against a real API on a simulated
+//! platform, one for each test.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,12 +16,12 @@
 use peatdeck_admin::{context::Timeouts, server, settings};
 use peatdeck_test_support::platform::Platform;
 
-/// When commands run: 2026-03-01T06:30:00Z.
+/// Current time of the commands: 2026-03-01T06:30:00Z.
 pub const NOW: u64 = 1_772_346_600;
 
 const TOKEN: &str = "a token of the test's own";
 
-/// A running API, the platform under it, and files.
+/// A running API, the platform that it uses, and a directory of the test's files.
 pub struct Bench {
     pub platform: Platform,
     pub url: String,
@@ -30,29 +30,30 @@
 }
 
 impl Bench {
-    /// An API on an empty platform. `name` keeps the files of tests apart.
+    /// An API on an empty platform. `name` is part of the directory's name and differs
+    /// from test to test.
     pub async fn start(name: &str) -> Bench {
         let platform = Platform::default();
         let served = platform.serve();
         let files = std::env::temp_dir().join(format!("peatdeck-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&files).expect("a directory for the test's files");
-        let url = admin(&served.addr().to_string());
+        let url = start_admin(&served.addr().to_string());
         Bench { platform, url, token: Some(TOKEN.to_owned()), files }
     }
 
-    /// Writes a file and gives its path.
+    /// Writes a file and returns its path.
     pub fn file(&self, name: &str, text: &str) -> String {
         let path = self.files.join(name);
-        std::fs::write(&path, text).expect("the directory takes files");
-        path.to_str().expect("an ordinary path").to_owned()
+        std::fs::write(&path, text).expect("a writable directory");
+        path.to_str().expect("a path in UTF-8").to_owned()
     }
 
     /// Reads a file that a command wrote.
     pub fn read(&self, name: &str) -> String {
-        std::fs::read_to_string(self.files.join(name)).expect("the command wrote it")
+        std::fs::read_to_string(self.files.join(name)).expect("a file that the command wrote")
     }
 
-    /// Runs a command line; a command of the API gets `--admin`.
+    /// Runs a command line, with `--admin` added for all commands but `check`.
     pub async fn run(&self, args: &[&str]) -> String {
         let mut args = args.to_vec();
         if args[0] != "check" {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Runs a command line; gives the exit code and what it prints.
+/// Runs a command line; returns the exit code and the output.
 pub async fn run(token: Option<String>, args: &[&str]) -> String {
     let command = match app::options().run_inner(args) {
         Ok(command) => command,
@@ -90,10 +91,10 @@
     lines.join("\n") + "\n"
 }
 
-fn admin(platform: &str) -> String {
+fn start_admin(platform: &str) -> String {
     let args = ["--listen", "127.0.0.1:0", "--log", platform, "--list", platform];
-    let flags = settings::options().run_inner(&args[..]).expect("right settings");
-    let mut settings = settings::check(&flags, Some(TOKEN.to_owned())).expect("right settings");
+    let flags = settings::options().run_inner(&args[..]).expect("valid settings");
+    let mut settings = settings::check(&flags, Some(TOKEN.to_owned())).expect("valid settings");
     settings.timeouts = Timeouts {
         append: Duration::from_millis(500),
         confirm: Duration::from_millis(500),
@@ -101,24 +102,24 @@
         status: Duration::from_millis(500),
     };
     let listener = server::bind(settings.listen).expect("a free port");
-    let url = format!("http://{}", listener.local_addr().expect("bound"));
+    let url = format!("http://{}", listener.local_addr().expect("a bound address"));
     ntex::rt::spawn(server::start(listener, settings).expect("a server"));
     url
 }
 
-/// A relay instance's metrics address that gives these answers, one a connection, to
-/// questions under that path.
-pub fn instance(path: &'static str, answers: &[(u16, &'static str)]) -> String {
+/// Serves these responses like the metrics address of a relay instance, one per
+/// connection, to requests for `path`; returns the address.
+pub fn instance(path: &'static str, responses: &[(u16, &'static str)]) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
-    let answers = answers.to_vec();
+    let responses = responses.to_vec();
     thread::spawn(move || {
-        for (status, body) in answers {
+        for (status, body) in responses {
             let (mut stream, _) = listener.accept().unwrap();
             let mut head = [0; 1024];
             let read = stream.read(&mut head).unwrap();
-            let asked = String::from_utf8_lossy(&head[..read]).into_owned();
-            assert!(asked.contains(&format!(" {path}")), "{asked}");
+            let request = String::from_utf8_lossy(&head[..read]).into_owned();
+            assert!(request.contains(&format!(" {path}")), "{request}");
             let len = body.len();
             let reply = format!(
                 "HTTP/1.1 {status} X\r\nconnection: close\r\ncontent-length: {len}\r\n\r\n{body}"
--- a/crates/cli/tests/testsuite/terms.rs
+++ b/crates/cli/tests/testsuite/terms.rs
@@ -1,4 +1,4 @@
-//! `peatdeck terms`: what endpoints say of themselves.
+//! `peatdeck terms`: rate limits, holds and departures that endpoints announced.
 
 use expect_test::expect;
 
--- a/crates/client/tests/client/endpoint.rs
+++ b/crates/client/tests/client/endpoint.rs
@@ -74,12 +74,12 @@
 
 #[ntex::test]
 async fn a_refused_connection_is_not_sent() {
-    check(&support::nobody(), false, expect!["failed NotSent"]).await;
+    check(&support::unused_addr(), false, expect!["failed NotSent"]).await;
 }
 
 #[ntex::test]
 async fn a_connection_closed_before_the_request_is_read_is_cut() {
-    check(&Server::deaf().addr, false, expect!["failed Cut"]).await;
+    check(&Server::closing().addr, false, expect!["failed Cut"]).await;
 }
 
 #[ntex::test]
@@ -231,12 +231,12 @@
     let client = Client::new(support::client().await);
     let call = call(&support::serve_all(whole), false);
     let all = future::join_all((0..32).map(async |idx| {
-        // Each starts at another step of the connecting ones.
+        // Each call starts while the earlier ones are at a different step of connecting.
         for _ in 0..idx {
             task::yield_now().await;
         }
         events(&client, &call).await
     }));
-    let all = time::timeout(Duration::from_secs(20), all).await.expect("no call waits for ever");
+    let all = time::timeout(Duration::from_secs(20), all).await.expect("all calls end");
     expect![[r#"reply Some("out") None queued None"#]].assert_eq(&all[31].join("; "));
 }
--- a/crates/client/tests/client/log.rs
+++ b/crates/client/tests/client/log.rs
@@ -11,7 +11,7 @@
 
 use crate::support::{self, Server};
 
-/// Stands for an address where the error names none.
+/// Placeholder for errors that contain no address.
 const NO_ADDR: &str = "(no address)";
 const LIMIT: Duration = Duration::from_secs(10);
 
@@ -45,7 +45,7 @@
 
 #[ntex::test]
 async fn an_append_that_was_not_sent_is_reported_as_unsent() {
-    let addr = support::nobody();
+    let addr = support::unused_addr();
     check_error(
         &addr,
         append(&addr).await,
@@ -105,14 +105,14 @@
     );
 }
 
-/// An instance that is far behind is sent megabytes. Cut off by a limit on the
-/// whole, the same read would begin anew, as often as it is tried.
+/// An instance that is far behind receives megabytes in one read. A time limit on
+/// the whole response would abort the same read at every attempt.
 #[ntex::test]
 async fn a_read_that_makes_progress_does_not_time_out() {
     let pieces =
         [r#"{"earliest":"#, "0", r#","next":"#, "5", r#","now_ms":"#, "9", r#","records":[]}"#];
     let reply = support::chunked(&pieces);
-    let server = Server::trickling(vec![reply], Duration::from_millis(500));
+    let server = Server::with_pauses(vec![reply], Duration::from_millis(500));
     let client = Client::new(support::client().await, Arc::from(&*server.addr));
     let range = Range { from: 0, max: 10, wait: Duration::ZERO };
     assert_eq!(client.read::<u32>(Stream::Config, range).await.unwrap().next, 5);
--- a/crates/client/tests/client/main.rs
+++ b/crates/client/tests/client/main.rs
@@ -1,4 +1,4 @@
-//! Clients against servers that do what their script says.
+//! Clients against scripted servers.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/client/tests/client/support.rs
+++ b/crates/client/tests/client/support.rs
@@ -1,4 +1,4 @@
-//! A TCP server that plays a script, byte for byte.
+//! A TCP server that sends scripted bytes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,8 +13,8 @@
 use ntex::client::Client;
 use peatdeck_client::http;
 
-/// A server for one connection. Each reply answers one request; behind the
-/// last one the connection is closed.
+/// A server for one connection. It sends one reply per request and closes the
+/// connection after the last one.
 pub struct Server {
     pub addr: String,
     requests: oneshot::Receiver<Vec<String>>,
@@ -22,24 +22,24 @@
 
 impl Server {
     pub fn start(replies: Vec<Vec<String>>) -> Server {
-        Server::spawn(|listener| play(&listener, replies, Duration::ZERO))
+        Server::spawn(|listener| run_script(&listener, replies, Duration::ZERO))
     }
 
     /// Sends the parts of each reply with a pause before each.
-    pub fn trickling(replies: Vec<Vec<String>>, pause: Duration) -> Server {
-        Server::spawn(move |listener| play(&listener, replies, pause))
+    pub fn with_pauses(replies: Vec<Vec<String>>, pause: Duration) -> Server {
+        Server::spawn(move |listener| run_script(&listener, replies, pause))
     }
 
-    /// Accepts one connection and closes it unread.
-    pub fn deaf() -> Server {
+    /// Accepts one connection and closes it without reading.
+    pub fn closing() -> Server {
         Server::spawn(|listener| {
             drop(listener.accept().unwrap());
             Vec::new()
         })
     }
 
-    /// The bodies of the requests that it read, then `closed` if the client
-    /// closed the connection instead of sending one more.
+    /// The bodies of the requests received, then `closed` if the client closed
+    /// the connection before the last reply of the script.
     pub async fn requests(self) -> Vec<String> {
         self.requests.await.unwrap()
     }
@@ -54,11 +54,11 @@
 }
 
 /// An address that nothing listens on.
-pub fn nobody() -> String {
+pub fn unused_addr() -> String {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string()
 }
 
-/// A server that answers every request of every connection alike.
+/// Sends the same reply to every request of every connection; returns the address.
 pub fn serve_all(reply: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
@@ -79,19 +79,19 @@
     http::client(Duration::from_secs(5)).await.unwrap()
 }
 
-/// A response with a length.
+/// A response with a `content-length`.
 pub fn response(status: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A chunked 200: its head, a part for each piece, its end.
+/// A chunked response with status 200: its head, one part per piece, its end.
 pub fn chunked(pieces: &[&str]) -> Vec<String> {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_owned();
     let pieces = pieces.iter().map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()));
     [head].into_iter().chain(pieces).chain(["0\r\n\r\n".to_owned()]).collect()
 }
 
-fn play(listener: &TcpListener, replies: Vec<Vec<String>>, pause: Duration) -> Vec<String> {
+fn run_script(listener: &TcpListener, replies: Vec<Vec<String>>, pause: Duration) -> Vec<String> {
     let (mut stream, _) = listener.accept().unwrap();
     stream.set_nodelay(true).unwrap();
     let mut requests = Vec::new();
@@ -103,7 +103,7 @@
         requests.push(request);
         for part in parts {
             thread::sleep(pause);
-            // A client that gave up is seen by the next read.
+            // If the client closed the connection, the next read detects it.
             stream.write_all(part.as_bytes()).ok();
         }
     }
--- a/crates/entry/tests/entry/burn.rs
+++ b/crates/entry/tests/entry/burn.rs
@@ -17,12 +17,18 @@
     Outcome::Answered(Answer { output: Arc::from(""), stages: Vec::new() })
 }
 
-fn count(burn: &mut OutcomeHistory, seconds: u64, pipeline: &str, team: &str, outcome: &Outcome) {
-    burn.record(at(seconds), &Arc::from(pipeline), &Arc::from(team), outcome);
+fn record(
+    history: &mut OutcomeHistory,
+    seconds: u64,
+    pipeline: &str,
+    team: &str,
+    outcome: &Outcome,
+) {
+    history.record(at(seconds), &Arc::from(pipeline), &Arc::from(team), outcome);
 }
 
-fn check(burn: &OutcomeHistory, since: u64, expected: Expect) {
-    let rows = burn.rows(since);
+fn check(history: &OutcomeHistory, since: u64, expected: Expect) {
+    let rows = history.rows(since);
     let lines: Vec<_> = rows
         .iter()
         .map(|row| {
@@ -36,32 +42,32 @@
 
 #[test]
 fn outcomes_are_counted_by_minute_and_kind() {
-    let mut burn = OutcomeHistory::default();
+    let mut history = OutcomeHistory::default();
     let refusal = Refusal { kind: RefusalKind::Infeasible, retry_after: Duration::ZERO };
     let stage = Some(Arc::from("generate"));
-    let doubt = Uncertainty { kind: UncertaintyKind::TimedOut, stage, retry_after: None };
-    count(&mut burn, 60, "p", "t", &answered());
-    count(&mut burn, 119, "p", "t", &answered());
-    count(&mut burn, 119, "p", "t", &Outcome::NotRun(refusal));
-    count(&mut burn, 120, "p", "u", &Outcome::MayHaveRun(doubt));
+    let uncertainty = Uncertainty { kind: UncertaintyKind::TimedOut, stage, retry_after: None };
+    record(&mut history, 60, "p", "t", &answered());
+    record(&mut history, 119, "p", "t", &answered());
+    record(&mut history, 119, "p", "t", &Outcome::NotRun(refusal));
+    record(&mut history, 120, "p", "u", &Outcome::MayHaveRun(uncertainty));
     check(
-        &burn,
+        &history,
         0,
         expect![[r#"
         60 [p] [t] answered - 2
         60 [p] [t] infeasible - 1
         120 [p] [u] timed_out generate 1"#]],
     );
-    check(&burn, 120, expect!["120 [p] [u] timed_out generate 1"]);
+    check(&history, 120, expect!["120 [p] [u] timed_out generate 1"]);
 }
 
 #[test]
 fn unknown_pipeline_and_team_names_are_not_stored() {
-    let mut burn = OutcomeHistory::default();
-    count(&mut burn, 0, "made-up-1", "t", &Outcome::Invalid(Invalid::UnknownPipeline));
-    count(&mut burn, 0, "p", "made-up-2", &Outcome::Invalid(Invalid::UnknownTeam));
+    let mut history = OutcomeHistory::default();
+    record(&mut history, 0, "made-up-1", "t", &Outcome::Invalid(Invalid::UnknownPipeline));
+    record(&mut history, 0, "p", "made-up-2", &Outcome::Invalid(Invalid::UnknownTeam));
     check(
-        &burn,
+        &history,
         0,
         expect![[r#"
         0 [] [] unknown_pipeline - 1
@@ -71,31 +77,31 @@
 
 #[test]
 fn a_clock_that_jumps_back_counts_in_the_newest_slot() {
-    let mut burn = OutcomeHistory::default();
-    count(&mut burn, 600, "p", "t", &answered());
-    count(&mut burn, 10, "p", "t", &answered());
-    check(&burn, 0, expect!["600 [p] [t] answered - 2"]);
+    let mut history = OutcomeHistory::default();
+    record(&mut history, 600, "p", "t", &answered());
+    record(&mut history, 10, "p", "t", &answered());
+    check(&history, 0, expect!["600 [p] [t] answered - 2"]);
 }
 
 #[test]
 fn only_the_last_day_is_kept() {
-    let mut burn = OutcomeHistory::default();
+    let mut history = OutcomeHistory::default();
     for slot in 0..=MAX_SLOTS as u64 {
-        count(&mut burn, slot * SLOT_SECONDS, "p", "t", &answered());
+        record(&mut history, slot * SLOT_SECONDS, "p", "t", &answered());
     }
-    let rows = burn.rows(0);
+    let rows = history.rows(0);
     assert_eq!(rows.len(), MAX_SLOTS);
     assert_eq!(rows[0].slot, SLOT_SECONDS);
 }
 
 #[test]
 fn a_minute_has_a_bounded_number_of_rows_and_loses_no_count() {
-    let mut burn = OutcomeHistory::default();
+    let mut history = OutcomeHistory::default();
     let total = 2 * MAX_ROWS;
     for idx in 0..total {
-        count(&mut burn, 0, "p", &format!("t{idx}"), &answered());
+        record(&mut history, 0, "p", &format!("t{idx}"), &answered());
     }
-    let rows = burn.rows(0);
+    let rows = history.rows(0);
     assert!(rows.len() <= MAX_ROWS + 1, "{}", rows.len());
     assert_eq!(rows.iter().map(|row| row.count).sum::<u64>(), total as u64);
 }
--- a/crates/entry/tests/entry/flush.rs
+++ b/crates/entry/tests/entry/flush.rs
@@ -1,4 +1,4 @@
-//! A response counts until its last byte has left.
+//! A response counts as pending until its last byte is written to the connection.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,10 +8,10 @@
 };
 use peatdeck_entry::flush::FlushTracker;
 
-/// Long enough to pass on any machine; a wait that ends does so at once.
-const LONG: Duration = Duration::from_secs(60);
+/// Long enough for slow machines; a wait that succeeds ends at once.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection whose other side takes nothing yet.
+/// A connection whose other side does not accept data yet.
 fn connection() -> (Io, IoTest) {
     let (near, far) = IoTest::create();
     far.remote_buffer_cap(0);
@@ -20,7 +20,7 @@
 
 #[ntex::test]
 async fn without_responses_the_wait_ends_at_once() {
-    assert!(FlushTracker::default().wait(LONG).await);
+    assert!(FlushTracker::default().wait(TIMEOUT).await);
 }
 
 #[ntex::test]
@@ -29,7 +29,7 @@
     let response = flush.track(None);
     assert!(!flush.wait(Duration::ZERO).await);
     drop(response);
-    assert!(flush.wait(LONG).await);
+    assert!(flush.wait(TIMEOUT).await);
 }
 
 #[ntex::test]
@@ -41,7 +41,7 @@
     drop(response);
     assert!(!flush.wait(Duration::ZERO).await);
     far.remote_buffer_cap(1024);
-    assert!(flush.wait(LONG).await);
+    assert!(flush.wait(TIMEOUT).await);
     assert_eq!(far.read().await.unwrap(), b"answer"[..]);
 }
 
@@ -53,5 +53,5 @@
     near.encode_slice(b"answer").unwrap();
     drop(response);
     far.close().await;
-    assert!(flush.wait(LONG).await);
+    assert!(flush.wait(TIMEOUT).await);
 }
--- a/crates/entry/tests/entry/intake.rs
+++ b/crates/entry/tests/entry/intake.rs
@@ -3,13 +3,13 @@
 use peatdeck_wire::caller::RequestBody;
 use serde_json::{Value, json};
 
-fn good() -> Value {
+fn valid_body() -> Value {
     json!({"id": "r1", "team": "t", "deadline_ms": 1500, "input": "x"})
 }
 
-/// The good body with one field set, or removed by `null`.
+/// The valid body with one field set, or removed by `null`.
 fn with(field: &str, value: Value) -> String {
-    let mut body = good();
+    let mut body = valid_body();
     match value {
         Value::Null => {
             body.as_object_mut().unwrap().remove(field);
@@ -40,7 +40,7 @@
 #[test]
 fn a_valid_body_becomes_a_request() {
     check(
-        &good().to_string(),
+        &valid_body().to_string(),
         expect![[
             r#"Request { id: RequestId { team: "t", id: "r1" }, pipeline: "p", deadline: 1.5s, idempotent: false, repeat: false, stream: false, input: "x" }"#
         ]],
@@ -68,7 +68,7 @@
         ],
     );
     check(
-        &format!("{} trailing", good()),
+        &format!("{} trailing", valid_body()),
         expect![
             "400 malformed_json id -: the body is not JSON: trailing characters at line 1 column 55; nothing ran -> send one JSON object"
         ],
@@ -221,7 +221,7 @@
     );
     check_at(
         &"p".repeat(200),
-        &good().to_string(),
+        &valid_body().to_string(),
         expect![
             "400 pipeline_invalid id r1: the pipeline's name is over 128 bytes or holds a control character; nothing ran -> name a pipeline of the configuration in force"
         ],
@@ -230,7 +230,7 @@
 
 #[test]
 fn every_field_of_the_format_is_known_when_another_is_wrong() {
-    let body: RequestBody = serde_json::from_value(good()).unwrap();
+    let body: RequestBody = serde_json::from_value(valid_body()).unwrap();
     let mut body = serde_json::to_value(body).unwrap();
     body["stream"] = json!("yes");
     check(
--- a/crates/entry/tests/entry/main.rs
+++ b/crates/entry/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! An entry: its parts, and as a process on stand-ins.
+//! The modules of an entry, and an entry process on stand-ins.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/entry/tests/entry/outcome.rs
+++ b/crates/entry/tests/entry/outcome.rs
@@ -34,7 +34,7 @@
     Outcome::NotRun(Refusal { kind, retry_after: Duration::from_millis(millis) })
 }
 
-fn doubt(kind: UncertaintyKind, retry_after: Option<Duration>) -> Outcome {
+fn uncertainty(kind: UncertaintyKind, retry_after: Option<Duration>) -> Outcome {
     Outcome::MayHaveRun(Uncertainty { kind, stage: Some(Arc::from("generate")), retry_after })
 }
 
@@ -83,7 +83,7 @@
 #[test]
 fn an_uncertain_outcome_names_the_stage() {
     check(
-        doubt(UncertaintyKind::TimedOut, Some(Duration::from_millis(250))),
+        uncertainty(UncertaintyKind::TimedOut, Some(Duration::from_millis(250))),
         expect![[r#"
         504 retry 1
         {"id":"r1","outcome":"may_have_run","code":"timed_out","message":"the deadline passed while a stage ran; it may have run","remedy":"send it again after the given time","stage":"generate","retry_after_ms":250}"#]],
@@ -93,7 +93,7 @@
 #[test]
 fn an_uncertain_outcome_that_must_not_be_repeated_has_no_retry_after() {
     check(
-        doubt(UncertaintyKind::StageFailed, None),
+        uncertainty(UncertaintyKind::StageFailed, None),
         expect![[r#"
         502 retry -
         {"id":"r1","outcome":"may_have_run","code":"stage_failed","message":"a stage failed and may not be tried again; it may have run","remedy":"do not send the request again; find out whether its effect took place","stage":"generate"}"#]],
@@ -139,7 +139,7 @@
         ClaimedElsewhere: 502 may_have_run claimed_elsewhere
         AlreadyFinished: 502 may_have_run already_finished
         EarlierUnknown: 502 may_have_run earlier_unknown"#]]
-    .assert_eq(&statuses(&kinds, |kind| doubt(kind, None)));
+    .assert_eq(&statuses(&kinds, |kind| uncertainty(kind, None)));
 }
 
 #[test]
--- a/crates/entry/tests/entry/serving.rs
+++ b/crates/entry/tests/entry/serving.rs
@@ -19,7 +19,7 @@
         let (status, body) = support::read(bench.send(&entry, id, false).await).await;
         assert_eq!(status, 200, "{body}");
         assert_eq!(body["id"], id);
-        assert_eq!(body["output"], bench.expected(id));
+        assert_eq!(body["output"], bench.expected_output(id));
         let stages: Vec<_> = body["stages"].as_array().unwrap().iter().collect();
         assert_eq!(stages[0]["endpoint"], "s1");
         assert_eq!(stages[1]["endpoint"], "g1");
@@ -36,9 +36,9 @@
     let (last, texts) = events.split_last().unwrap();
     let text: String = texts.iter().map(|(_, data)| data["text"].as_str().unwrap()).collect();
     assert!(texts.len() > 1 && texts.iter().all(|(name, _)| name == "text"));
-    assert_eq!(text, bench.expected("r1"));
+    assert_eq!(text, bench.expected_output("r1"));
     assert_eq!(last.0, "answer");
-    assert_eq!(last.1["output"], bench.expected("r1"));
+    assert_eq!(last.1["output"], bench.expected_output("r1"));
 }
 
 #[ntex::test]
@@ -57,9 +57,9 @@
     let entry = bench.entry("e1").await;
     bench.engine_faults(json!({"hang": true})).await;
     let connection = open(&entry, "r1", false).await;
-    support::eventually(async || state(&bench).await == Some(CallState::Running)).await;
+    support::eventually(async || call_state(&bench).await == Some(CallState::Running)).await;
     drop(connection);
-    support::eventually(async || state(&bench).await == Some(CallState::Cancelled)).await;
+    support::eventually(async || call_state(&bench).await == Some(CallState::Cancelled)).await;
     assert_eq!(bench.status(&entry).await.counters["entry.caller_gone"], 1);
 }
 
@@ -77,7 +77,7 @@
     drop(connection);
     support::eventually(async || bench.status(&entry).await.counters["entry.caller_gone"] == 1)
         .await;
-    support::eventually(async || state(&bench).await == Some(CallState::Cancelled)).await;
+    support::eventually(async || call_state(&bench).await == Some(CallState::Cancelled)).await;
 }
 
 #[ntex::test]
@@ -149,8 +149,8 @@
     connection
 }
 
-/// How the engine's newest call stands.
-async fn state(bench: &Bench) -> Option<CallState> {
+/// State of the engine's newest call.
+async fn call_state(bench: &Bench) -> Option<CallState> {
     bench.engine_calls().await.calls.last().map(|call| call.state)
 }
 
--- a/crates/entry/tests/entry/settings.rs
+++ b/crates/entry/tests/entry/settings.rs
@@ -2,7 +2,7 @@
 use miette::{Diagnostic, GraphicalReportHandler, GraphicalTheme};
 use peatdeck_entry::settings::{self, Flags};
 
-const RIGHT: [&str; 12] = [
+const REQUIRED: [&str; 12] = [
     "--name",
     "e1",
     "--data-centre",
@@ -31,13 +31,13 @@
     expected.assert_eq(&text);
 }
 
-fn right_with(more: &[&'static str]) -> Vec<&'static str> {
-    [&RIGHT, more].concat()
+fn required_with(more: &[&'static str]) -> Vec<&'static str> {
+    [&REQUIRED, more].concat()
 }
 
 #[test]
 fn valid_settings_pass_with_their_defaults() {
-    let settings = flags(&right_with(&["--incarnation", "7"])).check().unwrap();
+    let settings = flags(&required_with(&["--incarnation", "7"])).check().unwrap();
     assert_eq!(settings.instance, Default::default());
     let seen = (settings.identity, settings.limits, settings.connect_timeout, settings.log_filter);
     expect![[r#"
@@ -63,7 +63,7 @@
 
 #[test]
 fn the_incarnation_is_the_wall_clock_unless_given() {
-    let settings = flags(&RIGHT).check().unwrap();
+    let settings = flags(&REQUIRED).check().unwrap();
     assert!(settings.identity.incarnation.0 > 1_700_000_000_000);
 }
 
@@ -109,7 +109,7 @@
 #[test]
 fn each_optional_setting_is_checked() {
     check_problems(
-        &right_with(&[
+        &required_with(&[
             "--incarnation",
             "new",
             "--max-header",
@@ -180,7 +180,7 @@
 
 #[test]
 fn callers_and_peers_need_different_addresses() {
-    let args = right_with(&[]).into_iter().map(|arg| match arg {
+    let args = required_with(&[]).into_iter().map(|arg| match arg {
         "127.0.0.1:0" => "127.0.0.1:9000",
         other => other,
     });
--- a/crates/entry/tests/entry/stopping.rs
+++ b/crates/entry/tests/entry/stopping.rs
@@ -69,7 +69,7 @@
     };
     let (whole, streamed, ()) = futures::join!(whole, streamed, stop);
     let (status, body) = support::read(whole).await;
-    assert_eq!((status, &body["output"]), (200, &json!(bench.expected("r1"))));
+    assert_eq!((status, &body["output"]), (200, &json!(bench.expected_output("r1"))));
     let events = streamed.body().await.unwrap();
     let last = String::from_utf8_lossy(&events).into_owned();
     assert!(last.contains("event: answer\n") && last.ends_with("\n\n"), "{last}");
--- a/crates/entry/tests/entry/support.rs
+++ b/crates/entry/tests/entry/support.rs
@@ -1,4 +1,4 @@
-//! An entry as a process, on stand-ins in the test's own process.
+//! Entry processes, and stand-ins within the test's process.
 
 use std::{
     io::{BufRead, BufReader},
@@ -22,9 +22,9 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 
-/// Pause between two looks at a state that a test waits for.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
-/// A test that waits for longer has failed.
+/// Interval at which [`eventually`] checks the state that a test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// A test that waits longer fails.
 const LIMIT: Duration = Duration::from_secs(60);
 
 const DOCUMENT: &str = r#"
@@ -40,7 +40,7 @@
     ]
 "#;
 
-/// A platform with one service and one engine, and any entries on it.
+/// A log, a list, one service and one engine, on which tests start entries.
 pub struct Bench {
     pub client: Client,
     pub document: Document,
@@ -51,7 +51,7 @@
 }
 
 impl Bench {
-    /// Stand-ins with a published configuration. `engine` are the engine's flags.
+    /// Starts the stand-ins, the engine with these flags, and publishes a configuration.
     pub async fn start(engine: &[&str]) -> Bench {
         let bench = Bench {
             client: http::client(Duration::from_secs(5)).await.unwrap(),
@@ -71,7 +71,7 @@
         self.entry_with(name, &[]).await
     }
 
-    /// Starts an entry with more flags and waits until it is ready.
+    /// Starts an entry with additional flags and waits until it is ready.
     pub async fn entry_with(&self, name: &str, flags: &[&str]) -> Entry {
         let entry = self.unready_entry(name, flags);
         let url = format!("http://{}/readyz", entry.addr);
@@ -85,55 +85,54 @@
         Entry::start(&[&args, flags].concat())
     }
 
-    /// Lists these entries beside the endpoints.
+    /// Sets the list to the endpoints and these entries.
     pub async fn list_instances(&self, entries: &[&Entry]) {
         let endpoints = [("s1", "services", &self.service), ("g1", "engines", &self.engine)];
         let listing = Listing {
-            instances: entries.iter().map(|entry| entry.listed()).collect(),
-            endpoints: endpoints.map(|(name, pool, at)| listed(name, pool, at)).into(),
+            instances: entries.iter().map(|entry| entry.list_entry()).collect(),
+            endpoints: endpoints
+                .map(|(name, pool, server)| endpoint_entry(name, pool, server))
+                .into(),
         };
         let url = format!("http://{}/control/list", self.list.addr());
         let response = self.client.put(url).send_json(&listing).await.unwrap();
         assert!(response.status().is_success(), "{response:?}");
     }
 
-    /// Sends a request.
     pub async fn send(&self, entry: &Entry, id: &str, stream: bool) -> ClientResponse {
         let url = format!("http://{}/v1/pipelines/two/requests", entry.addr);
         self.client.post(url).send_json(&body(id, stream)).await.unwrap()
     }
 
-    /// Status and JSON body of any exchange.
+    /// Posts a body to any path; returns the status and the JSON body.
     pub async fn post(&self, entry: &Entry, path: &str, body: &Value) -> (u16, Value) {
         let url = format!("http://{}{path}", entry.addr);
         read(self.client.post(url).send_json(body).await.unwrap()).await
     }
 
-    /// What the request's answer must be.
-    pub fn expected(&self, id: &str) -> String {
+    /// The correct output for the request.
+    pub fn expected_output(&self, id: &str) -> String {
         let pipeline: &Pipeline = self.document.pipeline("two").unwrap();
         let request = RequestId { team: Arc::from("t"), id: Arc::from(id) };
         answer::expected_output(&self.document, pipeline, &request, "input").unwrap()
     }
 
-    /// Sets faults of the engine.
     pub async fn engine_faults(&self, faults: Value) {
         let url = format!("http://{}/control/faults", self.engine.addr());
         let response = self.client.put(url).send_json(&faults).await.unwrap();
         assert!(response.status().is_success(), "{response:?}");
     }
 
-    /// What the engine ran.
+    /// Records of the calls of the engine.
     pub async fn engine_calls(&self) -> CallsBody {
         self.get(&format!("{}/control/calls", self.engine.addr())).await
     }
 
-    /// What the service ran.
+    /// Records of the calls of the service.
     pub async fn service_calls(&self) -> CallsBody {
         self.get(&format!("{}/control/calls", self.service.addr())).await
     }
 
-    /// The entry's status.
     pub async fn status(&self, entry: &Entry) -> EntryStatus {
         self.get(&format!("{}/v1/status", entry.addr)).await
     }
@@ -155,17 +154,17 @@
     }
 }
 
-/// An entry's process. Dropping it kills it.
+/// An entry process; dropping it kills the process.
 pub struct Entry {
     pub addr: String,
     name: String,
-    peers: String,
+    peer_addr: String,
     child: Child,
     _stdout: BufReader<ChildStdout>,
 }
 
 impl Entry {
-    /// Starts one; returns when it says where it listens.
+    /// Starts a process; returns when it has printed its addresses.
     pub fn start(args: &[&str]) -> Entry {
         let mut child = command()
             .args([
@@ -183,18 +182,18 @@
             .spawn()
             .unwrap();
         let mut stdout = BufReader::new(child.stdout.take().unwrap());
-        let addr = told(&mut stdout, "listening ");
-        let peers = told(&mut stdout, "peers ");
-        Entry { addr, name: args[1].to_owned(), peers, child, _stdout: stdout }
+        let addr = read_value(&mut stdout, "listening ");
+        let peer_addr = read_value(&mut stdout, "peers ");
+        Entry { addr, name: args[1].to_owned(), peer_addr, child, _stdout: stdout }
     }
 
-    /// Sends it SIGTERM.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
     }
 
-    /// Waits for its end.
+    /// Waits for the end of the process.
     pub async fn exit(mut self) -> ExitStatus {
         let mut status = None;
         eventually(async || {
@@ -205,10 +204,10 @@
         status.unwrap()
     }
 
-    fn listed(&self) -> InstanceEntry {
+    fn list_entry(&self) -> InstanceEntry {
         InstanceEntry {
             name: Arc::from(&*self.name),
-            peer_addr: Arc::from(&*self.peers),
+            peer_addr: Arc::from(&*self.peer_addr),
             http_addr: Arc::from(&*self.addr),
             data_centre: Arc::from("d"),
             presence: Presence::Live,
@@ -223,14 +222,14 @@
     }
 }
 
-/// The binary, with nothing of the test's own environment.
+/// A command for the binary, with an empty environment.
 pub fn command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_peatdeck-entry"));
     command.env_clear();
     command
 }
 
-/// A request's body.
+/// Body of a request of team `t`.
 pub fn body(id: &str, stream: bool) -> Value {
     json!({
         "id": id, "team": "t", "deadline_ms": 30_000, "idempotent": true, "stream": stream,
@@ -238,17 +237,17 @@
     })
 }
 
-/// Status and JSON body.
+/// Status and JSON body of a response.
 pub async fn read(response: ClientResponse) -> (u16, Value) {
     let body = response.body().await.unwrap();
     (response.status().as_u16(), serde_json::from_slice(&body).unwrap())
 }
 
-/// Returns when the state is reached.
+/// Waits until `is_reached` returns `true`; panics after [`LIMIT`].
 pub async fn eventually(mut is_reached: impl AsyncFnMut() -> bool) {
     let wait = async {
         while !is_reached().await {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     tokio::time::timeout(LIMIT, wait).await.expect("the state is reached");
@@ -279,19 +278,19 @@
     }
 }
 
-fn listed(name: &str, pool: &str, at: &TestServer) -> EndpointEntry {
+fn endpoint_entry(name: &str, pool: &str, server: &TestServer) -> EndpointEntry {
     EndpointEntry {
         name: Arc::from(name),
         pool: Arc::from(pool),
-        addr: Arc::from(at.addr().to_string()),
+        addr: Arc::from(server.addr().to_string()),
         data_centre: Arc::from("d"),
         incarnation: Incarnation(1),
         presence: Presence::Live,
     }
 }
 
-fn told(stdout: &mut BufReader<ChildStdout>, word: &str) -> String {
+fn read_value(stdout: &mut BufReader<ChildStdout>, prefix: &str) -> String {
     let mut line = String::new();
     stdout.read_line(&mut line).unwrap();
-    line.trim().strip_prefix(word).unwrap().to_owned()
+    line.trim().strip_prefix(prefix).unwrap().to_owned()
 }
--- a/crates/entry/tests/entry/trace.rs
+++ b/crates/entry/tests/entry/trace.rs
@@ -1,4 +1,4 @@
-//! What an entry records of itself.
+//! The trace file of an entry.
 
 use std::{fs, io::BufReader, path::PathBuf};
 
@@ -6,15 +6,15 @@
 
 use crate::support::{self, Bench};
 
-/// A folder of one test, removed with its value.
-struct Folder(PathBuf);
+/// A directory of one test, removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let own = format!("peatdeck-entry-{}-{name}", std::process::id());
-        let path = std::env::temp_dir().join(own);
+impl TempDir {
+    fn new(name: &str) -> TempDir {
+        let name = format!("peatdeck-entry-{}-{name}", std::process::id());
+        let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempDir(path)
     }
 
     fn file(&self) -> String {
@@ -22,14 +22,15 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         fs::remove_dir_all(&self.0).ok();
     }
 }
 
-/// Runs a request on an entry with these flags, kills the entry, and replays.
-async fn recorded(bench: &Bench, file: &str, flags: &[&str]) -> (Report, String) {
+/// Runs a request on an entry with these flags, kills the entry, and replays its
+/// trace; returns the report and the text of the trace.
+async fn record_and_replay(bench: &Bench, file: &str, flags: &[&str]) -> (Report, String) {
     let entry = bench.entry_with("e1", &[&["--trace", file], flags].concat()).await;
     let (status, _) = support::read(bench.send(&entry, "r1", false).await).await;
     assert_eq!(status, 200);
@@ -40,29 +41,31 @@
 
 fn check_clean(report: &Report) {
     assert_eq!(report.faults, []);
-    let told: Vec<_> = report.callers.iter().map(|line| (line.recorded, line.replayed)).collect();
-    assert_eq!(told, [(Some(OutcomeKind::Answered), Some(OutcomeKind::Answered))]);
+    let outcomes: Vec<_> =
+        report.callers.iter().map(|line| (line.recorded, line.replayed)).collect();
+    assert_eq!(outcomes, [(Some(OutcomeKind::Answered), Some(OutcomeKind::Answered))]);
 }
 
 #[ntex::test]
 async fn a_trace_of_a_killed_entry_replays_and_contains_no_text() {
-    let (bench, folder) = (Bench::start(&[]).await, Folder::new("hash"));
-    let (report, text) = recorded(&bench, &folder.file(), &[]).await;
+    let (bench, folder) = (Bench::start(&[]).await, TempDir::new("hash"));
+    let (report, text) = record_and_replay(&bench, &folder.file(), &[]).await;
     check_clean(&report);
-    assert!(!text.contains(&bench.expected("r1")) && !text.contains("\"input\":\"input\""));
+    assert!(!text.contains(&bench.expected_output("r1")) && !text.contains("\"input\":\"input\""));
 }
 
 #[ntex::test]
 async fn a_trace_contains_texts_if_the_setting_asks_for_it() {
-    let (bench, folder) = (Bench::start(&[]).await, Folder::new("keep"));
-    let (report, text) = recorded(&bench, &folder.file(), &["--trace-content", "keep"]).await;
+    let (bench, folder) = (Bench::start(&[]).await, TempDir::new("keep"));
+    let (report, text) =
+        record_and_replay(&bench, &folder.file(), &["--trace-content", "keep"]).await;
     check_clean(&report);
-    assert!(text.contains(&bench.expected("r1")) && text.contains("\"input\":\"input\""));
+    assert!(text.contains(&bench.expected_output("r1")) && text.contains("\"input\":\"input\""));
 }
 
 #[ntex::test]
 async fn an_entry_serves_without_a_trace_and_overwrites_nothing() {
-    let (bench, folder) = (Bench::start(&[]).await, Folder::new("exists"));
+    let (bench, folder) = (Bench::start(&[]).await, TempDir::new("exists"));
     fs::write(folder.file(), "of an incident").unwrap();
     let entry = bench.entry_with("e1", &["--trace", &folder.file()]).await;
     assert_eq!(bench.send(&entry, "r1", false).await.status(), 200);
--- a/crates/standin/tests/testsuite/answer.rs
+++ b/crates/standin/tests/testsuite/answer.rs
@@ -1,4 +1,4 @@
-//! Derived answers.
+//! Outputs derived from calls.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/standin/tests/testsuite/engine.rs
+++ b/crates/standin/tests/testsuite/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: streams, resume, cancel, places and faults.
+//! The engine: streams, resume, cancel, slots and faults.
 
 use peatdeck_core::{instance::input::RefuseReason, model::Echo};
 use peatdeck_standin::{
@@ -27,8 +27,8 @@
     lines.iter().map(chunk).collect()
 }
 
-/// What a right stream holds from `from` on.
-fn right(body: &CallBody, from: usize) -> Vec<Option<(u32, String)>> {
+/// Chunks of a correct stream from index `from` on, and its last line.
+fn expected_chunks(body: &CallBody, from: usize) -> Vec<Option<(u32, String)>> {
     let chunks = (0..).zip(tokens(body)).skip(from).map(Some);
     chunks.chain([None]).collect()
 }
@@ -45,7 +45,7 @@
     let body = call("r1");
     let (lines, is_whole) = engine.lines(&body).await;
     assert!(is_whole);
-    assert_eq!(chunks(&lines), right(&body, 0));
+    assert_eq!(chunks(&lines), expected_chunks(&body, 0));
     assert!(echoes(&lines).all(|echo| *echo == body.echo));
     let total = tokens(&body).len() as u32;
     let Some(EngineLine::Done { tokens, .. }) = lines.last() else { panic!("no end") };
@@ -61,7 +61,7 @@
     let mut body = call("r1");
     body.resume = tokens(&body).iter().take(3).map(|piece| piece.as_str().into()).collect();
     let (lines, _) = engine.lines(&body).await;
-    assert_eq!(chunks(&lines), right(&body, 3));
+    assert_eq!(chunks(&lines), expected_chunks(&body, 3));
     let Some(EngineLine::Done { tokens: total, .. }) = lines.last() else { panic!("no end") };
     assert_eq!(*total as usize, tokens(&body).len());
     let calls = engine.calls().await;
@@ -118,7 +118,7 @@
     check_refused(&engine.call(&call("r3")).await, RefuseReason::Busy);
     engine.cancel(&first).await;
     let (lines, _) = support::read_lines(waiting).await;
-    assert_eq!(chunks(&lines), right(&second, 0));
+    assert_eq!(chunks(&lines), expected_chunks(&second, 0));
     engine.wait_states(&[Cancelled, Finished]).await;
 }
 
@@ -141,37 +141,37 @@
     engine.fail_next(EndpointFaults { cut_after: Some(3), ..EndpointFaults::default() }).await;
     let body = call("r1");
     let (lines, is_whole) = engine.lines(&body).await;
-    assert_eq!(chunks(&lines), right(&body, 0)[..3]);
+    assert_eq!(chunks(&lines), expected_chunks(&body, 0)[..3]);
     assert!(!is_whole);
     engine.wait_states(&[Cut]).await;
-    assert_eq!(chunks(&engine.lines(&body).await.0), right(&body, 0));
+    assert_eq!(chunks(&engine.lines(&body).await.0), expected_chunks(&body, 0));
 }
 
 #[ntex::test]
 async fn each_fault_breaks_the_stream_in_its_way() {
     let engine = start().await;
     let body = call("r1");
-    let right = right(&body, 0);
+    let expected = expected_chunks(&body, 0);
 
     engine.fail_next(EndpointFaults { duplicate: true, ..EndpointFaults::default() }).await;
-    let twice = right.iter().flat_map(|chunk| [chunk.clone(), chunk.clone()]);
+    let twice = expected.iter().flat_map(|chunk| [chunk.clone(), chunk.clone()]);
     assert_eq!(chunks(&engine.lines(&body).await.0), twice.collect::<Vec<_>>());
 
     engine.fail_next(EndpointFaults { reorder: true, ..EndpointFaults::default() }).await;
     let (lines, _) = engine.lines(&body).await;
     let broken = chunks(&lines);
-    assert_eq!((&broken[0], &broken[1]), (&right[1], &right[0]));
+    assert_eq!((&broken[0], &broken[1]), (&expected[1], &expected[0]));
     let mut sorted = broken.clone();
     sorted.sort_by_key(|chunk| chunk.as_ref().map_or(u32::MAX, |(index, _)| *index));
-    assert_eq!(sorted, right);
+    assert_eq!(sorted, expected);
 
     engine.fail_next(EndpointFaults { wrong_echo: true, ..EndpointFaults::default() }).await;
     let (lines, _) = engine.lines(&body).await;
     assert!(echoes(&lines).all(|echo| echo.request == key("r1-other")));
-    assert_eq!(chunks(&lines), right);
+    assert_eq!(chunks(&lines), expected);
 
     engine.fail_next(EndpointFaults { swapped_output: true, ..EndpointFaults::default() }).await;
     let (lines, _) = engine.lines(&body).await;
     assert!(echoes(&lines).all(|echo| *echo == body.echo));
-    assert_ne!(chunks(&lines), right);
+    assert_ne!(chunks(&lines), expected);
 }
--- a/crates/standin/tests/testsuite/load_lag.rs
+++ b/crates/standin/tests/testsuite/load_lag.rs
@@ -1,4 +1,4 @@
-//! Load reports lag by as much as was asked for last.
+//! Load reports lag by the value that was set last.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/standin/tests/testsuite/log.rs
+++ b/crates/standin/tests/testsuite/log.rs
@@ -1,4 +1,4 @@
-//! The log service over HTTP, right and broken.
+//! The log service over HTTP, with and without faults.
 
 #![allow(clippy::unwrap_used)]
 
@@ -71,7 +71,7 @@
         log.append_ok("x").await
     };
     let both = time::timeout(BOUND, future::join(read, append)).await;
-    let (read, _) = both.expect("the read woke long before its own limit");
+    let (read, _) = both.expect("the append ends the read before its own limit");
     assert_eq!(read.json::<ReadReply>().unwrap().records.len(), 1);
 }
 
@@ -86,17 +86,17 @@
 #[ntex::test]
 async fn appends_over_the_rate_are_refused_and_leave_nothing() {
     let log = Standin::start(&["log", "--rate", "1", "--burst", "2"]).await;
-    let mut taken = 0;
+    let mut accepted = 0;
     let refused = loop {
         let reply = log.append("x").await.unwrap();
         if reply.status != 200 {
             break reply.status;
         }
-        taken += 1;
-        assert!(taken < 100, "no append was refused");
+        accepted += 1;
+        assert!(accepted < 100, "no append was refused");
     };
     assert_eq!(refused, 429);
-    assert_eq!(log.data().await.len(), taken);
+    assert_eq!(log.data().await.len(), accepted);
 }
 
 #[ntex::test]
@@ -173,7 +173,7 @@
         log.set_faults(&LogFaults { outage: true, ..LogFaults::default() }).await;
     };
     let both = time::timeout(BOUND, future::join(read, outage)).await;
-    let (read, ()) = both.expect("the read ended long before its own limit");
+    let (read, ()) = both.expect("the outage ends the read before its own limit");
     assert_eq!(read.status, 503);
     assert_eq!(log.append("y").await.unwrap().status, 503);
     log.set_faults(&LogFaults::default()).await;
--- a/crates/standin/tests/testsuite/service.rs
+++ b/crates/standin/tests/testsuite/service.rs
@@ -139,7 +139,7 @@
     assert_eq!(reply.echo.request, key("r1-other"));
 }
 
-/// Sends a call on a plain connection that closes behind the reply.
+/// Sends a call on a raw connection that the server closes after the reply.
 fn send_raw(service: &Standin, body: &CallBody) -> TcpStream {
     let json = serde_json::to_string(body).unwrap();
     let head = "POST /v1/call HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
--- a/crates/standin/tests/testsuite/support.rs
+++ b/crates/standin/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! One stand-in as a process, and calls to it.
+//! A stand-in process, and calls to it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -40,7 +40,7 @@
         self.http.put(&self.addr, "/control/faults", faults).await.unwrap();
     }
 
-    /// Faults for the next call only.
+    /// Sets faults for the next call only.
     pub async fn fail_next(&self, faults: EndpointFaults) {
         self.set_faults(&EndpointFaults { calls: Some(1), ..faults }).await;
     }
@@ -55,7 +55,7 @@
         response
     }
 
-    /// An engine's lines up to the end of the stream, whole or cut.
+    /// Calls an engine; returns the lines of the stream and whether it was complete.
     pub async fn lines(&self, body: &CallBody) -> (Vec<EngineLine>, bool) {
         read_lines(self.open(body).await).await
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// The lines of a stream, and whether it ended as a whole body does.
+/// The lines of a stream, and whether its body was complete.
 pub async fn read_lines(response: ClientResponse) -> (Vec<EngineLine>, bool) {
     time::timeout(BOUND, read_to_end(response)).await.expect("the stream ends")
 }
@@ -107,7 +107,7 @@
     (lines.map(|line| serde_json::from_str(line).unwrap()).collect(), is_whole)
 }
 
-/// A call of stage `stage` with input `input`.
+/// A call of the stage named `stage` with the input `input`.
 pub fn call(id: &str) -> CallBody {
     CallBody {
         echo: Echo { request: key(id), stage: 2, attempt: 1 },
