--- a/crates/admin/tests/testsuite/evacuate.rs
+++ b/crates/admin/tests/testsuite/evacuate.rs
@@ -44,7 +44,7 @@
     let never = "/v1/data-centres/dc9/evacuation";
     let answer = bench.post(never, json!({"author": "mair", "is_over": true})).await;
     assert!(answer.starts_with("200"), "{answer}");
-    assert_eq!(bench.platform.state().records.len(), 1, "there was nothing to take back");
+    assert_eq!(bench.platform.state().records.len(), 1, "there was no evacuation to end");
 }
 
 #[peatdeck_macros::on_system]
--- a/crates/admin/tests/testsuite/publish.rs
+++ b/crates/admin/tests/testsuite/publish.rs
@@ -55,7 +55,7 @@
 #[peatdeck_macros::on_system]
 async fn one_of_two_concurrent_publishes_is_accepted() {
     let bench = Bench::start().await;
-    let another = bench.second_api().await;
+    let another = bench.another_api().await;
     let (one, two) =
         futures::future::join(bench.publish("p-1", 0, TEAM), another.publish("p-2", 0, OTHER))
             .await;
@@ -103,7 +103,7 @@
 async fn a_publish_sent_twice_counts_once() {
     let bench = Bench::start().await;
     let first = bench.publish("p-1", 0, TEAM).await;
-    let again = bench.second_api().await.publish("p-1", 0, TEAM).await;
+    let again = bench.another_api().await.publish("p-1", 0, TEAM).await;
     assert_eq!(first, again);
     assert_eq!(bench.platform.state().records.len(), 1);
     expect![[r#"
--- a/crates/admin/tests/testsuite/restore.rs
+++ b/crates/admin/tests/testsuite/restore.rs
@@ -23,7 +23,7 @@
     bench.publish("p-1", 0, TEAM).await;
     bench.publish("p-2", 1, TEAM).await;
     bench.platform.state().earliest = 2;
-    bench.second_api().await
+    bench.another_api().await
 }
 
 async fn restore(bench: &Bench, id: &str, version: u64) -> String {
@@ -43,12 +43,12 @@
     "#]]
     .assert_eq(&restore(&bench, "r-1", 2).await);
     assert_eq!(bench.platform.state().records.len(), 3);
-    for api in [&bench, &bench.second_api().await] {
+    for api in [&bench, &bench.another_api().await] {
         let config = api.get("/v1/config").await;
         assert!(config.contains("\"author\":\"ann\",\"confirmed\":true"), "{config}");
         assert!(config.contains("\"publish\":\"r-1\",\"version\":3"), "{config}");
     }
-    let after = bench.second_api().await.publish("p-3", 3, TEAM).await;
+    let after = bench.another_api().await.publish("p-3", 3, TEAM).await;
     assert!(after.starts_with("200") && after.contains("\"version\":4"), "{after}");
     expect![[r#"
         200
@@ -90,7 +90,7 @@
     let first = restore(&bench, "r-1", 2).await;
     assert!(first.starts_with("200"), "{first}");
     assert_eq!(restore(&bench, "r-1", 2).await, first);
-    assert_eq!(restore(&bench.second_api().await, "r-1", 2).await, first);
+    assert_eq!(restore(&bench.another_api().await, "r-1", 2).await, first);
     assert_eq!(bench.platform.state().records.len(), 3);
     let second = restore(&bench, "r-2", 2).await;
     assert!(second.contains("\"code\":\"not_lost\""), "{second}");
@@ -112,7 +112,7 @@
         409
         {"code":"not_lost","detail":{"author":"mair","kind":"conflict","publish":"r-0","version":8},"message":"version 8 is in force, so there is nothing to restore; this restore has no effect","remedy":"publish on base 8 instead"}
     "#]].assert_eq(&restore(&bench, "r-1", 2).await);
-    let config = bench.second_api().await.get("/v1/config").await;
+    let config = bench.another_api().await.get("/v1/config").await;
     assert!(config.contains("\"version\":8"), "{config}");
 }
 
@@ -120,7 +120,7 @@
 async fn a_restore_cannot_go_below_a_version_that_was_read() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
-    let another = bench.second_api().await;
+    let another = bench.another_api().await;
     another.publish("p-2", 1, TEAM).await;
     another.publish("p-3", 2, TEAM).await;
     bench.platform.state().earliest = 3;
--- a/crates/admin/tests/testsuite/show.rs
+++ b/crates/admin/tests/testsuite/show.rs
@@ -30,7 +30,7 @@
     let answer = bench.get("/v1/config").await;
     assert!(answer.starts_with("200"), "{answer}");
     assert!(answer.contains("\"confirmed\":false"), "{answer}");
-    let fresh = bench.second_api().await.get("/v1/config").await;
+    let fresh = bench.another_api().await.get("/v1/config").await;
     assert!(fresh.contains("\"code\":\"log_out\""), "{fresh}");
 }
 
@@ -40,7 +40,7 @@
     bench.publish("p-1", 0, TEAM).await;
     bench.publish("p-2", 1, TEAM).await;
     bench.platform.state().earliest = 1;
-    let late = bench.second_api().await;
+    let late = bench.another_api().await;
     expect![[r#"
         503
         Retry-After: 5
@@ -55,14 +55,14 @@
     let bench = Bench::start().await;
     bench.platform.state().records = vec!["of others".into(); 200];
     bench.publish("p-1", 0, TEAM).await;
-    let config = bench.second_api().await.get("/v1/config").await;
+    let config = bench.another_api().await.get("/v1/config").await;
     assert!(config.contains("\"version\":1"), "{config}");
 }
 
 #[peatdeck_macros::on_system]
 async fn an_api_that_missed_records_waits_for_a_snapshot() {
     let bench = Bench::start().await;
-    let another = bench.second_api().await;
+    let another = bench.another_api().await;
     bench.publish("p-1", 0, TEAM).await;
     another.publish("p-2", 1, TEAM).await;
     another.publish("p-3", 2, TEAM).await;
--- a/crates/admin/tests/testsuite/support.rs
+++ b/crates/admin/tests/testsuite/support.rs
@@ -36,7 +36,7 @@
     }
 
     /// Another API on the same platform.
-    pub async fn second_api(&self) -> Bench {
+    pub async fn another_api(&self) -> Bench {
         let served = self.platform.serve();
         let url = start_admin(settings(&served.addr().to_string()));
         let platform = self.platform.clone();
@@ -88,7 +88,7 @@
         append: Duration::from_millis(500),
         confirm: Duration::from_millis(1500),
         in_force: Duration::from_millis(200),
-        // No test has an instance that does not respond, so none waits this long.
+        // Instances of these tests respond or refuse the connection: no test waits so long.
         status: Duration::from_secs(20),
     };
     settings
--- a/crates/cli/tests/testsuite/burn.rs
+++ b/crates/cli/tests/testsuite/burn.rs
@@ -168,7 +168,7 @@
     assert_eq!(kinds, expected);
 }
 
-const MORNING: [(u64, u64, &str); 8] = [
+const OUTCOMES: [(u64, u64, &str); 8] = [
     (60, 180, "ticket bala answered"),
     (60, 20, "ticket bala infeasible"),
     (60, 6, "ticket corwen timed_out encode"),
@@ -181,7 +181,7 @@
 
 #[test]
 fn the_page_is_whole_and_safe() {
-    let html = page::render(&report(&MORNING));
+    let html = page::render(&report(&OUTCOMES));
     let body = html.split_once("</style>").expect("a style").1;
     expect![[r#"
 
@@ -271,7 +271,7 @@
     let bench = Bench::start("burn").await;
     let file = bench.file("fleet.toml", FLEET);
     bench.run(&["publish", "--author", "mair", &file]).await;
-    bench.platform.state().outcomes = rows(&MORNING);
+    bench.platform.state().outcomes = rows(&OUTCOMES);
     let _one = bench.platform.add_instance("entry-1");
     let _two = bench.platform.add_instance("entry-2");
     bench.platform.list_instance("entry-3", "127.0.0.1:1");
--- a/crates/cli/tests/testsuite/explain.rs
+++ b/crates/cli/tests/testsuite/explain.rs
@@ -4,7 +4,7 @@
 
 use crate::support::{self, Bench};
 
-const ASKED: &str = r#"
+const REQUESTER_LOG: &str = r#"
 {"timestamp":"2026-05-01T04:00:01.000000Z","level":"INFO","event":"arrive","id":"r1","route":"draft","version":7,"age_ms":120}
 {"timestamp":"2026-05-01T04:00:01.001000Z","level":"INFO","event":"hand_over","id":"r1","handover":"HandoverKey(3v1)","peer":"edge-2","stage":0,"count":2}
 {"timestamp":"2026-05-01T04:00:01.002000Z","level":"INFO","event":"arrive","id":"r11","route":"draft","version":7,"age_ms":121}
@@ -14,7 +14,7 @@
 "#;
 
 /// Log in the format of a collector: a time and the instance before each line.
-const MADE: &str = r#"
+const COLLECTED_LOG: &str = r#"
  1.0011 edge-2 {"timestamp":"2026-05-01T04:00:01.001500Z","level":"INFO","event":"take_over","id":"r1","ticket":9,"stage":0,"count":2}
  1.0012 edge-2 {"timestamp":"2026-05-01T04:00:01.001600Z","level":"INFO","event":"make","call":"CallKey(1v1)","endpoint":"l1","pieces":"r0/0/0 r1/0/0 r1/0/1"}
  1.0013 edge-2 {"timestamp":"2026-05-01T04:00:01.001700Z","level":"INFO","event":"make","call":"CallKey(2v1)","endpoint":"l2","pieces":"r11/0/0"}
@@ -28,8 +28,9 @@
 #[peatdeck_macros::on_system]
 async fn lines_are_ordered_across_instances() {
     let bench = Bench::start("explain-story").await;
-    let (asked, made) = (bench.file("edge-1.log", ASKED), bench.file("all.log", MADE));
-    let shown = support::run(None, &["explain", "r1", &asked, &made]).await;
+    let (requester, collected) =
+        (bench.file("edge-1.log", REQUESTER_LOG), bench.file("all.log", COLLECTED_LOG));
+    let shown = support::run(None, &["explain", "r1", &requester, &collected]).await;
     expect![[r#"
         exit 0
         04:00:01.000000Z  edge-1  arrive         age_ms=120 id=r1 level=INFO route=draft version=7
@@ -47,8 +48,8 @@
 #[peatdeck_macros::on_system]
 async fn a_request_without_lines_is_reported() {
     let bench = Bench::start("explain-none").await;
-    let asked = bench.file("edge-1.log", ASKED);
-    let shown = support::run(None, &["explain", "r2", &asked]).await;
+    let requester = bench.file("edge-1.log", REQUESTER_LOG);
+    let shown = support::run(None, &["explain", "r2", &requester]).await;
     expect![[r#"
         exit 1
           x no line of these files refers to request r2
@@ -57,7 +58,7 @@
     .assert_eq(&shown);
 }
 
-const CRASHED: &str = r#"
+const CRASHES_LOG: &str = r#"
 {"timestamp":"2026-05-01T04:00:01.000000Z","level":"INFO","event":"arrive","id":"r1","content":"00ff","route":"draft"}
 {"timestamp":"2026-05-01T04:00:01.100000Z","level":"WARN","event":"endpoint_crashed","endpoint":"e1","count":2,"runs":"00aa 00ff"}
 {"timestamp":"2026-05-01T04:00:01.200000Z","level":"WARN","event":"endpoint_crashed","endpoint":"e2","count":1,"runs":"00aa"}
@@ -72,7 +73,7 @@
 #[peatdeck_macros::on_system]
 async fn crashes_of_the_same_content_are_included() {
     let bench = Bench::start("explain-crashed").await;
-    let logs = bench.file("edge-1.log", CRASHED);
+    let logs = bench.file("edge-1.log", CRASHES_LOG);
     let shown = support::run(None, &["explain", "r2", &logs]).await;
     expect![[r#"
         exit 0
@@ -84,7 +85,7 @@
     .assert_eq(&shown);
 }
 
-const EVACUATED: &str = r#"
+const EVACUATION_LOG: &str = r#"
 {"timestamp":"2026-05-01T04:00:01.000000Z","level":"WARN","event":"evacuated","data_centre":"east","offset":7}
 {"timestamp":"2026-05-01T04:00:02.000000Z","level":"WARN","event":"refuse","id":"r1","reason":"evacuated","status":503}
 {"timestamp":"2026-05-01T04:00:03.000000Z","level":"WARN","event":"restored","data_centre":"east","offset":9}
@@ -93,8 +94,8 @@
 #[peatdeck_macros::on_system]
 async fn a_refusal_for_an_evacuation_includes_the_evacuations_of_its_instance() {
     let bench = Bench::start("explain-evacuated").await;
-    let own = bench.file("edge-1.log", EVACUATED);
-    let other = bench.file("edge-2.log", EVACUATED.lines().nth(1).unwrap());
+    let own = bench.file("edge-1.log", EVACUATION_LOG);
+    let other = bench.file("edge-2.log", EVACUATION_LOG.lines().nth(1).unwrap());
     let shown = support::run(None, &["explain", "r1", &own, &other]).await;
     expect![[r#"
         exit 0
@@ -104,7 +105,7 @@
     .assert_eq(&shown);
 }
 
-const LIMITED: &str = r#"
+const LIMITS_LOG: &str = r#"
 {"timestamp":"2026-05-01T04:00:01.000000Z","level":"INFO","event":"endpoint_limit","endpoint":"e1","limit":0.5}
 {"timestamp":"2026-05-01T04:00:01.100000Z","level":"INFO","event":"endpoint_leaves","endpoint":"e2","source":"edge-2"}
 {"timestamp":"2026-05-01T04:00:02.000000Z","level":"INFO","event":"send","id":"r1","call":"CallKey(1v1)","endpoint":"e1"}
@@ -115,7 +116,7 @@
 #[peatdeck_macros::on_system]
 async fn terms_of_the_endpoints_used_are_included() {
     let bench = Bench::start("explain-limited").await;
-    let logs = bench.file("edge-1.log", LIMITED);
+    let logs = bench.file("edge-1.log", LIMITS_LOG);
     let shown = support::run(None, &["explain", "r1", &logs]).await;
     expect![[r#"
         exit 0
@@ -125,7 +126,7 @@
     .assert_eq(&shown);
 }
 
-const COPIED: &str = r#"
+const COPIES_LOG: &str = r#"
 {"timestamp":"2026-05-01T04:00:01.000000Z","level":"WARN","event":"table_copied","table":"config","from":1,"timeline":2,"end_before":9,"end":6}
 {"timestamp":"2026-05-01T04:00:02.000000Z","level":"INFO","event":"send","id":"r1","call":"CallKey(1v1)","endpoint":"e1","version":22}
 {"timestamp":"2026-05-01T04:00:03.000000Z","level":"WARN","event":"table_copied","table":"config","from":2,"timeline":3,"end_before":9,"end":6}
@@ -135,8 +136,8 @@
 #[peatdeck_macros::on_system]
 async fn older_copies_of_the_store_are_included() {
     let bench = Bench::start("explain-copied").await;
-    let own = bench.file("edge-1.log", COPIED);
-    let other = bench.file("edge-2.log", COPIED.lines().nth(1).unwrap());
+    let own = bench.file("edge-1.log", COPIES_LOG);
+    let other = bench.file("edge-2.log", COPIES_LOG.lines().nth(1).unwrap());
     let shown = support::run(None, &["explain", "r1", &own, &other]).await;
     expect![[r#"
         exit 0
--- a/crates/client/tests/client/lines.rs
+++ b/crates/client/tests/client/lines.rs
@@ -20,7 +20,7 @@
         }
     }
     if lines.has_partial_line() {
-        seen.push("(torn)".to_owned());
+        seen.push("(partial)".to_owned());
     }
     expected.assert_eq(&seen.join(" "));
 }
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_last_line_without_a_line_end_is_partial() {
-    check(&["a\nb"], expect!["a (torn)"]);
+    check(&["a\nb"], expect!["a (partial)"]);
 }
 
 #[test]
@@ -64,7 +64,7 @@
     check(
         &["a\n123456789\nb\n"],
         expect![
-            "a (a line is longer than 8 bytes; raise the limit or shorten the lines sent) (torn)"
+            "a (a line is longer than 8 bytes; raise the limit or shorten the lines sent) (partial)"
         ],
     );
 }
@@ -74,7 +74,7 @@
     check(
         &["12345", "6789"],
         expect![
-            "(a line is longer than 8 bytes; raise the limit or shorten the lines sent) (torn)"
+            "(a line is longer than 8 bytes; raise the limit or shorten the lines sent) (partial)"
         ],
     );
 }
--- a/crates/entry/tests/entry/support.rs
+++ b/crates/entry/tests/entry/support.rs
@@ -89,7 +89,7 @@
     pub async fn list_instances(&self, entries: &[&Entry]) {
         let endpoints = [("s1", "services", &self.service), ("g1", "engines", &self.engine)];
         let listing = Listing {
-            instances: entries.iter().map(|entry| entry.list_entry()).collect(),
+            instances: entries.iter().map(|entry| entry.instance_entry()).collect(),
             endpoints: endpoints
                 .map(|(name, pool, server)| endpoint_entry(name, pool, server))
                 .into(),
@@ -204,7 +204,7 @@
         status.unwrap()
     }
 
-    fn list_entry(&self) -> InstanceEntry {
+    fn instance_entry(&self) -> InstanceEntry {
         InstanceEntry {
             name: Arc::from(&*self.name),
             peer_addr: Arc::from(&*self.peer_addr),
--- a/crates/entry/tests/entry/trace.rs
+++ b/crates/entry/tests/entry/trace.rs
@@ -48,26 +48,25 @@
 
 #[ntex::test]
 async fn a_trace_of_a_killed_entry_replays_and_contains_no_text() {
-    let (bench, folder) = (Bench::start(&[]).await, TempDir::new("hash"));
-    let (report, text) = record_and_replay(&bench, &folder.file(), &[]).await;
+    let (bench, dir) = (Bench::start(&[]).await, TempDir::new("hash"));
+    let (report, text) = record_and_replay(&bench, &dir.file(), &[]).await;
     check_clean(&report);
     assert!(!text.contains(&bench.expected_output("r1")) && !text.contains("\"input\":\"input\""));
 }
 
 #[ntex::test]
 async fn a_trace_contains_texts_if_the_setting_asks_for_it() {
-    let (bench, folder) = (Bench::start(&[]).await, TempDir::new("keep"));
-    let (report, text) =
-        record_and_replay(&bench, &folder.file(), &["--trace-content", "keep"]).await;
+    let (bench, dir) = (Bench::start(&[]).await, TempDir::new("keep"));
+    let (report, text) = record_and_replay(&bench, &dir.file(), &["--trace-content", "keep"]).await;
     check_clean(&report);
     assert!(text.contains(&bench.expected_output("r1")) && text.contains("\"input\":\"input\""));
 }
 
 #[ntex::test]
 async fn an_entry_serves_without_a_trace_and_overwrites_nothing() {
-    let (bench, folder) = (Bench::start(&[]).await, TempDir::new("exists"));
-    fs::write(folder.file(), "of an incident").unwrap();
-    let entry = bench.entry_with("e1", &["--trace", &folder.file()]).await;
+    let (bench, dir) = (Bench::start(&[]).await, TempDir::new("exists"));
+    fs::write(dir.file(), "of an incident").unwrap();
+    let entry = bench.entry_with("e1", &["--trace", &dir.file()]).await;
     assert_eq!(bench.send(&entry, "r1", false).await.status(), 200);
-    assert_eq!(fs::read_to_string(folder.file()).unwrap(), "of an incident");
+    assert_eq!(fs::read_to_string(dir.file()).unwrap(), "of an incident");
 }
