--- a/crates/cli/src/commands/burn.rs
+++ b/crates/cli/src/commands/burn.rs
@@ -1,4 +1,4 @@
-//! `peatdeck burn`: the report on service-level burn.
+//! `peatdeck burn`: reports how fast error budgets are used up.
 
 use std::{
     fmt::Write,
@@ -11,14 +11,14 @@
     commands,
     error::Error,
     ops::burn::{self, Alert, Report, page},
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
     table::{self, Table},
 };
 
-/// Causes shown at the most in a table.
+/// Maximum number of causes in the table.
 const MAX_CAUSES: usize = 10;
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
@@ -26,7 +26,7 @@
     html: Option<String>,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let admin = commands::admin();
@@ -43,12 +43,12 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Any [`Error`] of the API; [`Error::Write`].
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
-    let client = commands::connect(shell, &args.admin).await?;
-    let now = shell.now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
+/// Any [`Error`] of the API; [`Error::Write`] if the web page cannot be written.
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
+    let client = commands::connect(env, &args.admin).await?;
+    let now = env.now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
     let config = client.config().await?;
-    let outcomes = client.outcomes(now.saturating_sub(burn::LONG)).await?;
+    let outcomes = client.outcomes(now.saturating_sub(burn::LONG_WINDOW)).await?;
     let report = burn::report(now, &config.document, outcomes);
     if let Some(path) = args.html {
         std::fs::write(&path, page::render(&report))
@@ -68,11 +68,7 @@
         let _ = write!(text, "\nLargest causes of misses\n\n{}", causes(report));
     }
     if report.invalid > 0 {
-        let _ = writeln!(
-            text,
-            "\n{} request(s) were wrong in themselves and count neither way.",
-            report.invalid
-        );
+        let _ = writeln!(text, "\n{} request(s) were invalid and are not counted.", report.invalid);
     }
     let _ = writeln!(
         text,
@@ -83,7 +79,7 @@
     for missing in &report.missing {
         let _ = writeln!(text, "No answer from {}: {}", missing.instance, missing.reason);
     }
-    let _ = writeln!(text, "{}", page::LOSS);
+    let _ = writeln!(text, "{}", page::COVERAGE_NOTE);
     text
 }
 
@@ -101,8 +97,8 @@
         "ALERT",
     ]);
     for row in &report.rows {
-        let pipeline = table::named(&row.pipeline).to_owned();
-        let team = row.team.as_deref().map_or("(all)", table::named).to_owned();
+        let pipeline = table::name_or_placeholder(&row.pipeline).to_owned();
+        let team = row.team.as_deref().map_or("(all)", table::name_or_placeholder).to_owned();
         let [requests, attained, objective, left, short, middle, long] = row.figures();
         let alert = alert(row.alert).to_owned();
         rows.row([pipeline, team, requests, attained, objective, left, short, middle, long, alert]);
@@ -114,8 +110,8 @@
     let mut rows = Table::new(["PIPELINE", "TEAM", "CAUSE", "STAGE", "REQUESTS", "SHARE"]);
     for cause in report.causes.iter().take(MAX_CAUSES) {
         rows.row([
-            table::named(&cause.pipeline).to_owned(),
-            table::named(&cause.team).to_owned(),
+            table::name_or_placeholder(&cause.pipeline).to_owned(),
+            table::name_or_placeholder(&cause.team).to_owned(),
             format!("{}: {}", page::kind_text(cause.kind), cause.outcome),
             cause.stage.as_deref().unwrap_or("").to_owned(),
             cause.count.to_string(),
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `peatdeck status`: what all instances say of themselves.
+//! `peatdeck status`: shows the status that all instances report.
 
 use std::{collections::BTreeMap, fmt::Write, sync::Arc};
 
@@ -8,11 +8,11 @@
 use crate::{
     commands,
     error::Error,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
     table::Table,
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
@@ -20,11 +20,12 @@
     endpoints: bool,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let admin = commands::admin();
-    let endpoints = long("endpoints").help("Show the endpoints as the instances see them").switch();
+    let endpoints =
+        long("endpoints").help("Show the state of endpoints as reported by the instances").switch();
     construct!(Args { format, admin, endpoints })
         .to_options()
         .descr("Show the status of all instances.")
@@ -35,8 +36,8 @@
 ///
 /// # Errors
 /// Any [`Error`] of the API.
-pub async fn exec(shell: &Shell, args: Args) -> Result<Output, Error> {
-    let client = commands::connect(shell, &args.admin).await?;
+pub async fn exec(env: &Environment, args: Args) -> Result<Output, Error> {
+    let client = commands::connect(env, &args.admin).await?;
     let status = client.status().await?;
     let text = match args.format {
         Format::Json => shell::json(&status)?,
@@ -63,9 +64,9 @@
     rows.render()
 }
 
-/// What the instances together say of one endpoint.
+/// The combined reports of all instances on one endpoint.
 #[derive(Debug, Default)]
-struct Seen {
+struct EndpointSummary {
     pool: Arc<str>,
     incarnation: u64,
     states: BTreeMap<Arc<str>, usize>,
@@ -73,29 +74,30 @@
 }
 
 fn endpoint_table(status: &StatusReply) -> String {
-    let mut seen: BTreeMap<Arc<str>, Seen> = BTreeMap::new();
+    let mut summaries: BTreeMap<Arc<str>, EndpointSummary> = BTreeMap::new();
     for endpoint in status.entries.iter().flat_map(|entry| &entry.endpoints) {
-        let known = seen.entry(Arc::clone(&endpoint.endpoint)).or_default();
-        known.pool = Arc::clone(&endpoint.pool);
-        known.incarnation = known.incarnation.max(endpoint.incarnation.0);
-        *known.states.entry(Arc::clone(&endpoint.state)).or_default() += 1;
-        known.in_flight += endpoint.in_flight;
+        let summary = summaries.entry(Arc::clone(&endpoint.endpoint)).or_default();
+        summary.pool = Arc::clone(&endpoint.pool);
+        summary.incarnation = summary.incarnation.max(endpoint.incarnation.0);
+        *summary.states.entry(Arc::clone(&endpoint.state)).or_default() += 1;
+        summary.in_flight += endpoint.in_flight;
     }
     let mut rows = Table::new(["ENDPOINT", "POOL", "INCARNATION", "STATE", "IN FLIGHT"]);
-    for (name, known) in seen {
-        let (pool, incarnation) = (known.pool.to_string(), known.incarnation.to_string());
+    for (name, summary) in summaries {
+        let (pool, incarnation) = (summary.pool.to_string(), summary.incarnation.to_string());
         rows.row([
             name.to_string(),
             pool,
             incarnation,
-            states(&known.states),
-            known.in_flight.to_string(),
+            states(&summary.states),
+            summary.in_flight.to_string(),
         ]);
     }
     rows.render()
 }
 
-/// One word if all instances agree, else each with its count.
+/// The state if all instances report the same one, else each state with the number
+/// of instances that report it.
 fn states(states: &BTreeMap<Arc<str>, usize>) -> String {
     match states.iter().next() {
         Some((state, _)) if states.len() == 1 => state.to_string(),
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -1,9 +1,10 @@
-//! The machine and everything it holds, on one thread.
+//! Drives the state machine on one thread and carries out its actions.
 //!
-//! [`Driver::feed`] is the only way in: it takes the time, runs the machine
-//! and carries out the actions in order. Carrying out an action never feeds
-//! an input by itself; it hands over to a channel or starts a task, and the
-//! task feeds later. So the machine is never entered twice.
+//! All inputs go through [`Driver::feed`] or [`Driver::feed_gossip`], which
+//! read the clock, run the machine and carry out the actions in order.
+//! Carrying out an action never feeds an input directly: it sends on a channel
+//! or starts a task, and the task feeds an input later. So the machine is
+//! never entered recursively.
 
 use std::{
     cell::{Cell, RefCell},
@@ -33,9 +34,9 @@
 use tokio::sync::Notify;
 
 use crate::{
-    burn::Burn,
-    callers::{CallerKey, Callers, Part},
-    calls::{Calls, Running},
+    burn::OutcomeHistory,
+    callers::{CallerKey, Callers, ReplyPart},
+    calls::{Calls, RunningCall},
     counts::Counts,
     peers::Peers,
     platform_tasks,
@@ -43,30 +44,30 @@
 };
 
 slotmap::new_key_type! {
-    /// A peer's question that waits for the machine's answer.
-    struct QuestionKey;
+    /// A peer's outcome query that waits for the machine's answer.
+    struct QueryKey;
 }
 
 /// Clients of the platform and the endpoints.
 #[derive(Debug, Clone)]
 pub struct Clients {
-    /// The log.
+    /// Client of the log service.
     pub log: log::Client,
-    /// The list.
+    /// Client of the instance list.
     pub list: list::Client,
-    /// All endpoints.
+    /// Client for calls to any endpoint.
     pub endpoints: endpoint::Client,
 }
 
-/// The machine and everything it holds.
+/// The state machine and the callers, calls and connections that it acts on.
 pub struct Driver {
     machine: RefCell<Instance>,
     trace: RefCell<Trace>,
     clock: Rc<dyn Clock>,
     callers: RefCell<Callers>,
     calls: RefCell<Calls>,
-    questions: RefCell<SlotMap<QuestionKey, oneshot::Sender<PeerOutcome>>>,
-    burn: RefCell<Burn>,
+    queries: RefCell<SlotMap<QueryKey, oneshot::Sender<PeerOutcome>>>,
+    outcomes: RefCell<OutcomeHistory>,
     peers: Peers,
     rearm: Notify,
     exit: Notify,
@@ -78,7 +79,7 @@
 }
 
 impl Driver {
-    /// A driver of that machine, which has taken no input yet.
+    /// Creates a driver of `machine`, which must not have had an input yet.
     pub fn new(
         machine: Instance,
         trace: Trace,
@@ -91,8 +92,8 @@
             clock,
             callers: RefCell::default(),
             calls: RefCell::default(),
-            questions: RefCell::default(),
-            burn: RefCell::default(),
+            queries: RefCell::default(),
+            outcomes: RefCell::default(),
             peers: Peers::default(),
             rearm: Notify::new(),
             exit: Notify::new(),
@@ -102,7 +103,7 @@
         })
     }
 
-    /// Feeds one input to the machine and carries out what it wants done.
+    /// Feeds one input to the machine and carries out the resulting actions.
     pub fn feed(self: &Rc<Self>, input: Input) {
         for action in self.handle(input) {
             self.perform(action);
@@ -110,8 +111,8 @@
         self.rearm.notify_one();
     }
 
-    /// Feeds a peer's gossip. The machine's reply to it, if it has one, is
-    /// returned instead of sent.
+    /// Feeds a peer's gossip. The machine's reply to that peer, if any, is
+    /// returned instead of being sent in a message of its own.
     pub fn feed_gossip(self: &Rc<Self>, message: Gossip) -> Option<Gossip> {
         let from = message.from.clone();
         let mut reply = None;
@@ -129,71 +130,77 @@
         reply
     }
 
-    /// Hands a request to the machine. Its parts come through the waiter.
-    pub fn submit(self: &Rc<Self>, request: Request) -> Waiter {
+    /// Submits a request to the machine. The reply arrives through the returned
+    /// receiver.
+    pub fn submit(self: &Rc<Self>, request: Request) -> ReplyReceiver {
         let (key, parts) =
             self.callers.borrow_mut().add(request.pipeline.clone(), request.id.team.clone());
-        let waiter = Waiter { parts, _guard: Guard { driver: self.clone(), key } };
+        let receiver =
+            ReplyReceiver { parts, _guard: DisconnectGuard { driver: self.clone(), key } };
         match self.is_closed.get() {
             true => self.answer(key.id(), admit::outcome_after_exit(&request)),
             false => self.feed(Input::Submit { caller: key.id(), request }),
         }
-        waiter
+        receiver
     }
 
-    /// Asks the machine a peer's question.
-    pub async fn ask(self: &Rc<Self>, key: RequestId) -> PeerOutcome {
+    /// Asks the machine for the outcome of a request, on behalf of a peer.
+    pub async fn query_outcome(self: &Rc<Self>, key: RequestId) -> PeerOutcome {
         let (tx, rx) = oneshot::channel();
-        let question = self.questions.borrow_mut().insert(tx);
+        let question = self.queries.borrow_mut().insert(tx);
         self.feed(Input::OutcomeAsked { question: question.data().as_ffi(), key });
         rx.await.unwrap_or(PeerOutcome::Unknown)
     }
 
-    /// The time as the machine sees it: whole microseconds, as a trace holds.
+    /// The time that the machine is given, in whole microseconds, the resolution
+    /// of a trace.
     pub fn now(&self) -> Duration {
         let micros = u64::try_from(self.clock.now().as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(micros)
     }
 
-    /// When the machine wants a tick.
+    /// When the machine needs its next tick; `None` if it needs none.
     pub fn next_wake(&self) -> Option<Duration> {
         self.machine.borrow().next_wake()
     }
 
-    /// Returns after the next input, when the wake may have changed.
+    /// Waits for the next input, after which [`Driver::next_wake`] may have
+    /// changed.
     pub async fn rearmed(&self) {
         self.rearm.notified().await;
     }
 
-    /// Returns when the machine has finished what it held after a stop.
+    /// Waits until the machine, after a stop, has finished its active requests.
     pub async fn exited(&self) {
         self.exit.notified().await;
     }
 
-    /// Takes no input from now on. Requests are told that nothing ran.
+    /// Ignores all later inputs. New requests get the outcome of
+    /// [`admit::outcome_after_exit`].
     pub fn close(&self) {
         self.is_closed.set(true);
     }
 
-    /// Where the next read of a stream starts.
-    pub fn read_from(&self, stream: Stream) -> Offset {
+    /// The offset at which the next read of a stream starts.
+    pub fn next_offset(&self, stream: Stream) -> Offset {
         match stream {
             Stream::Config => self.machine.borrow().next_config_offset(),
             Stream::Claims => self.machine.borrow().next_claims_offset(),
         }
     }
 
-    /// Reads the machine. It must not be fed meanwhile.
+    /// Calls `read` with the machine. `read` must not feed an input, which would
+    /// borrow the machine a second time and panic.
     pub fn with_machine<T>(&self, read: impl FnOnce(&Instance) -> T) -> T {
         read(&self.machine.borrow())
     }
 
-    /// Reads the outcomes by minute.
-    pub fn with_burn<T>(&self, read: impl FnOnce(&Burn) -> T) -> T {
-        read(&self.burn.borrow())
+    /// Calls `read` with the outcomes by minute.
+    pub fn with_outcomes<T>(&self, read: impl FnOnce(&OutcomeHistory) -> T) -> T {
+        read(&self.outcomes.borrow())
     }
 
-    /// The clock.
+    /// The clock that the machine's time is read from.
     pub fn clock(&self) -> &dyn Clock {
         &*self.clock
     }
@@ -230,37 +237,37 @@
                 self.start_append(append, Stream::Claims, batch);
             }
             Action::Gossip { to, addr, message } => self.start_gossip(to, addr, message),
-            Action::AskOutcome { to, addr, key } => self.start_question(to, addr, key),
-            Action::TellOutcome { question, answer } => self.tell(question, answer),
+            Action::AskOutcome { to, addr, key } => self.start_outcome_query(to, addr, key),
+            Action::TellOutcome { question, answer } => self.answer_query(question, answer),
             Action::Exit => self.exit.notify_one(),
         }
     }
 
     fn answer(&self, caller: CallerId, outcome: Outcome) {
-        let mut burn = self.burn.borrow_mut();
+        let mut outcomes = self.outcomes.borrow_mut();
         let ended = outcome.clone();
-        let Some(caller) = self.callers.borrow_mut().send_end(caller.into(), outcome) else {
-            self.counts.unclaimed.add();
+        let Some(caller) = self.callers.borrow_mut().send_outcome(caller.into(), outcome) else {
+            self.counts.unclaimed_outcomes.increment();
             return;
         };
-        burn.count(self.clock.wall(), &caller.pipeline, &caller.team, &ended);
+        outcomes.record(self.clock.wall(), &caller.pipeline, &caller.team, &ended);
     }
 
     fn start_call(self: &Rc<Self>, call: Call) {
         let (abort, registration) = AbortHandle::new_pair();
-        let running = Running { addr: call.addr.clone(), echo: call.echo.clone(), abort };
+        let running = RunningCall { addr: call.addr.clone(), echo: call.echo.clone(), abort };
         self.calls.borrow_mut().add(call.id, running);
         let driver = self.clone();
         let task = async move {
             let client = driver.clients.endpoints.clone();
-            client.call(&call, |event| driver.call_event(call.id, event)).await;
+            client.call(&call, |event| driver.on_call_event(call.id, event)).await;
         };
         ntex::rt::spawn(Abortable::new(task, registration));
     }
 
-    fn call_event(self: &Rc<Self>, call: CallId, event: CallEvent) {
-        if !self.calls.borrow_mut().takes(call, &event) {
-            self.counts.stale.add();
+    fn on_call_event(self: &Rc<Self>, call: CallId, event: CallEvent) {
+        if !self.calls.borrow_mut().accept(call, &event) {
+            self.counts.stale_events.increment();
             return;
         }
         self.feed(Input::Call { call, event });
@@ -271,9 +278,9 @@
         running.abort.abort();
         let driver = self.clone();
         ntex::rt::spawn(async move {
-            let Running { addr, echo, .. } = running;
+            let RunningCall { addr, echo, .. } = running;
             if driver.clients.endpoints.cancel(&addr, echo).await.is_err() {
-                driver.counts.cancels_failed.add();
+                driver.counts.cancels_failed.increment();
             }
         });
     }
@@ -298,61 +305,61 @@
                 Ok(Some(reply)) => driver.feed(Input::Gossip(reply)),
                 Ok(None) => {}
                 Err(_) => {
-                    driver.counts.peers_failed.add();
+                    driver.counts.peers_failed.increment();
                     driver.feed(Input::PeerFailed(to));
                 }
             }
         });
     }
 
-    fn start_question(self: &Rc<Self>, peer: InstanceName, addr: Arc<str>, key: RequestId) {
+    fn start_outcome_query(self: &Rc<Self>, peer: InstanceName, addr: Arc<str>, key: RequestId) {
         let driver = self.clone();
         ntex::rt::spawn(async move {
             let answer = driver.peers.outcome(&addr, &key).await.ok();
             if answer.is_none() {
-                driver.counts.peers_failed.add();
+                driver.counts.peers_failed.increment();
             }
             driver.feed(Input::OutcomeTold { key, peer, answer });
         });
     }
 
-    fn tell(&self, question: u64, answer: PeerOutcome) {
-        let key = QuestionKey::from(KeyData::from_ffi(question));
-        if let Some(tx) = self.questions.borrow_mut().remove(key) {
+    fn answer_query(&self, question: u64, answer: PeerOutcome) {
+        let key = QueryKey::from(KeyData::from_ffi(question));
+        if let Some(tx) = self.queries.borrow_mut().remove(key) {
             tx.send(answer).ok();
         }
     }
 
-    fn caller_gone(self: &Rc<Self>, key: CallerKey) {
+    fn on_caller_gone(self: &Rc<Self>, key: CallerKey) {
         let was_waiting = self.callers.borrow_mut().remove(key);
         if was_waiting {
-            self.counts.gone.add();
+            self.counts.callers_gone.increment();
             self.feed(Input::CallerGone(key.id()));
         }
     }
 }
 
-/// One caller's side: what it is sent. Dropping it before the outcome tells
-/// the machine that the caller has gone.
-pub struct Waiter {
-    parts: mpsc::UnboundedReceiver<Part>,
-    _guard: Guard,
+/// Receives the reply to one caller. Dropping it before the outcome arrives
+/// reports to the machine that the caller has disconnected.
+pub struct ReplyReceiver {
+    parts: mpsc::UnboundedReceiver<ReplyPart>,
+    _guard: DisconnectGuard,
 }
 
-impl Waiter {
-    /// The parts as they come; the last one is [`Part::End`].
-    pub fn parts(&mut self) -> &mut mpsc::UnboundedReceiver<Part> {
+impl ReplyReceiver {
+    /// The channel of reply parts; the last one is [`ReplyPart::End`].
+    pub fn parts(&mut self) -> &mut mpsc::UnboundedReceiver<ReplyPart> {
         &mut self.parts
     }
 }
 
-struct Guard {
+struct DisconnectGuard {
     driver: Rc<Driver>,
     key: CallerKey,
 }
 
-impl Drop for Guard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        self.driver.caller_gone(self.key);
+        self.driver.on_caller_gone(self.key);
     }
 }
--- a/crates/wire/examples/gossip_cost.rs
+++ b/crates/wire/examples/gossip_cost.rs
@@ -1,9 +1,9 @@
-//! Bytes and processor time of one gossip message, by what it carries.
+//! Size and CPU time of one gossip message, by its content.
 //!
-//! Prints one line a content: its size in bytes, and the processor time to
-//! write it into Cap'n Proto form and to read it back. The time is the
-//! process's own, from `/proc/self/stat`, over enough rounds that its
-//! resolution of 10 ms is under a hundredth of it.
+//! Prints one line per kind of content: the size in bytes, and the CPU time to
+//! encode it as Cap'n Proto and to decode it. The CPU time of the process is
+//! read from `/proc/self/stat`, over enough rounds that its resolution of 10 ms
+//! is at most 1 % of the total.
 //!
 //! `cargo run --release -p peatdeck-wire --example gossip_cost`
 
@@ -13,11 +13,11 @@
     membership::{ConfigMark, EndpointState, Gossip, LeavingMark, MemberState},
     model::{Incarnation, Load},
 };
-use peatdeck_util::cost::{self, Effort};
+use peatdeck_util::cost::{self, Sampling};
 use peatdeck_wire::{peer, peer_capnp};
 
-/// How each figure is measured.
-const EFFORT: Effort = Effort { spend: Duration::from_secs(1), rounds: 500 };
+/// For how long each figure is measured.
+const SAMPLING: Sampling = Sampling { cpu_time: Duration::from_secs(1), max_batch: 500 };
 
 fn main() {
     println!("{:<24} {:>8} {:>10} {:>10}", "content", "bytes", "write_us", "read_us");
@@ -35,8 +35,8 @@
 
 fn report(name: &str, gossip: &Gossip) {
     let bytes = write(gossip);
-    let write_us = cost::of(EFFORT, || write(gossip).len());
-    let read_us = cost::of(EFFORT, || read(&bytes).members.len());
+    let write_us = cost::cpu_micros(SAMPLING, || write(gossip).len());
+    let read_us = cost::cpu_micros(SAMPLING, || read(&bytes).members.len());
     println!("{name:<24} {:>8} {write_us:>10.2} {read_us:>10.2}", bytes.len());
 }
 
@@ -72,7 +72,7 @@
     EndpointState { endpoint: name("engine", idx), in_flight: 4, load: Some(load) }
 }
 
-/// A name of the usual length, 13 to 14 bytes.
+/// A name of typical length, 14 to 16 bytes.
 fn name(kind: &str, idx: usize) -> Arc<str> {
     Arc::from(format!("{kind}-dc07-{idx:03}"))
 }
@@ -80,14 +80,13 @@
 fn write(gossip: &Gossip) -> Vec<u8> {
     let mut message = capnp::message::Builder::new_default();
     peer::write_gossip(gossip, message.init_root::<peer_capnp::gossip::Builder<'_>>())
-        .expect("the message can be written");
+        .expect("the message can be encoded");
     capnp::serialize::write_message_to_words(&message)
 }
 
 fn read(bytes: &[u8]) -> Gossip {
     let options = capnp::message::ReaderOptions::new();
-    let message =
-        capnp::serialize::read_message(bytes, options).expect("the message was written above");
+    let message = capnp::serialize::read_message(bytes, options).expect("the message is valid");
     let root = message.get_root().expect("the message has a root");
-    peer::read_gossip(root).expect("the message was written above")
+    peer::read_gossip(root).expect("the message is valid")
 }
--- a/crates/wire/examples/peer_cost/network.rs
+++ b/crates/wire/examples/peer_cost/network.rs
@@ -1,4 +1,4 @@
-//! A network in virtual time: messages in order of arrival, pauses, one death.
+//! A simulated network in virtual time, with pauses of members and one crash.
 
 use std::{
     cmp::Reverse,
@@ -13,14 +13,14 @@
 const SEED: u64 = 7;
 const MIN_LATENCY: Duration = Duration::from_micros(500);
 const MAX_LATENCY: Duration = Duration::from_millis(2);
-/// One member in this many is paused for a short while, and one for a long one.
+/// One in this many members gets a short pause, and one in this many a long pause.
 const PAUSED_ONE_IN: usize = 8;
-/// A pause that is not to be taken for a death.
+/// A pause that must not be detected as a crash.
 const SHORT_PAUSE: Duration = Duration::from_secs(3);
-/// A pause that cannot be told from a death while it lasts.
+/// A pause that cannot be distinguished from a crash while it lasts.
 const LONG_PAUSE: Duration = Duration::from_secs(8);
 
-/// Something that happens to a member.
+/// An event at a member.
 pub enum Event<M> {
     /// Its timer fires.
     Tick,
@@ -28,9 +28,9 @@
     Message(M),
 }
 
-/// Members, what is on its way to them, and what is wrong with them.
+/// Pending events of the members, and the faults that are injected.
 pub struct Network<M> {
-    /// The time.
+    /// The virtual time.
     pub now: Duration,
     /// Random numbers with a fixed seed.
     pub rng: SmallRng,
@@ -38,14 +38,14 @@
     events: HashMap<u64, (usize, Event<M>)>,
     next_event: u64,
     pauses: Vec<Vec<(Duration, Duration)>>,
-    /// The member that dies.
-    pub victim: usize,
-    /// When it dies.
-    pub dies_at: Duration,
+    /// The member that crashes.
+    pub crashing_member: usize,
+    /// The time at which it crashes.
+    pub crashes_at: Duration,
 }
 
 impl<M> Network<M> {
-    /// A network whose members' timers have started, in random phase.
+    /// Creates a network and starts the members' timers with random phases.
     pub fn new(members: usize) -> Network<M> {
         let mut rng = SmallRng::seed_from_u64(SEED);
         let pauses = pauses(&mut rng, members);
@@ -56,8 +56,8 @@
             events: HashMap::new(),
             next_event: 0,
             pauses,
-            victim: members - 1,
-            dies_at: WARM_UP + MEASURED + MEASURED,
+            crashing_member: members - 1,
+            crashes_at: WARM_UP + MEASURED + MEASURED,
         };
         for member in 0..members {
             let phase = network.rng.random_range(Duration::ZERO..TICK);
@@ -66,12 +66,12 @@
         network
     }
 
-    /// When everything ends.
+    /// The end of the simulation.
     pub fn end(&self) -> Duration {
-        self.dies_at + MEASURED
+        self.crashes_at + MEASURED
     }
 
-    /// Sends a message.
+    /// Sends a message, which arrives after a random latency.
     pub fn send(&mut self, to: usize, message: M) {
         let at = self.now + self.rng.random_range(MIN_LATENCY..MAX_LATENCY);
         self.push(at, to, Event::Message(message));
@@ -82,7 +82,8 @@
         self.push(at, member, Event::Tick);
     }
 
-    /// The next event of a member that lives, put off while it is paused.
+    /// The next event, delayed while its member is paused; events of the crashed
+    /// member are dropped. `None` at the end of the simulation.
     pub fn next(&mut self) -> Option<(usize, Event<M>)> {
         loop {
             let Reverse((at, id)) = self.queue.pop()?;
@@ -91,7 +92,7 @@
             }
             let (member, event) = self.events.remove(&id).expect("it was queued");
             self.now = at;
-            if member == self.victim && at >= self.dies_at {
+            if member == self.crashing_member && at >= self.crashes_at {
                 continue;
             }
             match self.paused_until(member, at) {
@@ -101,19 +102,19 @@
         }
     }
 
-    /// Whether a member lives and was not paused for long lately, so that taking
-    /// it for dead is wrong.
-    pub fn is_well(&self, member: usize, lately: Duration) -> bool {
-        let is_dead = member == self.victim && self.now >= self.dies_at;
+    /// Whether considering the member dead would be wrong: it has not crashed and
+    /// is not in a long pause, nor was it within the time `recent`.
+    pub fn is_healthy(&self, member: usize, recent: Duration) -> bool {
+        let has_crashed = member == self.crashing_member && self.now >= self.crashes_at;
         let pauses = self.pauses[member].iter();
         let mut long = pauses.filter(|(from, until)| *until - *from > SHORT_PAUSE);
-        !is_dead && !long.any(|&(from, until)| from <= self.now && self.now < until + lately)
+        !has_crashed && !long.any(|&(from, until)| from <= self.now && self.now < until + recent)
     }
 
-    /// Whether a member runs now.
+    /// Whether the member has not crashed and is not paused.
     pub fn is_running(&self, member: usize) -> bool {
-        let is_dead = member == self.victim && self.now >= self.dies_at;
-        !is_dead && self.paused_until(member, self.now).is_none()
+        let has_crashed = member == self.crashing_member && self.now >= self.crashes_at;
+        !has_crashed && self.paused_until(member, self.now).is_none()
     }
 
     fn paused_until(&self, member: usize, at: Duration) -> Option<Duration> {
@@ -129,7 +130,7 @@
     }
 }
 
-/// Pauses in the minute behind the one in which the cost is measured.
+/// Chooses the pauses, in the period after the one in which the cost is measured.
 fn pauses(rng: &mut SmallRng, members: usize) -> Vec<Vec<(Duration, Duration)>> {
     let start = WARM_UP + MEASURED;
     let mut pauses = vec![Vec::new(); members];
