--- a/crates/relay/tests/relay/catch_up.rs
+++ b/crates/relay/tests/relay/catch_up.rs
@@ -20,49 +20,50 @@
 
 use crate::{
     link::SlowLink,
-    standins::{Desk, MemoryStore, Relay, ask, wait_for},
+    standins::{MemoryStore, Relay, ScriptedEndpoint, exchange, wait_for},
 };
 
 /// Bytes of a large configuration.
-const LARGE: usize = 600_000;
+const LARGE_BYTES: usize = 600_000;
 /// Bytes a second of the narrow link: it needs 1.2 s for that configuration,
 /// less than the time limit of an exchange, but only where it carries nothing
 /// else.
-const RATE: u32 = 500_000;
+const LINK_BYTES_PER_SECOND: u32 = 500_000;
 
 /// A configuration of that version, padded.
 fn large(version: u64) -> Vec<u8> {
-    let mut value = vec![b' '; LARGE];
+    let mut value = vec![b' '; LARGE_BYTES];
     value.extend(version.to_string().bytes());
     value
 }
 
 #[test]
-fn a_large_configuration_gets_through_a_narrow_link() {
+fn a_large_configuration_is_received_over_a_slow_link() {
     let shared = MemoryStore::default();
     shared.put(TableName::Config, "config", b"1".to_vec());
-    shared.enlist("desk", "desk", Desk::answering("x").addr);
-    let link = SlowLink::new(RATE);
-    let strong = ["a", "b"].map(|name| Relay::with(name, &shared).behind(&link).start());
-    for relay in &strong {
+    shared.add_endpoint("desk", "desk", ScriptedEndpoint::answering("x").addr);
+    let link = SlowLink::new(LINK_BYTES_PER_SECOND);
+    let readers = ["a", "b"].map(|name| Relay::builder(name, &shared).behind_link(&link).start());
+    for relay in &readers {
         wait_for("it knows its peer", || relay.counter("peatdeck.relay.peers") == 1);
     }
-    let dark = MemoryStore::default();
-    dark.set_dark(true);
-    let seeds = strong.each_ref().map(|relay| relay.peers);
-    let turned_away = |name| Relay::with(name, &dark).strength(1).seeds(&seeds).start();
-    let weak = ["c", "d", "e"].map(turned_away);
-    for relay in &weak {
+    let unavailable = MemoryStore::default();
+    unavailable.set_unavailable(true);
+    let seeds = readers.each_ref().map(|relay| relay.peers);
+    let start_without_store =
+        |name| Relay::builder(name, &unavailable).millicores(1).seeds(&seeds).start();
+    let others = ["c", "d", "e"].map(start_without_store);
+    for relay in &others {
         relay.wait_ready();
         wait_for("it knows its peers", || relay.counter("peatdeck.relay.peers") >= 2);
     }
 
     let before = link.carried();
     shared.put(TableName::Config, "config", large(2));
-    for relay in &weak {
-        wait_for("version 2 is in force", || ask(relay.front, "/since-2/x", "").status == 200);
+    for relay in &others {
+        wait_for("version 2 is in force", || exchange(relay.front, "/since-2/x", "").status == 200);
     }
     // Once for each of the three, and once each if the others tell one another.
     let carried = link.carried() - before;
-    assert!(carried < 6 * LARGE, "{carried} bytes");
+    assert!(carried < 6 * LARGE_BYTES, "{carried} bytes");
 }
--- a/crates/relay/tests/relay/crashes.rs
+++ b/crates/relay/tests/relay/crashes.rs
@@ -18,17 +18,17 @@
 use peatdeck_relay::{server::Control, surroundings::TableName};
 use peatdeck_wire::operators::QuarantinedContent;
 
-use crate::standins::{Desk, MemoryStore, Relay, ask, get, send, wait_for};
+use crate::standins::{MemoryStore, Relay, ScriptedEndpoint, exchange, get, send, wait_for};
 
 /// Endpoints that one request may end before nobody sends it any more, and as many
 /// that it may reach while word of that is on its way.
-const MOST_ENDED: usize = 3 + 3;
+const MAX_CRASHED: usize = 3 + 3;
 
-fn site(desks: &[Desk]) -> (MemoryStore, [Relay; 2]) {
+fn site(endpoints: &[ScriptedEndpoint]) -> (MemoryStore, [Relay; 2]) {
     let store = MemoryStore::default();
     store.put(TableName::Config, "config", b"1".to_vec());
-    for (idx, desk) in desks.iter().enumerate() {
-        store.enlist(&format!("desk-{idx}"), "desk", desk.addr);
+    for (idx, endpoint) in endpoints.iter().enumerate() {
+        store.add_endpoint(&format!("desk-{idx}"), "desk", endpoint.addr);
     }
     let one = Relay::start("one", &store, &[]);
     let two = Relay::start("two", &store, &[one.peers]);
@@ -39,95 +39,98 @@
     (store, [one, two])
 }
 
-fn ended(desks: &[Desk], word: &str) -> usize {
-    desks.iter().filter(|desk| desk.seen().iter().any(|head| head.contains(word))).count()
+fn crashed(endpoints: &[ScriptedEndpoint], word: &str) -> usize {
+    endpoints
+        .iter()
+        .filter(|endpoint| endpoint.received().iter().any(|head| head.contains(word)))
+        .count()
 }
 
 /// Sends it until it is held back by that instance.
-fn hold_back(relay: &Relay) {
+fn quarantine(relay: &Relay) {
     wait_for("it is held back", || {
-        ask(relay.front, "/idempotent/poison", "").body == "quarantined\n"
+        exchange(relay.front, "/idempotent/poison", "").body == "quarantined\n"
     });
 }
 
-fn serves(front: SocketAddr) -> bool {
-    ask(front, "/idempotent/sound", "").status == 200
+fn is_served(front: SocketAddr) -> bool {
+    exchange(front, "/idempotent/sound", "").status == 200
 }
 
 #[test]
-fn a_request_that_crashes_what_runs_it_is_held_back() {
-    let desks: Vec<_> = (0..14).map(|_| Desk::crashing_at("/poison")).collect();
-    let (_store, relays) = site(&desks);
+fn a_request_that_crashes_endpoints_is_quarantined() {
+    let endpoints: Vec<_> = (0..14).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
+    let (_store, relays) = site(&endpoints);
     for turn in 0..14 {
         let front = relays[turn % 2].front;
-        let status = ask(front, "/idempotent/poison", "").status;
+        let status = exchange(front, "/idempotent/poison", "").status;
         assert!(matches!(status, 502 | 503), "{status}");
     }
-    let ended = ended(&desks, "/poison");
-    assert!((3..=MOST_ENDED).contains(&ended), "{ended} endpoints ended under one request");
-    assert!(relays.iter().all(|relay| serves(relay.front)));
+    let crashed = crashed(&endpoints, "/poison");
+    assert!((3..=MAX_CRASHED).contains(&crashed), "{crashed} endpoints ended under one request");
+    assert!(relays.iter().all(|relay| is_served(relay.front)));
 }
 
 /// The platform's table keeps it: nobody is left who could tell.
 #[test]
-fn instances_that_start_after_all_have_ended_hold_it_back() {
-    let desks: Vec<_> = (0..8).map(|_| Desk::crashing_at("/poison")).collect();
-    let (store, relays) = site(&desks);
-    hold_back(&relays[0]);
+fn an_instance_started_after_all_others_stopped_applies_the_quarantine() {
+    let endpoints: Vec<_> = (0..8).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
+    let (store, relays) = site(&endpoints);
+    quarantine(&relays[0]);
     wait_for("it is recorded", || store.len(TableName::Quarantine) > 0);
     for relay in relays {
-        relay.tell(Control::Stop);
+        relay.send_control(Control::Stop);
         relay.join();
     }
-    let before = ended(&desks, "/poison");
+    let before = crashed(&endpoints, "/poison");
     let fresh = Relay::start("fresh", &store, &[]);
     fresh.wait_ready();
-    let reply = ask(fresh.front, "/idempotent/poison", "");
+    let reply = exchange(fresh.front, "/idempotent/poison", "");
     assert_eq!((reply.status, &*reply.body), (503, "quarantined\n"));
-    assert_eq!(ended(&desks, "/poison"), before);
+    assert_eq!(crashed(&endpoints, "/poison"), before);
 }
 
 /// Instances tell each other, whether the platform's store answers or not; once it
 /// does again, it gets its record.
 #[test]
-fn it_is_held_back_by_all_while_the_store_is_away() {
-    let desks: Vec<_> = (0..8).map(|_| Desk::crashing_at("/poison")).collect();
-    let (store, relays) = site(&desks);
-    store.set_dark(true);
-    hold_back(&relays[0]);
+fn all_instances_quarantine_it_while_the_store_is_unavailable() {
+    let endpoints: Vec<_> = (0..8).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
+    let (store, relays) = site(&endpoints);
+    store.set_unavailable(true);
+    quarantine(&relays[0]);
     wait_for("the other one knows", || relays[1].counter("peatdeck.relay.quarantined") == 1);
-    assert_eq!(ask(relays[1].front, "/idempotent/poison", "").body, "quarantined\n");
+    assert_eq!(exchange(relays[1].front, "/idempotent/poison", "").body, "quarantined\n");
     assert_eq!(store.len(TableName::Quarantine), 0);
-    store.set_dark(false);
+    store.set_unavailable(false);
     wait_for("it is recorded", || store.len(TableName::Quarantine) > 0);
 }
 
 /// Who sends something else is served, by the endpoints that are left.
 #[test]
 fn other_requests_are_served() {
-    let desks: Vec<_> = (0..8).map(|_| Desk::crashing_at("/poison")).collect();
-    let (_store, relays) = site(&desks);
-    hold_back(&relays[0]);
+    let endpoints: Vec<_> = (0..8).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
+    let (_store, relays) = site(&endpoints);
+    quarantine(&relays[0]);
     for turn in 0..20 {
-        assert!(serves(relays[turn % 2].front));
+        assert!(is_served(relays[turn % 2].front));
     }
 }
 
 /// Resets of connections are none of a request's doing.
 #[test]
-fn connections_that_endpoints_close_hold_nothing_back() {
-    let desks: Vec<_> = (0..2)
+fn connections_closed_by_endpoints_quarantine_nothing() {
+    let endpoints: Vec<_> = (0..2)
         .map(|_| {
-            Desk::start(|_, conn| {
+            ScriptedEndpoint::start(|_, conn| {
                 if conn.read_request().is_some_and(|request| request.head.contains("/cut")) {
                     conn.close();
                 }
             })
         })
         .collect();
-    let (_store, relays) = site(&desks);
+    let (_store, relays) = site(&endpoints);
     for _ in 0..6 {
-        assert_eq!(ask(relays[0].front, "/once/cut", "").status, 502);
+        assert_eq!(exchange(relays[0].front, "/once/cut", "").status, 502);
     }
     wait_for("both endpoints were found there", || {
         relays[0].counter("peatdeck.relay.endpoints_probed") >= 2
@@ -138,10 +141,10 @@
 
 /// An operator sees what is held back, and releases it for all instances.
 #[test]
-fn an_operator_releases_it() {
-    let desks: Vec<_> = (0..14).map(|_| Desk::crashing_at("/poison")).collect();
-    let (store, relays) = site(&desks);
-    hold_back(&relays[0]);
+fn an_operator_releases_it_at_all_instances() {
+    let endpoints: Vec<_> = (0..14).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
+    let (store, relays) = site(&endpoints);
+    quarantine(&relays[0]);
     wait_for("it is recorded", || store.len(TableName::Quarantine) > 0);
     wait_for("all know", || relays[1].counter("peatdeck.relay.quarantined") == 1);
     let listed = get(relays[1].metrics, "/quarantine").body;
--- a/crates/relay/tests/relay/link.rs
+++ b/crates/relay/tests/relay/link.rs
@@ -9,7 +9,7 @@
 };
 
 /// Bytes that go through at once. Connections take turns with them.
-const PACKET: usize = 4 << 10;
+const PACKET_BYTES: usize = 4 << 10;
 
 /// A link that carries so many bytes a second, all connections together, from
 /// those who listen to those who opened the connections; the other way it does
@@ -33,7 +33,7 @@
     }
 
     /// An address that leads to `target` over the link.
-    pub fn to(&self, target: SocketAddr) -> SocketAddr {
+    pub fn listen_for(&self, target: SocketAddr) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let link = self.clone();
@@ -69,7 +69,7 @@
 }
 
 fn copy(mut from: TcpStream, mut to: TcpStream, carry: impl Fn(usize)) {
-    let mut packet = [0; PACKET];
+    let mut packet = [0; PACKET_BYTES];
     while let Ok(len) = from.read(&mut packet) {
         if len == 0 {
             break;
--- a/crates/relay/tests/relay/older_copy.rs
+++ b/crates/relay/tests/relay/older_copy.rs
@@ -6,15 +6,15 @@
 
 use peatdeck_relay::surroundings::TableName;
 
-use crate::standins::{Desk, MemoryStore, Relay, Site, ask, wait_for};
+use crate::standins::{MemoryStore, Relay, ScriptedEndpoint, Site, exchange, wait_for};
 
 /// A site whose store has as many versions.
 fn site(versions: u64) -> Site {
-    let site = Site::start(&[Desk::answering("x"), Desk::answering("y")]);
+    let site = Site::start(&[ScriptedEndpoint::answering("x"), ScriptedEndpoint::answering("y")]);
     for version in 2..=versions {
         publish(&site.store, version);
     }
-    wait_for("the versions are in force", || has(&site.relay, versions));
+    wait_for("the versions are in force", || is_in_force(&site.relay, versions));
     site
 }
 
@@ -22,8 +22,8 @@
     store.put(TableName::Config, "config", version.to_string().into_bytes());
 }
 
-fn has(relay: &Relay, version: u64) -> bool {
-    ask(relay.front, &format!("/since-{version}/x"), "").status == 200
+fn is_in_force(relay: &Relay, version: u64) -> bool {
+    exchange(relay.front, &format!("/since-{version}/x"), "").status == 200
 }
 
 #[test]
@@ -31,7 +31,7 @@
     let site = site(4);
     site.store.restore(TableName::Config, 3);
     publish(&site.store, 5);
-    wait_for("version 5 is in force", || has(&site.relay, 5));
+    wait_for("version 5 is in force", || is_in_force(&site.relay, 5));
 }
 
 #[test]
@@ -41,7 +41,7 @@
     for version in [5, 6] {
         publish(&site.store, version);
     }
-    wait_for("version 6 is in force", || has(&site.relay, 6));
+    wait_for("version 6 is in force", || is_in_force(&site.relay, 6));
 }
 
 #[test]
@@ -51,36 +51,36 @@
     publish(&site.store, 6);
     site.store.restore(TableName::Config, 3);
     publish(&site.store, 7);
-    wait_for("version 7 is in force", || has(&site.relay, 7));
+    wait_for("version 7 is in force", || is_in_force(&site.relay, 7));
 }
 
 #[test]
-fn an_older_copy_takes_no_version_back() {
+fn an_older_copy_reverts_no_version() {
     let site = site(3);
     site.store.restore(TableName::Config, 2);
     wait_for("the copy was read", || site.relay.counter("peatdeck.relay.store_copies") > 0);
-    assert!(has(&site.relay, 3) && !has(&site.relay, 1));
+    assert!(is_in_force(&site.relay, 3) && !is_in_force(&site.relay, 1));
 }
 
 #[test]
-fn an_endpoint_that_leaves_at_a_lower_offset_gets_nothing_more() {
-    let (one, two) = (Desk::answering("x"), Desk::answering("y"));
+fn an_endpoint_removed_at_a_lower_offset_receives_nothing_more() {
+    let (one, two) = (ScriptedEndpoint::answering("x"), ScriptedEndpoint::answering("y"));
     let site = Site::start(std::slice::from_ref(&two));
     // It moves once, and is written over and over, so that the log is long.
-    (0..5).for_each(|_| site.store.enlist("desk-0", "desk", one.addr));
+    (0..5).for_each(|_| site.store.add_endpoint("desk-0", "desk", one.addr));
     wait_for("the log was read", || {
-        site.ask("/idempotent/x");
-        !one.seen().is_empty()
+        site.exchange("/idempotent/x");
+        !one.received().is_empty()
     });
     site.store.restore(TableName::Endpoints, 5);
-    site.store.enlist("desk-1", "desk", two.addr);
+    site.store.add_endpoint("desk-1", "desk", two.addr);
     site.store.write(TableName::Endpoints, "desk-0", None);
-    let gets_nothing = || {
-        let before = one.seen().len();
-        (0..8).for_each(|_| drop(site.ask("/idempotent/x")));
-        one.seen().len() == before
+    let receives_nothing = || {
+        let before = one.received().len();
+        (0..8).for_each(|_| drop(site.exchange("/idempotent/x")));
+        one.received().len() == before
     };
-    wait_for("it gets nothing more", gets_nothing);
+    wait_for("it gets nothing more", receives_nothing);
 }
 
 #[test]
@@ -92,31 +92,31 @@
 }
 
 /// The record of a content that is held back.
-const HELD: &str = r#"{"crashes":3,"by":"own","at_ms":0}"#;
+const RECORD: &str = r#"{"crashes":3,"by":"own","at_ms":0}"#;
 const CONTENT: &str = "000000000000000000000000000000ff";
 
 #[test]
 fn a_content_whose_record_was_lost_is_recorded_again() {
     let site = site(1);
-    let held = || site.relay.counter("peatdeck.relay.quarantined");
-    site.store.put(TableName::Quarantine, CONTENT, HELD.into());
-    wait_for("it is held back", || held() == 1);
+    let quarantined = || site.relay.counter("peatdeck.relay.quarantined");
+    site.store.put(TableName::Quarantine, CONTENT, RECORD.into());
+    wait_for("it is held back", || quarantined() == 1);
     site.store.restore(TableName::Quarantine, 1);
     wait_for("it is recorded again", || site.store.len(TableName::Quarantine) == 1);
-    assert_eq!(held(), 1);
+    assert_eq!(quarantined(), 1);
 }
 
 #[test]
 fn a_content_whose_release_was_lost_is_released_again() {
     let site = site(1);
-    let held = || site.relay.counter("peatdeck.relay.quarantined");
-    site.store.put(TableName::Quarantine, CONTENT, HELD.into());
-    wait_for("it is held back", || held() == 1);
+    let quarantined = || site.relay.counter("peatdeck.relay.quarantined");
+    site.store.put(TableName::Quarantine, CONTENT, RECORD.into());
+    wait_for("it is held back", || quarantined() == 1);
     site.store.write(TableName::Quarantine, CONTENT, None);
-    wait_for("it is released", || held() == 0);
+    wait_for("it is released", || quarantined() == 0);
     site.store.restore(TableName::Quarantine, 1);
     wait_for("its release is recorded again", || site.store.len(TableName::Quarantine) == 2);
-    assert_eq!(held(), 0);
+    assert_eq!(quarantined(), 0);
 }
 
 /// Its peers know a version that nobody has written again yet.
@@ -126,33 +126,33 @@
     // Too large for one answer of a peer.
     let large = format!("{}3", " ".repeat(200_000));
     site.store.put(TableName::Config, "config", large.into_bytes());
-    wait_for("version 3 is in force", || has(&site.relay, 3));
+    wait_for("version 3 is in force", || is_in_force(&site.relay, 3));
     site.store.restore(TableName::Config, 2);
     // What else is written makes the log as long as it was.
     site.store.put(TableName::Config, "evacuate/west", b"{}".to_vec());
     site.store.write(TableName::Config, "evacuate/west", None);
     let second = Relay::start("second", &site.store, &[]);
     second.wait_ready();
-    wait_for("version 3 is in force", || has(&second, 3));
-    assert!(has(&site.relay, 3));
+    wait_for("version 3 is in force", || is_in_force(&second, 3));
+    assert!(is_in_force(&site.relay, 3));
 }
 
 /// Nobody but a peer can tell an instance that the store turns away.
 #[test]
-fn an_instance_that_the_store_turns_away_hears_of_a_version_at_a_lower_offset() {
+fn an_instance_that_the_store_refuses_receives_a_version_at_a_lower_offset() {
     let site = site(4);
-    let dark = MemoryStore::default();
-    dark.set_dark(true);
-    let second = Relay::start("second", &dark, &[site.relay.peers]);
-    wait_for("version 4 is in force", || has(&second, 4));
+    let unavailable = MemoryStore::default();
+    unavailable.set_unavailable(true);
+    let second = Relay::start("second", &unavailable, &[site.relay.peers]);
+    wait_for("version 4 is in force", || is_in_force(&second, 4));
     site.store.restore(TableName::Config, 3);
     publish(&site.store, 5);
-    wait_for("version 5 is in force", || has(&second, 5));
+    wait_for("version 5 is in force", || is_in_force(&second, 5));
 }
 
 /// Nobody took the order back.
 #[test]
-fn an_evacuation_whose_order_was_lost_stays_in_force() {
+fn an_evacuation_whose_record_was_lost_stays_in_force() {
     let site = site(1);
     let evacuated = || site.relay.counter("peatdeck.relay.evacuated");
     site.store.put(TableName::Config, "evacuate/east", b"{}".to_vec());
@@ -166,52 +166,52 @@
 }
 
 #[test]
-fn an_endpoint_that_nobody_writes_again_is_gone_after_a_while() {
-    let (one, two) = (Desk::answering("x"), Desk::answering("y"));
+fn an_endpoint_that_is_not_written_again_is_removed_after_a_while() {
+    let (one, two) = (ScriptedEndpoint::answering("x"), ScriptedEndpoint::answering("y"));
     let site = Site::start(std::slice::from_ref(&two));
     site.store.write(TableName::Endpoints, "desk-0", None);
-    site.store.enlist("desk-1", "desk", one.addr);
+    site.store.add_endpoint("desk-1", "desk", one.addr);
     wait_for("it is used", || {
-        site.ask("/idempotent/x");
-        !one.seen().is_empty()
+        site.exchange("/idempotent/x");
+        !one.received().is_empty()
     });
     site.store.restore(TableName::Endpoints, 2);
     wait_for("the copy was read", || site.relay.counter("peatdeck.relay.store_copies") > 0);
     // Its record may only be late, and the other one had left.
-    let (before, left) = (one.seen().len(), two.seen().len());
-    assert_eq!(site.ask("/idempotent/x").status, 200);
-    assert_eq!((one.seen().len(), two.seen().len()), (before + 1, left));
+    let (before, left) = (one.received().len(), two.received().len());
+    assert_eq!(site.exchange("/idempotent/x").status, 200);
+    assert_eq!((one.received().len(), two.received().len()), (before + 1, left));
     wait_for("what the store says holds", || {
-        site.ask("/idempotent/x");
-        two.seen().len() > left
+        site.exchange("/idempotent/x");
+        two.received().len() > left
     });
 }
 
 /// Nobody reads the store in between.
 #[test]
-fn an_evacuation_that_was_written_again_and_taken_back_is_over() {
+fn an_evacuation_that_was_written_again_and_removed_is_over() {
     let site = site(1);
     let evacuated = || site.relay.counter("peatdeck.relay.evacuated");
     site.store.put(TableName::Config, "evacuate/east", b"{}".to_vec());
     wait_for("it is in force", || evacuated() == 1);
-    site.store.set_dark(true);
+    site.store.set_unavailable(true);
     site.store.restore(TableName::Config, 1);
     site.store.put(TableName::Config, "evacuate/east", b"{}".to_vec());
     site.store.write(TableName::Config, "evacuate/east", None);
-    site.store.set_dark(false);
+    site.store.set_unavailable(false);
     wait_for("it is over", || evacuated() == 0);
     assert_eq!(site.relay.counter("peatdeck.relay.records_given_up"), 0);
 }
 
 /// Nothing says which log the listing is of: it is not asked for without a pause.
 #[test]
-fn a_listing_that_names_no_timeline_after_a_later_one_was_named_is_refused() {
+fn a_listing_without_a_timeline_is_refused_after_a_later_one_was_stated() {
     let site = site(2);
-    site.store.set_unnamed(true);
+    site.store.set_timeline_hidden(true);
     site.store.restore(TableName::Config, 1);
     wait_for("it is refused", || site.relay.counter("peatdeck.relay.store_failed") > 3);
-    assert!(has(&site.relay, 2));
-    site.store.set_unnamed(false);
+    assert!(is_in_force(&site.relay, 2));
+    site.store.set_timeline_hidden(false);
     publish(&site.store, 3);
-    wait_for("version 3 is in force", || has(&site.relay, 3));
+    wait_for("version 3 is in force", || is_in_force(&site.relay, 3));
 }
--- a/crates/relay/tests/relay/pages.rs
+++ b/crates/relay/tests/relay/pages.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn every_metric_stands_on_its_page() {
+fn the_reference_page_lists_every_metric() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = fs::read_to_string(root.join("../../docs/reference/metrics.md")).unwrap();
     let mut missing = Vec::new();
--- a/crates/relay/tests/relay/policy.rs
+++ b/crates/relay/tests/relay/policy.rs
@@ -4,18 +4,18 @@
 
 use peatdeck_relay::{policy, server::Control, surroundings::TableName};
 
-use crate::standins::{Desk, MemoryStore, Relay, ask, wait_for};
+use crate::standins::{MemoryStore, Relay, ScriptedEndpoint, exchange, wait_for};
 
 /// A file of this test run that is gone at its end.
-struct File {
+struct PolicyFile {
     path: Arc<str>,
 }
 
-impl File {
-    fn new(name: &str, script: &str) -> File {
+impl PolicyFile {
+    fn new(name: &str, script: &str) -> PolicyFile {
         let name = format!("peatdeck-{}-{name}.rhai", std::process::id());
         let path = std::env::temp_dir().join(name);
-        let file = File { path: Arc::from(path.to_str().unwrap()) };
+        let file = PolicyFile { path: Arc::from(path.to_str().unwrap()) };
         file.write(script);
         file
     }
@@ -25,44 +25,44 @@
     }
 }
 
-impl Drop for File {
+impl Drop for PolicyFile {
     fn drop(&mut self) {
         fs::remove_file(&*self.path).ok();
     }
 }
 
 #[test]
-fn the_policy_that_is_shipped_can_be_used() {
+fn the_shipped_policy_loads() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/policies/default.rhai");
     policy::load(&Arc::from(path)).unwrap();
 }
 
 #[test]
-fn a_policy_that_cannot_be_used_is_named() {
+fn an_unusable_policy_is_reported_with_its_reason() {
     let error = policy::load(&Arc::from("/nowhere/at-all.rhai")).unwrap_err().to_string();
     assert!(error.starts_with("the policy /nowhere/at-all.rhai cannot be read: "), "{error}");
-    let file = File::new("wrong", "fn admit(a, b) { true }");
+    let file = PolicyFile::new("wrong", "fn admit(a, b) { true }");
     let error = policy::load(&file.path).unwrap_err().to_string();
     assert!(error.ends_with("give it exactly one, the facts"), "{error}");
 }
 
 #[test]
-fn a_new_policy_is_in_force_after_a_reload_and_a_wrong_one_is_not() {
-    let desk = Desk::answering("x");
+fn a_reload_applies_a_new_policy_and_ignores_an_invalid_one() {
+    let endpoint = ScriptedEndpoint::answering("x");
     let store = MemoryStore::default();
     store.put(TableName::Config, "config", b"1".to_vec());
-    store.enlist("desk", "desk", desk.addr);
-    let file = File::new("reload", "fn admit(ctx) { true }");
-    let relay = Relay::with("own", &store).policy(file.path.clone()).start();
+    store.add_endpoint("desk", "desk", endpoint.addr);
+    let file = PolicyFile::new("reload", "fn admit(ctx) { true }");
+    let relay = Relay::builder("own", &store).policy(file.path.clone()).start();
     relay.wait_ready();
-    assert_eq!(ask(relay.front, "/once/x", "").status, 200);
+    assert_eq!(exchange(relay.front, "/once/x", "").status, 200);
 
     file.write("fn admit(ctx) { false }");
-    relay.tell(Control::Reload);
-    wait_for("the new policy is in force", || ask(relay.front, "/once/x", "").status == 503);
+    relay.send_control(Control::Reload);
+    wait_for("the new policy is in force", || exchange(relay.front, "/once/x", "").status == 503);
 
     file.write("no policy");
-    relay.tell(Control::Reload);
+    relay.send_control(Control::Reload);
     wait_for("the reload was counted", || relay.counter("peatdeck.relay.policy_unusable") == 1);
-    assert_eq!(ask(relay.front, "/once/x", "").status, 503, "the one before stays in force");
+    assert_eq!(exchange(relay.front, "/once/x", "").status, 503, "the one before stays in force");
 }
--- a/crates/relay/tests/relay/replies.rs
+++ b/crates/relay/tests/relay/replies.rs
@@ -2,11 +2,11 @@
 
 use std::sync::mpsc;
 
-use crate::standins::{Desk, Site, whole};
+use crate::standins::{ScriptedEndpoint, Site, full_reply};
 
 #[test]
-fn a_reply_without_length_is_whole_at_its_end() {
-    let site = Site::start(&[Desk::start(|_, conn| {
+fn a_reply_without_a_length_ends_with_its_connection() {
+    let site = Site::start(&[ScriptedEndpoint::start(|_, conn| {
         let request = conn.read_request().unwrap();
         let id = request.id();
         conn.write(&format!(
@@ -14,161 +14,161 @@
         ));
         conn.close();
     })]);
-    let reply = site.ask("/once/x");
+    let reply = site.exchange("/once/x");
     assert_eq!((reply.status, reply.body.as_str()), (200, "to the end"));
 }
 
 #[test]
-fn a_second_reply_belongs_to_nobody() {
-    let desk = Desk::start(|_, conn| {
+fn a_second_reply_to_a_request_is_discarded() {
+    let endpoint = ScriptedEndpoint::start(|_, conn| {
         while let Some(request) = conn.read_request() {
             let id = request.id();
-            conn.write(&[whole(&id, 200, "first"), whole(&id, 200, "second")].concat());
+            conn.write(&[full_reply(&id, 200, "first"), full_reply(&id, 200, "second")].concat());
         }
     });
-    let site = Site::start(&[desk]);
+    let site = Site::start(&[endpoint]);
     for _ in 0..5 {
-        assert_eq!(site.ask("/once/x").body, "first");
+        assert_eq!(site.exchange("/once/x").body, "first");
     }
 }
 
 #[test]
-fn a_reply_to_another_request_is_not_passed_on() {
-    let desk = Desk::start(|number, conn| {
+fn a_reply_to_another_request_is_not_forwarded() {
+    let endpoint = ScriptedEndpoint::start(|number, conn| {
         while let Some(request) = conn.read_request() {
             let id = if number == 0 { "another".to_owned() } else { request.id() };
-            conn.write(&whole(&id, 200, "answer"));
+            conn.write(&full_reply(&id, 200, "answer"));
         }
     });
-    let site = Site::start(&[desk]);
-    assert_eq!(site.ask("/once/x").status, 502);
-    assert_eq!(site.ask("/once/x").body, "answer");
+    let site = Site::start(&[endpoint]);
+    assert_eq!(site.exchange("/once/x").status, 502);
+    assert_eq!(site.exchange("/once/x").body, "answer");
 }
 
 #[test]
-fn a_body_that_is_cut_is_no_answer() {
-    let cutting = || {
-        Desk::start(|_, conn| {
+fn a_truncated_reply_is_a_failure() {
+    let truncating = || {
+        ScriptedEndpoint::start(|_, conn| {
             let request = conn.read_request().unwrap();
-            let answer = whole(&request.id(), 200, "a whole answer");
+            let answer = full_reply(&request.id(), 200, "a whole answer");
             conn.write(&answer[..answer.len() - 3]);
             conn.close();
         })
     };
-    let site = Site::start(&[cutting()]);
-    assert_eq!(site.ask("/once/x").status, 502);
+    let site = Site::start(&[truncating()]);
+    assert_eq!(site.exchange("/once/x").status, 502);
 
-    let site = Site::start(&[cutting(), Desk::answering("whole")]);
+    let site = Site::start(&[truncating(), ScriptedEndpoint::answering("whole")]);
     for _ in 0..6 {
-        assert_eq!(site.ask("/idempotent/x").body, "whole");
+        assert_eq!(site.exchange("/idempotent/x").body, "whole");
     }
 }
 
 #[test]
-fn what_comes_before_the_answer_is_not_the_answer() {
-    let site = Site::start(&[Desk::start(|_, conn| {
+fn an_informational_reply_is_skipped() {
+    let site = Site::start(&[ScriptedEndpoint::start(|_, conn| {
         let request = conn.read_request().unwrap();
         conn.write("HTTP/1.1 100 Continue\r\n\r\n");
-        conn.write(&whole(&request.id(), 200, "answer"));
+        conn.write(&full_reply(&request.id(), 200, "answer"));
     })]);
-    assert_eq!(site.ask("/once/x").body, "answer");
+    assert_eq!(site.exchange("/once/x").body, "answer");
 }
 
 #[test]
-fn a_connection_that_closes_unanswered_may_have_run_the_request() {
-    let desk = Desk::start(|_, conn| {
+fn a_request_whose_connection_closed_may_have_run_and_is_not_retried() {
+    let endpoint = ScriptedEndpoint::start(|_, conn| {
         conn.read_request();
         conn.close();
     });
-    let site = Site::start(std::slice::from_ref(&desk));
-    let reply = site.ask("/once/x");
+    let site = Site::start(std::slice::from_ref(&endpoint));
+    let reply = site.exchange("/once/x");
     assert_eq!(reply.status, 502);
     assert_eq!(reply.header("retry-after"), None);
-    assert_eq!(desk.seen().len(), 1);
+    assert_eq!(endpoint.received().len(), 1);
 }
 
 #[test]
-fn bytes_that_are_no_reply_are_not_passed_on() {
-    let site = Site::start(&[Desk::start(|_, conn| {
+fn malformed_replies_are_not_forwarded() {
+    let site = Site::start(&[ScriptedEndpoint::start(|_, conn| {
         conn.read_request();
         conn.write("these bytes are no reply\r\n\r\n");
         conn.close();
     })]);
-    let reply = site.ask("/once/x");
+    let reply = site.exchange("/once/x");
     assert_eq!(reply.status, 502);
     assert!(!reply.body.contains("these bytes"));
 }
 
 #[test]
-fn an_endpoint_that_did_not_run_it_says_so_and_the_caller_may_come_back() {
-    let site = Site::start(&[Desk::start(|_, conn| {
+fn a_caller_may_retry_a_request_that_was_not_run() {
+    let site = Site::start(&[ScriptedEndpoint::start(|_, conn| {
         while conn.read_request().is_some() {
             conn.write("HTTP/1.1 503 X\r\npeatdeck-not-run: 1\r\ncontent-length: 0\r\n\r\n");
         }
     })]);
-    let reply = site.ask("/once/x");
+    let reply = site.exchange("/once/x");
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
 }
 
 #[test]
-fn an_endpoints_own_failure_is_passed_on_unchanged() {
-    let site = Site::start(&[Desk::start(|_, conn| {
+fn an_endpoints_own_failure_is_forwarded_unchanged() {
+    let site = Site::start(&[ScriptedEndpoint::start(|_, conn| {
         while let Some(request) = conn.read_request() {
-            conn.write(&whole(&request.id(), 500, "no luck"));
+            conn.write(&full_reply(&request.id(), 500, "no luck"));
         }
     })]);
-    let reply = site.ask("/once/x");
+    let reply = site.exchange("/once/x");
     assert_eq!((reply.status, reply.body.as_str()), (500, "no luck"));
     assert_eq!(reply.header("peatdeck-seal").as_deref(), Some("s"));
 }
 
 #[test]
-fn a_connection_is_used_again_unless_the_endpoint_closes_it() {
+fn a_connection_is_reused_unless_the_endpoint_closes_it() {
     let (tx, rx) = mpsc::channel();
-    let desk = Desk::start(move |number, conn| {
+    let endpoint = ScriptedEndpoint::start(move |number, conn| {
         while let Some(request) = conn.read_request() {
             tx.send(number).unwrap();
-            let answer = whole(&request.id(), 200, "x");
+            let answer = full_reply(&request.id(), 200, "x");
             let closing = answer.replace("peatdeck-seal", "connection: close\r\npeatdeck-seal");
             conn.write(if number == 0 { &answer } else { &closing });
         }
     });
-    let site = Site::start(&[desk]);
+    let site = Site::start(&[endpoint]);
     for _ in 0..3 {
-        site.ask("/once/x");
+        site.exchange("/once/x");
     }
     let numbers: Vec<_> = rx.try_iter().collect();
     assert_eq!(numbers, [0, 0, 0]);
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_call() {
+fn a_caller_that_disconnects_ends_the_call() {
     let (tx, rx) = mpsc::channel();
-    let desk = Desk::start(move |_, conn| {
+    let endpoint = ScriptedEndpoint::start(move |_, conn| {
         conn.read_request().unwrap();
         tx.send("asked").unwrap();
         conn.read_to_end();
         tx.send("closed").unwrap();
     });
-    let site = Site::start(&[desk]);
+    let site = Site::start(&[endpoint]);
     let mut conn = crate::standins::Conn::open(site.relay.front);
-    conn.write(&crate::standins::request("/once/x", ""));
+    conn.write(&crate::standins::request_head("/once/x", ""));
     assert_eq!(rx.recv().unwrap(), "asked");
     drop(conn);
-    assert_eq!(rx.recv_timeout(crate::standins::PATIENCE).unwrap(), "closed");
+    assert_eq!(rx.recv_timeout(crate::standins::TIMEOUT).unwrap(), "closed");
 }
 
 #[test]
-fn a_senseless_idle_time_is_passed_over() {
-    let site = Site::start(&[Desk::start(|_, conn| {
+fn an_invalid_idle_timeout_is_ignored() {
+    let site = Site::start(&[ScriptedEndpoint::start(|_, conn| {
         while let Some(request) = conn.read_request() {
             let path = request.head.split(' ').nth(1).unwrap();
             let idle = format!("\r\nkeep-alive: timeout={}\r\n\r\n", &path["/once/".len()..]);
-            conn.write(&whole(&request.id(), 200, "answer").replacen("\r\n\r\n", &idle, 1));
+            conn.write(&full_reply(&request.id(), 200, "answer").replacen("\r\n\r\n", &idle, 1));
         }
     })]);
     for idle in ["-1", "nan", "inf", "1e300", "1e19", "x", "5"] {
-        assert_eq!(site.ask(&format!("/once/{idle}")).body, "answer", "{idle}");
+        assert_eq!(site.exchange(&format!("/once/{idle}")).body, "answer", "{idle}");
     }
 }
--- a/crates/relay/tests/relay/standins.rs
+++ b/crates/relay/tests/relay/standins.rs
@@ -35,26 +35,27 @@
 
 use crate::link::SlowLink;
 
-pub use clock::LeapingClock;
+pub use clock::JumpingClock;
 pub use endpoint::{
-    Conn, Desk, Reply, ask, chunk, get, read_reply, request, send, stream_head, whole,
+    Conn, Reply, ScriptedEndpoint, event_chunk, exchange, full_reply, get, read_reply,
+    request_head, send, stream_head,
 };
 pub use store::MemoryStore;
 
 /// Whatever a test waits for comes within this time, or never.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What operators ordered, as the store holds it: under `evacuate/` a data centre;
 /// else a configuration, a version with blanks before it that make it large.
 fn read_act(record: &Record) -> Result<Option<OperatorCommand>, String> {
     if let Some(name) = record.key.strip_prefix("evacuate/") {
         let name = Arc::from(name);
-        let act = if record.value.is_some() {
+        let command = if record.value.is_some() {
             OperatorCommand::Evacuate(name)
         } else {
             OperatorCommand::Restore(name)
         };
-        return Ok(Some(act));
+        return Ok(Some(command));
     }
     let Some(value) = &record.value else { return Ok(None) };
     let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
@@ -89,7 +90,8 @@
     ];
     let mut routes: Vec<_> = kinds.into_iter().map(|(name, kind)| route(name, kind)).collect();
     routes.push(route(&format!("since-{version}"), RequestKind::Idempotent));
-    let plain = Service { connections: 800, engine: None, pieces: None, cold_interval: None };
+    let request_service =
+        Service { connections: 800, engine: None, pieces: None, cold_interval: None };
     let pieces = Pieces {
         slots: 1,
         queue: 2,
@@ -99,12 +101,15 @@
         room: 1 << 20,
         lease: Duration::from_secs(60),
     };
-    let maker = Service { pieces: Some(pieces), ..plain.clone() };
+    let piece_service = Service { pieces: Some(pieces), ..request_service.clone() };
     let team = Team { name: Arc::from("markets"), priority: None };
     Config {
         version,
         routes: routes.into_iter().map(Arc::new).collect(),
-        services: HashMap::from([(Arc::from("desk"), plain), (Arc::from("maker"), maker)]),
+        services: HashMap::from([
+            (Arc::from("desk"), request_service),
+            (Arc::from("maker"), piece_service),
+        ]),
         keys: Some(HashMap::from([(Arc::from("key-1"), team)])),
         limits: Limits { max_body: 1 << 16, idle_timeout: Duration::from_secs(15) },
     }
@@ -134,45 +139,45 @@
     pub ready: SocketAddr,
     pub metrics: SocketAddr,
     pub peers: SocketAddr,
-    told: UnboundedSender<Control>,
+    control: UnboundedSender<Control>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 /// How a relay instance is started.
-pub struct Starter {
+pub struct RelayBuilder {
     name: Arc<str>,
     store: MemoryStore,
     seeds: Vec<SocketAddr>,
     policy: Option<Arc<str>>,
-    strength: u32,
+    millicores: u32,
     link: Option<SlowLink>,
-    clock: LeapingClock,
+    clock: JumpingClock,
 }
 
-impl Starter {
+impl RelayBuilder {
     /// A clock that the test has leap.
-    pub fn clock(self, clock: &LeapingClock) -> Starter {
-        Starter { clock: clock.clone(), ..self }
+    pub fn clock(self, clock: &JumpingClock) -> RelayBuilder {
+        RelayBuilder { clock: clock.clone(), ..self }
     }
 
     /// The addresses of peers that it is told of at its start.
-    pub fn seeds(self, seeds: &[SocketAddr]) -> Starter {
-        Starter { seeds: seeds.to_vec(), ..self }
+    pub fn seeds(self, seeds: &[SocketAddr]) -> RelayBuilder {
+        RelayBuilder { seeds: seeds.to_vec(), ..self }
     }
 
     /// The file of its policy.
-    pub fn policy(self, policy: Arc<str>) -> Starter {
-        Starter { policy: Some(policy), ..self }
+    pub fn policy(self, policy: Arc<str>) -> RelayBuilder {
+        RelayBuilder { policy: Some(policy), ..self }
     }
 
     /// Its processor's share, in thousandths of a core.
-    pub fn strength(self, strength: u32) -> Starter {
-        Starter { strength, ..self }
+    pub fn millicores(self, millicores: u32) -> RelayBuilder {
+        RelayBuilder { millicores, ..self }
     }
 
     /// Has its peers reach it over a link.
-    pub fn behind(self, link: &SlowLink) -> Starter {
-        Starter { link: Some(link.clone()), ..self }
+    pub fn behind_link(self, link: &SlowLink) -> RelayBuilder {
+        RelayBuilder { link: Some(link.clone()), ..self }
     }
 
     pub fn start(self) -> Relay {
@@ -194,7 +199,7 @@
             min_instances: 1,
             grace: Duration::from_secs(60),
             body_memory: 1 << 24,
-            millicores: self.strength,
+            millicores: self.millicores,
             policy: self.policy,
             connections: 200,
         };
@@ -204,10 +209,10 @@
         settings.metrics = listeners.metrics.local_addr().unwrap();
         settings.peers = listeners.peers.local_addr().unwrap();
         if let Some(link) = &self.link {
-            settings.peers = link.to(settings.peers);
+            settings.peers = link.listen_for(settings.peers);
         }
         let Settings { front, ready, metrics, peers, .. } = settings.clone();
-        let (told, signals) = unbounded();
+        let (control, signals) = unbounded();
         let (store, clock) = (self.store, self.clock);
         let thread = thread::spawn(move || {
             let surroundings = move |_pool| Platform {
@@ -222,30 +227,30 @@
             let run = server::run_on(listeners, settings, signals, surroundings, clock);
             system.block_on(run).unwrap();
         });
-        Relay { front, ready, metrics, peers, told, thread: Some(thread) }
+        Relay { front, ready, metrics, peers, control, thread: Some(thread) }
     }
 }
 
 impl Relay {
     pub fn start(name: &str, store: &MemoryStore, seeds: &[SocketAddr]) -> Relay {
-        Relay::with(name, store).seeds(seeds).start()
+        Relay::builder(name, store).seeds(seeds).start()
     }
 
     /// One that is started once all is said of it.
-    pub fn with(name: &str, store: &MemoryStore) -> Starter {
-        Starter {
+    pub fn builder(name: &str, store: &MemoryStore) -> RelayBuilder {
+        RelayBuilder {
             name: Arc::from(name),
             store: store.clone(),
             seeds: Vec::new(),
             policy: None,
-            strength: 250,
+            millicores: 250,
             link: None,
-            clock: LeapingClock::default(),
+            clock: JumpingClock::default(),
         }
     }
 
-    pub fn tell(&self, told: Control) {
-        self.told.unbounded_send(told).unwrap();
+    pub fn send_control(&self, control: Control) {
+        self.control.unbounded_send(control).unwrap();
     }
 
     pub fn wait_ready(&self) {
@@ -276,19 +281,19 @@
 
 impl Site {
     /// Starts with endpoints of the service `desk` that follow these scripts.
-    pub fn start(desks: &[Desk]) -> Site {
+    pub fn start(endpoints: &[ScriptedEndpoint]) -> Site {
         let store = MemoryStore::default();
         store.put(TableName::Config, "config", b"1".to_vec());
-        for (idx, desk) in desks.iter().enumerate() {
-            store.enlist(&format!("desk-{idx}"), "desk", desk.addr);
+        for (idx, endpoint) in endpoints.iter().enumerate() {
+            store.add_endpoint(&format!("desk-{idx}"), "desk", endpoint.addr);
         }
         let relay = Relay::start("own", &store, &[]);
         relay.wait_ready();
         Site { store, relay }
     }
 
-    pub fn ask(&self, path: &str) -> Reply {
-        ask(self.relay.front, path, "")
+    pub fn exchange(&self, path: &str) -> Reply {
+        exchange(self.relay.front, path, "")
     }
 }
 
@@ -296,7 +301,7 @@
 pub fn wait_for(what: &str, holds: impl Fn() -> bool) {
     let (tx, rx) = mpsc::channel::<()>();
     let pause = Duration::from_millis(10);
-    for _ in 0..(PATIENCE.as_millis() / pause.as_millis()) {
+    for _ in 0..(TIMEOUT.as_millis() / pause.as_millis()) {
         if holds() {
             return;
         }
--- a/crates/relay/tests/relay/standins/clock.rs
+++ b/crates/relay/tests/relay/standins/clock.rs
@@ -12,20 +12,20 @@
 
 /// The system's clock, and what the test leaps it by. Clones leap together.
 #[derive(Clone, Default)]
-pub struct LeapingClock {
+pub struct JumpingClock {
     system: SystemClock,
-    leapt: Arc<AtomicU64>,
+    jumped_ms: Arc<AtomicU64>,
 }
 
-impl LeapingClock {
-    pub fn leap(&self, by: Duration) {
-        self.leapt.fetch_add(by.as_millis() as u64, Ordering::SeqCst);
+impl JumpingClock {
+    pub fn jump(&self, by: Duration) {
+        self.jumped_ms.fetch_add(by.as_millis() as u64, Ordering::SeqCst);
     }
 }
 
-impl Clock for LeapingClock {
+impl Clock for JumpingClock {
     fn now(&self) -> Duration {
-        self.system.now() + Duration::from_millis(self.leapt.load(Ordering::SeqCst))
+        self.system.now() + Duration::from_millis(self.jumped_ms.load(Ordering::SeqCst))
     }
 
     fn wall(&self) -> SystemTime {
--- a/crates/relay/tests/relay/standins/endpoint.rs
+++ b/crates/relay/tests/relay/standins/endpoint.rs
@@ -10,21 +10,21 @@
     thread,
 };
 
-use crate::standins::PATIENCE;
+use crate::standins::TIMEOUT;
 
 /// An endpoint that hands each connection to a script.
-pub struct Desk {
+pub struct ScriptedEndpoint {
     pub addr: SocketAddr,
-    seen: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
 }
 
-impl Desk {
+impl ScriptedEndpoint {
     /// `script` gets each connection with its number, from 0.
-    pub fn start(script: impl Fn(usize, &mut Conn) + Send + Sync + 'static) -> Desk {
+    pub fn start(script: impl Fn(usize, &mut Conn) + Send + Sync + 'static) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (script, heads) = (Arc::new(script), seen.clone());
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let (script, heads) = (Arc::new(script), received.clone());
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
                 let (script, heads) = (script.clone(), heads.clone());
@@ -34,25 +34,25 @@
                 });
             }
         });
-        Desk { addr, seen }
+        ScriptedEndpoint { addr, received }
     }
 
     /// Answers every request with 200 and that body.
-    pub fn answering(body: &'static str) -> Desk {
-        Desk::start(move |_, conn| {
+    pub fn answering(body: &'static str) -> ScriptedEndpoint {
+        ScriptedEndpoint::start(move |_, conn| {
             while let Some(request) = conn.read_request() {
-                conn.write(&whole(&request.id(), 200, body));
+                conn.write(&full_reply(&request.id(), 200, body));
             }
         })
     }
 
     /// Answers every request, until one comes whose head has that word: then it
     /// crashes. Nothing listens there any more, and all its connections are cut.
-    pub fn crashing_at(word: &'static str) -> Desk {
+    pub fn crashing_at(word: &'static str) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (heads, is_over) = (seen.clone(), Arc::new(AtomicBool::new(false)));
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let (heads, is_over) = (received.clone(), Arc::new(AtomicBool::new(false)));
         thread::spawn(move || {
             let mut open = Vec::new();
             for stream in listener.incoming() {
@@ -71,7 +71,7 @@
                             TcpStream::connect(addr).ok();
                             return;
                         }
-                        conn.write(&whole(&request.id(), 200, "alive"));
+                        conn.write(&full_reply(&request.id(), 200, "alive"));
                     }
                 });
             }
@@ -80,17 +80,17 @@
                 stream.shutdown(Shutdown::Both).ok();
             }
         });
-        Desk { addr, seen }
+        ScriptedEndpoint { addr, received }
     }
 
     /// The heads of all requests that it got.
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    pub fn received(&self) -> Vec<String> {
+        self.received.lock().unwrap().clone()
     }
 }
 
 /// A whole answer to the request with that id.
-pub fn whole(id: &str, status: u16, body: &str) -> String {
+pub fn full_reply(id: &str, status: u16, body: &str) -> String {
     let len = body.len();
     format!(
         "HTTP/1.1 {status} X\r\npeatdeck-request: {id}\r\npeatdeck-seal: s\r\ncontent-length: {len}\r\n\r\n{body}"
@@ -105,18 +105,18 @@
 }
 
 /// An event as a chunk of a body.
-pub fn chunk(id: u64) -> String {
+pub fn event_chunk(id: u64) -> String {
     let event = format!("id: {id}\ndata: token-{id}\n\n");
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
 /// A request as an endpoint sees it.
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: String,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn id(&self) -> String {
         self.header("peatdeck-request").unwrap_or_default()
     }
@@ -142,7 +142,7 @@
 impl Conn {
     pub fn open(addr: SocketAddr) -> Conn {
         let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Conn { stream, buffer: Vec::new(), heads: Arc::default() }
     }
 
@@ -171,7 +171,7 @@
         }
     }
 
-    pub fn read_request(&mut self) -> Option<Seen> {
+    pub fn read_request(&mut self) -> Option<ReceivedRequest> {
         let head = self.read_head()?;
         let len = header(&head, "content-length").map_or(0, |len| len.parse().unwrap());
         while self.buffer.len() < len {
@@ -181,7 +181,7 @@
         }
         let rest = self.buffer.split_off(len);
         let body = std::mem::replace(&mut self.buffer, rest);
-        Some(Seen { head, body: String::from_utf8(body).unwrap() })
+        Some(ReceivedRequest { head, body: String::from_utf8(body).unwrap() })
     }
 
     /// Reads until that text has come; false if the connection ended before.
@@ -233,18 +233,18 @@
 }
 
 /// The head of a request with a new id.
-pub fn request(path: &str, more: &str) -> String {
+pub fn request_head(path: &str, headers: &str) -> String {
     static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
     let id = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     format!(
-        "GET {path} HTTP/1.1\r\nhost: fleet.example\r\npeatdeck-request: r{id}\r\npeatdeck-key: key-1\r\npeatdeck-deadline-ms: 20000\r\n{more}\r\n"
+        "GET {path} HTTP/1.1\r\nhost: fleet.example\r\npeatdeck-request: r{id}\r\npeatdeck-key: key-1\r\npeatdeck-deadline-ms: 20000\r\n{headers}\r\n"
     )
 }
 
 /// Sends a request on a connection of its own and reads the reply to the end.
-pub fn ask(front: SocketAddr, path: &str, more: &str) -> Reply {
+pub fn exchange(front: SocketAddr, path: &str, headers: &str) -> Reply {
     let mut conn = Conn::open(front);
-    conn.write(&request(path, &format!("connection: close\r\n{more}")));
+    conn.write(&request_head(path, &format!("connection: close\r\n{headers}")));
     read_reply(&mut conn)
 }
 
--- a/crates/relay/tests/relay/standins/store.rs
+++ b/crates/relay/tests/relay/standins/store.rs
@@ -22,16 +22,16 @@
 struct Inner {
     tables: HashMap<TableName, Vec<Record>>,
     expired: HashMap<TableName, u64>,
-    is_dark: bool,
+    is_unavailable: bool,
     timeline: u64,
     /// Whether its answers leave out the timeline.
-    is_unnamed: bool,
+    is_timeline_hidden: bool,
     delay: Duration,
 }
 
 impl Inner {
-    fn named(&self) -> Option<Timeline> {
-        (!self.is_unnamed).then_some(Timeline(self.timeline))
+    fn stated_timeline(&self) -> Option<Timeline> {
+        (!self.is_timeline_hidden).then_some(Timeline(self.timeline))
     }
 }
 
@@ -49,7 +49,7 @@
     }
 
     /// Names an endpoint in the directory.
-    pub fn enlist(&self, name: &str, service: &str, addr: SocketAddr) {
+    pub fn add_endpoint(&self, name: &str, service: &str, addr: SocketAddr) {
         self.put(TableName::Endpoints, name, format!("{service} {addr}").into_bytes());
     }
 
@@ -73,12 +73,12 @@
         records.truncate(records.len().saturating_sub(lost));
     }
 
-    pub fn set_unnamed(&self, is_unnamed: bool) {
-        self.inner.lock().unwrap().is_unnamed = is_unnamed;
+    pub fn set_timeline_hidden(&self, is_timeline_hidden: bool) {
+        self.inner.lock().unwrap().is_timeline_hidden = is_timeline_hidden;
     }
 
-    pub fn set_dark(&self, is_dark: bool) {
-        self.inner.lock().unwrap().is_dark = is_dark;
+    pub fn set_unavailable(&self, is_unavailable: bool) {
+        self.inner.lock().unwrap().is_unavailable = is_unavailable;
     }
 
     /// How long each of its answers is on the way.
@@ -92,7 +92,7 @@
 
     fn newest(&self, table: TableName) -> Result<Page, StoreError> {
         let inner = self.inner.lock().unwrap();
-        if inner.is_dark {
+        if inner.is_unavailable {
             return Err(StoreError::Refused(503));
         }
         let all = inner.tables.get(&table).cloned().unwrap_or_default();
@@ -102,13 +102,13 @@
             newest.insert(record.key.clone(), record);
         }
         newest.retain(|_, record| record.value.is_some());
-        let timeline = inner.named();
+        let timeline = inner.stated_timeline();
         Ok(Page { records: newest.into_values().collect(), next_after: None, end, timeline })
     }
 
     fn read(&self, table: TableName, from: u64) -> Result<surroundings::Read, StoreError> {
         let inner = self.inner.lock().unwrap();
-        if inner.is_dark {
+        if inner.is_unavailable {
             return Err(StoreError::Refused(503));
         }
         if inner.expired.get(&table).is_some_and(|kept| from < *kept) {
@@ -120,15 +120,15 @@
             return Ok(surroundings::Read::Expired);
         }
         let records = all.into_iter().filter(|record| record.offset >= from).collect();
-        let timeline = inner.named();
+        let timeline = inner.stated_timeline();
         Ok(surroundings::Read::Records { records, end, has_more: false, timeline })
     }
 
     pub fn client(&self) -> Store {
         let (newest, read, write) = (self.clone(), self.clone(), self.clone());
-        let told = self.clone();
+        let current = self.clone();
         Store {
-            timeline: Rc::new(move || Timeline(told.inner.lock().unwrap().timeline)),
+            timeline: Rc::new(move || Timeline(current.inner.lock().unwrap().timeline)),
             newest: Rc::new(move |table, _| {
                 let (page, delay) = (newest.newest(table), newest.delay());
                 Box::pin(async move {
@@ -153,7 +153,7 @@
             write: Rc::new(move |table, key, value| {
                 let store = write.clone();
                 Box::pin(async move {
-                    if store.inner.lock().unwrap().is_dark {
+                    if store.inner.lock().unwrap().is_unavailable {
                         return Err(StoreError::Refused(503));
                     }
                     store.write(table, &key, value);
--- a/crates/relay/tests/relay/stop.rs
+++ b/crates/relay/tests/relay/stop.rs
@@ -4,25 +4,27 @@
 
 use peatdeck_relay::server::Control;
 
-use crate::standins::{Conn, Desk, Site, read_reply, request, wait_for, whole};
+use crate::standins::{
+    Conn, ScriptedEndpoint, Site, full_reply, read_reply, request_head, wait_for,
+};
 
 #[test]
-fn what_is_in_flight_is_answered_before_the_process_ends() {
-    let (go, wait) = mpsc::channel::<()>();
-    let (asked, on_asked) = mpsc::channel();
-    let wait = Mutex::new(wait);
-    let site = Site::start(&[Desk::start(move |_, conn| {
+fn requests_in_flight_are_answered_before_the_instance_stops() {
+    let (release, released) = mpsc::channel::<()>();
+    let (arrived, on_arrival) = mpsc::channel();
+    let released = Mutex::new(released);
+    let site = Site::start(&[ScriptedEndpoint::start(move |_, conn| {
         let request = conn.read_request().unwrap();
-        asked.send(()).unwrap();
-        wait.lock().unwrap().recv().unwrap();
-        conn.write(&whole(&request.id(), 200, "in time"));
+        arrived.send(()).unwrap();
+        released.lock().unwrap().recv().unwrap();
+        conn.write(&full_reply(&request.id(), 200, "in time"));
     })]);
     let mut conn = Conn::open(site.relay.front);
-    conn.write(&request("/once/x", ""));
-    on_asked.recv().unwrap();
-    site.relay.tell(Control::Stop);
+    conn.write(&request_head("/once/x", ""));
+    on_arrival.recv().unwrap();
+    site.relay.send_control(Control::Stop);
     wait_for("the balancer is told", || site.relay.ready_status() == 503);
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     let reply = read_reply(&mut conn);
     assert_eq!((reply.status, reply.body.as_str()), (200, "in time"));
     site.relay.join();
@@ -30,11 +32,11 @@
 
 #[test]
 fn a_caller_on_an_open_connection_is_served_and_told_to_close_it() {
-    let site = Site::start(&[Desk::answering("x")]);
+    let site = Site::start(&[ScriptedEndpoint::answering("x")]);
     let mut conn = Conn::open(site.relay.front);
-    site.relay.tell(Control::Stop);
+    site.relay.send_control(Control::Stop);
     wait_for("the balancer is told", || site.relay.ready_status() == 503);
-    conn.write(&request("/once/x", ""));
+    conn.write(&request_head("/once/x", ""));
     let reply = read_reply(&mut conn);
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("connection").as_deref(), Some("close"));
@@ -42,9 +44,9 @@
 }
 
 #[test]
-fn a_reload_cuts_nothing() {
-    let site = Site::start(&[Desk::answering("x")]);
-    site.relay.tell(Control::Reload);
-    assert_eq!(site.ask("/once/x").status, 200);
+fn a_reload_interrupts_nothing() {
+    let site = Site::start(&[ScriptedEndpoint::answering("x")]);
+    site.relay.send_control(Control::Reload);
+    assert_eq!(site.exchange("/once/x").status, 200);
     assert_eq!(site.relay.ready_status(), 200);
 }
