--- a/crates/relay/tests/relay/bodies.rs
+++ b/crates/relay/tests/relay/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers.
+//! Request bodies.
 
 use crate::standins::{Conn, ScriptedEndpoint, Site, read_reply, request_head};
 
--- a/crates/relay/tests/relay/crashes.rs
+++ b/crates/relay/tests/relay/crashes.rs
@@ -1,17 +1,15 @@
-//! A request that crashes whatever runs it.
+//! A request that crashes the endpoint that runs it.
 //!
-//! What users saw: engines ended one after the other, a few seconds after each had
-//! started, until none was left for long; streams of all teams were cut midway with
-//! them. Order of events: a caller sends a request; the engine that begins to run it
-//! ends, and all its calls are cut; the instance sends it to a second engine, which
-//! ends too; the caller is told to come back, and its next try reaches another
-//! instance, to which it is new. Cause: what an exchange had learned ended with the
-//! exchange, so the same content was offered to one engine after the other for as
-//! long as anybody sent it.
+//! Guards against one content that crashes engine after engine, each a few seconds after its
+//! start, and interrupts the streams of all teams. An engine crashes on a request, which cuts
+//! all its calls. The instance sends the request to a second engine, which crashes too. The
+//! caller is asked to retry and reaches another instance, where the request is new. What an
+//! exchange had observed was lost at its end, so the content was sent to further engines for as
+//! long as callers sent it.
 //!
-//! Evidence: all calls of an engine were cut within 3 ms at three instances at once
-//! and the next connections to it refused; a route's calls were common to nearly all
-//! of them; and this test, in which nothing else goes wrong.
+//! It showed at three instances at once: all calls of an engine were cut within 3 ms, its next
+//! connections were refused, and nearly all crashes had calls of the same route in common. This
+//! test reproduces it without any other fault.
 
 use std::net::SocketAddr;
 
@@ -20,8 +18,8 @@
 
 use crate::standins::{MemoryStore, Relay, ScriptedEndpoint, exchange, get, send, wait_for};
 
-/// Endpoints that one request may end before nobody sends it any more, and as many
-/// that it may reach while word of that is on its way.
+/// Endpoints that one content may crash before it is quarantined, and as many that it may reach
+/// while the quarantine is on its way to the instances.
 const MAX_CRASHED: usize = 3 + 3;
 
 fn site(endpoints: &[ScriptedEndpoint]) -> (MemoryStore, [Relay; 2]) {
@@ -34,7 +32,9 @@
     let two = Relay::start("two", &store, &[one.peers]);
     for relay in [&one, &two] {
         relay.wait_ready();
-        wait_for("the instances know each other", || relay.counter("peatdeck.relay.peers") == 1);
+        wait_for("the instances have found each other", || {
+            relay.counter("peatdeck.relay.peers") == 1
+        });
     }
     (store, [one, two])
 }
@@ -46,9 +46,9 @@
         .count()
 }
 
-/// Sends it until it is held back by that instance.
+/// Sends the request to an instance until the instance quarantines it.
 fn quarantine(relay: &Relay) {
-    wait_for("it is held back", || {
+    wait_for("the content is quarantined", || {
         exchange(relay.front, "/idempotent/poison", "").body == "quarantined\n"
     });
 }
@@ -67,17 +67,17 @@
         assert!(matches!(status, 502 | 503), "{status}");
     }
     let crashed = crashed(&endpoints, "/poison");
-    assert!((3..=MAX_CRASHED).contains(&crashed), "{crashed} endpoints ended under one request");
+    assert!((3..=MAX_CRASHED).contains(&crashed), "{crashed} endpoints crashed on one request");
     assert!(relays.iter().all(|relay| is_served(relay.front)));
 }
 
-/// The platform's table keeps it: nobody is left who could tell.
+/// No peer is left to send the quarantine; the new instance reads it from the platform's table.
 #[test]
 fn an_instance_started_after_all_others_stopped_applies_the_quarantine() {
     let endpoints: Vec<_> = (0..8).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
     let (store, relays) = site(&endpoints);
     quarantine(&relays[0]);
-    wait_for("it is recorded", || store.len(TableName::Quarantine) > 0);
+    wait_for("the quarantine is recorded", || store.len(TableName::Quarantine) > 0);
     for relay in relays {
         relay.send_control(Control::Stop);
         relay.join();
@@ -90,22 +90,24 @@
     assert_eq!(crashed(&endpoints, "/poison"), before);
 }
 
-/// Instances tell each other, whether the platform's store answers or not; once it
-/// does again, it gets its record.
+/// Instances send the quarantine to each other even if the platform's store is unavailable. The
+/// store receives the record once it is available again.
 #[test]
 fn all_instances_quarantine_it_while_the_store_is_unavailable() {
     let endpoints: Vec<_> = (0..8).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
     let (store, relays) = site(&endpoints);
     store.set_unavailable(true);
     quarantine(&relays[0]);
-    wait_for("the other one knows", || relays[1].counter("peatdeck.relay.quarantined") == 1);
+    wait_for("the other instance has received the quarantine", || {
+        relays[1].counter("peatdeck.relay.quarantined") == 1
+    });
     assert_eq!(exchange(relays[1].front, "/idempotent/poison", "").body, "quarantined\n");
     assert_eq!(store.len(TableName::Quarantine), 0);
     store.set_unavailable(false);
-    wait_for("it is recorded", || store.len(TableName::Quarantine) > 0);
+    wait_for("the quarantine is recorded", || store.len(TableName::Quarantine) > 0);
 }
 
-/// Who sends something else is served, by the endpoints that are left.
+/// The remaining endpoints serve requests with another content.
 #[test]
 fn other_requests_are_served() {
     let endpoints: Vec<_> = (0..8).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
@@ -116,7 +118,7 @@
     }
 }
 
-/// Resets of connections are none of a request's doing.
+/// A closed connection alone is not taken for a crash caused by its request.
 #[test]
 fn connections_closed_by_endpoints_quarantine_nothing() {
     let endpoints: Vec<_> = (0..2)
@@ -132,28 +134,30 @@
     for _ in 0..6 {
         assert_eq!(exchange(relays[0].front, "/once/cut", "").status, 502);
     }
-    wait_for("both endpoints were found there", || {
+    wait_for("both endpoints were probed", || {
         relays[0].counter("peatdeck.relay.endpoints_probed") >= 2
     });
     assert_eq!(relays[0].counter("peatdeck.relay.crashed_runs"), 0);
     assert_eq!(relays[0].counter("peatdeck.relay.quarantined"), 0);
 }
 
-/// An operator sees what is held back, and releases it for all instances.
+/// An operator lists the quarantined contents and releases one at all instances.
 #[test]
 fn an_operator_releases_it_at_all_instances() {
     let endpoints: Vec<_> = (0..14).map(|_| ScriptedEndpoint::crashing_at("/poison")).collect();
     let (store, relays) = site(&endpoints);
     quarantine(&relays[0]);
-    wait_for("it is recorded", || store.len(TableName::Quarantine) > 0);
-    wait_for("all know", || relays[1].counter("peatdeck.relay.quarantined") == 1);
+    wait_for("the quarantine is recorded", || store.len(TableName::Quarantine) > 0);
+    wait_for("all instances have received the quarantine", || {
+        relays[1].counter("peatdeck.relay.quarantined") == 1
+    });
     let listed = get(relays[1].metrics, "/quarantine").body;
     let listed: Vec<QuarantinedContent> = serde_json::from_str(&listed).unwrap();
     assert!(listed[0].crashes >= 3);
     let path = format!("/quarantine/{}", listed[0].content);
     assert_eq!(send(relays[1].metrics, "DELETE", &path).status, 202);
     for relay in &relays {
-        wait_for("it is released", || relay.counter("peatdeck.relay.quarantined") == 0);
+        wait_for("the content is released", || relay.counter("peatdeck.relay.quarantined") == 0);
     }
     assert_eq!(send(relays[1].metrics, "DELETE", "/quarantine/none").status, 400);
 }
--- a/crates/relay/tests/relay/headers.rs
+++ b/crates/relay/tests/relay/headers.rs
@@ -1,4 +1,4 @@
-//! What endpoints see of a request.
+//! What endpoints receive of a request.
 
 use crate::standins::{Conn, ScriptedEndpoint, Site, exchange, read_reply, request_head};
 
--- a/crates/relay/tests/relay/link.rs
+++ b/crates/relay/tests/relay/link.rs
@@ -1,4 +1,4 @@
-//! A narrow network link in front of instances.
+//! A slow network link in front of instances.
 
 use std::{
     io::{Read, Write},
@@ -8,12 +8,11 @@
     time::{Duration, Instant},
 };
 
-/// Bytes that go through at once. Connections take turns with them.
+/// Size of the units in which connections share the link.
 const PACKET_BYTES: usize = 4 << 10;
 
-/// A link that carries so many bytes a second, all connections together, from
-/// those who listen to those who opened the connections; the other way it does
-/// not limit. Clones share it.
+/// A link that limits the data rate of all its connections together, from the listening side to
+/// the side that opened them. The other direction is not limited. Clones share the link.
 #[derive(Clone)]
 pub struct SlowLink {
     rate: f64,
@@ -26,13 +25,13 @@
 }
 
 impl SlowLink {
-    /// A link that carries so many bytes a second.
+    /// Creates a link with a rate in bytes per second.
     pub fn new(rate: u32) -> SlowLink {
         let state = State { free_at: Instant::now(), carried: 0 };
         SlowLink { rate: f64::from(rate), state: Arc::new(Mutex::new(state)) }
     }
 
-    /// An address that leads to `target` over the link.
+    /// Returns an address whose connections lead to `target` over the link.
     pub fn listen_for(&self, target: SocketAddr) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -40,7 +39,7 @@
         thread::spawn(move || {
             for near in listener.incoming() {
                 let (near, far) = (near.unwrap(), TcpStream::connect(target));
-                // A target that has ended is seen as a closed connection.
+                // If the target has stopped, the client's connection is closed.
                 let Ok(far) = far else { continue };
                 let (to, from) = (far.try_clone().unwrap(), near.try_clone().unwrap());
                 thread::spawn(move || copy(from, to, |_| {}));
@@ -51,12 +50,12 @@
         addr
     }
 
-    /// The bytes that it has carried.
+    /// Number of bytes transferred so far.
     pub fn carried(&self) -> usize {
         self.state.lock().unwrap().carried
     }
 
-    /// Waits until so many bytes have gone through.
+    /// Waits until the link has transferred `len` more bytes.
     fn carry(&self, len: usize) {
         let mut state = self.state.lock().unwrap();
         let now = Instant::now();
@@ -79,7 +78,7 @@
             break;
         }
     }
-    // Whoever still waits on either side learns that it is over.
+    // Ends the copy in the other direction, and lets both peers see the end.
     from.shutdown(Shutdown::Both).ok();
     to.shutdown(Shutdown::Both).ok();
 }
--- a/crates/relay/tests/relay/main.rs
+++ b/crates/relay/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! A relay instance over real sockets, with stand-ins around it.
+//! Tests of relay instances over real sockets, with fake endpoints, callers and a fake store.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/relay/tests/relay/older_copy.rs
+++ b/crates/relay/tests/relay/older_copy.rs
@@ -1,14 +1,14 @@
-//! The platform's store comes back from an older copy.
+//! The platform's store is restored from an older copy.
 //!
-//! What users saw: a change that the store had acknowledged was not in force for as
-//! long as the store's log stayed shorter than it had been. What was written there
-//! since stood at offsets that had been read before.
+//! Guards against changes that the store has acknowledged but instances don't apply. After the
+//! restoration the store's log is shorter, and new records get offsets that instances have read
+//! before, so they skipped the records until the log was as long as it had been.
 
 use peatdeck_relay::surroundings::TableName;
 
 use crate::standins::{MemoryStore, Relay, ScriptedEndpoint, Site, exchange, wait_for};
 
-/// A site whose store has as many versions.
+/// A site whose store has versions 1 to `versions` of the configuration.
 fn site(versions: u64) -> Site {
     let site = Site::start(&[ScriptedEndpoint::answering("x"), ScriptedEndpoint::answering("y")]);
     for version in 2..=versions {
@@ -66,7 +66,7 @@
 fn an_endpoint_removed_at_a_lower_offset_receives_nothing_more() {
     let (one, two) = (ScriptedEndpoint::answering("x"), ScriptedEndpoint::answering("y"));
     let site = Site::start(std::slice::from_ref(&two));
-    // It moves once, and is written over and over, so that the log is long.
+    // The endpoint moves once, and its entry is written repeatedly to make the log long.
     (0..5).for_each(|_| site.store.add_endpoint("desk-0", "desk", one.addr));
     wait_for("the log was read", || {
         site.exchange("/idempotent/x");
@@ -80,18 +80,18 @@
         (0..8).for_each(|_| drop(site.exchange("/idempotent/x")));
         one.received().len() == before
     };
-    wait_for("it gets nothing more", receives_nothing);
+    wait_for("the endpoint receives nothing more", receives_nothing);
 }
 
 #[test]
 fn an_instance_whose_record_was_lost_writes_it_again() {
     let site = site(1);
-    wait_for("it is announced", || site.store.len(TableName::Instances) == 1);
+    wait_for("the instance is announced", || site.store.len(TableName::Instances) == 1);
     site.store.restore(TableName::Instances, 1);
-    wait_for("it is announced again", || site.store.len(TableName::Instances) == 1);
+    wait_for("the instance is announced again", || site.store.len(TableName::Instances) == 1);
 }
 
-/// The record of a content that is held back.
+/// The record of a quarantined content.
 const RECORD: &str = r#"{"crashes":3,"by":"own","at_ms":0}"#;
 const CONTENT: &str = "000000000000000000000000000000ff";
 
@@ -100,9 +100,9 @@
     let site = site(1);
     let quarantined = || site.relay.counter("peatdeck.relay.quarantined");
     site.store.put(TableName::Quarantine, CONTENT, RECORD.into());
-    wait_for("it is held back", || quarantined() == 1);
+    wait_for("the content is quarantined", || quarantined() == 1);
     site.store.restore(TableName::Quarantine, 1);
-    wait_for("it is recorded again", || site.store.len(TableName::Quarantine) == 1);
+    wait_for("the content is recorded again", || site.store.len(TableName::Quarantine) == 1);
     assert_eq!(quarantined(), 1);
 }
 
@@ -111,24 +111,24 @@
     let site = site(1);
     let quarantined = || site.relay.counter("peatdeck.relay.quarantined");
     site.store.put(TableName::Quarantine, CONTENT, RECORD.into());
-    wait_for("it is held back", || quarantined() == 1);
+    wait_for("the content is quarantined", || quarantined() == 1);
     site.store.write(TableName::Quarantine, CONTENT, None);
-    wait_for("it is released", || quarantined() == 0);
+    wait_for("the content is released", || quarantined() == 0);
     site.store.restore(TableName::Quarantine, 1);
-    wait_for("its release is recorded again", || site.store.len(TableName::Quarantine) == 2);
+    wait_for("the release is recorded again", || site.store.len(TableName::Quarantine) == 2);
     assert_eq!(quarantined(), 0);
 }
 
-/// Its peers know a version that nobody has written again yet.
+/// Only its peers have the version, since it has not been written again yet.
 #[test]
 fn an_instance_that_starts_before_a_version_is_written_again_has_it() {
     let site = site(2);
-    // Too large for one answer of a peer.
+    // Larger than one reply of a peer.
     let large = format!("{}3", " ".repeat(200_000));
     site.store.put(TableName::Config, "config", large.into_bytes());
     wait_for("version 3 is in force", || is_in_force(&site.relay, 3));
     site.store.restore(TableName::Config, 2);
-    // What else is written makes the log as long as it was.
+    // Other records make the log as long as it was.
     site.store.put(TableName::Config, "evacuate/west", b"{}".to_vec());
     site.store.write(TableName::Config, "evacuate/west", None);
     let second = Relay::start("second", &site.store, &[]);
@@ -137,7 +137,7 @@
     assert!(is_in_force(&site.relay, 3));
 }
 
-/// Nobody but a peer can tell an instance that the store turns away.
+/// An instance that the store refuses receives records from peers only.
 #[test]
 fn an_instance_that_the_store_refuses_receives_a_version_at_a_lower_offset() {
     let site = site(4);
@@ -150,19 +150,19 @@
     wait_for("version 5 is in force", || is_in_force(&second, 5));
 }
 
-/// Nobody took the order back.
+/// No operator has removed the evacuation.
 #[test]
 fn an_evacuation_whose_record_was_lost_stays_in_force() {
     let site = site(1);
     let evacuated = || site.relay.counter("peatdeck.relay.evacuated");
     site.store.put(TableName::Config, "evacuate/east", b"{}".to_vec());
-    wait_for("it is in force", || evacuated() == 1);
+    wait_for("the evacuation is in force", || evacuated() == 1);
     site.store.restore(TableName::Config, 1);
     wait_for("the copy was read", || site.relay.counter("peatdeck.relay.store_copies") > 0);
     assert_eq!(evacuated(), 1);
     site.store.put(TableName::Config, "evacuate/east", b"{}".to_vec());
     site.store.write(TableName::Config, "evacuate/east", None);
-    wait_for("it is taken back", || evacuated() == 0);
+    wait_for("the evacuation is over", || evacuated() == 0);
 }
 
 #[test]
@@ -171,45 +171,45 @@
     let site = Site::start(std::slice::from_ref(&two));
     site.store.write(TableName::Endpoints, "desk-0", None);
     site.store.add_endpoint("desk-1", "desk", one.addr);
-    wait_for("it is used", || {
+    wait_for("the endpoint is called", || {
         site.exchange("/idempotent/x");
         !one.received().is_empty()
     });
     site.store.restore(TableName::Endpoints, 2);
     wait_for("the copy was read", || site.relay.counter("peatdeck.relay.store_copies") > 0);
-    // Its record may only be late, and the other one had left.
+    // Its record may be written again yet, and the other endpoint had left.
     let (before, left) = (one.received().len(), two.received().len());
     assert_eq!(site.exchange("/idempotent/x").status, 200);
     assert_eq!((one.received().len(), two.received().len()), (before + 1, left));
-    wait_for("what the store says holds", || {
+    wait_for("the records of the store are in force", || {
         site.exchange("/idempotent/x");
         two.received().len() > left
     });
 }
 
-/// Nobody reads the store in between.
+/// The instance does not read the store in between.
 #[test]
 fn an_evacuation_that_was_written_again_and_removed_is_over() {
     let site = site(1);
     let evacuated = || site.relay.counter("peatdeck.relay.evacuated");
     site.store.put(TableName::Config, "evacuate/east", b"{}".to_vec());
-    wait_for("it is in force", || evacuated() == 1);
+    wait_for("the evacuation is in force", || evacuated() == 1);
     site.store.set_unavailable(true);
     site.store.restore(TableName::Config, 1);
     site.store.put(TableName::Config, "evacuate/east", b"{}".to_vec());
     site.store.write(TableName::Config, "evacuate/east", None);
     site.store.set_unavailable(false);
-    wait_for("it is over", || evacuated() == 0);
+    wait_for("the evacuation is over", || evacuated() == 0);
     assert_eq!(site.relay.counter("peatdeck.relay.records_given_up"), 0);
 }
 
-/// Nothing says which log the listing is of: it is not asked for without a pause.
+/// The listing may belong to an earlier log, so the instance refuses it and retries after a pause.
 #[test]
 fn a_listing_without_a_timeline_is_refused_after_a_later_one_was_stated() {
     let site = site(2);
     site.store.set_timeline_hidden(true);
     site.store.restore(TableName::Config, 1);
-    wait_for("it is refused", || site.relay.counter("peatdeck.relay.store_failed") > 3);
+    wait_for("the listing is refused", || site.relay.counter("peatdeck.relay.store_failed") > 3);
     assert!(is_in_force(&site.relay, 2));
     site.store.set_timeline_hidden(false);
     publish(&site.store, 3);
--- a/crates/relay/tests/relay/pages.rs
+++ b/crates/relay/tests/relay/pages.rs
@@ -1,4 +1,4 @@
-//! The reference page names every metric.
+//! The reference page lists every metric.
 
 use std::{
     fs,
--- a/crates/relay/tests/relay/peers.rs
+++ b/crates/relay/tests/relay/peers.rs
@@ -1,4 +1,4 @@
-//! Two or more instances.
+//! Several instances that exchange tables, announcements and pieces.
 
 use peatdeck_relay::{
     native::{PiecesBody, ResultBody, ResultsBody},
@@ -7,7 +7,7 @@
 
 use crate::standins::{Conn, MemoryStore, Relay, ScriptedEndpoint, exchange, get, wait_for};
 
-/// An endpoint that makes pieces.
+/// An endpoint that runs pieces.
 fn piece_endpoint() -> ScriptedEndpoint {
     ScriptedEndpoint::start(|_, conn| {
         while let Some(request) = conn.read_request() {
@@ -50,7 +50,7 @@
     let head = endpoint.received().pop().unwrap();
     let inputs = "peatdeck-inputs: 127.0.0.1:1/result-0,127.0.0.1:1/result-1,127.0.0.1:1/result-2";
     assert!(head.contains(inputs), "{head}");
-    wait_for("the results were given up", || {
+    wait_for("the results were freed", || {
         piece_endpoint.received().len() == 1 && relay.counter("peatdeck.relay.frees_failed") == 1
     });
 }
@@ -77,7 +77,7 @@
     let relays = ["a", "b", "c"].map(|name| Relay::start(name, &shared, &[]));
     for relay in &relays {
         relay.wait_ready();
-        wait_for("it knows its peers", || relay.counter("peatdeck.relay.peers") == 2);
+        wait_for("the instance has found its peers", || relay.counter("peatdeck.relay.peers") == 2);
     }
     for relay in &relays {
         run_three_pieces(relay.front);
@@ -94,7 +94,7 @@
     let shared = store(&endpoint, &piece_endpoint);
     let relays: Vec<_> = (0..6).map(|idx| Relay::start(&format!("r{idx}"), &shared, &[])).collect();
     for relay in &relays {
-        wait_for("it knows its peers", || relay.counter("peatdeck.relay.peers") == 5);
+        wait_for("the instance has found its peers", || relay.counter("peatdeck.relay.peers") == 5);
     }
     let reads = |relay: &Relay| relay.counter("peatdeck.relay.store_reads");
     let before: Vec<_> = relays.iter().map(reads).collect();
@@ -102,7 +102,7 @@
         let pairs = relays.iter().zip(&before);
         pairs.filter(|(relay, before)| reads(relay) > **before + 8).count()
     };
-    wait_for("the readers have read on", || active_readers(()) >= 2);
+    wait_for("the readers have read again", || active_readers(()) >= 2);
     assert_eq!(active_readers(()), 2);
     shared.put(TableName::Config, "config", b"2".to_vec());
     for relay in &relays {
@@ -121,8 +121,8 @@
     assert_eq!(exchange(relay.front, "/once/x", "").status, 200);
 }
 
-/// Whoever else writes to the directory or to the table of instances: what
-/// cannot be read names nobody, and the others hold.
+/// Another writer may put unreadable records into the directory and the table of instances. They
+/// are ignored, and all other records stay in force.
 #[test]
 fn unreadable_records_of_another_writer_are_ignored() {
     let (endpoint, piece_endpoint) = (ScriptedEndpoint::answering("x"), piece_endpoint());
@@ -130,21 +130,21 @@
     let relays = ["a", "b"].map(|name| Relay::start(name, &shared, &[]));
     for relay in &relays {
         relay.wait_ready();
-        wait_for("it knows its peer", || relay.counter("peatdeck.relay.peers") == 1);
+        wait_for("the instance has found its peer", || relay.counter("peatdeck.relay.peers") == 1);
     }
     shared.put(TableName::Endpoints, "stranger", b"\xff\xfe".to_vec());
     shared.put(TableName::Instances, "stranger", b"[]".to_vec());
     shared.put(TableName::Instances, "b", b"{\"peers\": 7}".to_vec());
     let unreadable = || relays[0].counter("peatdeck.relay.endpoints_unreadable");
-    wait_for("the foreign entry was seen", || unreadable() == 1);
-    // The peer itself lives and says so.
+    wait_for("the foreign entry was read", || unreadable() == 1);
+    // The peer is alive and announces itself over gossip.
     assert_eq!(relays[0].counter("peatdeck.relay.peers"), 1);
     assert_eq!(exchange(relays[0].front, "/once/x", "").status, 200);
     run_three_pieces(relays[0].front);
 }
 
-/// An instance that the store turns away hears of an evacuation, and of its end, from
-/// a peer; so does one that starts meanwhile.
+/// An instance that the store refuses receives an evacuation, and its end, from a peer, even if
+/// the instance starts during the evacuation.
 #[test]
 fn an_evacuation_is_in_force_at_instances_that_the_store_refuses() {
     let (endpoint, piece_endpoint) = (ScriptedEndpoint::answering("x"), piece_endpoint());
@@ -158,7 +158,7 @@
     assert_eq!(exchange(second.front, "/once/x", "").status, 200);
     shared.put(TableName::Config, "evacuate/east", b"{}".to_vec());
     for relay in [&first, &second] {
-        wait_for("it is in force", || relay.counter("peatdeck.relay.evacuated") == 1);
+        wait_for("the evacuation is in force", || relay.counter("peatdeck.relay.evacuated") == 1);
     }
     let listed = get(second.metrics, "/evacuations").body;
     assert_eq!(listed, r#"[{"data_centre":"east","endpoints":2}]"#);
@@ -169,10 +169,10 @@
         assert_eq!(exchange(relay.front, "/once/x", "").status, 503);
     }
     assert_eq!(endpoint.received().len(), received, "nothing was sent");
-    // The store forgets what came before, the order being taken back included.
+    // The store compacts its log, including the removal of the evacuation.
     shared.write(TableName::Config, "evacuate/east", None);
     shared.compact(TableName::Config);
     for relay in [&first, &second, &third] {
-        wait_for("it is taken back", || exchange(relay.front, "/once/x", "").status == 200);
+        wait_for("the evacuation is over", || exchange(relay.front, "/once/x", "").status == 200);
     }
 }
--- a/crates/relay/tests/relay/policy.rs
+++ b/crates/relay/tests/relay/policy.rs
@@ -1,4 +1,4 @@
-//! The operators' policy, read from a file.
+//! The operators' policy script, which instances load from a file.
 
 use std::{fs, sync::Arc};
 
@@ -6,7 +6,7 @@
 
 use crate::standins::{MemoryStore, Relay, ScriptedEndpoint, exchange, wait_for};
 
-/// A file of this test run that is gone at its end.
+/// A policy file that is deleted on drop.
 struct PolicyFile {
     path: Arc<str>,
 }
@@ -64,5 +64,9 @@
     file.write("no policy");
     relay.send_control(Control::Reload);
     wait_for("the reload was counted", || relay.counter("peatdeck.relay.policy_unusable") == 1);
-    assert_eq!(exchange(relay.front, "/once/x", "").status, 503, "the one before stays in force");
+    assert_eq!(
+        exchange(relay.front, "/once/x", "").status,
+        503,
+        "the previous policy stays in force"
+    );
 }
--- a/crates/relay/tests/relay/replies.rs
+++ b/crates/relay/tests/relay/replies.rs
@@ -1,4 +1,4 @@
-//! Endpoints that misbehave, and what callers are told.
+//! Replies of endpoints, valid and not, and what callers receive.
 
 use std::sync::mpsc;
 
--- a/crates/relay/tests/relay/standins.rs
+++ b/crates/relay/tests/relay/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins: a store in memory, endpoints that follow a script, callers that
+//! Test doubles: a store in memory, endpoints that follow a script, callers that
 //! write and read raw bytes.
 
 mod clock;
@@ -42,11 +42,11 @@
 };
 pub use store::MemoryStore;
 
-/// Whatever a test waits for comes within this time, or never.
+/// How long tests wait for something before they fail.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What operators ordered, as the store holds it: under `evacuate/` a data centre;
-/// else a configuration, a version with blanks before it that make it large.
+/// Reads a record of the operators. A key under `evacuate/` names a data centre; any other record
+/// is a configuration, whose value is the version after any number of blanks as padding.
 fn read_act(record: &Record) -> Result<Option<OperatorCommand>, String> {
     if let Some(name) = record.key.strip_prefix("evacuate/") {
         let name = Arc::from(name);
@@ -59,14 +59,14 @@
     }
     let Some(value) = &record.value else { return Ok(None) };
     let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
-    let version = text.trim_start().parse().map_err(|_| format!("`{text}` is no version"))?;
+    let version = text.trim_start().parse().map_err(|_| format!("`{text}` is not a version"))?;
     Ok(Some(OperatorCommand::Configure(config(version))))
 }
 
 fn read_endpoint(record: &Record) -> Result<Change, String> {
     let Some(value) = &record.value else { return Ok(Change::Removed(record.key.clone())) };
     let text = String::from_utf8_lossy(value).into_owned();
-    let (service, addr) = text.split_once(' ').ok_or("an entry has a service and an address")?;
+    let (service, addr) = text.split_once(' ').ok_or("the entry lacks a service or an address")?;
     Ok(Change::Put(Entry {
         name: record.key.clone(),
         incarnation: Incarnation(1),
@@ -79,7 +79,8 @@
     }))
 }
 
-/// The configuration of all tests: a route for each kind, and one with a stage.
+/// The configuration of all tests. It has a route for each kind, one with a stage, and one that
+/// is unique to the version.
 fn config(version: u64) -> Config {
     let kinds = [
         ("idempotent", RequestKind::Idempotent),
@@ -133,7 +134,7 @@
     }
 }
 
-/// A relay instance on a thread of its own.
+/// A relay instance that runs on its own thread.
 pub struct Relay {
     pub front: SocketAddr,
     pub ready: SocketAddr,
@@ -143,7 +144,7 @@
     thread: Option<thread::JoinHandle<()>>,
 }
 
-/// How a relay instance is started.
+/// Configures and starts a relay instance.
 pub struct RelayBuilder {
     name: Arc<str>,
     store: MemoryStore,
@@ -155,27 +156,27 @@
 }
 
 impl RelayBuilder {
-    /// A clock that the test has leap.
+    /// Sets a clock that the test can advance.
     pub fn clock(self, clock: &JumpingClock) -> RelayBuilder {
         RelayBuilder { clock: clock.clone(), ..self }
     }
 
-    /// The addresses of peers that it is told of at its start.
+    /// Sets the addresses of peers that the instance contacts at its start.
     pub fn seeds(self, seeds: &[SocketAddr]) -> RelayBuilder {
         RelayBuilder { seeds: seeds.to_vec(), ..self }
     }
 
-    /// The file of its policy.
+    /// Sets the path of the policy script.
     pub fn policy(self, policy: Arc<str>) -> RelayBuilder {
         RelayBuilder { policy: Some(policy), ..self }
     }
 
-    /// Its processor's share, in thousandths of a core.
+    /// Sets the CPU share in thousandths of a core.
     pub fn millicores(self, millicores: u32) -> RelayBuilder {
         RelayBuilder { millicores, ..self }
     }
 
-    /// Has its peers reach it over a link.
+    /// Makes peers reach the instance over a link.
     pub fn behind_link(self, link: &SlowLink) -> RelayBuilder {
         RelayBuilder { link: Some(link.clone()), ..self }
     }
@@ -236,7 +237,7 @@
         Relay::builder(name, store).seeds(seeds).start()
     }
 
-    /// One that is started once all is said of it.
+    /// Configures an instance that [`RelayBuilder::start`] then starts.
     pub fn builder(name: &str, store: &MemoryStore) -> RelayBuilder {
         RelayBuilder {
             name: Arc::from(name),
@@ -261,7 +262,7 @@
         endpoint::get(self.ready, "/ready").status
     }
 
-    /// A counter of the instance; 0 if it never counted.
+    /// Value of a counter of the instance; 0 if it was never incremented.
     pub fn counter(&self, name: &str) -> u64 {
         let text = endpoint::get(self.metrics, "/metrics").body;
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
@@ -273,14 +274,14 @@
     }
 }
 
-/// A relay with one store, ready to serve.
+/// A ready relay instance and its store.
 pub struct Site {
     pub store: MemoryStore,
     pub relay: Relay,
 }
 
 impl Site {
-    /// Starts with endpoints of the service `desk` that follow these scripts.
+    /// Starts an instance with these endpoints of the service `desk`.
     pub fn start(endpoints: &[ScriptedEndpoint]) -> Site {
         let store = MemoryStore::default();
         store.put(TableName::Config, "config", b"1".to_vec());
@@ -297,7 +298,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds. Panics after [`TIMEOUT`].
 pub fn wait_for(what: &str, holds: impl Fn() -> bool) {
     let (tx, rx) = mpsc::channel::<()>();
     let pause = Duration::from_millis(10);
@@ -308,5 +309,5 @@
         rx.recv_timeout(pause).ok();
     }
     drop(tx);
-    panic!("it never came about that {what}");
+    panic!("timed out waiting until {what}");
 }
--- a/crates/relay/tests/relay/standins/clock.rs
+++ b/crates/relay/tests/relay/standins/clock.rs
@@ -1,4 +1,4 @@
-//! A clock that leaps, as one does that counts the time of a suspension.
+//! A clock that jumps ahead, as the system clock does after a suspension.
 
 use std::{
     sync::{
@@ -10,7 +10,7 @@
 
 use peatdeck_util::clock::{Clock, SystemClock};
 
-/// The system's clock, and what the test leaps it by. Clones leap together.
+/// The system clock plus an offset that the test increases. Clones share the offset.
 #[derive(Clone, Default)]
 pub struct JumpingClock {
     system: SystemClock,
--- a/crates/relay/tests/relay/standins/endpoint.rs
+++ b/crates/relay/tests/relay/standins/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that follow a script, and connections that speak raw bytes.
+//! Endpoints that follow a script, and connections that send and receive raw bytes.
 
 use std::{
     io::{ErrorKind, Read, Write},
@@ -12,14 +12,14 @@
 
 use crate::standins::TIMEOUT;
 
-/// An endpoint that hands each connection to a script.
+/// An endpoint that runs a script for each connection.
 pub struct ScriptedEndpoint {
     pub addr: SocketAddr,
     received: Arc<Mutex<Vec<String>>>,
 }
 
 impl ScriptedEndpoint {
-    /// `script` gets each connection with its number, from 0.
+    /// Starts an endpoint that calls `script` with each connection and its number, from 0.
     pub fn start(script: impl Fn(usize, &mut Conn) + Send + Sync + 'static) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -37,7 +37,7 @@
         ScriptedEndpoint { addr, received }
     }
 
-    /// Answers every request with 200 and that body.
+    /// Starts an endpoint that answers every request with 200 and this body.
     pub fn answering(body: &'static str) -> ScriptedEndpoint {
         ScriptedEndpoint::start(move |_, conn| {
             while let Some(request) = conn.read_request() {
@@ -46,8 +46,8 @@
         })
     }
 
-    /// Answers every request, until one comes whose head has that word: then it
-    /// crashes. Nothing listens there any more, and all its connections are cut.
+    /// Starts an endpoint that answers requests until one has this word in its head. Then it
+    /// crashes: it stops listening and closes all its connections.
     pub fn crashing_at(word: &'static str) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -67,7 +67,7 @@
                     while let Some(request) = conn.read_request() {
                         if request.head.contains(word) {
                             is_over.store(true, Ordering::SeqCst);
-                            // Wakes the thread that listens.
+                            // Wakes the listening thread.
                             TcpStream::connect(addr).ok();
                             return;
                         }
@@ -83,13 +83,13 @@
         ScriptedEndpoint { addr, received }
     }
 
-    /// The heads of all requests that it got.
+    /// The heads of all requests that the endpoint has received.
     pub fn received(&self) -> Vec<String> {
         self.received.lock().unwrap().clone()
     }
 }
 
-/// A whole answer to the request with that id.
+/// A complete reply to the request with this id.
 pub fn full_reply(id: &str, status: u16, body: &str) -> String {
     let len = body.len();
     format!(
@@ -97,20 +97,20 @@
     )
 }
 
-/// The head of a stream for the request with that id.
+/// The head of a streamed reply to the request with this id.
 pub fn stream_head(id: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\npeatdeck-request: {id}\r\npeatdeck-seal: s\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
     )
 }
 
-/// An event as a chunk of a body.
+/// A server-sent event as a chunk of a chunked body.
 pub fn event_chunk(id: u64) -> String {
     let event = format!("id: {id}\ndata: token-{id}\n\n");
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-/// A request as an endpoint sees it.
+/// A request as an endpoint receives it.
 pub struct ReceivedRequest {
     pub head: String,
     pub body: String,
@@ -132,7 +132,7 @@
     values.next().map(|(_, value)| value.trim().to_owned())
 }
 
-/// A connection that speaks raw bytes.
+/// A connection that sends and receives raw bytes.
 pub struct Conn {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -147,7 +147,7 @@
     }
 
     pub fn write(&mut self, text: &str) {
-        // A peer that has gone is seen by the next read.
+        // If the peer has closed the connection, the next read reports it.
         self.stream.write_all(text.as_bytes()).ok();
     }
 
@@ -155,7 +155,7 @@
         self.stream.shutdown(Shutdown::Both).ok();
     }
 
-    /// Reads the head of a request or reply without what follows it.
+    /// Reads the head of a request or reply, without its body; `None` if the connection ended.
     pub fn read_head(&mut self) -> Option<String> {
         loop {
             if let Some(end) = find(&self.buffer, b"\r\n\r\n") {
@@ -184,7 +184,7 @@
         Some(ReceivedRequest { head, body: String::from_utf8(body).unwrap() })
     }
 
-    /// Reads until that text has come; false if the connection ended before.
+    /// Reads until this text has arrived. Returns false if the connection ended before.
     pub fn read_until(&mut self, text: &str) -> bool {
         while find(&self.buffer, text.as_bytes()).is_none() {
             if !self.fill() {
@@ -194,7 +194,7 @@
         true
     }
 
-    /// Everything that comes until the connection ends.
+    /// Reads everything until the connection ends.
     pub fn read_to_end(&mut self) -> String {
         while self.fill() {}
         String::from_utf8(std::mem::take(&mut self.buffer)).unwrap()
@@ -209,7 +209,7 @@
                 true
             }
             Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
-            Err(error) => panic!("nothing came within the test's patience: {error}"),
+            Err(error) => panic!("nothing arrived before the timeout: {error}"),
         }
     }
 }
@@ -218,7 +218,7 @@
     bytes.windows(text.len()).position(|window| window == text)
 }
 
-/// A reply as a caller sees it.
+/// A reply as a caller receives it.
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
@@ -232,7 +232,7 @@
     }
 }
 
-/// The head of a request with a new id.
+/// The head of a request with a new id and these additional header lines.
 pub fn request_head(path: &str, headers: &str) -> String {
     static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
     let id = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -241,7 +241,7 @@
     )
 }
 
-/// Sends a request on a connection of its own and reads the reply to the end.
+/// Sends a request on a new connection and reads the reply to its end.
 pub fn exchange(front: SocketAddr, path: &str, headers: &str) -> Reply {
     let mut conn = Conn::open(front);
     conn.write(&request_head(path, &format!("connection: close\r\n{headers}")));
--- a/crates/relay/tests/relay/standins/store.rs
+++ b/crates/relay/tests/relay/standins/store.rs
@@ -1,4 +1,4 @@
-//! A platform's store in memory.
+//! A fake of the platform's store, in memory.
 
 use std::{
     collections::HashMap,
@@ -12,7 +12,7 @@
 use peatdeck_core::relay::{position::Timeline, table::Record};
 use peatdeck_relay::surroundings::{self, Page, Store, StoreError, TableName};
 
-/// A platform's store in memory. Clones share it.
+/// The platform's store in memory. Clones share its contents.
 #[derive(Clone, Default)]
 pub struct MemoryStore {
     inner: Arc<Mutex<Inner>>,
@@ -24,7 +24,7 @@
     expired: HashMap<TableName, u64>,
     is_unavailable: bool,
     timeline: u64,
-    /// Whether its answers leave out the timeline.
+    /// Whether its replies omit the timeline.
     is_timeline_hidden: bool,
     delay: Duration,
 }
@@ -40,7 +40,7 @@
         self.write(table, key, Some(value.into()));
     }
 
-    /// Without a value the key is removed.
+    /// Writes a record. Without a value it removes the key.
     pub fn write(&self, table: TableName, key: &str, value: Option<Bytes>) {
         let mut inner = self.inner.lock().unwrap();
         let records = inner.tables.entry(table).or_default();
@@ -48,24 +48,24 @@
         records.push(Record { key: Arc::from(key), offset, value });
     }
 
-    /// Names an endpoint in the directory.
+    /// Writes an endpoint's entry to the directory.
     pub fn add_endpoint(&self, name: &str, service: &str, addr: SocketAddr) {
         self.put(TableName::Endpoints, name, format!("{service} {addr}").into_bytes());
     }
 
-    /// How many records were written to a table.
+    /// Number of records in the log of a table.
     pub fn len(&self, table: TableName) -> usize {
         self.inner.lock().unwrap().tables.get(&table).map_or(0, Vec::len)
     }
 
-    /// Forgets the log of a table; the newest record of each key stays.
+    /// Drops the log of a table but for the newest record of each key.
     pub fn compact(&self, table: TableName) {
         let mut inner = self.inner.lock().unwrap();
         let end = inner.tables.get(&table).map_or(0, |records| records.len() as u64);
         inner.expired.insert(table, end);
     }
 
-    /// Comes back from a copy that lacks the last records of a table.
+    /// Restores the store from a copy that lacks the last `lost` records of a table.
     pub fn restore(&self, table: TableName, lost: usize) {
         let mut inner = self.inner.lock().unwrap();
         inner.timeline += 1;
@@ -81,7 +81,7 @@
         self.inner.lock().unwrap().is_unavailable = is_unavailable;
     }
 
-    /// How long each of its answers is on the way.
+    /// Sets how long each reply to a read is delayed.
     pub fn set_delay(&self, delay: Duration) {
         self.inner.lock().unwrap().delay = delay;
     }
@@ -139,7 +139,7 @@
             read: Rc::new(move |table, from, wait| {
                 let store = read.clone();
                 Box::pin(async move {
-                    // Looks again at the end of the wait, which is close enough.
+                    // Reads again only at the end of the wait, which is sufficient for tests.
                     if let Ok(surroundings::Read::Records { records, .. }) = store.read(table, from)
                         && records.is_empty()
                     {
--- a/crates/relay/tests/relay/stop.rs
+++ b/crates/relay/tests/relay/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop.
+//! Planned stops and reloads.
 
 use std::sync::{Mutex, mpsc};
 
@@ -23,7 +23,7 @@
     conn.write(&request_head("/once/x", ""));
     on_arrival.recv().unwrap();
     site.relay.send_control(Control::Stop);
-    wait_for("the balancer is told", || site.relay.ready_status() == 503);
+    wait_for("the instance is not ready any more", || site.relay.ready_status() == 503);
     release.send(()).unwrap();
     let reply = read_reply(&mut conn);
     assert_eq!((reply.status, reply.body.as_str()), (200, "in time"));
@@ -35,7 +35,7 @@
     let site = Site::start(&[ScriptedEndpoint::answering("x")]);
     let mut conn = Conn::open(site.relay.front);
     site.relay.send_control(Control::Stop);
-    wait_for("the balancer is told", || site.relay.ready_status() == 503);
+    wait_for("the instance is not ready any more", || site.relay.ready_status() == 503);
     conn.write(&request_head("/once/x", ""));
     let reply = read_reply(&mut conn);
     assert_eq!(reply.status, 200);
--- a/crates/relay/tests/relay/store.rs
+++ b/crates/relay/tests/relay/store.rs
@@ -1,4 +1,4 @@
-//! A store that is dark, forgets, or is scarce.
+//! A store that is unavailable, compacts its log, has unreadable records or is slow.
 
 use std::time::Duration;
 
@@ -45,13 +45,12 @@
     let site = Site::start(&[ScriptedEndpoint::answering("x")]);
     site.store.put(TableName::Config, "config", b"not a version".to_vec());
     let unreadable = || site.relay.counter("peatdeck.relay.config_unreadable");
-    wait_for("it was noticed", || unreadable() == 1);
+    wait_for("the record was counted as unreadable", || unreadable() == 1);
     assert_eq!(site.exchange("/since-1/x").status, 200);
 }
 
-/// A large answer takes its time on a narrow link. Whether it still comes is
-/// seen by whoever reads it, so no limit on the whole call cuts it off: it
-/// would only be asked for again.
+/// A large reply takes long on a slow link. The reader sees whether data still arrives, so the
+/// whole call has no time limit; otherwise the same reply would be requested again.
 #[test]
 fn a_slow_reply_of_the_store_is_awaited() {
     let site = Site::start(&[ScriptedEndpoint::answering("x")]);
--- a/crates/relay/tests/relay/terms.rs
+++ b/crates/relay/tests/relay/terms.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in their answers.
+//! Terms that endpoints state in their replies.
 
 use std::{thread, time::Duration};
 
@@ -6,7 +6,7 @@
 
 use crate::standins::{MemoryStore, Relay, ScriptedEndpoint, exchange, full_reply, wait_for};
 
-/// An endpoint all of whose answers have that header.
+/// An endpoint whose replies all have this header.
 fn endpoint_with_header(header: &'static str) -> ScriptedEndpoint {
     ScriptedEndpoint::start(move |_, conn| {
         while let Some(request) = conn.read_request() {
@@ -16,8 +16,8 @@
     })
 }
 
-/// An endpoint that says nothing of itself, and takes longer than one that nobody has
-/// called yet is expected to.
+/// An endpoint that states no terms, and takes longer than is expected of an endpoint without
+/// calls so far.
 fn endpoint_without_terms() -> ScriptedEndpoint {
     ScriptedEndpoint::start(|_, conn| {
         while let Some(request) = conn.read_request() {
@@ -27,7 +27,7 @@
     })
 }
 
-/// Two instances that know each other before these endpoints.
+/// Two instances that have found each other, with these endpoints.
 fn site(endpoints: &[ScriptedEndpoint]) -> (MemoryStore, [Relay; 2]) {
     let store = MemoryStore::default();
     store.put(TableName::Config, "config", b"1".to_vec());
@@ -38,14 +38,16 @@
     let two = Relay::start("two", &store, &[one.peers]);
     for relay in [&one, &two] {
         relay.wait_ready();
-        wait_for("the instances know each other", || relay.counter("peatdeck.relay.peers") == 1);
+        wait_for("the instances have found each other", || {
+            relay.counter("peatdeck.relay.peers") == 1
+        });
     }
     (store, [one, two])
 }
 
-/// An endpoint that takes a call in fifty seconds gets a first one of each instance,
-/// and five more of both at the most in any four seconds. It is the quicker one, and
-/// would be chosen for nearly all.
+/// An endpoint that accepts one call in fifty seconds receives a first call from each instance,
+/// and at most five more from both in any four seconds. It is the faster endpoint, so without
+/// the limit it would get nearly all calls.
 #[test]
 fn a_limit_applies_to_all_instances_that_received_it() {
     let endpoints = [endpoint_with_header("peatdeck-limit: 0.02"), endpoint_without_terms()];
@@ -57,8 +59,8 @@
     assert!(calls <= 2 + 5, "{calls} calls");
 }
 
-/// The directory still names it: only its answers say that it leaves. Each instance
-/// gets one of these.
+/// The endpoint is still in the directory; only its replies say that it is leaving. Each instance
+/// receives one of these.
 #[test]
 fn an_endpoint_that_announces_leaving_receives_nothing_more() {
     let endpoints = [endpoint_with_header("peatdeck-leaving: 1"), endpoint_without_terms()];
@@ -70,8 +72,8 @@
     assert!(calls <= 2, "{calls} calls");
 }
 
-/// It turns each call away and wants nothing for an hour. Each instance hears so once;
-/// two further calls of each are allowed.
+/// The endpoint refuses each call and asks for a hold of an hour. Each instance receives that
+/// once; two further calls of each are allowed.
 #[test]
 fn an_endpoint_that_asked_for_a_hold_is_not_called() {
     let busy = ScriptedEndpoint::start(|_, conn| {
@@ -90,7 +92,7 @@
     assert!(calls <= 2 * (1 + 2), "{calls} calls");
 }
 
-/// An instance that never called such an endpoint hears of it from the one that did.
+/// An instance that never called an endpoint receives its terms from the instance that did.
 #[test]
 fn peers_receive_the_terms_of_endpoints() {
     let cases = [
@@ -100,11 +102,11 @@
     for (header, counter) in cases {
         let endpoints = [endpoint_with_header(header), endpoint_without_terms()];
         let (_store, [one, two]) = site(&endpoints);
-        wait_for("one is told", || {
+        wait_for("one instance has received the term", || {
             exchange(one.front, "/idempotent/x", "");
             one.counter(counter) == 1
         });
-        wait_for("the other one hears of it", || two.counter(counter) == 1);
+        wait_for("the other instance has received the term", || two.counter(counter) == 1);
         let before = endpoints[0].received().len();
         for _ in 0..10 {
             assert_eq!(exchange(two.front, "/idempotent/x", "").body, "untold");
