--- a/crates/relay/tests/relay/standins.rs
+++ b/crates/relay/tests/relay/standins.rs
@@ -47,7 +47,7 @@
 
 /// Reads a record of the operators. A key under `evacuate/` names a data centre; any other record
 /// is a configuration, whose value is the version after any number of blanks as padding.
-fn read_act(record: &Record) -> Result<Option<OperatorCommand>, String> {
+fn read_command(record: &Record) -> Result<Option<OperatorCommand>, String> {
     if let Some(name) = record.key.strip_prefix("evacuate/") {
         let name = Arc::from(name);
         let command = if record.value.is_some() {
@@ -219,7 +219,7 @@
             let surroundings = move |_pool| Platform {
                 dialect: native::dialect(),
                 store: store.client(),
-                read_command: read_act,
+                read_command,
                 read_endpoint,
                 dropped_lines: Rc::new(|| 0),
             };
