--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -39,12 +39,12 @@
     #[error("the document has {} problem(s), the first: {}", .0.len(), first(.0))]
     Invalid(Vec<Problem>),
     /// Another version than the base of the publish is in force.
-    #[error("{}, but this publish was made from {base}", in_force(.winner))]
+    #[error("{}, but this publish was made from {base}", describe_version(.in_force))]
     Conflict {
         /// The version that the publish was based on.
         base: Version,
         /// The version that is in force instead.
-        winner: VersionInForce,
+        in_force: VersionInForce,
     },
     /// The log holds a different publish with the same id.
     #[error("the log already holds publish `{0}` with another document, base or author")]
@@ -153,9 +153,9 @@
             Error::Malformed(_) => "correct the request and send it again".into(),
             Error::TooLarge(_) => "shorten policies or remove what is unused".into(),
             Error::Invalid(_) => "correct every problem listed and publish again".into(),
-            Error::Conflict { winner, .. } => format!(
+            Error::Conflict { in_force, .. } => format!(
                 "fetch version {version} (`peatdeck show`), apply the change to it and publish it with a new id and base {version}",
-                version = winner.version
+                version = in_force.version
             ).into(),
             Error::IdReused(_) => "publish with a new id".into(),
             Error::UnknownEndpoint(_) => {
@@ -173,8 +173,8 @@
             Error::Unknown(id) => format!(
                 "request the verdict on `{id}` (GET /v1/config/verdict/{id}, `peatdeck show --verdict {id}`), or publish again with the same id: it takes effect once"
             ).into(),
-            Error::NotLost(winner) => {
-                format!("publish on base {} instead", winner.version).into()
+            Error::NotLost(in_force) => {
+                format!("publish on base {} instead", in_force.version).into()
             }
             Error::StillInForce { .. } => {
                 "wait for its snapshot, or stop the instance if its version is not the one to continue from; then send the restore again".into()
@@ -191,8 +191,8 @@
     fn detail(&self) -> Option<ErrorDetail> {
         match self {
             Error::Invalid(problems) => Some(ErrorDetail::Invalid { problems: problems.clone() }),
-            Error::Conflict { winner, .. } | Error::NotLost(winner) => {
-                Some(ErrorDetail::Conflict(winner.clone()))
+            Error::Conflict { in_force, .. } | Error::NotLost(in_force) => {
+                Some(ErrorDetail::Conflict(in_force.clone()))
             }
             Error::Unknown(id) | Error::RestoreUnknown(id) => {
                 Some(ErrorDetail::Unknown { id: Arc::clone(id) })
@@ -262,9 +262,9 @@
     problems.first().map_or_else(String::new, |p| format!("{}: {}", p.path, p.message))
 }
 
-fn in_force(winner: &VersionInForce) -> String {
-    match &winner.author {
-        Some(author) => format!("version {}, published by {author}, is in force", winner.version),
-        None => format!("version {} is in force", winner.version),
+fn describe_version(in_force: &VersionInForce) -> String {
+    match &in_force.author {
+        Some(author) => format!("version {}, published by {author}, is in force", in_force.version),
+        None => format!("version {} is in force", in_force.version),
     }
 }
--- a/crates/admin/src/history.rs
+++ b/crates/admin/src/history.rs
@@ -16,14 +16,14 @@
 use peatdeck_wire::admin::{HistoryEntry, HistoryReply, OperatorAction, PublishVerdict};
 use xxhash_rust::xxh3;
 
-/// Maximum number of acts kept; the oldest are dropped first. This holds ten
+/// Maximum number of entries kept; the oldest are dropped first. This holds ten
 /// days of 2,000 changes each.
-const MAX_ACTS: usize = 20_000;
+const MAX_ENTRIES: usize = 20_000;
 
-/// The acts of operators on the configuration, oldest first.
+/// The changes that operators have made to the configuration, oldest first.
 #[derive(Debug, Default)]
 pub struct History {
-    acts: VecDeque<HistoryEntry>,
+    entries: VecDeque<HistoryEntry>,
     publishes: HashMap<Arc<str>, PublishSummary>,
     /// Offsets of publishes that the [`ConfigReader`] has not decided yet.
     undecided: Vec<Offset>,
@@ -50,32 +50,32 @@
             }
         }
         self.decide(config);
-        while self.acts.len() > MAX_ACTS {
+        while self.entries.len() > MAX_ENTRIES {
             self.drop_oldest();
         }
     }
 
-    /// Returns at most `limit` acts, starting at offset `from`.
+    /// Returns at most `limit` entries, starting at offset `from`.
     pub fn page(&self, from: Offset, limit: usize) -> HistoryReply {
-        let start = self.acts.partition_point(|act| act.offset < from);
-        let end = start.saturating_add(limit).min(self.acts.len());
+        let start = self.entries.partition_point(|entry| entry.offset < from);
+        let end = start.saturating_add(limit).min(self.entries.len());
         HistoryReply {
-            acts: self.acts.range(start..end).cloned().collect(),
-            next: self.acts.get(end).map(|act| act.offset),
+            acts: self.entries.range(start..end).cloned().collect(),
+            next: self.entries.get(end).map(|entry| entry.offset),
             earliest: self.earliest,
         }
     }
 
-    /// The act of a publish; `None` if its record has not been read.
-    pub fn act(&self, id: &str) -> Option<&HistoryEntry> {
+    /// The entry of a publish; `None` if its record has not been read.
+    pub fn entry(&self, id: &str) -> Option<&HistoryEntry> {
         let known = self.publishes.get(id)?;
-        let idx = self.acts.binary_search_by_key(&known.offset, |act| act.offset).ok()?;
-        self.acts.get(idx)
+        let idx = self.entries.binary_search_by_key(&known.offset, |entry| entry.offset).ok()?;
+        self.entries.get(idx)
     }
 
     /// The verdict on a publish; `None` if its record has not been read or decided.
     pub fn verdict(&self, id: &str) -> Option<PublishVerdict> {
-        match &self.act(id)?.what {
+        match &self.entry(id)?.what {
             OperatorAction::Publish { verdict: PublishVerdict::Forgotten, .. } => None,
             OperatorAction::Publish { verdict, .. } => Some(verdict.clone()),
             OperatorAction::Restore { .. }
@@ -93,12 +93,12 @@
     /// Id and author of the publish or restore that created a version; `None` if
     /// the history does not contain it.
     pub fn origin(&self, wanted: Version) -> Option<(Arc<str>, Arc<str>)> {
-        self.acts.iter().rev().find_map(|act| match &act.what {
+        self.entries.iter().rev().find_map(|entry| match &entry.what {
             OperatorAction::Publish {
                 id, verdict: PublishVerdict::Accepted { version }, ..
-            } if *version == wanted => Some((Arc::clone(id), Arc::clone(&act.author))),
+            } if *version == wanted => Some((Arc::clone(id), Arc::clone(&entry.author))),
             OperatorAction::Restore { id, version } if *version == wanted => {
-                Some((Arc::clone(id), Arc::clone(&act.author)))
+                Some((Arc::clone(id), Arc::clone(&entry.author)))
             }
             _ => None,
         })
@@ -139,13 +139,13 @@
     /// too, so a known id is skipped.
     fn add_restore(&mut self, entry: &Entry<ConfigRecord>, snapshot: &Snapshot) {
         let (Some(author), Some(id)) = (&snapshot.restorer, &snapshot.publish) else { return };
-        let is_known = |act: &HistoryEntry| {
+        let is_known = |entry: &HistoryEntry| {
             matches!(
-                &act.what,
+                &entry.what,
                 OperatorAction::Restore { id: known, .. } if known == id
             )
         };
-        if self.acts.iter().any(is_known) {
+        if self.entries.iter().any(is_known) {
             return;
         }
         let what = OperatorAction::Restore { id: Arc::clone(id), version: snapshot.version };
@@ -154,7 +154,7 @@
 
     fn push(&mut self, entry: &Entry<ConfigRecord>, author: &Arc<str>, what: OperatorAction) {
         let author = Arc::clone(author);
-        self.acts.push_back(HistoryEntry {
+        self.entries.push_back(HistoryEntry {
             offset: entry.offset,
             time_ms: entry.time_ms,
             author,
@@ -165,10 +165,12 @@
     /// Copies verdicts that `config` has reached since. A [`ConfigReader`] that
     /// has missed records reaches none until a snapshot covers the gap.
     fn decide(&mut self, config: &ConfigReader) {
-        let acts = &mut self.acts;
+        let entries = &mut self.entries;
         self.undecided.retain(|offset| {
-            let Ok(idx) = acts.binary_search_by_key(offset, |act| act.offset) else { return false };
-            let OperatorAction::Publish { id, verdict, .. } = &mut acts[idx].what else {
+            let Ok(idx) = entries.binary_search_by_key(offset, |it| it.offset) else {
+                return false;
+            };
+            let OperatorAction::Publish { id, verdict, .. } = &mut entries[idx].what else {
                 return false;
             };
             let Some(decided) = config.verdict(id) else { return true };
@@ -178,8 +180,8 @@
     }
 
     fn drop_oldest(&mut self) {
-        let Some(act) = self.acts.pop_front() else { return };
-        if let OperatorAction::Publish { id, .. } = act.what {
+        let Some(entry) = self.entries.pop_front() else { return };
+        if let OperatorAction::Publish { id, .. } = entry.what {
             self.publishes.remove(&id);
         }
     }
--- a/crates/admin/src/ops/publish.rs
+++ b/crates/admin/src/ops/publish.rs
@@ -111,8 +111,8 @@
         PublishVerdict::Accepted { version } => Ok(version),
         PublishVerdict::Conflict { current } => {
             ctx.metrics.count("admin.publish.conflict", 1);
-            let winner = ctx.reader.inspect(|state| winner(state, current));
-            Err(Error::Conflict { base: publish.base, winner })
+            let in_force = ctx.reader.inspect(|state| version_in_force(state, current));
+            Err(Error::Conflict { base: publish.base, in_force })
         }
         PublishVerdict::Forgotten => Err(Error::Unknown(Arc::clone(&publish.id))),
     }
@@ -127,7 +127,7 @@
 }
 
 /// A version with the id and author of the change that created it, for errors.
-pub fn winner(state: &State, version: Version) -> VersionInForce {
+pub fn version_in_force(state: &State, version: Version) -> VersionInForce {
     let (publish, author) = state.history.origin(version).unzip();
     VersionInForce { version, publish, author }
 }
--- a/crates/admin/src/ops/restore.rs
+++ b/crates/admin/src/ops/restore.rs
@@ -123,5 +123,5 @@
 
 fn not_lost_error(state: &State) -> Error {
     let version = state.current().map_or(0, |snapshot| snapshot.version);
-    Error::NotLost(publish::winner(state, version))
+    Error::NotLost(publish::version_in_force(state, version))
 }
--- a/crates/admin/src/ops/show.rs
+++ b/crates/admin/src/ops/show.rs
@@ -39,8 +39,8 @@
 /// [`Error::LogUnavailable`] or [`Error::UnknownPublish`].
 pub async fn verdict(ctx: &Context, id: Arc<str>) -> Result<VerdictReply, Error> {
     ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
-    let act = ctx.reader.inspect(|state| state.history.act(&id).cloned());
-    match act.map(|act| (act.author, act.what)) {
+    let entry = ctx.reader.inspect(|state| state.history.entry(&id).cloned());
+    match entry.map(|entry| (entry.author, entry.what)) {
         Some((author, OperatorAction::Publish { verdict, .. })) => {
             Ok(VerdictReply { id, author, verdict })
         }
--- a/crates/admin/src/reader.rs
+++ b/crates/admin/src/reader.rs
@@ -33,7 +33,7 @@
 pub struct State {
     /// Determines the configuration in force.
     pub config: ConfigReader,
-    /// The acts of operators.
+    /// The history of changes.
     pub history: History,
 }
 
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -17,10 +17,10 @@
 /// Maximum length of a request body, in bytes: a document, with allowance for
 /// JSON escapes and white space.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// Default number of acts on a page of the history.
-const DEFAULT_PAGE_ACTS: usize = 50;
-/// Maximum number of acts on a page of the history.
-const MAX_PAGE_ACTS: usize = 500;
+/// Default number of entries on a page of the history.
+const DEFAULT_PAGE_ENTRIES: usize = 50;
+/// Maximum number of entries on a page of the history.
+const MAX_PAGE_ENTRIES: usize = 500;
 
 /// Registers the routes of the API.
 pub fn configure(cfg: &mut web::ServiceConfig) {
@@ -95,7 +95,7 @@
 
 async fn history(operator: Operator, req: HttpRequest) -> Result<HttpResponse, Error> {
     let page: Page = query(&req)?;
-    let limit = page.limit.unwrap_or(DEFAULT_PAGE_ACTS).clamp(1, MAX_PAGE_ACTS);
+    let limit = page.limit.unwrap_or(DEFAULT_PAGE_ENTRIES).clamp(1, MAX_PAGE_ENTRIES);
     ops::show::history(&operator.ctx, page.from, limit).await.map(reply)
 }
 
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -131,10 +131,16 @@
 
 fn history_table(history: &HistoryReply) -> String {
     let mut rows = Table::new(["OFFSET", "TIME", "AUTHOR", "ACT", "VERDICT"]);
-    for act in &history.acts {
-        let time = SystemTime::UNIX_EPOCH + Duration::from_millis(act.time_ms);
-        let (what, verdict) = describe(&act.what);
-        rows.row([act.offset.to_string(), table::utc(time), act.author.to_string(), what, verdict]);
+    for entry in &history.acts {
+        let time = SystemTime::UNIX_EPOCH + Duration::from_millis(entry.time_ms);
+        let (what, verdict) = describe(&entry.what);
+        rows.row([
+            entry.offset.to_string(),
+            table::utc(time),
+            entry.author.to_string(),
+            what,
+            verdict,
+        ]);
     }
     let mut text = rows.render();
     if let Some(next) = history.next {
--- a/crates/cli/src/ops.rs
+++ b/crates/cli/src/ops.rs
@@ -1,6 +1,6 @@
 //! The operations behind the commands.
 //!
-//! - [`burn`]: computes the report on burn rates.
+//! - [`burn`]: computes the error budget burn report.
 //! - [`source`]: reads and checks a configuration file.
 //! - [`client`]: client of the administration API.
 //! - [`explain`]: finds the log lines of one request.
--- a/crates/cli/src/ops/burn.rs
+++ b/crates/cli/src/ops/burn.rs
@@ -45,7 +45,7 @@
 /// Burn rate in both the middle and the long window that raises [`Alert::Slow`].
 const SLOW_BURN_RATE: f64 = 6.0;
 
-/// The report on the burn rates of all pipelines and teams.
+/// The error budget burn report on all pipelines and teams.
 #[message]
 pub struct Report {
     /// Time of the report, in seconds of Unix time.
