--- a/crates/admin/src/history.rs
+++ b/crates/admin/src/history.rs
@@ -167,9 +167,7 @@
     fn decide(&mut self, config: &ConfigReader) {
         let entries = &mut self.entries;
         self.undecided.retain(|offset| {
-            let Ok(idx) = entries.binary_search_by_key(offset, |it| it.offset) else {
-                return false;
-            };
+            let Ok(idx) = entries.binary_search_by_key(offset, |e| e.offset) else { return false };
             let OperatorAction::Publish { id, verdict, .. } = &mut entries[idx].what else {
                 return false;
             };
