--- a/crates/core/tests/mutations/check.sh
+++ b/crates/core/tests/mutations/check.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# Applies each mutation of this folder by itself and runs the test that has to
-# find it. Prints the shrunk case of each. Fails if one is not found.
+# Applies each mutation of this directory in turn and runs the test that must
+# find it. Prints the minimal failing case of each. Fails if one is not found.
 #
-# Run it from the root of a clean working tree; it changes the source and puts
-# it back. With names of mutations as arguments, only those are run.
+# Run it from the root of a clean working tree; it changes the source and
+# reverts each change. With names of mutations as arguments, runs only those.
 set -u
 
 dir=crates/core/tests/mutations
--- a/crates/core/tests/testsuite/config_log.rs
+++ b/crates/core/tests/testsuite/config_log.rs
@@ -12,7 +12,7 @@
     record::{Batch, ConfigRecord, Drain, Entry, Evacuation, Publish, Snapshot},
 };
 
-const KEEP: Duration = Duration::from_secs(6_400);
+const RETENTION: Duration = Duration::from_secs(6_400);
 
 fn batch(from: u64, now_ms: u64, records: Vec<ConfigRecord>) -> Batch<ConfigRecord> {
     let entry = |(offset, record)| Entry { offset, time_ms: now_ms, record };
@@ -140,7 +140,7 @@
 #[test]
 fn the_first_instance_appends_the_snapshot_and_the_others_wait() {
     let reader = reader_of(vec![publish("a", 0)]);
-    let due = |secs: u64, rank| reader.snapshot_due(secs * 1_000, KEEP, rank).is_some();
+    let due = |secs: u64, rank| reader.snapshot_due(secs * 1_000, RETENTION, rank).is_some();
     assert_eq!([due(1_599, 0), due(1_600, 0)], [false, true]);
     assert_eq!([due(1_699, 1), due(1_700, 1)], [false, true]);
     assert_eq!([due(3_199, 999), due(3_200, 999)], [false, true]);
--- a/crates/core/tests/testsuite/fuzz.rs
+++ b/crates/core/tests/testsuite/fuzz.rs
@@ -1,7 +1,7 @@
 //! Stateful fuzzing of the state that instances agree on through the log.
 //!
-//! A world simulates several instances, a log and a network. Generated operations drive it in
-//! virtual time. A simple oracle observes it and panics if an invariant is violated.
+//! A world simulates several instances, a log and a network. A machine applies generated operations
+//! to it in virtual time. A simple oracle observes it and panics if an invariant is violated.
 //!
 //! The seed is fixed. `PEATDECK_FUZZ_CASES` sets the number of cases for a long run,
 //! `PEATDECK_FUZZ_SEED` another seed.
--- a/crates/core/tests/testsuite/fuzz/claims/world.rs
+++ b/crates/core/tests/testsuite/fuzz/claims/world.rs
@@ -40,6 +40,7 @@
     packets: Vec<Packet>,
     oracle: Oracle,
     next_nonce: u64,
+    /// Id of the next incarnation of a process or append.
     next_id: u64,
 }
 
@@ -65,6 +66,7 @@
 /// An append in flight.
 struct Packet {
     incarnation: u64,
+    /// The [`Append`] of its process.
     append: u64,
     batch: ClaimBatch,
 }
--- a/crates/core/tests/testsuite/fuzz/config/world.rs
+++ b/crates/core/tests/testsuite/fuzz/config/world.rs
@@ -53,7 +53,9 @@
     late_reads: Vec<Batch<ConfigRecord>>,
     /// The newest version in the log when the process started.
     version_at_start: Version,
+    /// The version in force as of the last change.
     in_force: Option<Version>,
+    /// The offset of the last record that the state in force includes.
     as_of: Option<Offset>,
     /// Publishes that were reported to the operator as accepted.
     accepted: Vec<Arc<str>>,
--- a/crates/core/tests/testsuite/instances/endpoints.rs
+++ b/crates/core/tests/testsuite/instances/endpoints.rs
@@ -33,17 +33,17 @@
     Duplicate,
     /// Calls are refused because no slot is free.
     Busy,
-    /// Connections are refused.
-    Refusing,
+    /// Connections are not accepted.
+    Down,
 }
 
 impl Fault {
     /// Any fault, or none with a probability of 0.4.
     pub fn any() -> impl Strategy<Value = Fault> {
-        use Fault::{Busy, Cut, Duplicate, Hang, None, Refusing, Slow, WrongEcho};
+        use Fault::{Busy, Cut, Down, Duplicate, Hang, None, Slow, WrongEcho};
         prop_oneof![
             4 => Just(None),
-            6 => prop::sample::select(vec![Slow, Hang, Cut, WrongEcho, Duplicate, Busy, Refusing]),
+            6 => prop::sample::select(vec![Slow, Hang, Cut, WrongEcho, Duplicate, Busy, Down]),
         ]
     }
 }
@@ -88,7 +88,7 @@
     /// The effect of a call that arrives.
     pub fn call(&self, call: &Call) -> CallEffect {
         let not_run = |event| CallEffect { runs: false, events: vec![(STEP, event)] };
-        if self.fault == Fault::Refusing {
+        if self.fault == Fault::Down {
             return not_run(CallEvent::Failed(CallFailure::NotSent));
         }
         if self.leaving.is_some() {
--- a/crates/core/tests/testsuite/instances/world.rs
+++ b/crates/core/tests/testsuite/instances/world.rs
@@ -43,10 +43,10 @@
 const APPEND_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of events at one time above which an instance must be in an endless loop.
 const MAX_SIMULTANEOUS: u32 = 10_000;
-/// Time after which a new process has a configuration if any process that it can reach has one,
+/// Time after which a process has a configuration if any process that it can reach has one,
 /// whatever the state of the log.
 const CONFIG_BOUND: Duration = Duration::from_secs(8);
-/// How long the log retains records. See [`millis`].
+/// How long the log retains records.
 const RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// What a caller requests.
@@ -81,6 +81,7 @@
     started_at: Duration,
     paused_at: Option<Duration>,
     resumed_at: Duration,
+    /// Inputs that arrived during a pause.
     inbox: VecDeque<Input>,
     wake_at: Option<Duration>,
 }
@@ -89,8 +90,10 @@
 pub struct World {
     now: Duration,
     rng: SmallRng,
+    /// Times and ids of the scheduled events, which `event_bodies` contains by id.
     events: BinaryHeap<Reverse<(Duration, u64)>>,
     event_bodies: HashMap<u64, Event>,
+    /// The last id of an event, caller, query, publish or document.
     last_id: u64,
     /// Whether no message has a long delay.
     has_short_delays: bool,
@@ -98,9 +101,11 @@
     simultaneous_events: u32,
     nodes: Vec<Node>,
     listing: Listing,
+    /// Pairs of nodes that can't reach each other.
     disconnected: HashSet<(usize, usize)>,
     /// Since when all instances can reach each other; the maximum while some can't.
     healed_at: Duration,
+    /// By id: the process that queries, the request, and the node that was queried.
     outcome_queries: HashMap<u64, (Process, RequestId, usize)>,
     oracle: Oracle,
     /// The fake endpoints.
@@ -269,7 +274,7 @@
         self.schedule_in(0, Event::Deliver(self.process(node), Input::Stop));
     }
 
-    /// Expires records of the configuration stream that are older than eight seconds, if `is_config`.
+    /// Expires records of the configuration stream older than eight seconds, if `is_config`.
     pub fn expire(&mut self, is_config: bool) {
         // Claims are correct only if their records are kept for the stated retention time.
         let before = self.now.saturating_sub(Duration::from_secs(8)).as_millis() as u64;
--- a/crates/core/tests/testsuite/instances/world/steps.rs
+++ b/crates/core/tests/testsuite/instances/world/steps.rs
@@ -215,6 +215,7 @@
     }
 
     pub(super) fn end_append(&mut self, process: Process, append: AppendId, is_out: bool) {
+        // The second copy of a repeated append, of which the instance expects no acknowledgement.
         if append == AppendId(u64::MAX) {
             return;
         }
--- a/crates/core/tests/testsuite/subset.rs
+++ b/crates/core/tests/testsuite/subset.rs
@@ -7,7 +7,7 @@
     subset::{self, Params},
 };
 
-/// Endpoints of one pool, distributed over data data_centres in turn.
+/// Endpoints of one pool, distributed over data centres in turn.
 fn pool(count: usize, data_centres: usize) -> Vec<EndpointEntry> {
     let entry = |idx: usize| EndpointEntry {
         name: format!("engine-{idx}").into(),
--- a/crates/core/tests/testsuite/trace.rs
+++ b/crates/core/tests/testsuite/trace.rs
@@ -1,3 +1,5 @@
+//! Invariants that are checked on traces, comparison of hashed contents, and errors in traces.
+
 use std::time::Duration;
 
 use expect_test::{Expect, expect};
