--- a/crates/admin/src/history.rs
+++ b/crates/admin/src/history.rs
@@ -1,8 +1,8 @@
-//! Who did what to the configuration, from the records of the log.
+//! The history of changes to the configuration, from the records of the log.
 //!
-//! Fed with the same batches as the fold, after it. Pure: no I/O, no clock.
-//! A repeated record of the same publish counts once, as in the fold; the
-//! first one stands for it.
+//! [`History`] applies each batch after the [`ConfigReader`] has read it. It
+//! performs no I/O and reads no clock. Repeated records of the same publish
+//! count once, as in [`ConfigReader`]; the first one is kept.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -13,48 +13,49 @@
     config_log::{ConfigReader, Verdict},
     record::{Batch, ConfigRecord, Drain, Entry, Evacuation, Offset, Publish, Snapshot, Version},
 };
-use peatdeck_wire::admin::{Act, ActKind, HistoryReply, PublishVerdict};
+use peatdeck_wire::admin::{HistoryEntry, HistoryReply, OperatorAction, PublishVerdict};
 use xxhash_rust::xxh3;
 
-/// Acts kept at the most; the oldest go first. Some days of 2,000 changes.
+/// Maximum number of acts kept; the oldest are dropped first. This holds ten
+/// days of 2,000 changes each.
 const MAX_ACTS: usize = 20_000;
 
-/// Who did what, oldest first.
+/// The acts of operators on the configuration, oldest first.
 #[derive(Debug, Default)]
 pub struct History {
-    acts: VecDeque<Act>,
-    publishes: HashMap<Arc<str>, Known>,
-    /// Offsets of publishes that the fold has not decided yet.
+    acts: VecDeque<HistoryEntry>,
+    publishes: HashMap<Arc<str>, PublishSummary>,
+    /// Offsets of publishes that the [`ConfigReader`] has not decided yet.
     undecided: Vec<Offset>,
     earliest: Offset,
 }
 
-/// What is kept of a publish, to tell its repeat from another one.
+/// Distinguishes a repeated publish from another one with the same id.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct PublishSummary {
     offset: Offset,
     digest: u64,
 }
 
 impl History {
-    /// Takes in a batch that `fold` has just read.
-    pub fn read(&mut self, batch: &Batch<ConfigRecord>, fold: &ConfigReader) {
+    /// Applies a batch that `config` has just read.
+    pub fn apply(&mut self, batch: &Batch<ConfigRecord>, config: &ConfigReader) {
         self.earliest = batch.earliest;
         for entry in &batch.entries {
             match &entry.record {
-                ConfigRecord::Publish(publish) => self.publish(entry, publish),
-                ConfigRecord::Drain(drain) => self.drain(entry, drain),
-                ConfigRecord::Evacuation(order) => self.evacuation(entry, order),
-                ConfigRecord::Snapshot(snapshot) => self.restore(entry, snapshot),
+                ConfigRecord::Publish(publish) => self.add_publish(entry, publish),
+                ConfigRecord::Drain(drain) => self.add_drain(entry, drain),
+                ConfigRecord::Evacuation(order) => self.add_evacuation(entry, order),
+                ConfigRecord::Snapshot(snapshot) => self.add_restore(entry, snapshot),
             }
         }
-        self.decide(fold);
+        self.decide(config);
         while self.acts.len() > MAX_ACTS {
-            self.forget_oldest();
+            self.drop_oldest();
         }
     }
 
-    /// At most `limit` acts from offset `from` on.
+    /// Returns at most `limit` acts, starting at offset `from`.
     pub fn page(&self, from: Offset, limit: usize) -> HistoryReply {
         let start = self.acts.partition_point(|act| act.offset < from);
         let end = start.saturating_add(limit).min(self.acts.len());
@@ -65,51 +66,52 @@
         }
     }
 
-    /// The act of a publish, if its record was read.
-    pub fn act(&self, id: &str) -> Option<&Act> {
+    /// The act of a publish; `None` if its record has not been read.
+    pub fn act(&self, id: &str) -> Option<&HistoryEntry> {
         let known = self.publishes.get(id)?;
         let idx = self.acts.binary_search_by_key(&known.offset, |act| act.offset).ok()?;
         self.acts.get(idx)
     }
 
-    /// What became of a publish, if its record was read and decided.
+    /// The verdict on a publish; `None` if its record has not been read or decided.
     pub fn verdict(&self, id: &str) -> Option<PublishVerdict> {
         match &self.act(id)?.what {
-            ActKind::Publish { verdict: PublishVerdict::Forgotten, .. } => None,
-            ActKind::Publish { verdict, .. } => Some(verdict.clone()),
-            ActKind::Restore { .. } | ActKind::Drain { .. } | ActKind::Evacuation { .. } => None,
+            OperatorAction::Publish { verdict: PublishVerdict::Forgotten, .. } => None,
+            OperatorAction::Publish { verdict, .. } => Some(verdict.clone()),
+            OperatorAction::Restore { .. }
+            | OperatorAction::Drain { .. }
+            | OperatorAction::Evacuation { .. } => None,
         }
     }
 
-    /// Whether the publish that stands under this id is the same one;
-    /// `None` if none stands.
+    /// Whether the publish recorded under this id is the same one; `None` if
+    /// none is recorded.
     pub fn is_same(&self, publish: &Publish) -> Option<bool> {
         self.publishes.get(&publish.id).map(|known| known.digest == digest(publish))
     }
 
-    /// The publish or restore that made a version and its author, if the log keeps it.
-    pub fn maker(&self, wanted: Version) -> Option<(Arc<str>, Arc<str>)> {
+    /// Id and author of the publish or restore that created a version; `None` if
+    /// the history does not contain it.
+    pub fn origin(&self, wanted: Version) -> Option<(Arc<str>, Arc<str>)> {
         self.acts.iter().rev().find_map(|act| match &act.what {
-            ActKind::Publish { id, verdict: PublishVerdict::Accepted { version }, .. }
-                if *version == wanted =>
-            {
-                Some((Arc::clone(id), Arc::clone(&act.author)))
-            }
-            ActKind::Restore { id, version } if *version == wanted => {
+            OperatorAction::Publish {
+                id, verdict: PublishVerdict::Accepted { version }, ..
+            } if *version == wanted => Some((Arc::clone(id), Arc::clone(&act.author))),
+            OperatorAction::Restore { id, version } if *version == wanted => {
                 Some((Arc::clone(id), Arc::clone(&act.author)))
             }
             _ => None,
         })
     }
 
-    fn publish(&mut self, entry: &Entry<ConfigRecord>, publish: &Publish) {
+    fn add_publish(&mut self, entry: &Entry<ConfigRecord>, publish: &Publish) {
         if self.publishes.contains_key(&publish.id) {
             return;
         }
-        let known = Known { offset: entry.offset, digest: digest(publish) };
+        let known = PublishSummary { offset: entry.offset, digest: digest(publish) };
         self.publishes.insert(Arc::clone(&publish.id), known);
         self.undecided.push(entry.offset);
-        let what = ActKind::Publish {
+        let what = OperatorAction::Publish {
             id: Arc::clone(&publish.id),
             base: publish.base,
             verdict: PublishVerdict::Forgotten,
@@ -117,55 +119,67 @@
         self.push(entry, &publish.author, what);
     }
 
-    fn drain(&mut self, entry: &Entry<ConfigRecord>, drain: &Drain) {
-        let what = ActKind::Drain {
+    fn add_drain(&mut self, entry: &Entry<ConfigRecord>, drain: &Drain) {
+        let what = OperatorAction::Drain {
             endpoint: Arc::clone(&drain.endpoint),
             incarnation: drain.incarnation,
         };
         self.push(entry, &drain.author, what);
     }
 
-    fn evacuation(&mut self, entry: &Entry<ConfigRecord>, order: &Evacuation) {
-        let what = ActKind::Evacuation {
+    fn add_evacuation(&mut self, entry: &Entry<ConfigRecord>, order: &Evacuation) {
+        let what = OperatorAction::Evacuation {
             data_centre: Arc::clone(&order.data_centre),
             is_over: order.is_over,
         };
         self.push(entry, &order.author, what);
     }
 
-    /// Later snapshots of the same state name the restore again.
-    fn restore(&mut self, entry: &Entry<ConfigRecord>, snapshot: &Snapshot) {
+    /// Adds a restore. Later snapshots of the same state carry the restore's id
+    /// too, so a known id is skipped.
+    fn add_restore(&mut self, entry: &Entry<ConfigRecord>, snapshot: &Snapshot) {
         let (Some(author), Some(id)) = (&snapshot.restorer, &snapshot.publish) else { return };
-        let is_known =
-            |act: &Act| matches!(&act.what, ActKind::Restore { id: known, .. } if known == id);
+        let is_known = |act: &HistoryEntry| {
+            matches!(
+                &act.what,
+                OperatorAction::Restore { id: known, .. } if known == id
+            )
+        };
         if self.acts.iter().any(is_known) {
             return;
         }
-        let what = ActKind::Restore { id: Arc::clone(id), version: snapshot.version };
+        let what = OperatorAction::Restore { id: Arc::clone(id), version: snapshot.version };
         self.push(entry, author, what);
     }
 
-    fn push(&mut self, entry: &Entry<ConfigRecord>, author: &Arc<str>, what: ActKind) {
+    fn push(&mut self, entry: &Entry<ConfigRecord>, author: &Arc<str>, what: OperatorAction) {
         let author = Arc::clone(author);
-        self.acts.push_back(Act { offset: entry.offset, time_ms: entry.time_ms, author, what });
+        self.acts.push_back(HistoryEntry {
+            offset: entry.offset,
+            time_ms: entry.time_ms,
+            author,
+            what,
+        });
     }
 
-    /// Asks the fold for what it had not decided before. A fold that lost
-    /// records decides only once it has joined the stream again.
-    fn decide(&mut self, fold: &ConfigReader) {
+    /// Copies verdicts that `config` has reached since. A [`ConfigReader`] that
+    /// has missed records reaches none until a snapshot covers the gap.
+    fn decide(&mut self, config: &ConfigReader) {
         let acts = &mut self.acts;
         self.undecided.retain(|offset| {
             let Ok(idx) = acts.binary_search_by_key(offset, |act| act.offset) else { return false };
-            let ActKind::Publish { id, verdict, .. } = &mut acts[idx].what else { return false };
-            let Some(decided) = fold.verdict(id) else { return true };
+            let OperatorAction::Publish { id, verdict, .. } = &mut acts[idx].what else {
+                return false;
+            };
+            let Some(decided) = config.verdict(id) else { return true };
             *verdict = to_wire(decided);
             false
         });
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest(&mut self) {
         let Some(act) = self.acts.pop_front() else { return };
-        if let ActKind::Publish { id, .. } = act.what {
+        if let OperatorAction::Publish { id, .. } = act.what {
             self.publishes.remove(&id);
         }
     }
--- a/crates/admin/src/ops/status.rs
+++ b/crates/admin/src/ops/status.rs
@@ -1,7 +1,7 @@
-//! Gathers the status of all listed instances, and their outcomes.
+//! Collects the status and the outcome counts of all listed instances.
 //!
-//! Outcomes are asked for only where they are wanted, and added up as they
-//! come: a status with a day of them takes megabytes.
+//! Outcomes are requested only if needed, and each response is added to the
+//! sums when it arrives: a status with the outcomes of a day takes megabytes.
 
 use std::{collections::BTreeMap, pin::pin, sync::Arc, time::Duration};
 
@@ -12,41 +12,45 @@
     record::Version,
 };
 use peatdeck_macros::id;
-use peatdeck_wire::admin::{EntryStatus, Missing, OutcomeCount, OutcomesReply, StatusReply};
+use peatdeck_wire::admin::{
+    EntryStatus, MissingInstance, OutcomeCount, OutcomesReply, StatusReply,
+};
 
 use crate::{context::Context, error::Error};
 
-/// Instances asked at the same time.
-const PARALLEL: usize = 32;
-/// First pause between two rounds of asking who has a version in force.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest such pause.
+/// Maximum number of concurrent status requests.
+const MAX_CONCURRENT: usize = 32;
+/// Pause after the first round of polling the versions of instances; it doubles
+/// with each round.
+const INITIAL_PAUSE: Duration = Duration::from_millis(50);
+/// Longest pause between two rounds.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
-/// A slot that no outcome is in.
-const NEVER: u64 = u64::MAX;
+/// Value of `since` that excludes all outcomes.
+const NO_OUTCOMES: u64 = u64::MAX;
 
-/// Who has a version in force.
+/// Which instances have a version in force.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct Rollout {
     /// Instances that have it or a later one.
     pub in_force: Vec<InstanceName>,
-    /// Live instances of the list that did not say so.
-    pub missing: Vec<Missing>,
+    /// Live listed instances that have not confirmed it.
+    pub missing: Vec<MissingInstance>,
 }
 
-/// The status of every listed instance.
+/// Returns the status of every listed instance.
 ///
 /// # Errors
-/// [`Error::ListOut`].
+/// [`Error::ListUnavailable`].
 pub async fn status(ctx: &Context) -> Result<StatusReply, Error> {
-    let listing = ctx.list.read().await.map_err(|cause| Error::ListOut(cause.to_string()))?;
+    let listing =
+        ctx.list.read().await.map_err(|cause| Error::ListUnavailable(cause.to_string()))?;
     let mut reply = StatusReply { entries: Vec::new(), missing: Vec::new() };
-    let mut answers = pin!(ask(ctx, &listing.instances, NEVER));
+    let mut answers = pin!(fetch(ctx, &listing.instances, NO_OUTCOMES));
     while let Some((instance, answer)) = answers.next().await {
         match answer {
             Ok(status) => reply.entries.push(status),
-            Err(reason) => reply.missing.push(Missing { instance, reason: reason.into() }),
+            Err(reason) => reply.missing.push(MissingInstance { instance, reason: reason.into() }),
         }
     }
     reply.entries.sort_by(|a, b| a.instance.cmp(&b.instance));
@@ -54,21 +58,23 @@
     Ok(reply)
 }
 
-/// The outcomes of every listed instance from `since` on, added up.
+/// Returns the outcome counts of all listed instances, summed over the instances, for slots
+/// from `since` on.
 ///
 /// # Errors
-/// [`Error::ListOut`].
+/// [`Error::ListUnavailable`].
 pub async fn outcomes(ctx: &Context, since: u64) -> Result<OutcomesReply, Error> {
-    let listing = ctx.list.read().await.map_err(|cause| Error::ListOut(cause.to_string()))?;
+    let listing =
+        ctx.list.read().await.map_err(|cause| Error::ListUnavailable(cause.to_string()))?;
     let (mut sums, mut instances, mut missing) = (BTreeMap::new(), Vec::new(), Vec::new());
-    let mut answers = pin!(ask(ctx, &listing.instances, since));
+    let mut answers = pin!(fetch(ctx, &listing.instances, since));
     while let Some((instance, answer)) = answers.next().await {
         match answer {
             Ok(status) => {
                 instances.push(instance);
                 add(&mut sums, status.outcomes);
             }
-            Err(reason) => missing.push(Missing { instance, reason: reason.into() }),
+            Err(reason) => missing.push(MissingInstance { instance, reason: reason.into() }),
         }
     }
     instances.sort();
@@ -77,7 +83,7 @@
     Ok(OutcomesReply { outcomes, instances, missing })
 }
 
-/// What tells one row of outcomes from another.
+/// Identifies a row of outcome counts.
 #[id]
 struct Key {
     slot: u64,
@@ -101,55 +107,56 @@
     }
 }
 
-/// Asks until all live instances of the list have `version` in force, for a
-/// bounded time. Only those that haven't said so are asked again. One that is
-/// leaving ends with what it holds and is not waited for.
-pub async fn wait_in_force(ctx: &Context, version: Version) -> Spread {
-    let end = ctx.clock.now() + ctx.bounds.in_force;
-    let mut spread = Spread::default();
-    let mut pause = FIRST_PAUSE;
+/// Polls the live listed instances until all have `version` in force or
+/// `Timeouts::in_force` has passed. Each round polls only those that have not
+/// confirmed it. Leaving instances finish with the version they have and are not
+/// waited for.
+pub async fn wait_in_force(ctx: &Context, version: Version) -> Rollout {
+    let end = ctx.clock.now() + ctx.timeouts.in_force;
+    let mut rollout = Rollout::default();
+    let mut pause = INITIAL_PAUSE;
     loop {
-        let complete = round(ctx, version, &mut spread).await;
+        let complete = poll_instances(ctx, version, &mut rollout).await;
         let left = end.saturating_sub(ctx.clock.now());
         if complete || left.is_zero() {
-            spread.in_force.sort();
-            spread.missing.sort_by(|a, b| a.instance.cmp(&b.instance));
-            return spread;
+            rollout.in_force.sort();
+            rollout.missing.sort_by(|a, b| a.instance.cmp(&b.instance));
+            return rollout;
         }
         tokio::time::sleep(pause.min(left)).await;
         pause = MAX_PAUSE.min(pause * 2);
     }
 }
 
-/// One round of asking. Whether nobody is missing.
-async fn round(ctx: &Context, version: Version, spread: &mut Spread) -> bool {
+/// Runs one round of polling. Returns whether no instance is missing.
+async fn poll_instances(ctx: &Context, version: Version, rollout: &mut Rollout) -> bool {
     let Ok(listing) = ctx.list.read().await else {
-        let reason = "the platform's list is out; it is not known who should answer";
-        spread.missing = vec![Missing { instance: "*".into(), reason: reason.into() }];
+        let reason = "the platform's list is unavailable, so the live instances are not known";
+        rollout.missing = vec![MissingInstance { instance: "*".into(), reason: reason.into() }];
         return false;
     };
-    let is_asked = |instance: &InstanceEntry| {
-        instance.presence == Presence::Live && !spread.in_force.contains(&instance.name)
+    let is_pending = |instance: &InstanceEntry| {
+        instance.presence == Presence::Live && !rollout.in_force.contains(&instance.name)
     };
-    let instances: Vec<InstanceEntry> = listing.instances.into_iter().filter(is_asked).collect();
+    let instances: Vec<InstanceEntry> = listing.instances.into_iter().filter(is_pending).collect();
     let mut missing = BTreeMap::new();
-    let mut answers = pin!(ask(ctx, &instances, NEVER));
+    let mut answers = pin!(fetch(ctx, &instances, NO_OUTCOMES));
     while let Some((instance, answer)) = answers.next().await {
-        match answer.and_then(|status| has_version(&status, version)) {
-            Ok(()) => spread.in_force.push(instance),
+        match answer.and_then(|status| check_version(&status, version)) {
+            Ok(()) => rollout.in_force.push(instance),
             Err(reason) => {
                 missing.insert(instance, reason);
             }
         }
     }
-    spread.missing = missing
+    rollout.missing = missing
         .into_iter()
-        .map(|(instance, reason)| Missing { instance, reason: reason.into() })
+        .map(|(instance, reason)| MissingInstance { instance, reason: reason.into() })
         .collect();
-    spread.missing.is_empty()
+    rollout.missing.is_empty()
 }
 
-fn has_version(status: &EntryStatus, version: Version) -> Result<(), String> {
+fn check_version(status: &EntryStatus, version: Version) -> Result<(), String> {
     if status.version >= version {
         return Ok(());
     }
@@ -159,8 +166,9 @@
     }
 }
 
-/// Each instance's status, with outcomes from `since` on, or why there is none.
-fn ask(
+/// Requests the status of each instance, with outcomes from `since` on. The error
+/// of an instance is the cause as text.
+fn fetch(
     ctx: &Context,
     instances: &[InstanceEntry],
     since: u64,
@@ -168,8 +176,8 @@
     stream::iter(instances)
         .map(move |instance| async move {
             let answer =
-                entry::status(&ctx.http, &instance.http_addr, since, ctx.bounds.status).await;
+                entry::status(&ctx.http, &instance.http_addr, since, ctx.timeouts.status).await;
             (instance.name.clone(), answer.map_err(|cause| cause.to_string()))
         })
-        .buffer_unordered(PARALLEL)
+        .buffer_unordered(MAX_CONCURRENT)
 }
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `peatdeck check`: is a configuration file valid? Asks nobody.
+//! `peatdeck check`: checks a configuration file locally.
 
 use bpaf::{OptionParser, Parser, construct, positional};
 
@@ -6,17 +6,17 @@
     commands,
     error::Error,
     ops::source,
-    shell::{self, Format, Output, Shell},
+    shell::{self, Environment, Format, Output},
 };
 
-/// The flags.
+/// The flags and arguments of the command.
 #[derive(Debug, Clone)]
 pub struct Args {
     format: Format,
     file: String,
 }
 
-/// The command line.
+/// The parser of the command's flags and arguments.
 pub fn cli() -> OptionParser<Args> {
     let format = commands::format();
     let file = positional::<String>("FILE").help("Configuration file in TOML");
@@ -29,8 +29,8 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`Error::File`], [`Error::Source`].
-pub async fn exec(_: &Shell, args: Args) -> Result<Output, Error> {
+/// [`Error::File`] if the file cannot be read, [`Error::Source`] if it is invalid.
+pub async fn exec(_: &Environment, args: Args) -> Result<Output, Error> {
     let document = source::load(&args.file)?;
     let text = match args.format {
         Format::Json => shell::json(&document)?,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,19 +3,20 @@
 use std::{process::ExitCode, time::SystemTime};
 
 use bpaf::{Args, ParseFailure};
-use peatdeck::{app, exit, shell::Shell};
+use peatdeck::{app, exit, shell::Environment};
 
-/// Columns that help texts are wrapped at.
+/// Width at which help texts are wrapped, in columns.
 const HELP_WIDTH: usize = 100;
 
 #[ntex::main]
 async fn main() -> ExitCode {
     let command = match app::options().run_inner(Args::current_args()) {
         Ok(command) => command,
-        Err(failure) => return refuse(failure),
+        Err(failure) => return print_parse_failure(failure),
     };
-    let shell = Shell { token: std::env::var("PEATDECK_ADMIN_TOKEN").ok(), now: SystemTime::now() };
-    match app::exec(&shell, command).await {
+    let env =
+        Environment { token: std::env::var("PEATDECK_ADMIN_TOKEN").ok(), now: SystemTime::now() };
+    match app::exec(&env, command).await {
         Ok(output) => {
             print!("{}", output.text);
             output.code.into()
@@ -28,8 +29,8 @@
     }
 }
 
-/// Prints help, or what is wrong with the command line.
-fn refuse(failure: ParseFailure) -> ExitCode {
+/// Prints the help text or the error of the command line.
+fn print_parse_failure(failure: ParseFailure) -> ExitCode {
     failure.print_message(HELP_WIDTH);
     match failure.exit_code() {
         0 => exit::Code::Done.into(),
--- a/crates/cli/tests/testsuite/publish.rs
+++ b/crates/cli/tests/testsuite/publish.rs
@@ -66,9 +66,9 @@
     let args = [&PUBLISH[..], &["--base", "0", &file]].concat();
     expect![[r#"
         exit 5
-          x unknown: publish `p-1` may have taken effect, and the log did not say in time (unknown)
-          help: ask for the verdict of `p-1` (GET /v1/config/verdict/p-1, `peatdeck show --verdict p-1`),
-                or publish again with the same id: it counts once
+          x unknown: publish `p-1` may have taken effect; the log did not confirm it in time (unknown)
+          help: request the verdict on `p-1` (GET /v1/config/verdict/p-1, `peatdeck show --verdict p-1`),
+                or publish again with the same id: it takes effect once
     "#]].assert_eq(&bench.run(&args).await);
 }
 
@@ -111,7 +111,7 @@
     expect![[r#"
         exit 1
           x cannot reach peatdeck-admin at http://127.0.0.1:1: Connection refused (os error 111)
-          help: check --admin (PEATDECK_ADMIN) and that it runs; nothing was done
+          help: check --admin (PEATDECK_ADMIN) and that peatdeck-admin is running; nothing was done
     "#]]
     .assert_eq(&support::run(bench.token.clone(), &args).await);
 }
--- a/crates/macros/src/lib.rs
+++ b/crates/macros/src/lib.rs
@@ -1,5 +1,6 @@
 //! Attribute macros for the common sets of derives, so that a type states its
-//! kind (`data`, `id`, `message`) instead of repeating a list of traits.
+//! kind (`data`, `id`, `message`) instead of a list of traits, and for tests that
+//! share a system (`on_system`).
 
 use proc_macro::{Delimiter, Group, TokenStream, TokenTree};
 
@@ -9,13 +10,14 @@
     derive("#[derive(Debug, Clone, PartialEq)]", item)
 }
 
-/// A small key or name: everything that a map or a sort needs.
+/// A small key or name: `data` and the traits that maps and sorting need.
 #[proc_macro_attribute]
 pub fn id(_args: TokenStream, item: TokenStream) -> TokenStream {
     derive("#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]", item)
 }
 
-/// A value that crosses a process boundary: `data` and serde's two traits.
+/// A value that crosses a process boundary: `data` and serde's `Serialize` and
+/// `Deserialize`.
 ///
 /// The crate that uses it needs `serde` with the `derive` feature.
 #[proc_macro_attribute]
@@ -23,7 +25,7 @@
     derive("#[derive(Debug, Clone, PartialEq, ::serde::Serialize, ::serde::Deserialize)]", item)
 }
 
-/// An asynchronous test on the system that all tests of a process share.
+/// An asynchronous test on the system that all tests of the process share.
 ///
 /// The crate that uses it needs `peatdeck-test-support`.
 ///
@@ -35,12 +37,12 @@
     let keyword = tokens.iter().position(|token| token.to_string() == "fn");
     let name = keyword.and_then(|idx| tokens.get(idx + 1)).expect("a function has a name");
     let body = tokens.last().expect("a function has a body").clone();
-    let mut test: TokenStream = "|| async move".parse().expect("it is a constant");
+    let mut test: TokenStream = "|| async move".parse().expect("the constant parses");
     test.extend([body]);
     let mut call: TokenStream =
-        "::peatdeck_test_support::system::run".parse().expect("it is a constant");
+        "::peatdeck_test_support::system::run".parse().expect("the constant parses");
     call.extend([TokenTree::from(Group::new(Delimiter::Parenthesis, test))]);
-    let mut out: TokenStream = "#[test] fn".parse().expect("it is a constant");
+    let mut out: TokenStream = "#[test] fn".parse().expect("the constant parses");
     out.extend([
         name.clone(),
         Group::new(Delimiter::Parenthesis, TokenStream::new()).into(),
@@ -50,7 +52,7 @@
 }
 
 fn derive(attribute: &str, item: TokenStream) -> TokenStream {
-    let mut out: TokenStream = attribute.parse().expect("the attribute is a constant");
+    let mut out: TokenStream = attribute.parse().expect("the attribute parses");
     out.extend(item);
     out
 }
--- a/crates/util/src/logging.rs
+++ b/crates/util/src/logging.rs
@@ -1,8 +1,8 @@
 //! Structured logs, as text or JSON.
 //!
-//! [`start`] is for programs whose lines are few: changes of state, on standard
-//! error. [`start_bounded`] is for those that write a line for each decision,
-//! on standard output. No line holds a caller's content.
+//! [`init`] is for programs that log few lines, such as changes of state, to
+//! standard error. [`init_bounded`] is for programs that log a line for each
+//! decision, to standard output. No line contains a caller's content.
 
 use std::{
     io::{self, IsTerminal, Write},
@@ -21,18 +21,18 @@
     fmt::{self, MakeWriter},
 };
 
-/// Log filter where none is set. The HTTP library logs each of its steps as
-/// info; they are not changes of state of the process.
+/// Default log filter. The HTTP library logs each of its steps at level `info`;
+/// these are not changes of state of the process and are filtered out.
 pub const DEFAULT_FILTER: &str =
     "info,ntex_net=warn,ntex_rt=warn,ntex_server=warn,ntex_service=warn";
 
-/// How log lines are written.
+/// Format of the log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -53,9 +53,9 @@
     }
 }
 
-/// Starts logging for the process. `filter` is a directive such as `info` or
-/// `peatdeck_entry=debug,warn`; one that cannot be read counts as `info`.
-pub fn start(format: Format, filter: &str) {
+/// Initialises logging for the process. `filter` is a directive such as `info` or
+/// `peatdeck_entry=debug,warn`; an invalid one is replaced by `info`.
+pub fn init(format: Format, filter: &str) {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = fmt::fmt().with_env_filter(filter).with_writer(io::stderr);
     let builder = builder.with_ansi(io::stderr().is_terminal());
@@ -65,44 +65,46 @@
     }
 }
 
-/// Lines that may wait to be written. At 400 bytes a line this is 1.6 MB.
-const WAITING_LINES: usize = 4096;
-/// Lines of one second at the most. The size to design for needs about 10 a
-/// request, at 62 requests a second; twice that is left for trouble.
-const LINES_A_SECOND: u64 = 1500;
-
-/// Logs that are written by a thread of their own. Dropping it writes what
-/// still waits.
-pub struct Bounded {
-    dropped: Dropped,
+/// Maximum number of lines that wait to be written. At 400 bytes each they take
+/// 1.6 MB.
+const MAX_BUFFERED_LINES: usize = 4096;
+/// Maximum number of lines per second. A deployment of the intended size needs
+/// about 10 lines per request at 62 requests a second; the limit is more than twice
+/// that, to leave room for incidents.
+const MAX_LINES_PER_SECOND: u64 = 1500;
+
+/// Handle of the logs of [`init_bounded`], which a separate thread writes.
+/// Dropping it writes the buffered lines.
+pub struct BoundedLog {
+    dropped: DroppedLines,
     _guard: WorkerGuard,
 }
 
-/// How many lines were dropped.
+/// Number of log lines that were dropped.
 #[derive(Clone)]
-pub struct Dropped {
+pub struct DroppedLines {
     unwritten: ErrorCounter,
-    budget: Arc<LineBudget>,
+    limiter: Arc<LineLimiter>,
 }
 
-impl Dropped {
-    /// Lines that were dropped since the start, because too many waited or too
-    /// many came within a second.
+impl DroppedLines {
+    /// Lines dropped since the start, because the buffer was full or the rate
+    /// limit was exceeded.
     pub fn count(&self) -> u64 {
-        self.unwritten.dropped_lines() as u64 + self.budget.dropped.load(Ordering::Relaxed)
+        self.unwritten.dropped_lines() as u64 + self.limiter.dropped.load(Ordering::Relaxed)
     }
 }
 
-impl Bounded {
-    /// How many lines were dropped.
-    pub fn dropped(&self) -> Dropped {
+impl BoundedLog {
+    /// The counter of dropped lines.
+    pub fn dropped(&self) -> DroppedLines {
         self.dropped.clone()
     }
 }
 
-/// Counts the lines of the current second.
+/// Limits the number of lines per second.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LineLimiter {
     start: Instant,
     limit: u64,
     second: AtomicU64,
@@ -110,38 +112,38 @@
     dropped: AtomicU64,
 }
 
-impl LineBudget {
-    /// A budget of so many lines a second.
-    pub fn new(limit: u64) -> LineBudget {
+impl LineLimiter {
+    /// Creates a limiter that allows `limit` lines per second.
+    pub fn new(limit: u64) -> LineLimiter {
         let (second, lines, dropped) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
-        LineBudget { start: Instant::now(), limit, second, lines, dropped }
+        LineLimiter { start: Instant::now(), limit, second, lines, dropped }
     }
 
     /// Whether one more line may be written, `second` seconds after the start.
-    pub fn take(&self, second: u64) -> bool {
+    pub fn try_acquire(&self, second: u64) -> bool {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        let may_write = self.lines.fetch_add(1, Ordering::Relaxed) < self.limit;
-        if !may_write {
+        let is_allowed = self.lines.fetch_add(1, Ordering::Relaxed) < self.limit;
+        if !is_allowed {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        may_write
+        is_allowed
     }
 }
 
-/// Writes lines while the budget allows it.
-struct Limited {
+/// Discards the lines that exceed the rate limit.
+struct RateLimitedWriter {
     writer: NonBlocking,
-    budget: Arc<LineBudget>,
+    limiter: Arc<LineLimiter>,
 }
 
-impl<'a> MakeWriter<'a> for Limited {
+impl<'a> MakeWriter<'a> for RateLimitedWriter {
     type Writer = Box<dyn Write + 'a>;
 
     fn make_writer(&'a self) -> Self::Writer {
-        let second = self.budget.start.elapsed().as_secs();
-        match self.budget.take(second) {
+        let second = self.limiter.start.elapsed().as_secs();
+        match self.limiter.try_acquire(second) {
             true => Box::new(self.writer.clone()),
             false => Box::new(io::sink()),
         }
@@ -152,16 +154,20 @@
     }
 }
 
-/// Starts logging for the process as JSON on standard output. Whoever logs
-/// never waits: a line that finds the buffer full, or that is one too many in
-/// its second, is dropped and counted.
-pub fn start_bounded(filter: &str) -> Bounded {
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING_LINES);
+/// Initialises logging for the process, as JSON to standard output. Logging never
+/// blocks: a line that finds the buffer full or exceeds the rate limit is dropped
+/// and counted.
+pub fn init_bounded(filter: &str) -> BoundedLog {
+    let builder =
+        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LINES);
     let (writer, guard) = builder.finish(io::stdout());
-    let budget = Arc::new(LineBudget::new(LINES_A_SECOND));
-    let dropped = Dropped { unwritten: writer.error_counter(), budget: budget.clone() };
+    let limiter = Arc::new(LineLimiter::new(MAX_LINES_PER_SECOND));
+    let dropped = DroppedLines { unwritten: writer.error_counter(), limiter: limiter.clone() };
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
-    let fields = fmt::fmt().with_env_filter(filter).with_writer(Limited { writer, budget }).json();
+    let fields = fmt::fmt()
+        .with_env_filter(filter)
+        .with_writer(RateLimitedWriter { writer, limiter })
+        .json();
     fields.flatten_event(true).with_target(false).init();
-    Bounded { dropped, _guard: guard }
+    BoundedLog { dropped, _guard: guard }
 }
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -1,7 +1,7 @@
-//! Shared tables and pieces between instances in Cap'n Proto form.
+//! Table copies and pieces between instances in Cap'n Proto form.
 //!
-//! Times travel as what is left, since clocks of two instances differ; both
-//! sides give their own current time.
+//! Points in time are encoded as the time left until them, since the clocks of two
+//! instances differ. Encoder and decoder pass their own current time.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,31 +23,31 @@
 
 use crate::{peer::Error, relay_capnp};
 
-/// Writes what is asked of a peer for a table.
-pub fn write_ask(ask: &PortionRequest, mut to: relay_capnp::ask::Builder<'_>) {
-    to.set_timeline(ask.timeline.0);
-    to.set_from(ask.from);
-    to.set_is_listing(ask.listing.is_some());
-    to.set_base(ask.listing.unwrap_or_default());
-    if let Some(begun) = ask.partial {
+/// Encodes a request for a portion of a table.
+pub fn write_portion_request(request: &PortionRequest, mut to: relay_capnp::ask::Builder<'_>) {
+    to.set_timeline(request.timeline.0);
+    to.set_from(request.from);
+    to.set_is_listing(request.listing.is_some());
+    to.set_base(request.listing.unwrap_or_default());
+    if let Some(partial) = request.partial {
         to.set_is_begun(true);
-        to.set_begun_offset(begun.offset);
-        to.set_begun_len(begun.len);
+        to.set_begun_offset(partial.offset);
+        to.set_begun_len(partial.len);
     }
 }
 
-/// Reads what a peer asks for.
-pub fn read_ask(from: relay_capnp::ask::Reader<'_>) -> PortionRequest {
-    let begun = PartialRecord { offset: from.get_begun_offset(), len: from.get_begun_len() };
+/// Decodes a request for a portion of a table.
+pub fn read_portion_request(from: relay_capnp::ask::Reader<'_>) -> PortionRequest {
+    let partial = PartialRecord { offset: from.get_begun_offset(), len: from.get_begun_len() };
     PortionRequest {
         timeline: Timeline(from.get_timeline()),
         from: from.get_from(),
         listing: from.get_is_listing().then_some(from.get_base()),
-        partial: from.get_is_begun().then_some(begun),
+        partial: from.get_is_begun().then_some(partial),
     }
 }
 
-/// Writes what a peer is told of a table.
+/// Encodes a portion of a table.
 pub fn write_portion(portion: &Portion, mut to: relay_capnp::portion::Builder<'_>) {
     to.set_timeline(portion.timeline.0);
     to.set_base(portion.base);
@@ -68,10 +68,10 @@
     }
 }
 
-/// Reads what a peer told of a table.
+/// Decodes a portion of a table.
 ///
 /// # Errors
-/// Any [`Error`]: nothing of a damaged message is used.
+/// Any [`Error`]; no part of a malformed message is used.
 pub fn read_portion(from: relay_capnp::portion::Reader<'_>) -> Result<Portion, Error> {
     let records = from.get_records()?.iter().map(read_record).collect::<Result<_, _>>()?;
     Ok(Portion {
@@ -86,7 +86,8 @@
     })
 }
 
-/// Reads how far the copies of a peer are. A build before timelines names none.
+/// Decodes the positions of a peer's table copies. Builds older than timelines send
+/// none, which counts as timeline 0.
 pub fn read_positions(
     timelines: capnp::primitive_list::Reader<'_, u64>,
     ends: capnp::primitive_list::Reader<'_, u64>,
@@ -96,7 +97,7 @@
     pairs.map(|(timeline, offset)| Position { timeline: Timeline(timeline), offset }).collect()
 }
 
-/// Writes pieces.
+/// Encodes pieces.
 pub fn write_pieces(
     now: Duration,
     pieces: &[Piece],
@@ -110,8 +111,8 @@
         to.set_number(piece.number);
         to.set_key(piece.key.as_deref().unwrap_or_default());
         to.set_bytes(piece.bytes);
-        to.set_due_micros(left(now, piece.deadline));
-        to.set_aim_micros(left(now, piece.target));
+        to.set_due_micros(micros_left(now, piece.deadline));
+        to.set_aim_micros(micros_left(now, piece.target));
         to.set_priority(piece.priority);
         to.set_home(piece.destination.as_deref().unwrap_or_default());
         to.set_is_repeat(piece.is_repeat);
@@ -128,7 +129,7 @@
     }
 }
 
-/// Reads pieces.
+/// Decodes pieces.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -139,7 +140,7 @@
     list.iter().map(|from| read_piece(now, from)).collect()
 }
 
-/// Writes results.
+/// Encodes results of pieces.
 pub fn write_results(
     results: &[PieceResult],
     mut list: capnp::struct_list::Builder<'_, relay_capnp::result::Owned>,
@@ -153,7 +154,7 @@
     }
 }
 
-/// Reads results.
+/// Decodes results of pieces.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -163,7 +164,7 @@
     list.iter().map(read_result).collect()
 }
 
-/// Reads the names of results.
+/// Decodes handles of results.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -171,38 +172,43 @@
     list.iter().map(|handle| text(handle?)).collect()
 }
 
-/// Writes a question to a placer.
-pub fn write_question(question: &PlacementRequest, mut to: relay_capnp::question::Builder<'_>) {
-    to.set_service(&*question.service);
-    to.set_input(question.prompt.input);
-    to.set_output(question.prompt.output);
-    let mut parts = to.reborrow().init_parts(len(&question.prompt.parts));
-    for (idx, part) in (0..).zip(&question.prompt.parts) {
+/// Encodes a placement request.
+pub fn write_placement_request(
+    request: &PlacementRequest,
+    mut to: relay_capnp::question::Builder<'_>,
+) {
+    to.set_service(&*request.service);
+    to.set_input(request.prompt.input);
+    to.set_output(request.prompt.output);
+    let mut parts = to.reborrow().init_parts(len(&request.prompt.parts));
+    for (idx, part) in (0..).zip(&request.prompt.parts) {
         let mut to = parts.reborrow().get(idx);
         to.set_id(part.id);
         to.set_tokens(part.tokens);
     }
-    let mut inputs = to.reborrow().init_inputs(len(&question.inputs));
-    for (idx, (place, bytes)) in (0..).zip(&question.inputs) {
+    let mut inputs = to.reborrow().init_inputs(len(&request.inputs));
+    for (idx, (data_centre, bytes)) in (0..).zip(&request.inputs) {
         let mut to = inputs.reborrow().get(idx);
-        to.set_place(&**place);
+        to.set_place(&**data_centre);
         to.set_bytes(*bytes);
     }
-    let mut names = to.reborrow().init_avoided(len(&question.excluded));
-    for (idx, life) in (0..).zip(&question.excluded) {
-        names.set(idx, &*life.name);
+    let mut names = to.reborrow().init_avoided(len(&request.excluded));
+    for (idx, endpoint) in (0..).zip(&request.excluded) {
+        names.set(idx, &*endpoint.name);
     }
-    let mut lives = to.init_avoided_lives(len(&question.excluded));
-    for (idx, life) in (0..).zip(&question.excluded) {
-        lives.set(idx, life.incarnation.0);
+    let mut incarnations = to.init_avoided_lives(len(&request.excluded));
+    for (idx, endpoint) in (0..).zip(&request.excluded) {
+        incarnations.set(idx, endpoint.incarnation.0);
     }
 }
 
-/// Reads a question to a placer.
+/// Decodes a placement request.
 ///
 /// # Errors
 /// Any [`Error`].
-pub fn read_question(from: relay_capnp::question::Reader<'_>) -> Result<PlacementRequest, Error> {
+pub fn read_placement_request(
+    from: relay_capnp::question::Reader<'_>,
+) -> Result<PlacementRequest, Error> {
     let parts = from.get_parts()?.iter();
     let prompt = Prompt {
         parts: parts.map(|part| Part { id: part.get_id(), tokens: part.get_tokens() }).collect(),
@@ -211,28 +217,29 @@
     };
     let inputs = from.get_inputs()?.iter();
     let inputs = inputs.map(|input| Ok((text(input.get_place()?)?, input.get_bytes())));
-    let avoided = from.get_avoided()?.iter().zip(from.get_avoided_lives()?.iter());
-    let avoided = avoided
-        .map(|(name, life)| Ok(EndpointId { name: text(name?)?, incarnation: Incarnation(life) }));
+    let excluded = from.get_avoided()?.iter().zip(from.get_avoided_lives()?.iter());
+    let excluded = excluded.map(|(name, incarnation)| {
+        Ok(EndpointId { name: text(name?)?, incarnation: Incarnation(incarnation) })
+    });
     Ok(PlacementRequest {
         service: text(from.get_service()?)?,
         prompt,
         inputs: inputs.collect::<Result<_, Error>>()?,
-        excluded: avoided.collect::<Result<_, Error>>()?,
+        excluded: excluded.collect::<Result<_, Error>>()?,
     })
 }
 
-/// Writes a placer's answer.
+/// Encodes a placer's answer.
 pub fn write_placement(placement: &Placement, mut to: relay_capnp::placement::Builder<'_>) {
     to.set_endpoint(&*placement.engine.name);
     to.set_incarnation(placement.engine.incarnation.0);
     to.set_source(placement.source.as_deref().unwrap_or_default());
     to.set_tokens(placement.tokens);
-    to.set_wait_micros(left(Duration::ZERO, placement.wait));
+    to.set_wait_micros(micros_left(Duration::ZERO, placement.wait));
     to.set_number(placement.number);
 }
 
-/// Reads a placer's answer; `None` if it found no engine.
+/// Decodes a placer's answer; `None` if it found no engine.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -246,7 +253,7 @@
     Ok(Some(Placement { engine, source, tokens, wait, number: from.get_number() }))
 }
 
-/// Writes how calls go on.
+/// Encodes the progress of calls.
 pub fn write_progress(
     progress: &[Progress],
     mut list: capnp::struct_list::Builder<'_, relay_capnp::progress::Owned>,
@@ -264,7 +271,7 @@
     }
 }
 
-/// Reads how a call goes on.
+/// Decodes the progress of a call.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -283,7 +290,7 @@
     Ok(Progress { number: from.get_number(), step })
 }
 
-/// Writes crashes.
+/// Encodes crash reports.
 pub fn write_crashes(
     crashes: &[Crash],
     mut list: capnp::struct_list::Builder<'_, relay_capnp::crash::Owned>,
@@ -298,7 +305,7 @@
     }
 }
 
-/// Reads a crash.
+/// Decodes a crash report.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -312,7 +319,7 @@
     })
 }
 
-/// Reads an instance's name.
+/// Decodes an instance's name.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -320,7 +327,7 @@
     text(from)
 }
 
-/// Writes what is told of endpoints.
+/// Encodes notices on endpoints.
 pub fn write_notices(
     notices: &[Notice],
     mut list: capnp::struct_list::Builder<'_, relay_capnp::notice::Owned>,
@@ -336,7 +343,7 @@
     }
 }
 
-/// Reads what is told of endpoints.
+/// Decodes notices on endpoints.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -355,18 +362,19 @@
     list.iter().map(read).collect()
 }
 
-/// A content as it is written in messages.
+/// Encodes the fingerprint of a content.
 pub fn write_content(content: Fingerprint) -> [u8; 16] {
     content.0.to_be_bytes()
 }
 
-/// Reads a content; an unknown one from a build that does not tell it.
+/// Decodes the fingerprint of a content; [`Fingerprint::UNKNOWN`] if the peer's build
+/// does not send it.
 pub fn read_content(from: &[u8]) -> Fingerprint {
     let bytes = from.try_into().map(u128::from_be_bytes);
     bytes.map_or(Fingerprint::UNKNOWN, Fingerprint)
 }
 
-/// An age as it is written in messages, in milliseconds.
+/// Encodes an age in milliseconds.
 pub fn write_age(age: Duration) -> u32 {
     u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
 }
@@ -458,7 +466,7 @@
     }
 }
 
-fn left(now: Duration, at: Duration) -> u64 {
+fn micros_left(now: Duration, at: Duration) -> u64 {
     u64::try_from(at.saturating_sub(now).as_micros()).unwrap_or(u64::MAX)
 }
 
@@ -472,5 +480,5 @@
 }
 
 fn len<T>(list: &[T]) -> u32 {
-    u32::try_from(list.len()).expect("a message is bounded")
+    u32::try_from(list.len()).expect("messages are bounded far below 2^32 items")
 }
