--- a/crates/relay/tests/relay/standins/endpoint.rs
+++ b/crates/relay/tests/relay/standins/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that follow a script, and connections that speak raw bytes.
+//! Endpoints that follow a script, and connections that send and receive raw bytes.
 
 use std::{
     io::{ErrorKind, Read, Write},
@@ -10,21 +10,21 @@
     thread,
 };
 
-use crate::standins::PATIENCE;
+use crate::standins::TIMEOUT;
 
-/// An endpoint that hands each connection to a script.
-pub struct Desk {
+/// An endpoint that runs a script for each connection.
+pub struct ScriptedEndpoint {
     pub addr: SocketAddr,
-    seen: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
 }
 
-impl Desk {
-    /// `script` gets each connection with its number, from 0.
-    pub fn start(script: impl Fn(usize, &mut Conn) + Send + Sync + 'static) -> Desk {
+impl ScriptedEndpoint {
+    /// Starts an endpoint that calls `script` with each connection and its number, from 0.
+    pub fn start(script: impl Fn(usize, &mut Conn) + Send + Sync + 'static) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (script, heads) = (Arc::new(script), seen.clone());
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let (script, heads) = (Arc::new(script), received.clone());
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
                 let (script, heads) = (script.clone(), heads.clone());
@@ -34,25 +34,25 @@
                 });
             }
         });
-        Desk { addr, seen }
+        ScriptedEndpoint { addr, received }
     }
 
-    /// Answers every request with 200 and that body.
-    pub fn answering(body: &'static str) -> Desk {
-        Desk::start(move |_, conn| {
+    /// Starts an endpoint that answers every request with 200 and this body.
+    pub fn answering(body: &'static str) -> ScriptedEndpoint {
+        ScriptedEndpoint::start(move |_, conn| {
             while let Some(request) = conn.read_request() {
-                conn.write(&whole(&request.id(), 200, body));
+                conn.write(&full_reply(&request.id(), 200, body));
             }
         })
     }
 
-    /// Answers every request, until one comes whose head has that word: then it
-    /// crashes. Nothing listens there any more, and all its connections are cut.
-    pub fn crashing_at(word: &'static str) -> Desk {
+    /// Starts an endpoint that answers requests until one has this word in its head. Then it
+    /// crashes: it stops listening and closes all its connections.
+    pub fn crashing_at(word: &'static str) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (heads, is_over) = (seen.clone(), Arc::new(AtomicBool::new(false)));
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let (heads, is_over) = (received.clone(), Arc::new(AtomicBool::new(false)));
         thread::spawn(move || {
             let mut open = Vec::new();
             for stream in listener.incoming() {
@@ -67,11 +67,11 @@
                     while let Some(request) = conn.read_request() {
                         if request.head.contains(word) {
                             is_over.store(true, Ordering::SeqCst);
-                            // Wakes the thread that listens.
+                            // Wakes the listening thread.
                             TcpStream::connect(addr).ok();
                             return;
                         }
-                        conn.write(&whole(&request.id(), 200, "alive"));
+                        conn.write(&full_reply(&request.id(), 200, "alive"));
                     }
                 });
             }
@@ -80,43 +80,43 @@
                 stream.shutdown(Shutdown::Both).ok();
             }
         });
-        Desk { addr, seen }
+        ScriptedEndpoint { addr, received }
     }
 
-    /// The heads of all requests that it got.
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    /// The heads of all requests that the endpoint has received.
+    pub fn received(&self) -> Vec<String> {
+        self.received.lock().unwrap().clone()
     }
 }
 
-/// A whole answer to the request with that id.
-pub fn whole(id: &str, status: u16, body: &str) -> String {
+/// A complete reply to the request with this id.
+pub fn full_reply(id: &str, status: u16, body: &str) -> String {
     let len = body.len();
     format!(
         "HTTP/1.1 {status} X\r\npeatdeck-request: {id}\r\npeatdeck-seal: s\r\ncontent-length: {len}\r\n\r\n{body}"
     )
 }
 
-/// The head of a stream for the request with that id.
+/// The head of a streamed reply to the request with this id.
 pub fn stream_head(id: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\npeatdeck-request: {id}\r\npeatdeck-seal: s\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
     )
 }
 
-/// An event as a chunk of a body.
-pub fn chunk(id: u64) -> String {
+/// A server-sent event as a chunk of a chunked body.
+pub fn event_chunk(id: u64) -> String {
     let event = format!("id: {id}\ndata: token-{id}\n\n");
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-/// A request as an endpoint sees it.
-pub struct Seen {
+/// A request as an endpoint receives it.
+pub struct ReceivedRequest {
     pub head: String,
     pub body: String,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn id(&self) -> String {
         self.header("peatdeck-request").unwrap_or_default()
     }
@@ -132,7 +132,7 @@
     values.next().map(|(_, value)| value.trim().to_owned())
 }
 
-/// A connection that speaks raw bytes.
+/// A connection that sends and receives raw bytes.
 pub struct Conn {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -142,12 +142,12 @@
 impl Conn {
     pub fn open(addr: SocketAddr) -> Conn {
         let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Conn { stream, buffer: Vec::new(), heads: Arc::default() }
     }
 
     pub fn write(&mut self, text: &str) {
-        // A peer that has gone is seen by the next read.
+        // If the peer has closed the connection, the next read reports it.
         self.stream.write_all(text.as_bytes()).ok();
     }
 
@@ -155,7 +155,7 @@
         self.stream.shutdown(Shutdown::Both).ok();
     }
 
-    /// Reads the head of a request or reply without what follows it.
+    /// Reads the head of a request or reply, without its body; `None` if the connection ended.
     pub fn read_head(&mut self) -> Option<String> {
         loop {
             if let Some(end) = find(&self.buffer, b"\r\n\r\n") {
@@ -171,7 +171,7 @@
         }
     }
 
-    pub fn read_request(&mut self) -> Option<Seen> {
+    pub fn read_request(&mut self) -> Option<ReceivedRequest> {
         let head = self.read_head()?;
         let len = header(&head, "content-length").map_or(0, |len| len.parse().unwrap());
         while self.buffer.len() < len {
@@ -181,10 +181,10 @@
         }
         let rest = self.buffer.split_off(len);
         let body = std::mem::replace(&mut self.buffer, rest);
-        Some(Seen { head, body: String::from_utf8(body).unwrap() })
+        Some(ReceivedRequest { head, body: String::from_utf8(body).unwrap() })
     }
 
-    /// Reads until that text has come; false if the connection ended before.
+    /// Reads until this text has arrived. Returns false if the connection ended before.
     pub fn read_until(&mut self, text: &str) -> bool {
         while find(&self.buffer, text.as_bytes()).is_none() {
             if !self.fill() {
@@ -194,7 +194,7 @@
         true
     }
 
-    /// Everything that comes until the connection ends.
+    /// Reads everything until the connection ends.
     pub fn read_to_end(&mut self) -> String {
         while self.fill() {}
         String::from_utf8(std::mem::take(&mut self.buffer)).unwrap()
@@ -209,7 +209,7 @@
                 true
             }
             Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
-            Err(error) => panic!("nothing came within the test's patience: {error}"),
+            Err(error) => panic!("nothing arrived before the timeout: {error}"),
         }
     }
 }
@@ -218,7 +218,7 @@
     bytes.windows(text.len()).position(|window| window == text)
 }
 
-/// A reply as a caller sees it.
+/// A reply as a caller receives it.
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
@@ -232,19 +232,19 @@
     }
 }
 
-/// The head of a request with a new id.
-pub fn request(path: &str, more: &str) -> String {
+/// The head of a request with a new id and these additional header lines.
+pub fn request_head(path: &str, headers: &str) -> String {
     static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
     let id = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     format!(
-        "GET {path} HTTP/1.1\r\nhost: fleet.example\r\npeatdeck-request: r{id}\r\npeatdeck-key: key-1\r\npeatdeck-deadline-ms: 20000\r\n{more}\r\n"
+        "GET {path} HTTP/1.1\r\nhost: fleet.example\r\npeatdeck-request: r{id}\r\npeatdeck-key: key-1\r\npeatdeck-deadline-ms: 20000\r\n{headers}\r\n"
     )
 }
 
-/// Sends a request on a connection of its own and reads the reply to the end.
-pub fn ask(front: SocketAddr, path: &str, more: &str) -> Reply {
+/// Sends a request on a new connection and reads the reply to its end.
+pub fn exchange(front: SocketAddr, path: &str, headers: &str) -> Reply {
     let mut conn = Conn::open(front);
-    conn.write(&request(path, &format!("connection: close\r\n{more}")));
+    conn.write(&request_head(path, &format!("connection: close\r\n{headers}")));
     read_reply(&mut conn)
 }
 
--- a/crates/relay/tests/relay/standins/store.rs
+++ b/crates/relay/tests/relay/standins/store.rs
@@ -1,4 +1,4 @@
-//! A platform's store in memory.
+//! A fake of the platform's store, in memory.
 
 use std::{
     collections::HashMap,
@@ -12,7 +12,7 @@
 use peatdeck_core::relay::{position::Timeline, table::Record};
 use peatdeck_relay::surroundings::{self, Page, Store, StoreError, TableName};
 
-/// A platform's store in memory. Clones share it.
+/// The platform's store in memory. Clones share its contents.
 #[derive(Clone, Default)]
 pub struct MemoryStore {
     inner: Arc<Mutex<Inner>>,
@@ -22,16 +22,16 @@
 struct Inner {
     tables: HashMap<TableName, Vec<Record>>,
     expired: HashMap<TableName, u64>,
-    is_dark: bool,
+    is_unavailable: bool,
     timeline: u64,
-    /// Whether its answers leave out the timeline.
-    is_unnamed: bool,
+    /// Whether its replies omit the timeline.
+    is_timeline_hidden: bool,
     delay: Duration,
 }
 
 impl Inner {
-    fn named(&self) -> Option<Timeline> {
-        (!self.is_unnamed).then_some(Timeline(self.timeline))
+    fn stated_timeline(&self) -> Option<Timeline> {
+        (!self.is_timeline_hidden).then_some(Timeline(self.timeline))
     }
 }
 
@@ -40,7 +40,7 @@
         self.write(table, key, Some(value.into()));
     }
 
-    /// Without a value the key is removed.
+    /// Writes a record. Without a value it removes the key.
     pub fn write(&self, table: TableName, key: &str, value: Option<Bytes>) {
         let mut inner = self.inner.lock().unwrap();
         let records = inner.tables.entry(table).or_default();
@@ -48,24 +48,24 @@
         records.push(Record { key: Arc::from(key), offset, value });
     }
 
-    /// Names an endpoint in the directory.
-    pub fn enlist(&self, name: &str, service: &str, addr: SocketAddr) {
+    /// Writes an endpoint's entry to the directory.
+    pub fn add_endpoint(&self, name: &str, service: &str, addr: SocketAddr) {
         self.put(TableName::Endpoints, name, format!("{service} {addr}").into_bytes());
     }
 
-    /// How many records were written to a table.
+    /// Number of records in the log of a table.
     pub fn len(&self, table: TableName) -> usize {
         self.inner.lock().unwrap().tables.get(&table).map_or(0, Vec::len)
     }
 
-    /// Forgets the log of a table; the newest record of each key stays.
+    /// Drops the log of a table but for the newest record of each key.
     pub fn compact(&self, table: TableName) {
         let mut inner = self.inner.lock().unwrap();
         let end = inner.tables.get(&table).map_or(0, |records| records.len() as u64);
         inner.expired.insert(table, end);
     }
 
-    /// Comes back from a copy that lacks the last records of a table.
+    /// Restores the store from a copy that lacks the last `lost` records of a table.
     pub fn restore(&self, table: TableName, lost: usize) {
         let mut inner = self.inner.lock().unwrap();
         inner.timeline += 1;
@@ -73,15 +73,15 @@
         records.truncate(records.len().saturating_sub(lost));
     }
 
-    pub fn set_unnamed(&self, is_unnamed: bool) {
-        self.inner.lock().unwrap().is_unnamed = is_unnamed;
+    pub fn set_timeline_hidden(&self, is_timeline_hidden: bool) {
+        self.inner.lock().unwrap().is_timeline_hidden = is_timeline_hidden;
     }
 
-    pub fn set_dark(&self, is_dark: bool) {
-        self.inner.lock().unwrap().is_dark = is_dark;
+    pub fn set_unavailable(&self, is_unavailable: bool) {
+        self.inner.lock().unwrap().is_unavailable = is_unavailable;
     }
 
-    /// How long each of its answers is on the way.
+    /// Sets how long each reply to a read is delayed.
     pub fn set_delay(&self, delay: Duration) {
         self.inner.lock().unwrap().delay = delay;
     }
@@ -92,7 +92,7 @@
 
     fn newest(&self, table: TableName) -> Result<Page, StoreError> {
         let inner = self.inner.lock().unwrap();
-        if inner.is_dark {
+        if inner.is_unavailable {
             return Err(StoreError::Refused(503));
         }
         let all = inner.tables.get(&table).cloned().unwrap_or_default();
@@ -102,13 +102,13 @@
             newest.insert(record.key.clone(), record);
         }
         newest.retain(|_, record| record.value.is_some());
-        let timeline = inner.named();
+        let timeline = inner.stated_timeline();
         Ok(Page { records: newest.into_values().collect(), next_after: None, end, timeline })
     }
 
     fn read(&self, table: TableName, from: u64) -> Result<surroundings::Read, StoreError> {
         let inner = self.inner.lock().unwrap();
-        if inner.is_dark {
+        if inner.is_unavailable {
             return Err(StoreError::Refused(503));
         }
         if inner.expired.get(&table).is_some_and(|kept| from < *kept) {
@@ -120,15 +120,15 @@
             return Ok(surroundings::Read::Expired);
         }
         let records = all.into_iter().filter(|record| record.offset >= from).collect();
-        let timeline = inner.named();
+        let timeline = inner.stated_timeline();
         Ok(surroundings::Read::Records { records, end, has_more: false, timeline })
     }
 
     pub fn client(&self) -> Store {
         let (newest, read, write) = (self.clone(), self.clone(), self.clone());
-        let told = self.clone();
+        let current = self.clone();
         Store {
-            timeline: Rc::new(move || Timeline(told.inner.lock().unwrap().timeline)),
+            timeline: Rc::new(move || Timeline(current.inner.lock().unwrap().timeline)),
             newest: Rc::new(move |table, _| {
                 let (page, delay) = (newest.newest(table), newest.delay());
                 Box::pin(async move {
@@ -139,7 +139,7 @@
             read: Rc::new(move |table, from, wait| {
                 let store = read.clone();
                 Box::pin(async move {
-                    // Looks again at the end of the wait, which is close enough.
+                    // Reads again only at the end of the wait, which is sufficient for tests.
                     if let Ok(surroundings::Read::Records { records, .. }) = store.read(table, from)
                         && records.is_empty()
                     {
@@ -153,7 +153,7 @@
             write: Rc::new(move |table, key, value| {
                 let store = write.clone();
                 Box::pin(async move {
-                    if store.inner.lock().unwrap().is_dark {
+                    if store.inner.lock().unwrap().is_unavailable {
                         return Err(StoreError::Refused(503));
                     }
                     store.write(table, &key, value);
