--- a/crates/load/examples/rest_cost.rs
+++ b/crates/load/examples/rest_cost.rs
@@ -1,14 +1,15 @@
-//! What entry instances use while they serve nothing.
+//! Measures the CPU time and memory of idle entry instances.
 //!
-//! For each size it starts a log, a list and some entries as processes, lists
-//! endpoints that do not run (none is called), publishes a document, waits for
-//! the entries to be ready, and then reads their processor time and memory
-//! over some seconds. One line a size, the mean over the entries.
+//! For each size, the example starts a log, a list and some entries as
+//! processes, lists endpoints that do not run (none is called), publishes a
+//! configuration, waits until the entries are ready, and then measures their
+//! CPU time and memory over some seconds. It prints the mean over the entries,
+//! one line per size.
 //!
 //! `cargo build --release --workspace`, then
 //! `cargo run --release -p peatdeck-load --example rest_cost`
 //!
-//! Sizes are arguments `ENTRIES,ENDPOINTS,TEAMS`; a default set otherwise.
+//! Sizes are given as arguments `ENTRIES,ENDPOINTS,TEAMS`; without any, a default set is used.
 
 use std::{collections::BTreeMap, env, sync::Arc, thread, time::Duration};
 
@@ -21,26 +22,26 @@
 use peatdeck_test_support::process::{Process, Spec};
 use peatdeck_wire::{admin::EntryStatus, platform::AppendBody};
 
-/// Time for connections and gossip to settle.
-const SETTLE: Duration = Duration::from_secs(5);
-/// Time that is measured.
-const MEASURE: Duration = Duration::from_secs(20);
-/// Time to wait for an entry to be ready, in tenths of a second.
+/// Time for connections and gossip to settle before the measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Length of the measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(20);
+/// Time limit for an entry to become ready, in tenths of a second.
 const READY_TRIES: u32 = 300;
-/// Pools that the endpoints are dealt over.
+/// Number of pools over which the endpoints are distributed.
 const POOLS: usize = 16;
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
-/// An entry that runs, and where.
-struct Started {
+/// A running entry and its addresses.
+struct RunningEntry {
     process: Process,
     addr: Arc<str>,
     peers: Arc<str>,
 }
 
-/// What one size was found to use, means over the entries.
-struct Found {
+/// Means over the entries of one size: share of a CPU core, resident bytes, and counters a second.
+struct Measurement {
     core: f64,
     resident: f64,
     counters: BTreeMap<Arc<str>, f64>,
@@ -83,33 +84,33 @@
     }
 }
 
-fn measure(entries: usize, endpoints: usize, teams: usize) -> Result<Found> {
+fn measure(entries: usize, endpoints: usize, teams: usize) -> Result<Measurement> {
     let (_log, log) = standin("log")?;
     let (_list, list) = standin("list")?;
     append(&log, teams)?;
     let started =
-        (0..entries).map(|idx| start(idx, &log, &list)).collect::<Result<Vec<Started>>>()?;
+        (0..entries).map(|idx| start(idx, &log, &list)).collect::<Result<Vec<RunningEntry>>>()?;
     Request::put(format!("http://{list}/control/list"), &listing(&started, endpoints)).send()?;
     started.iter().try_for_each(wait_ready)?;
-    thread::sleep(SETTLE);
-    let before = started.iter().map(used).collect::<Result<Vec<_>>>()?;
-    thread::sleep(MEASURE);
-    let after = started.iter().map(used).collect::<Result<Vec<_>>>()?;
+    thread::sleep(SETTLE_TIME);
+    let before = started.iter().map(usage).collect::<Result<Vec<_>>>()?;
+    thread::sleep(MEASURE_TIME);
+    let after = started.iter().map(usage).collect::<Result<Vec<_>>>()?;
     Ok(mean(&before, &after))
 }
 
-/// Processor time, resident bytes and counters of one entry.
-type Used = (Duration, f64, BTreeMap<Arc<str>, u64>);
+/// CPU time, resident bytes and counters of one entry.
+type Usage = (Duration, f64, BTreeMap<Arc<str>, u64>);
 
-fn used(started: &Started) -> Result<Used> {
-    let usage = process::usage(started.process.id()).ok_or("an entry has ended")?;
+fn usage(started: &RunningEntry) -> Result<Usage> {
+    let usage = process::usage(started.process.id()).ok_or("an entry has exited")?;
     let status: EntryStatus = Request::get(format!("http://{}/v1/status", started.addr)).json()?;
     Ok((usage.processor, usage.resident_kib as f64 * 1024.0, status.counters))
 }
 
-fn mean(before: &[Used], after: &[Used]) -> Found {
+fn mean(before: &[Usage], after: &[Usage]) -> Measurement {
     let count = before.len() as f64;
-    let seconds = MEASURE.as_secs_f64();
+    let seconds = MEASURE_TIME.as_secs_f64();
     let pairs = || before.iter().zip(after);
     let core = pairs().map(|(b, a)| (a.0 - b.0).as_secs_f64() / seconds).sum::<f64>() / count;
     let resident = after.iter().map(|used| used.1).sum::<f64>() / count;
@@ -120,10 +121,10 @@
             *counters.entry(name.clone()).or_insert(0.0) += grown as f64 / seconds / count;
         }
     }
-    Found { core, resident, counters }
+    Measurement { core, resident, counters }
 }
 
-fn wait_ready(started: &Started) -> Result<()> {
+fn wait_ready(started: &RunningEntry) -> Result<()> {
     for _ in 0..READY_TRIES {
         if runtime::get(&format!("http://{}/readyz", started.addr)).is_some() {
             return Ok(());
@@ -140,7 +141,7 @@
     Ok((process, addr))
 }
 
-fn start(idx: usize, log: &str, list: &str) -> Result<Started> {
+fn start(idx: usize, log: &str, list: &str) -> Result<RunningEntry> {
     let name = entry_name(idx);
     let spec = Spec::new(&name, "peatdeck-entry")
         .args(["--name", &name, "--data-centre", "dc07", "--log", log, "--list", list])
@@ -148,7 +149,7 @@
     let mut process = Process::start(&spec)?;
     let addr = process.line("listening ")?.into();
     let peers = process.line("peers ")?.into();
-    Ok(Started { process, addr, peers })
+    Ok(RunningEntry { process, addr, peers })
 }
 
 fn append(log: &str, teams: usize) -> Result<()> {
@@ -164,8 +165,8 @@
     Ok(())
 }
 
-fn listing(started: &[Started], endpoints: usize) -> Listing {
-    let instance = |(idx, started): (usize, &Started)| InstanceEntry {
+fn listing(started: &[RunningEntry], endpoints: usize) -> Listing {
+    let instance = |(idx, started): (usize, &RunningEntry)| InstanceEntry {
         name: entry_name(idx),
         peer_addr: started.peers.clone(),
         http_addr: started.addr.clone(),
--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -1,4 +1,4 @@
-//! Flags that several commands share.
+//! Arguments that several commands share.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -10,76 +10,76 @@
 
 mod meaning;
 
-/// What is tried: entries that run already, or a preset to start.
+/// The system to send to: entries that run already, or a preset to start.
 #[data]
-pub struct System {
-    /// Entry instances that run already.
+pub struct TargetArgs {
+    /// URLs of entry instances that run already; empty if a preset is started.
     pub entries: Vec<String>,
-    /// The platform's list.
+    /// URL of the platform's list, to read the endpoints' records.
     pub list: Option<String>,
-    /// The configuration in force, as a TOML file.
+    /// TOML file with the configuration in force, to verify answers.
     pub document: Option<PathBuf>,
-    /// What to start.
-    pub started: Started,
+    /// The preset to start.
+    pub preset_args: PresetArgs,
 }
 
-/// A preset, and how it is started.
+/// A preset and how it is started.
 #[data]
-pub struct Started {
-    /// The preset.
+pub struct PresetArgs {
+    /// Name or path of the preset.
     pub preset: Option<String>,
-    /// Factor of all its times.
+    /// Factor applied to all times of the preset.
     pub time_scale: f64,
-    /// Entry instances, other than the preset says.
+    /// Number of entry instances; `None` for the number in the preset.
     pub count: Option<usize>,
-    /// More flags for the entries.
+    /// Additional arguments of the entries.
     pub flags: Vec<String>,
-    /// More environment for the entries, `NAME=VALUE`.
+    /// Additional environment variables of the entries, `NAME=VALUE`.
     pub env: Vec<String>,
-    /// Where the processes' logs go.
+    /// Directory for the ends of the processes' logs; `None` to discard them.
     pub logs: Option<PathBuf>,
 }
 
-/// What is sent.
+/// The requests to send and the faults to inject.
 #[data]
-pub struct Traffic {
-    /// Requests a second.
+pub struct TrafficArgs {
+    /// Requests a second, if given directly.
     pub rate: Option<f64>,
-    /// Requests as a multiple of the capacity.
+    /// Rate as a multiple of the preset's capacity.
     pub load: Option<f64>,
-    /// For how long.
+    /// How long requests are sent.
     pub length: Duration,
-    /// The time at the start that does not count.
+    /// Time at the start that is left out of the results.
     pub warm_up: Duration,
-    /// The seed of the arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// First part of the requests' ids.
+    /// Prefix of the requests' ids; `None` to derive one from the clock.
     pub tag: Option<String>,
-    /// The mix, as a TOML file.
+    /// TOML file with the mix; `None` for the preset's.
     pub workload: Option<PathBuf>,
-    /// Faults.
+    /// Faults, in the form of the `--fault` flag.
     pub faults: Vec<String>,
-    /// Faults, as a TOML file.
+    /// TOML file with more faults.
     pub schedule: Option<PathBuf>,
-    /// How often a caller sends again.
+    /// Most resends of one request.
     pub resends: u32,
-    /// Threads that send.
+    /// Number of sending threads.
     pub threads: usize,
 }
 
-/// Where results go.
+/// Output files.
 #[data]
-pub struct Output {
-    /// The report as JSON.
+pub struct OutputArgs {
+    /// File for the report as JSON.
     pub json: Option<PathBuf>,
-    /// Attainment over time as SVG.
+    /// File for a plot of attainment over time, as SVG.
     pub svg: Option<PathBuf>,
-    /// Every request's end, a line of JSON each.
+    /// File for the outcome of every request, one line of JSON each.
     pub samples: Option<PathBuf>,
 }
 
-/// Parses [`System`].
-pub fn system() -> impl Parser<System> {
+/// Parses [`TargetArgs`].
+pub fn system() -> impl Parser<TargetArgs> {
     let entries = long("entry")
         .help("An entry instance that runs already, such as 10.0.0.1:8080 or http://10.0.0.1:8080; may be repeated")
         .argument::<String>("URL")
@@ -94,18 +94,18 @@
         .parse(|text| settings::base_url(&text))
         .optional();
     let document = long("document")
-        .help("With --entry: the configuration in force (TOML), to compare answers by")
+        .help("With --entry: the configuration in force (TOML), to verify answers")
         .argument::<PathBuf>("FILE")
         .optional();
-    let started = started();
-    construct!(System { entries, list, document, started })
+    let preset_args = preset_args();
+    construct!(TargetArgs { entries, list, document, preset_args })
 }
 
-/// Parses [`Started`].
-pub fn started() -> impl Parser<Started> {
+/// Parses [`PresetArgs`].
+pub fn preset_args() -> impl Parser<PresetArgs> {
     let preset = long("preset")
         .env("PEATDECK_LOAD_PRESET")
-        .help("Start this system and end it afterwards: wash-fleet, guild, thin or a TOML file")
+        .help("Start this system and stop it afterwards: wash-fleet, guild, thin or a TOML file")
         .argument::<String>("NAME")
         .optional();
     let time_scale = long("time-scale")
@@ -114,7 +114,7 @@
         .fallback(1.0)
         .display_fallback();
     let count = long("entries")
-        .help("Entry instances to start, other than the preset says")
+        .help("Number of entry instances to start, instead of the preset's")
         .argument::<usize>("N")
         .optional();
     let flags = long("entry-flag")
@@ -126,24 +126,24 @@
         .argument::<String>("NAME=VALUE")
         .many();
     let logs = long("logs")
-        .help("Folder for the ends of the logs of the processes")
+        .help("Directory for the ends of the logs of the processes")
         .argument::<PathBuf>("DIR")
         .optional();
-    construct!(Started { preset, time_scale, count, flags, env, logs })
+    construct!(PresetArgs { preset, time_scale, count, flags, env, logs })
 }
 
-/// Parses [`Traffic`].
-pub fn traffic() -> impl Parser<Traffic> {
+/// Parses [`TrafficArgs`].
+pub fn traffic() -> impl Parser<TrafficArgs> {
     let rate = long("rate").help("Requests a second").argument::<f64>("N").optional();
     let load = long("load")
         .help("Requests a second as a multiple of the preset's capacity")
         .argument::<f64>("FACTOR")
         .optional();
     let length = time("length", "For how long requests are sent", "20s");
-    let warm_up = time("warm-up", "Time at the start that does not count", "2s");
+    let warm_up = time("warm-up", "Time at the start that is left out of the results", "2s");
     let seed = seed();
     let tag = long("tag")
-        .help("First part of the requests' ids; from the clock if not given")
+        .help("Prefix of the requests' ids; derived from the clock if not given")
         .argument::<String>("TEXT")
         .optional();
     let workload = long("workload")
@@ -162,7 +162,7 @@
         .fallback(0)
         .display_fallback();
     let threads = threads(2);
-    construct!(Traffic {
+    construct!(TrafficArgs {
         rate,
         load,
         length,
@@ -177,33 +177,33 @@
     })
 }
 
-/// Parses [`Output`].
-pub fn output() -> impl Parser<Output> {
+/// Parses [`OutputArgs`].
+pub fn output() -> impl Parser<OutputArgs> {
     let json = long("json").help("Write the report as JSON").argument::<PathBuf>("FILE").optional();
     let svg =
         long("svg").help("Draw attainment over time as SVG").argument::<PathBuf>("FILE").optional();
     let samples = long("samples")
-        .help("Write every request's end, a line of JSON each")
+        .help("Write the outcome of every request, one line of JSON each")
         .argument::<PathBuf>("FILE")
         .optional();
-    construct!(Output { json, svg, samples })
+    construct!(OutputArgs { json, svg, samples })
 }
 
-/// The seed of the arrivals.
+/// Parses the seed of the arrivals.
 pub fn seed() -> impl Parser<u64> {
     long("seed").help("Seed of the arrivals").argument::<u64>("N").fallback(1).display_fallback()
 }
 
-/// How many threads send.
+/// Parses the number of sending threads.
 pub fn threads(fallback: usize) -> impl Parser<usize> {
     long("threads")
-        .help("Threads that send")
+        .help("Number of sending threads")
         .argument::<usize>("N")
         .fallback(fallback)
         .display_fallback()
 }
 
-/// How often each kind of phase is run.
+/// Parses the number of repeats of each kind of phase.
 pub fn repeats() -> impl Parser<usize> {
     long("repeats")
         .help("Phases of each kind at each rate")
@@ -212,7 +212,7 @@
         .display_fallback()
 }
 
-/// A flag that takes a span of time.
+/// Parses a flag whose value is a duration such as `5s`.
 pub fn time(
     name: &'static str,
     help: &'static str,
--- a/crates/load/src/args/meaning.rs
+++ b/crates/load/src/args/meaning.rs
@@ -1,12 +1,12 @@
-//! What the shared flags mean together: the target, the plan and the setup.
+//! Turns the shared arguments into the target, the plan and the setup of a run.
 
 use std::sync::Arc;
 
 use crate::{
-    args::{Started, System, Traffic},
+    args::{PresetArgs, TargetArgs, TrafficArgs},
     arrivals::Plan,
     error,
-    experiment::{Given, Setup, Target},
+    experiment::{ExternalSystem, Setup, Target},
     files, launch,
     preset::Preset,
     schedule::{self, Fault},
@@ -14,11 +14,11 @@
     workload::Workload,
 };
 
-impl Started {
+impl PresetArgs {
     /// The preset, scaled; `None` where none is named.
     ///
     /// # Errors
-    /// If it cannot be used.
+    /// If the time scale is not above 0, or the preset cannot be used.
     pub fn preset(&self) -> error::Result<Option<Preset>> {
         let Some(name) = &self.preset else { return Ok(None) };
         if !self.time_scale.is_finite() || self.time_scale <= 0.0 {
@@ -32,38 +32,38 @@
         Ok(Some(preset))
     }
 
-    /// How the preset is started.
+    /// How the processes of the preset are started.
     ///
     /// # Errors
-    /// If an environment variable is not of the form.
-    pub fn launch(&self) -> error::Result<launch::Launch> {
-        let env = self.env.iter().map(|pair| variable(pair)).collect::<error::Result<_>>()?;
-        Ok(launch::Launch { flags: self.flags.clone(), env, logs: self.logs.clone() })
+    /// If an environment variable is not of the form `NAME=VALUE`.
+    pub fn launch(&self) -> error::Result<launch::LaunchOptions> {
+        let env = self.env.iter().map(|pair| parse_variable(pair)).collect::<error::Result<_>>()?;
+        Ok(launch::LaunchOptions { flags: self.flags.clone(), env, logs: self.logs.clone() })
     }
 }
 
-impl System {
-    /// The target, started where it has to be, and its preset.
+impl TargetArgs {
+    /// The target and its preset, if any. Starts the system of a preset.
     ///
     /// # Errors
     /// If neither or both kinds are given, or the system does not start.
     pub fn target(&self) -> error::Result<(Target, Option<Preset>)> {
-        match (self.started.preset()?, self.entries.is_empty()) {
+        match (self.preset_args.preset()?, self.entries.is_empty()) {
             (Some(preset), true) => {
-                let system = launch::start(&preset, &self.started.launch()?)?;
+                let system = launch::start(&preset, &self.preset_args.launch()?)?;
                 Ok((Target::Started(Box::new(system)), Some(preset)))
             }
-            (None, false) => Ok((Target::Given(self.given()?), None)),
+            (None, false) => Ok((Target::External(self.external()?), None)),
             _ => Err(error::Error::Setting {
-                problem: "what to try is not clear".to_owned(),
+                problem: "no target is given, or more than one".to_owned(),
                 remedy: "give either --preset or --entry".into(),
             }),
         }
     }
 
-    fn given(&self) -> error::Result<Given> {
+    fn external(&self) -> error::Result<ExternalSystem> {
         let document = self.document.as_deref().map(files::read_document).transpose()?;
-        Ok(Given {
+        Ok(ExternalSystem {
             entries: self.entries.iter().map(|entry| entry.as_str().into()).collect(),
             list: self.list.as_deref().map(Arc::from),
             document: document.map(Arc::new),
@@ -71,18 +71,18 @@
     }
 }
 
-impl Traffic {
-    /// The rate, from itself or from the preset's capacity.
+impl TrafficArgs {
+    /// Requests a second, given directly or as a multiple of the preset's capacity.
     ///
     /// # Errors
-    /// If neither or both are given, or it is not above 0.
+    /// If neither or both are given, or the rate is not above 0.
     pub fn rate(&self, preset: Option<&Preset>) -> error::Result<f64> {
         let rate = match (self.rate, self.load, preset) {
             (Some(rate), None, _) => rate,
             (None, Some(load), Some(preset)) => load * preset.capacity(),
             _ => {
                 return Err(error::Error::Setting {
-                    problem: "the rate is not clear".to_owned(),
+                    problem: "no rate is given, or more than one".to_owned(),
                     remedy: "give either --rate, or --load together with --preset".into(),
                 });
             }
@@ -96,22 +96,22 @@
         })
     }
 
-    /// The mix that is sent.
+    /// The mix to send: that of the file, else the preset's.
     ///
     /// # Errors
-    /// If there is none.
+    /// If there is neither, or the file cannot be used.
     pub fn workload(&self, preset: Option<&Preset>) -> error::Result<Workload> {
         match (&self.workload, preset) {
             (Some(path), _) => Workload::parse(&files::read(path)?),
             (None, Some(preset)) => Ok(preset.traffic.clone()),
             (None, None) => Err(error::Error::Setting {
-                problem: "what to send is not clear".to_owned(),
+                problem: "no workload is given".to_owned(),
                 remedy: "give --workload with a file, or --preset".into(),
             }),
         }
     }
 
-    /// The faults of flags and file, by rising time.
+    /// The faults from flags and file, in order of time.
     ///
     /// # Errors
     /// If one cannot be read.
@@ -130,7 +130,7 @@
     /// The plan of arrivals.
     ///
     /// # Errors
-    /// If the rate is not clear or the warm-up leaves nothing.
+    /// If the rate is not determined, or the warm-up is not shorter than the run.
     pub fn plan(&self, preset: Option<&Preset>, faults: &[Fault]) -> error::Result<Plan> {
         if self.warm_up >= self.length {
             return Err(error::Error::Setting {
@@ -147,7 +147,7 @@
         })
     }
 
-    /// First part of the requests' ids.
+    /// Prefix of the requests' ids.
     pub fn tag(&self) -> Arc<str> {
         match &self.tag {
             Some(tag) => tag.as_str().into(),
@@ -166,13 +166,13 @@
             faults,
             resends: self.resends,
             threads: self.threads,
-            direct: false,
-            records: true,
+            is_direct: false,
+            reads_records: true,
         }
     }
 }
 
-fn variable(pair: &str) -> error::Result<(String, String)> {
+fn parse_variable(pair: &str) -> error::Result<(String, String)> {
     match pair.split_once('=') {
         Some((name, value)) if !name.is_empty() => Ok((name.to_owned(), value.to_owned())),
         _ => Err(error::Error::Setting {
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -1,9 +1,9 @@
-//! Open-loop arrivals: a Poisson process whose rate bursts now and then.
+//! Open-loop arrivals: a Poisson process with bursts of a different rate.
 //!
-//! The whole plan is drawn before the first request is sent, from a seed. The
-//! answers have no influence on it: a slow system gets the same requests at
-//! the same times as a fast one, so that waiting shows as waiting (and is not
-//! left out, as it would be if a sender waited for its answer first).
+//! The whole plan is drawn from a seed before the first request is sent, so the
+//! answers have no influence on it: a slow system receives the same requests at
+//! the same times as a fast one. Latency therefore includes all waiting, part
+//! of which is missed if a sender waits for an answer before the next request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,16 +12,16 @@
 
 use crate::workload::{Class, Workload};
 
-/// One request, and when it is to be sent.
+/// One planned request.
 #[message]
 pub struct Arrival {
-    /// When, from the start of the run.
+    /// When it is to be sent, from the start of the run.
     pub at: Duration,
-    /// The caller's id for it.
+    /// Id that the caller gives it.
     pub id: Arc<str>,
     /// The team that sends it.
     pub team: Arc<str>,
-    /// The pipeline that should answer it.
+    /// The pipeline that it is sent to.
     pub pipeline: Arc<str>,
     /// Whether it is idempotent.
     pub idempotent: bool,
@@ -29,45 +29,45 @@
     pub stream: bool,
     /// How long its caller waits.
     pub deadline: Duration,
-    /// Its input.
+    /// Input of the first stage.
     pub input: Arc<str>,
 }
 
-/// A time of higher (or lower) rate.
+/// A period of higher (or lower) rate.
 #[message]
 #[derive(Copy)]
 pub struct Burst {
-    /// When it starts.
+    /// Start, from the start of the run.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration.
     pub length: Duration,
-    /// What the rate is multiplied by.
+    /// Factor by which the rate is multiplied.
     pub factor: f64,
 }
 
-/// What to draw.
+/// Parameters from which arrivals are drawn.
 #[data]
 pub struct Plan {
     /// Requests a second outside bursts.
     pub rate: f64,
-    /// For how long.
+    /// Length of the plan.
     pub length: Duration,
-    /// The bursts; where some overlap, their factors multiply.
+    /// The bursts; the factors of overlapping bursts multiply.
     pub bursts: Vec<Burst>,
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// First part of every id. Two runs against one system need two of them.
+    /// Prefix of every id. Runs against the same system need different prefixes.
     pub tag: Arc<str>,
 }
 
 impl Plan {
-    /// Draws the arrivals, by rising time.
+    /// Draws the arrivals, in order of time.
     pub fn draw(&self, workload: &Workload) -> Vec<Arrival> {
         let mut rng = StdRng::seed_from_u64(self.seed);
         let mut arrivals = Vec::new();
         let mut at = 0.0;
         loop {
-            at = self.after(at, exponential(&mut rng));
+            at = self.advance(at, exponential(&mut rng));
             if at >= self.length.as_secs_f64() {
                 return arrivals;
             }
@@ -76,19 +76,19 @@
         }
     }
 
-    /// The time by which the process has gone on by `amount` expected arrivals.
-    fn after(&self, from: f64, amount: f64) -> f64 {
+    /// The time after `from` by which `amount` arrivals are expected.
+    fn advance(&self, from: f64, amount: f64) -> f64 {
         let mut now = from;
         let mut left = amount;
         loop {
             let rate = self.rate_at(now);
-            let edge = self.next_edge(now);
-            let piece = (edge - now) * rate;
-            if left < piece || edge.is_infinite() {
+            let boundary = self.next_boundary(now);
+            let piece = (boundary - now) * rate;
+            if left < piece || boundary.is_infinite() {
                 return now + left / rate;
             }
             left -= piece;
-            now = edge;
+            now = boundary;
         }
     }
 
@@ -102,11 +102,11 @@
         self.rate * factor
     }
 
-    fn next_edge(&self, now: f64) -> f64 {
+    fn next_boundary(&self, now: f64) -> f64 {
         self.bursts
             .iter()
             .flat_map(|burst| [burst.start(), burst.end()])
-            .filter(|edge| *edge > now)
+            .filter(|boundary| *boundary > now)
             .fold(f64::INFINITY, f64::min)
     }
 
@@ -136,7 +136,7 @@
     }
 }
 
-/// A gap of a Poisson process of rate 1.
+/// Draws the time between two arrivals of a Poisson process of rate 1.
 fn exponential(rng: &mut StdRng) -> f64 {
     let uniform: f64 = rng.random();
     -(1.0 - uniform).ln()
@@ -166,7 +166,7 @@
     text.into()
 }
 
-/// A prefix that is the same each time it is drawn.
+/// The text of prefix `number`, the same each time.
 fn prefix_text(pipeline: &str, number: u32, bytes: usize) -> String {
     let unit = format!("{pipeline}/{number} ");
     unit.chars().cycle().take(bytes).collect()
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -1,6 +1,6 @@
-//! Spreads requests over entry instances, as the platform's balancer does: in
-//! turn over those that say they are ready, the next one when one cannot be
-//! reached.
+//! Distributes requests over entry instances as the platform's balancer does:
+//! round robin over those that report ready, trying the next one if one cannot
+//! be reached.
 
 use std::{
     sync::{
@@ -14,30 +14,30 @@
 
 use crate::runtime;
 
-/// How often an entry is asked whether it is ready.
-const PROBE_EVERY: Duration = Duration::from_millis(200);
-/// How long it may take to say so.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+/// Interval at which the readiness of an entry is polled.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time limit of one readiness poll.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Entry instances and whether they took part at the last look.
+/// Entry instances and whether each was ready at the last poll.
 #[derive(Debug)]
 pub struct Balancer {
-    entries: Vec<Target>,
+    entries: Vec<Entry>,
     next: AtomicUsize,
 }
 
 #[derive(Debug)]
-struct Target {
+struct Entry {
     url: Arc<str>,
     ready: AtomicBool,
 }
 
 impl Balancer {
-    /// A balancer over entries at these URLs (`http://ip:port`), all taken for ready.
+    /// A balancer over entries at these URLs (`http://ip:port`). All count as ready at first.
     pub fn new(urls: &[Arc<str>]) -> Balancer {
         let entries = urls
             .iter()
-            .map(|url| Target {
+            .map(|url| Entry {
                 url: url.trim_end_matches('/').into(),
                 ready: AtomicBool::new(true),
             })
@@ -45,9 +45,9 @@
         Balancer { entries, next: AtomicUsize::new(0) }
     }
 
-    /// The entries to try for one request, in order: the ready ones in turn,
-    /// then the others.
-    pub fn order(&self) -> Vec<Arc<str>> {
+    /// The entries to try for one request, in order: the ready ones, starting
+    /// with the next in rotation, then the others.
+    pub fn candidates(&self) -> Vec<Arc<str>> {
         let start = self.next.fetch_add(1, Ordering::Relaxed);
         let ready = self.entries.iter().filter(|entry| entry.ready.load(Ordering::Relaxed));
         let mut urls: Vec<Arc<str>> = ready.map(|entry| entry.url.clone()).collect();
@@ -60,27 +60,27 @@
         urls
     }
 
-    /// Leaves an entry out until it is ready again.
+    /// Marks an entry as not ready until a poll finds it ready again.
     pub fn mark_down(&self, url: &str) {
         if let Some(entry) = self.entries.iter().find(|entry| &*entry.url == url) {
             entry.ready.store(false, Ordering::Relaxed);
         }
     }
 
-    /// Asks every entry whether it is ready, for ever.
+    /// Polls the readiness of every entry, forever.
     pub async fn probe(&self, client: &Client) {
         loop {
-            let looks = self.entries.iter().map(|entry| entry.look(client));
-            futures::future::join_all(looks).await;
-            ntex::time::sleep(PROBE_EVERY).await;
+            let checks = self.entries.iter().map(|entry| entry.check_ready(client));
+            futures::future::join_all(checks).await;
+            ntex::time::sleep(PROBE_INTERVAL).await;
         }
     }
 }
 
-impl Target {
-    async fn look(&self, client: &Client) {
+impl Entry {
+    async fn check_ready(&self, client: &Client) {
         let url = format!("{}/readyz", self.url);
-        let ready = runtime::fetch(client, &url, PROBE_TIME).await.is_some();
+        let ready = runtime::fetch(client, &url, PROBE_TIMEOUT).await.is_some();
         self.ready.store(ready, Ordering::Relaxed);
     }
 }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! One send of a request to an entry instance, and how it ended.
+//! Sends a request once to an entry instance and classifies the reply.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,33 +15,37 @@
 
 use crate::{arrivals::Arrival, events, sample::Ending};
 
-/// What one send came to.
+/// Result of one send.
 #[data]
 pub struct Reply {
-    /// How it ended. An answer is [`Ending::Answered`] before its content was compared.
+    /// How it ended. An answer is [`Ending::Answered`] until its output has been verified.
     pub ending: Ending,
-    /// The answer's output.
+    /// The output of an answer; `None` for any other ending.
     pub output: Option<Arc<str>>,
-    /// The answer's stages.
+    /// The stages of an answer; empty for any other ending.
     pub stages: Vec<caller::StageBody>,
-    /// From the send to the first piece of a streamed answer.
+    /// Time from the send to the first piece of a streamed answer.
     pub first_token: Option<Duration>,
-    /// When the instance says that the request may be sent again.
+    /// Delay after which the instance permits a resend, if the reply states one.
     pub retry_after: Option<Duration>,
 }
 
 impl Reply {
-    /// A send that ended without any answer.
-    pub fn bare(ending: Ending) -> Reply {
+    /// A reply without output or stages.
+    pub fn from_ending(ending: Ending) -> Reply {
         Reply { ending, output: None, stages: Vec::new(), first_token: None, retry_after: None }
     }
 
     fn answered(body: caller::AnswerBody, id: &str) -> Reply {
         if &*body.id != id {
             let other = format!("the answer carries the id {}", body.id);
-            return Reply::bare(Ending::Wrong(other.into()));
+            return Reply::from_ending(Ending::Wrong(other.into()));
+        }
+        Reply {
+            output: Some(body.output),
+            stages: body.stages,
+            ..Reply::from_ending(Ending::Answered)
         }
-        Reply { output: Some(body.output), stages: body.stages, ..Reply::bare(Ending::Answered) }
     }
 
     fn error(body: caller::ErrorBody) -> Reply {
@@ -52,32 +56,32 @@
             other => Ending::Wrong(format!("unknown outcome {other}").into()),
         };
         let retry_after = body.retry_after_ms.map(Duration::from_millis);
-        Reply { retry_after, ..Reply::bare(ending) }
+        Reply { retry_after, ..Reply::from_ending(ending) }
     }
 }
 
-/// Sends a request once, and waits for its end at most `patience` long.
+/// Sends a request once with `time_left` as its deadline, and waits at most `timeout` for the end.
 pub async fn send(
     client: &Client,
     entry: &str,
     arrival: &Arrival,
-    left: Duration,
-    patience: Duration,
+    time_left: Duration,
+    timeout: Duration,
 ) -> Reply {
     let url = format!("{entry}/v1/pipelines/{}/requests", arrival.pipeline);
     let body = caller::RequestBody {
         id: arrival.id.clone(),
         team: arrival.team.clone(),
-        deadline_ms: i64::try_from(left.as_millis()).unwrap_or(i64::MAX),
+        deadline_ms: i64::try_from(time_left.as_millis()).unwrap_or(i64::MAX),
         idempotent: arrival.idempotent,
         repeat: false,
         stream: arrival.stream,
         input: arrival.input.clone(),
     };
     let exchange = exchange(client.post(url), body, &arrival.id);
-    match ntex::time::timeout(patience, exchange).await {
+    match ntex::time::timeout(timeout, exchange).await {
         Ok(reply) => reply,
-        Err(()) => Reply::bare(Ending::Silent),
+        Err(()) => Reply::from_ending(Ending::Silent),
     }
 }
 
@@ -86,7 +90,7 @@
     let stream = body.stream;
     let response = match request.send_json(&body).await {
         Ok(response) => response,
-        Err(err) => return Reply::bare(failure(&err)),
+        Err(err) => return Reply::from_ending(classify_error(&err)),
     };
     if stream && response.status() == StatusCode::OK {
         return read_events(response, id, sent).await;
@@ -97,17 +101,17 @@
 async fn read_whole(response: ClientResponse, id: &str) -> Reply {
     let ok = response.status() == StatusCode::OK;
     let Ok(bytes) = response.body().await else {
-        return Reply::bare(Ending::Cut);
+        return Reply::from_ending(Ending::Cut);
     };
     if ok {
         return match serde_json::from_slice(&bytes) {
             Ok(body) => Reply::answered(body, id),
-            Err(err) => Reply::bare(Ending::Wrong(err.to_string().into())),
+            Err(err) => Reply::from_ending(Ending::Wrong(err.to_string().into())),
         };
     }
     match serde_json::from_slice(&bytes) {
         Ok(body) => Reply::error(body),
-        Err(_) => Reply::bare(Ending::Wrong(format!("status {}", response.status()).into())),
+        Err(_) => Reply::from_ending(Ending::Wrong(format!("status {}", response.status()).into())),
     }
 }
 
@@ -117,7 +121,7 @@
     let mut text = String::new();
     while let Some(chunk) = response.next().await {
         let Ok(chunk) = chunk else {
-            return Reply { first_token, ..Reply::bare(Ending::Cut) };
+            return Reply { first_token, ..Reply::from_ending(Ending::Cut) };
         };
         for event in parser.feed(&chunk) {
             match &*event.name {
@@ -125,37 +129,41 @@
                     first_token = first_token.or_else(|| Some(sent.elapsed()));
                     match serde_json::from_str::<caller::TextEvent>(&event.data) {
                         Ok(piece) => text.push_str(&piece.text),
-                        Err(err) => return Reply::bare(Ending::Wrong(err.to_string().into())),
+                        Err(err) => {
+                            return Reply::from_ending(Ending::Wrong(err.to_string().into()));
+                        }
                     }
                 }
                 "answer" => return end_of_stream(&event.data, id, &text, first_token),
                 "error" => {
                     return match serde_json::from_str(&event.data) {
                         Ok(body) => Reply { first_token, ..Reply::error(body) },
-                        Err(err) => Reply::bare(Ending::Wrong(err.to_string().into())),
+                        Err(err) => Reply::from_ending(Ending::Wrong(err.to_string().into())),
                     };
                 }
                 _ => {}
             }
         }
     }
-    Reply { first_token, ..Reply::bare(Ending::Cut) }
+    Reply { first_token, ..Reply::from_ending(Ending::Cut) }
 }
 
-/// The pieces that came before the end mark must be the answer.
+/// Reads the final event. The pieces that preceded it must add up to the answer.
 fn end_of_stream(data: &str, id: &str, text: &str, first_token: Option<Duration>) -> Reply {
     let body: caller::AnswerBody = match serde_json::from_str(data) {
         Ok(body) => body,
-        Err(err) => return Reply::bare(Ending::Wrong(err.to_string().into())),
+        Err(err) => return Reply::from_ending(Ending::Wrong(err.to_string().into())),
     };
     if !text.is_empty() && text != &*body.output {
-        return Reply::bare(Ending::Wrong("the streamed pieces are not the answer".into()));
+        return Reply::from_ending(Ending::Wrong(
+            "the streamed pieces differ from the answer".into(),
+        ));
     }
     Reply { first_token, ..Reply::answered(body, id) }
 }
 
-/// Whether anything can have been sent, from a failed send.
-fn failure(err: &ClientError) -> Ending {
+/// Classifies a failed send by whether any part of the request can have been sent.
+fn classify_error(err: &ClientError) -> Ending {
     match err {
         ClientError::Connect(ConnectError::Timeout) => Ending::Unreachable,
         ClientError::Connect(ConnectError::Disconnected(Some(err)))
--- a/crates/load/src/cli.rs
+++ b/crates/load/src/cli.rs
@@ -8,22 +8,22 @@
     error,
 };
 
-/// A command with its flags.
+/// A command with its arguments.
 #[data]
 pub enum Command {
     /// Sends planned requests.
     Run(run::Args),
-    /// Writes planned requests as a trace.
+    /// Writes planned requests to a trace file.
     Record(record::Args),
-    /// Sends a trace's requests.
+    /// Sends the requests of a trace.
     Replay(replay::Args),
-    /// Compares two settings.
+    /// Compares two settings of the entries.
     Pair(pair::Args),
-    /// Looks for the rate that one entry holds.
+    /// Finds the highest rate that one entry sustains.
     Ceiling(ceiling::Args),
-    /// Measures how fast a configuration is in force.
+    /// Measures the time until a published configuration is in force.
     InForce(in_force::Args),
-    /// Measures what a claim adds.
+    /// Measures the latency that a claim adds.
     Claims(claims::Args),
 }
 
@@ -34,7 +34,7 @@
     peatdeck-load pair --preset guild --load 1.3 --a=--decisions=plain --b=--decisions=full\n  \
     peatdeck-load ceiling --preset thin";
 
-/// The command line.
+/// Parser of the command line.
 pub fn options() -> OptionParser<Command> {
     let run = command(run::cli().map(Command::Run), "run", "Send planned requests and report");
     let record = command(
@@ -52,17 +52,17 @@
     let ceiling = command(
         ceiling::cli().map(Command::Ceiling),
         "ceiling",
-        "Look for the rate that one entry holds",
+        "Find the highest rate that one entry sustains",
     );
     let in_force = command(
         in_force::cli().map(Command::InForce),
         "in-force",
-        "Measure the time from accepted to in force",
+        "Measure the time from when a version is accepted until it is in force",
     );
     let claims = command(
         claims::cli().map(Command::Claims),
         "claims",
-        "Measure what a claim adds at rising load",
+        "Measure the latency that a claim adds at rising load",
     );
     construct!([run, record, replay, pair, ceiling, in_force, claims])
         .to_options()
@@ -79,10 +79,10 @@
     parser.to_options().descr(help).command(name).help(help)
 }
 
-/// Does what a command says.
+/// Runs a command.
 ///
 /// # Errors
-/// If it fails; the error names the remedy.
+/// If the command fails; the error says what to do.
 pub fn exec(command: &Command) -> error::Result<()> {
     match command {
         Command::Run(args) => run::exec(args),
--- a/crates/load/src/commands.rs
+++ b/crates/load/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, one file each: `cli` parses its flags, `exec` does it.
+//! The commands, one module each: `cli` parses the arguments, `exec` runs the command.
 
 pub mod ceiling;
 pub mod claims;
--- a/crates/load/src/commands/ceiling.rs
+++ b/crates/load/src/commands/ceiling.rs
@@ -1,10 +1,10 @@
-//! `ceiling`: the rate that one entry holds.
+//! `ceiling`: finds the highest rate that one entry sustains.
 //!
-//! At each rate the same requests go straight to the endpoints and through
-//! the entry, in turn within one run, so that the machine's state hits both
-//! alike. The rate is held while the entry adds no more than the bound to the
-//! p99 and answers nearly everything. The rate is doubled until it is not
-//! held, then the gap is halved a few times.
+//! At each rate the command sends the same requests directly to the endpoints
+//! and through the entry, alternating within one run, so that the load of the
+//! host affects both alike. A rate is sustained if the entry adds no more than
+//! the bound to the p99 and answers nearly all requests. The search doubles
+//! the rate until it is not sustained, then bisects a few times.
 
 use std::{fmt::Write, time::Duration};
 
@@ -24,93 +24,95 @@
     tag,
 };
 
-/// Flags.
+/// Arguments of `ceiling`.
 #[data]
 pub struct Args {
-    /// The preset; its first entry is measured.
-    pub started: args::Started,
-    /// The rate to start from.
+    /// The preset; one entry is started and measured.
+    pub preset_args: args::PresetArgs,
+    /// Lowest rate of the search, in requests a second.
     pub from: f64,
-    /// The rate to end at.
+    /// Highest rate of the search, in requests a second.
     pub to: f64,
-    /// How often the gap is halved.
+    /// Number of bisection steps after the first rate that is not sustained.
     pub halvings: usize,
-    /// Phases of each kind at each rate.
+    /// Direct phases, and phases through the entry, at each rate.
     pub repeats: usize,
     /// Length of a phase.
     pub length: Duration,
-    /// Time at the start of a phase that does not count.
+    /// Time at the start of a phase that is left out of the results.
     pub warm_up: Duration,
-    /// What the entry may add to the p99.
+    /// Latency that the entry may add to the p99.
     pub bound: Duration,
-    /// The seed of the arrivals.
+    /// Seed of the arrivals in the first repeat; each further repeat adds 1.
     pub seed: u64,
-    /// Threads that send.
+    /// Number of sending threads.
     pub threads: usize,
-    /// Where results go.
-    pub output: args::Output,
+    /// Output files.
+    pub output: args::OutputArgs,
 }
 
-/// Share of the requests that has to be answered for a rate to be held.
-const ANSWERED: f64 = 0.999;
+/// Least share of answered requests at a sustained rate.
+const MIN_ANSWERED: f64 = 0.999;
 
-/// What was found at one rate.
+/// Measurements at one rate.
 #[message]
-pub struct Rate {
+pub struct RateResult {
     /// Requests a second.
     pub rate: f64,
-    /// Whether the entry held it.
+    /// Whether the entry sustained the rate.
     pub held: bool,
-    /// What the entry added to the p50, in milliseconds, in each repeat.
+    /// Latency that the entry added to the p50, in milliseconds, one value per repeat.
     pub added_p50: Vec<f64>,
-    /// What the entry added to the p99, in milliseconds, in each repeat.
+    /// Latency that the entry added to the p99, in milliseconds, one value per repeat.
     pub added_p99: Vec<f64>,
-    /// The direct p99, in milliseconds, in each repeat.
+    /// The p99 of direct requests, in milliseconds, one value per repeat.
     pub direct_p99: Vec<f64>,
-    /// The tool's own p99 delay, in milliseconds, the larger of the two kinds.
+    /// The p99 of the tool's own sending delay, in milliseconds, one value per repeat: the larger
+    /// of the direct phase and the phase through the entry.
     pub tool_p99: Vec<f64>,
-    /// Share of requests that the entry answered, the smallest of the repeats.
+    /// Share of requests that the entry answered, the minimum over the repeats.
     pub answered: f64,
-    /// Processor time of the entry a request, in milliseconds, over all repeats.
+    /// CPU time of the entry per request, in milliseconds, over all repeats.
     pub processor_ms: f64,
-    /// Share of one processor that the entry used.
+    /// Share of one CPU core that the entry used.
     pub processor_share: f64,
-    /// Resident memory of the entry afterwards, in KiB.
+    /// Resident memory of the entry after the last repeat, in KiB.
     pub resident_kib: u64,
 }
 
-/// What the search gave.
+/// Result of the search.
 #[message]
 pub struct Ceiling {
-    /// The largest rate that was held; `None` if not even the first was.
+    /// The highest sustained rate; `None` if even the first rate was not sustained.
     pub held: Option<f64>,
-    /// The smallest rate that was not held; `None` if all were.
+    /// The lowest rate that was not sustained; `None` if all were.
     pub broken: Option<f64>,
     /// Resident memory of the entry before the first request, in KiB.
     pub idle_kib: u64,
-    /// Every rate that was tried, in the order of trial.
-    pub rates: Vec<Rate>,
+    /// Every rate that was measured, in order of measurement.
+    pub rates: Vec<RateResult>,
 }
 
-/// Parses the flags.
+/// Parses the arguments.
 pub fn cli() -> impl Parser<Args> {
-    let started = args::started();
+    let preset_args = args::preset_args();
     let from = rate("from", "The rate to start from", 100.0);
     let to = rate("to", "The rate to end at", 20_000.0);
     let halvings = long("halvings")
-        .help("How often the gap between held and not held is halved")
+        .help("Bisection steps after the first rate that is not sustained")
         .argument::<usize>("N")
         .fallback(3)
         .display_fallback();
     let repeats = args::repeats();
     let length = args::time("length", "Length of a phase", "4s");
-    let warm_up = args::time("warm-up", "Time at a phase's start that does not count", "1s");
-    let bound = args::time("bound", "What the entry may add to the p99", "5ms");
+    let warm_up =
+        args::time("warm-up", "Time at the start of a phase that is left out of the results", "1s");
+    let bound = args::time("bound", "Latency that the entry may add to the p99", "5ms");
     let seed = args::seed();
     let threads = args::threads(3);
     let output = args::output();
     construct!(Args {
-        started,
+        preset_args,
         from,
         to,
         halvings,
@@ -128,25 +130,25 @@
     long(name).help(help).argument::<f64>("RATE").fallback(fallback).display_fallback()
 }
 
-/// Looks for the ceiling.
+/// Searches for the highest sustained rate and prints the result.
 ///
 /// # Errors
-/// If the system does not start or breaks.
+/// If the system does not start or fails during the search.
 pub fn exec(args: &Args) -> error::Result<()> {
-    let named = args::Started {
-        preset: args.started.preset.clone().or_else(|| Some("thin".to_owned())),
+    let preset_args = args::PresetArgs {
+        preset: args.preset_args.preset.clone().or_else(|| Some("thin".to_owned())),
         count: Some(1),
-        ..args.started.clone()
+        ..args.preset_args.clone()
     };
-    let preset = named.preset()?.expect("a name was filled in");
-    let system = launch::start(&preset, &named.launch()?)?;
+    let preset = preset_args.preset()?.expect("a name was filled in");
+    let system = launch::start(&preset, &preset_args.launch()?)?;
     let idle_kib = usage(&system)?.resident_kib;
     let mut target = Target::Started(Box::new(system));
     let mut ceiling = Ceiling { held: None, broken: None, idle_kib, rates: Vec::new() };
     while let Some(rate) = ceiling.next(args) {
-        let tried = try_rate(args, &preset, &mut target, rate)?;
-        println!("{}", line(&tried));
-        ceiling.note(tried);
+        let result = try_rate(args, &preset, &mut target, rate)?;
+        println!("{}", line(&result));
+        ceiling.record(result);
     }
     println!("{}", table(&ceiling, args.bound));
     if let Some(path) = &args.output.json {
@@ -156,16 +158,16 @@
 }
 
 impl Ceiling {
-    fn note(&mut self, tried: Rate) {
-        if tried.held {
-            self.held = Some(tried.rate);
+    fn record(&mut self, result: RateResult) {
+        if result.held {
+            self.held = Some(result.rate);
         } else {
-            self.broken = Some(tried.rate);
+            self.broken = Some(result.rate);
         }
-        self.rates.push(tried);
+        self.rates.push(result);
     }
 
-    /// The rate to try next; `None` when the search is over.
+    /// The rate to measure next; `None` when the search is complete.
     fn next(&self, args: &Args) -> Option<f64> {
         match (self.held, self.broken) {
             (None, None) => Some(args.from),
@@ -180,8 +182,13 @@
     }
 }
 
-fn try_rate(args: &Args, preset: &Preset, target: &mut Target, rate: f64) -> error::Result<Rate> {
-    let mut tried = Rate {
+fn try_rate(
+    args: &Args,
+    preset: &Preset,
+    target: &mut Target,
+    rate: f64,
+) -> error::Result<RateResult> {
+    let mut result = RateResult {
         rate,
         held: false,
         added_p50: Vec::new(),
@@ -193,7 +200,7 @@
         processor_share: 0.0,
         resident_kib: 0,
     };
-    let mut processor = Duration::ZERO;
+    let mut cpu_time = Duration::ZERO;
     let mut requests = 0;
     for repeat in 0..args.repeats.max(1) {
         let seed = args.seed + repeat as u64;
@@ -201,20 +208,20 @@
         let before = started_usage(target)?;
         let through = phase(args, preset, target, rate, seed, false)?;
         let after = started_usage(target)?;
-        processor += after.processor.saturating_sub(before.processor);
+        cpu_time += after.processor.saturating_sub(before.processor);
         requests += through.timeline.iter().map(|slot| slot.planned).sum::<u64>();
-        tried.resident_kib = after.resident_kib;
-        tried.add(&direct, &through);
+        result.resident_kib = after.resident_kib;
+        result.add(&direct, &through);
     }
     let phases = args.repeats.max(1) as f64;
-    tried.processor_ms = processor.as_secs_f64() * 1000.0 / requests.max(1) as f64;
-    tried.processor_share = processor.as_secs_f64() / (args.length.as_secs_f64() * phases);
+    result.processor_ms = cpu_time.as_secs_f64() * 1000.0 / requests.max(1) as f64;
+    result.processor_share = cpu_time.as_secs_f64() / (args.length.as_secs_f64() * phases);
     let bound = args.bound.as_secs_f64() * 1000.0;
-    tried.held = median(&tried.added_p99) <= bound && tried.answered >= ANSWERED;
-    Ok(tried)
+    result.held = median(&result.added_p99) <= bound && result.answered >= MIN_ANSWERED;
+    Ok(result)
 }
 
-impl Rate {
+impl RateResult {
     fn add(&mut self, direct: &Report, through: &Report) {
         self.added_p50.push(through.latency.p50 - direct.latency.p50);
         self.added_p99.push(through.latency.p99 - direct.latency.p99);
@@ -231,7 +238,7 @@
     target: &mut Target,
     rate: f64,
     seed: u64,
-    direct: bool,
+    is_direct: bool,
 ) -> error::Result<Report> {
     let plan = Plan { rate, length: args.length, bursts: Vec::new(), seed, tag: tag::fresh() };
     let arrivals = plan.draw(&preset.traffic);
@@ -244,8 +251,8 @@
         faults: Vec::new(),
         resends: 0,
         threads: args.threads,
-        direct,
-        records: false,
+        is_direct,
+        reads_records: false,
     };
     Ok(experiment::run(target, &setup, &arrivals)?.report)
 }
@@ -253,23 +260,23 @@
 fn started_usage(target: &Target) -> error::Result<process::Usage> {
     match target {
         Target::Started(system) => usage(system),
-        Target::Given(_) => Err(gone()),
+        Target::External(_) => Err(process_gone()),
     }
 }
 
 fn usage(system: &System) -> error::Result<process::Usage> {
-    let entry = system.live_entries().first().ok_or_else(gone)?;
-    process::usage(entry.pid).ok_or_else(gone)
+    let entry = system.live_entries().first().ok_or_else(process_gone)?;
+    process::usage(entry.pid).ok_or_else(process_gone)
 }
 
-fn gone() -> error::Error {
+fn process_gone() -> error::Error {
     error::Error::Control {
-        what: "reading the entry's use of the machine".to_owned(),
-        message: "its process is gone".to_owned(),
+        what: "reading the resource usage of the entry".to_owned(),
+        message: "the process has exited".to_owned(),
     }
 }
 
-fn line(rate: &Rate) -> String {
+fn line(rate: &RateResult) -> String {
     format!(
         "{:>8.0}/s {:<8} added p50 {:>7.2} ms, p99 {:>7.2} ms {:?}, answered {:.2}%, {:.3} ms processor a request, {:.0}% of a processor, {} KiB",
         rate.rate,
@@ -294,14 +301,14 @@
         rate(ceiling.held),
         rate(ceiling.broken),
         bound.as_secs_f64() * 1000.0,
-        ANSWERED * 100.0,
+        MIN_ANSWERED * 100.0,
     )
     .ok();
     writeln!(text, "resident memory: idle {} KiB", ceiling.idle_kib).ok();
     text
 }
 
-/// The middle of some values; the mean of the two middle ones of an even number.
+/// Median; of an even number of values the mean of the two middle ones, of none 0.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/load/src/commands/claims.rs
+++ b/crates/load/src/commands/claims.rs
@@ -1,9 +1,9 @@
-//! `claims`: what a claim adds to a request, and appends a second, at rising
-//! load.
+//! `claims`: measures the latency that a claim adds to a request, and the
+//! appends to the log a second, at rising load.
 //!
-//! Two classes of the preset are sent in turn at each rate: the first one that
-//! is idempotent and the first one that is not. Give a preset in which both
-//! run the same pools; the difference is then the claim.
+//! At each rate the command sends two classes of the preset in turn: the first
+//! one that is idempotent and the first one that is not. In a preset in which
+//! both use the same pools, the difference is the cost of the claim.
 
 use std::{fmt::Write, str::FromStr, time::Duration};
 
@@ -25,50 +25,50 @@
     workload::{Class, Workload},
 };
 
-/// Flags.
+/// Arguments of `claims`.
 #[data]
 pub struct Args {
-    /// The preset.
-    pub started: args::Started,
-    /// Requests a second.
+    /// The preset, `thin` by default, and how it is started.
+    pub preset_args: args::PresetArgs,
+    /// Rates to measure, in requests a second.
     pub rates: Vec<f64>,
-    /// Phases of each kind at each rate.
+    /// Phases with claims, and phases without, at each rate.
     pub repeats: usize,
     /// Length of a phase.
     pub length: Duration,
-    /// The seed of the arrivals.
+    /// Seed of the arrivals in the first repeat; each further repeat adds 1.
     pub seed: u64,
-    /// Threads that send.
+    /// Number of sending threads.
     pub threads: usize,
-    /// Where results go.
-    pub output: args::Output,
+    /// Output files.
+    pub output: args::OutputArgs,
 }
 
-/// Time at a phase's start that does not count.
+/// Time at the start of a phase that is left out of the results.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// What was found at one rate.
+/// Measurements at one rate.
 #[message]
-pub struct Rate {
+pub struct RateResult {
     /// Requests a second.
     pub rate: f64,
-    /// What the claim added to the p50, in milliseconds, in each repeat.
+    /// Latency that the claim added to the p50, in milliseconds, one value per repeat.
     pub added_p50: Vec<f64>,
-    /// What the claim added to the p99, in milliseconds, in each repeat.
+    /// Latency that the claim added to the p99, in milliseconds, one value per repeat.
     pub added_p99: Vec<f64>,
-    /// Appends a second while claims were made, in each repeat.
+    /// Appends to the log a second in the phase with claims, one value per repeat.
     pub appends: Vec<f64>,
-    /// Appends a second that were over the log's rate, in each repeat.
+    /// Appends a second that the log refused for exceeding its rate limit, one value per repeat.
     pub limited: Vec<f64>,
-    /// Share of the claimed requests answered in time, in each repeat.
+    /// Share of the requests with a claim answered in time, one value per repeat.
     pub attainment: Vec<f64>,
 }
 
-/// Parses the flags.
+/// Parses the arguments.
 pub fn cli() -> impl Parser<Args> {
-    let started = args::started();
+    let preset_args = args::preset_args();
     let rates = long("rates")
-        .help("Requests a second, apart by commas")
+        .help("Requests a second, separated by commas")
         .argument::<String>("LIST")
         .fallback("25,50,100,200,400".to_owned())
         .display_fallback()
@@ -78,7 +78,7 @@
     let seed = args::seed();
     let threads = args::threads(2);
     let output = args::output();
-    construct!(Args { started, rates, repeats, length, seed, threads, output })
+    construct!(Args { preset_args, rates, repeats, length, seed, threads, output })
 }
 
 fn parse_rates(text: &str) -> Result<Vec<f64>, String> {
@@ -90,29 +90,29 @@
         .collect()
 }
 
-/// Measures.
+/// Measures every rate and prints the table.
 ///
 /// # Errors
-/// If the preset lacks a class of either kind, or the system breaks.
+/// If the preset lacks a class of either kind, or the system does not start or fails.
 pub fn exec(args: &Args) -> error::Result<()> {
-    let named = args::Started {
-        preset: args.started.preset.clone().or_else(|| Some("thin".to_owned())),
-        count: args.started.count.or(Some(4)),
-        ..args.started.clone()
+    let preset_args = args::PresetArgs {
+        preset: args.preset_args.preset.clone().or_else(|| Some("thin".to_owned())),
+        count: args.preset_args.count.or(Some(4)),
+        ..args.preset_args.clone()
     };
-    let preset = named.preset()?.expect("a name was filled in");
-    let plain = only(&preset, |class| class.idempotent)?;
-    let claimed = only(&preset, |class| !class.idempotent)?;
-    let system = launch::start(&preset, &named.launch()?)?;
+    let preset = preset_args.preset()?.expect("a name was filled in");
+    let unclaimed = single_class(&preset, |class| class.idempotent)?;
+    let claimed = single_class(&preset, |class| !class.idempotent)?;
+    let system = launch::start(&preset, &preset_args.launch()?)?;
     let log = system.log();
     let mut target = Target::Started(Box::new(system));
     let mut rates = Vec::new();
     let mut reports = Vec::new();
     for rate in &args.rates {
-        let mut row = Rate::new(*rate);
+        let mut row = RateResult::new(*rate);
         for repeat in 0..args.repeats.max(1) {
             let seed = args.seed + repeat as u64;
-            let without = phase(args, &preset, &plain, &mut target, *rate, seed)?;
+            let without = phase(args, &preset, &unclaimed, &mut target, *rate, seed)?;
             let before = log_state(&log)?;
             let with = phase(args, &preset, &claimed, &mut target, *rate, seed)?;
             let after = log_state(&log)?;
@@ -125,11 +125,11 @@
     if let Some(path) = &args.output.json {
         files::write(path, &output::json(&rates))?;
     }
-    output::refuse_violations(&reports)
+    output::fail_on_violations(&reports)
 }
 
-/// The preset's traffic with its first class of one kind only.
-fn only(preset: &Preset, wanted: impl Fn(&Class) -> bool) -> error::Result<Workload> {
+/// The preset's traffic reduced to its first class that matches `wanted`.
+fn single_class(preset: &Preset, wanted: impl Fn(&Class) -> bool) -> error::Result<Workload> {
     let class = preset.traffic.classes.iter().find(|class| wanted(class)).cloned();
     let class = class.ok_or_else(|| error::Error::Setting {
         problem: format!("preset {} lacks a class with claims or one without", preset.name),
@@ -158,8 +158,8 @@
         faults: Vec::new(),
         resends: 0,
         threads: args.threads,
-        direct: false,
-        records: true,
+        is_direct: false,
+        reads_records: true,
     };
     Ok(experiment::run(target, &setup, &arrivals)?.report)
 }
@@ -168,9 +168,9 @@
     Request::get(format!("{log}/control/state")).json()
 }
 
-impl Rate {
-    fn new(rate: f64) -> Rate {
-        Rate {
+impl RateResult {
+    fn new(rate: f64) -> RateResult {
+        RateResult {
             rate,
             added_p50: Vec::new(),
             added_p99: Vec::new(),
@@ -199,8 +199,8 @@
     }
 }
 
-/// The rates as a table; medians of the repeats.
-pub fn table(rates: &[Rate], entries: usize) -> String {
+/// Formats the measurements as a table of medians over the repeats.
+pub fn table(rates: &[RateResult], entries: usize) -> String {
     let mut text = format!(
         "what a claim adds, {entries} entries, medians\n{:>8} {:>12} {:>12} {:>11} {:>11} {:>11}\n",
         "rate /s", "p50, ms", "p99, ms", "appends /s", "limited /s", "attainment"
--- a/crates/load/src/commands/pair.rs
+++ b/crates/load/src/commands/pair.rs
@@ -1,4 +1,4 @@
-//! `pair`: two settings of the entries, run in turn, with their difference.
+//! `pair`: runs two settings of the entries in turn and compares the reports.
 
 use std::{collections::BTreeMap, fmt::Write};
 
@@ -17,66 +17,66 @@
     report::Report,
 };
 
-/// Flags.
+/// Arguments of `pair`.
 #[data]
 pub struct Args {
-    /// The preset.
-    pub started: args::Started,
-    /// What is sent.
-    pub traffic: args::Traffic,
-    /// Where results go.
-    pub output: args::Output,
-    /// The first setting.
+    /// The preset and how it is started.
+    pub preset_args: args::PresetArgs,
+    /// The requests and faults.
+    pub traffic: args::TrafficArgs,
+    /// Output files.
+    pub output: args::OutputArgs,
+    /// Setting A: arguments and environment variables of the entries.
     pub a: String,
-    /// The second setting.
+    /// Setting B, in the same form.
     pub b: String,
-    /// How many pairs.
+    /// Number of pairs.
     pub repeats: usize,
 }
 
-/// What pairs gave.
+/// Result of all pairs.
 #[message]
 pub struct Pairs {
-    /// The first setting.
+    /// Setting A: arguments and environment variables of the entries.
     pub a: String,
-    /// The second setting.
+    /// Setting B, in the same form.
     pub b: String,
-    /// The reports, pair by pair.
+    /// The reports under A and B of each pair.
     pub reports: Vec<(Report, Report)>,
-    /// The metrics compared.
+    /// The comparison of each metric, by its name.
     pub comparisons: BTreeMap<String, Comparison>,
 }
 
-/// Parses the flags.
+/// Parses the arguments.
 pub fn cli() -> impl Parser<Args> {
-    let started = args::started();
+    let preset_args = args::preset_args();
     let traffic = args::traffic();
     let output = args::output();
     let a = long("a")
-        .help("The first setting: more arguments of the entries and NAME=VALUE pairs, apart by spaces")
+        .help("The first setting: more arguments of the entries and NAME=VALUE pairs, separated by spaces")
         .argument::<String>("SETTING");
     let b = long("b").help("The second setting").argument::<String>("SETTING");
     let repeats = long("repeats")
-        .help("How many pairs; each has its own seed, the same for both of it")
+        .help("Number of pairs; each has its own seed, used for both of its runs")
         .argument::<usize>("N")
         .fallback(3)
         .display_fallback();
-    construct!(Args { started, traffic, output, a, b, repeats })
+    construct!(Args { preset_args, traffic, output, a, b, repeats })
 }
 
-/// Runs the pairs.
+/// Runs all pairs and prints the comparison.
 ///
 /// # Errors
-/// As with `run`.
+/// If no preset is given, or for the reasons of [`run::exec`](super::run::exec).
 pub fn exec(args: &Args) -> error::Result<()> {
-    let preset = args.started.preset()?.ok_or_else(|| error::Error::Setting {
-        problem: "pairs need a system of their own each time".to_owned(),
+    let preset = args.preset_args.preset()?.ok_or_else(|| error::Error::Setting {
+        problem: "`pair` starts a new system for each run".to_owned(),
         remedy: "give --preset".into(),
     })?;
     let mut reports = Vec::new();
     for repeat in 0..args.repeats.max(1) {
-        let a = one(args, &preset, "A", &args.a, repeat)?;
-        let b = one(args, &preset, "B", &args.b, repeat)?;
+        let a = run_one(args, &preset, "A", &args.a, repeat)?;
+        let b = run_one(args, &preset, "B", &args.b, repeat)?;
         reports.push((a, b));
     }
     let comparisons = paired::compare(&reports);
@@ -89,11 +89,11 @@
         let panels: Vec<&Report> = pairs.reports.iter().flat_map(|(a, b)| [a, b]).collect();
         files::write(path, &plot::attainment(&panels))?;
     }
-    output::refuse_violations(pairs.reports.iter().flat_map(|(a, b)| [a, b]))
+    output::fail_on_violations(pairs.reports.iter().flat_map(|(a, b)| [a, b]))
 }
 
-/// One run with one setting, on a system that is started and ended for it.
-fn one(
+/// Runs the plan with one setting, on a system that is started for this run only.
+fn run_one(
     args: &Args,
     preset: &Preset,
     side: &str,
@@ -105,7 +105,7 @@
     let plan = args.traffic.plan(Some(preset), &faults)?;
     let plan = Plan { seed: plan.seed + repeat as u64, ..plan };
     let arrivals = plan.draw(&workload);
-    let launch = launch::Launch::with_setting(args.started.launch()?, setting);
+    let launch = launch::LaunchOptions::with_setting(args.preset_args.launch()?, setting);
     let system = launch::start(preset, &launch)?;
     let label = format!("{side}{} ({setting}) {}", repeat + 1, preset.name);
     let mut setup = args.traffic.setup(&label, Some(preset), faults);
@@ -115,7 +115,7 @@
     Ok(outcome.report)
 }
 
-/// The comparison as a table.
+/// Formats the comparison as a table.
 pub fn table(pairs: &Pairs) -> String {
     let mut text = format!(
         "A: {}\nB: {}\n{} pairs, B less A\n{:<40} {:>10} {:>10} {:>10} {:>10} {:>10} {:>10}\n",
--- a/crates/load/src/commands/record.rs
+++ b/crates/load/src/commands/record.rs
@@ -1,4 +1,4 @@
-//! `record`: writes the arrivals that a run would send as a trace.
+//! `record`: writes the arrivals that `run` would send to a trace file.
 
 use std::path::PathBuf;
 
@@ -7,31 +7,31 @@
 
 use crate::{args, error, trace};
 
-/// Flags.
+/// Arguments of `record`.
 #[data]
 pub struct Args {
-    /// The preset whose mix and capacity are used.
-    pub started: args::Started,
-    /// What would be sent.
-    pub traffic: args::Traffic,
-    /// Where the trace goes.
+    /// The preset that supplies the mix and the capacity.
+    pub preset_args: args::PresetArgs,
+    /// The requests to draw.
+    pub traffic: args::TrafficArgs,
+    /// The trace file to write.
     pub trace: PathBuf,
 }
 
-/// Parses the flags.
+/// Parses the arguments.
 pub fn cli() -> impl Parser<Args> {
-    let started = args::started();
+    let preset_args = args::preset_args();
     let traffic = args::traffic();
     let trace = long("trace").help("The file to write").argument::<PathBuf>("FILE");
-    construct!(Args { started, traffic, trace })
+    construct!(Args { preset_args, traffic, trace })
 }
 
-/// Records.
+/// Draws the arrivals and writes the trace.
 ///
 /// # Errors
-/// If the plan is not clear or the file cannot be written.
+/// If the arguments do not determine a plan, or the file cannot be written.
 pub fn exec(args: &Args) -> error::Result<()> {
-    let preset = args.started.preset()?;
+    let preset = args.preset_args.preset()?;
     let faults = args.traffic.faults()?;
     let workload = args.traffic.workload(preset.as_ref())?;
     let arrivals = args.traffic.plan(preset.as_ref(), &faults)?.draw(&workload);
--- a/crates/load/src/commands/run.rs
+++ b/crates/load/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: sends planned requests and reports what became of them.
+//! `run`: sends planned requests and reports their outcomes.
 
 use bpaf::{Parser, construct};
 use peatdeck_macros::data;
@@ -10,18 +10,18 @@
     preset::Preset,
 };
 
-/// Flags.
+/// Arguments of `run`.
 #[data]
 pub struct Args {
-    /// What is tried.
-    pub system: args::System,
-    /// What is sent.
-    pub traffic: args::Traffic,
-    /// Where results go.
-    pub output: args::Output,
+    /// The system to send to.
+    pub system: args::TargetArgs,
+    /// The requests and faults.
+    pub traffic: args::TrafficArgs,
+    /// Output files.
+    pub output: args::OutputArgs,
 }
 
-/// Parses the flags.
+/// Parses the arguments.
 pub fn cli() -> impl Parser<Args> {
     let system = args::system();
     let traffic = args::traffic();
@@ -29,13 +29,14 @@
     construct!(Args { system, traffic, output })
 }
 
-/// Runs.
+/// Sends the requests and prints the report.
 ///
 /// # Errors
-/// If something is missing or breaks, or if answers contradict the records.
+/// If the arguments are incomplete, the system does not start or fails, or answers contradict the
+/// endpoints' records.
 pub fn exec(args: &Args) -> error::Result<()> {
     let faults = args.traffic.faults()?;
-    let preset = args.system.started.preset()?;
+    let preset = args.system.preset_args.preset()?;
     let workload = args.traffic.workload(preset.as_ref())?;
     let arrivals = args.traffic.plan(preset.as_ref(), &faults)?.draw(&workload);
     let setup = args.traffic.setup(&label(preset.as_ref()), preset.as_ref(), faults);
@@ -44,7 +45,7 @@
     output::write(&args.output, &outcome)
 }
 
-/// What is run, in a few words.
+/// Label of the run in reports.
 pub fn label(preset: Option<&Preset>) -> String {
     match preset {
         Some(preset) => format!("{}, {} entries", preset.name, preset.entries),
--- a/crates/load/src/control.rs
+++ b/crates/load/src/control.rs
@@ -1,5 +1,5 @@
-//! Blocking calls to the control paths of stand-ins, entries and the
-//! administration API.
+//! Blocking HTTP requests to the control paths of stand-ins, to entries and to
+//! the administration API.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use crate::{error, runtime};
 
-/// How long a call may take.
-const CALL_TIME: Duration = Duration::from_secs(20);
+/// Time limit of a request.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A call to make.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Request {
     method: Method,
@@ -21,49 +21,49 @@
 }
 
 impl Request {
-    /// A `GET`.
+    /// A `GET` request.
     pub fn get(url: impl Into<String>) -> Request {
         Request { method: Method::GET, url: url.into(), token: None, body: None }
     }
 
-    /// A `PUT` of JSON.
+    /// A `PUT` request with a JSON body.
     pub fn put(url: impl Into<String>, body: &impl Serialize) -> Request {
         Request { method: Method::PUT, body: Some(json(body)), ..Request::get(url) }
     }
 
-    /// A `POST` of JSON.
+    /// A `POST` request with a JSON body.
     pub fn post(url: impl Into<String>, body: &impl Serialize) -> Request {
         Request { method: Method::POST, body: Some(json(body)), ..Request::get(url) }
     }
 
-    /// The same with an operator's token.
+    /// Adds an operator's bearer token.
     #[must_use]
     pub fn token(self, token: &str) -> Request {
         Request { token: Some(token.to_owned()), ..self }
     }
 
-    /// Makes the call; any status but a success is an error.
+    /// Sends the request and returns the body of the reply.
     ///
     /// # Errors
-    /// If there is no success in time.
+    /// If there is no reply in time, or its status is not a success.
     pub fn send(self) -> error::Result<Vec<u8>> {
         let what = format!("{} {}", self.method, self.url);
         runtime::block_on(async move {
             let client = runtime::client().await;
             let request = client.request(self.method.clone(), self.url.as_str());
             let exchange = self.exchange(request);
-            match ntex::time::timeout(CALL_TIME, exchange).await {
-                Ok(done) => done,
+            match ntex::time::timeout(CALL_TIMEOUT, exchange).await {
+                Ok(reply) => reply,
                 Err(()) => Err("no answer in time".to_owned()),
             }
         })
         .map_err(|message| error::Error::Control { what, message })
     }
 
-    /// Makes the call and reads JSON from the answer.
+    /// Sends the request and parses the reply as JSON.
     ///
     /// # Errors
-    /// If there is no success in time, or it is not that JSON.
+    /// If [`send`](Request::send) fails, or the reply is not the expected JSON.
     pub fn json<T: DeserializeOwned>(self) -> error::Result<T> {
         let what = format!("{} {}", self.method, self.url);
         let bytes = self.send()?;
--- a/crates/load/src/direct.rs
+++ b/crates/load/src/direct.rs
@@ -1,5 +1,6 @@
-//! The same stages without an entry instance: the tool calls the endpoints
-//! itself, one after the other. What an entry adds is measured against this.
+//! Runs the stages of a request without an entry instance: the tool calls the
+//! endpoints itself, one after the other. This is the baseline against which
+//! the overhead of an entry is measured.
 
 use std::{
     collections::HashMap,
@@ -19,41 +20,48 @@
 
 use crate::{arrivals::Arrival, caller::Reply, sample::Ending};
 
-/// Where the stages of every pipeline run.
+/// Calls endpoints directly, round robin over the endpoints of each pool.
 #[derive(Debug)]
-pub struct Chains {
+pub struct DirectClient {
     document: Arc<Document>,
     pools: HashMap<Arc<str>, Vec<Arc<str>>>,
     next: AtomicUsize,
 }
 
-impl Chains {
-    /// Chains over the live endpoints of a list.
-    pub fn new(document: Arc<Document>, listing: &Listing) -> Chains {
+impl DirectClient {
+    /// A client of the live endpoints in `listing`.
+    pub fn new(document: Arc<Document>, listing: &Listing) -> DirectClient {
         let mut pools: HashMap<Arc<str>, Vec<Arc<str>>> = HashMap::new();
         let live = listing.endpoints.iter().filter(|entry| entry.presence == Presence::Live);
         for entry in live {
             pools.entry(entry.pool.clone()).or_default().push(entry.addr.clone());
         }
-        Chains { document, pools, next: AtomicUsize::new(0) }
+        DirectClient { document, pools, next: AtomicUsize::new(0) }
     }
 
-    /// Runs a request's stages, waiting at most `patience` for the whole.
+    /// Runs a request's stages, waiting at most `timeout` in total.
     pub async fn send(
         &self,
         client: &Client,
         arrival: &Arrival,
-        left: Duration,
-        patience: Duration,
+        time_left: Duration,
+        timeout: Duration,
     ) -> Reply {
-        match ntex::time::timeout(patience, self.run(client, arrival, left)).await {
-            Ok(Some(output)) => Reply { output: Some(output), ..Reply::bare(Ending::Answered) },
-            Ok(None) => Reply::bare(Ending::Cut),
-            Err(()) => Reply::bare(Ending::Silent),
+        match ntex::time::timeout(timeout, self.run(client, arrival, time_left)).await {
+            Ok(Some(output)) => {
+                Reply { output: Some(output), ..Reply::from_ending(Ending::Answered) }
+            }
+            Ok(None) => Reply::from_ending(Ending::Cut),
+            Err(()) => Reply::from_ending(Ending::Silent),
         }
     }
 
-    async fn run(&self, client: &Client, arrival: &Arrival, left: Duration) -> Option<Arc<str>> {
+    async fn run(
+        &self,
+        client: &Client,
+        arrival: &Arrival,
+        time_left: Duration,
+    ) -> Option<Arc<str>> {
         let pipeline = self.document.pipeline(&arrival.pipeline)?;
         let mut text = arrival.input.clone();
         for (index, stage) in pipeline.stages.iter().enumerate() {
@@ -63,7 +71,7 @@
                 echo,
                 stage: stage.name.clone(),
                 input: text,
-                deadline_ms: u64::try_from(left.as_millis()).ok()?,
+                deadline_ms: u64::try_from(time_left.as_millis()).ok()?,
                 max_tokens: stage.max_tokens,
                 resume: Vec::new(),
             };
@@ -88,7 +96,7 @@
             PoolKind::Service => {
                 serde_json::from_slice::<endpoint::ReplyBody>(&bytes).ok().map(|reply| reply.output)
             }
-            PoolKind::Engine => generated(&bytes),
+            PoolKind::Engine => generated_text(&bytes),
         }
     }
 
@@ -99,8 +107,8 @@
     }
 }
 
-/// The text of an engine's stream; `None` if it has no end mark.
-fn generated(bytes: &[u8]) -> Option<Arc<str>> {
+/// The text of an engine's stream; `None` if the stream is malformed or incomplete.
+fn generated_text(bytes: &[u8]) -> Option<Arc<str>> {
     let mut text = String::new();
     for line in bytes.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
         match serde_json::from_slice(line).ok()? {
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -1,10 +1,10 @@
-//! Sends a plan's requests at their times and gathers what became of each.
+//! Sends a plan's requests at their times and collects a sample of each.
 //!
 //! Open loop: every request has its own task, started at its planned time
-//! whatever became of the earlier ones. Latency counts from the planned time.
-//! The work is dealt over a few threads, each with an event loop and
-//! connections of its own; the tool's own delay is kept in each sample, so
-//! that a run that the tool could not keep up with is seen.
+//! regardless of earlier requests. Latency counts from the planned time. The
+//! requests are divided among a few threads, each with its own event loop and
+//! connections. Each sample includes the tool's own delay, which shows when the
+//! tool could not keep up with the plan.
 
 use std::{
     cell::RefCell,
@@ -24,35 +24,35 @@
     verify::Verifier,
 };
 
-/// How much longer than the deadline the tool listens for an answer.
-const GRACE: Duration = Duration::from_secs(3);
-/// The wait before a resend where the answer names none.
-const RESEND_PAUSE: Duration = Duration::from_millis(100);
+/// How long after the deadline the tool still waits for an answer.
+const ANSWER_GRACE: Duration = Duration::from_secs(3);
+/// Delay before a resend if the reply states none.
+const DEFAULT_RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// Where requests go.
+/// The path of requests to the endpoints.
 #[derive(Debug, Clone)]
 pub enum Route {
-    /// To entry instances.
+    /// Through entry instances.
     Entries(Arc<Balancer>),
-    /// Past them, straight to the endpoints.
-    Direct(Arc<direct::Chains>),
+    /// Directly to the endpoints.
+    Direct(Arc<direct::DirectClient>),
 }
 
-/// How a plan is run.
+/// Sends the requests of a plan.
 #[derive(Debug, Clone)]
 pub struct Driver {
-    /// Where requests go.
+    /// The path of requests to the endpoints.
     pub route: Route,
-    /// Compares each answer.
+    /// Verifies each answer.
     pub verifier: Verifier,
-    /// How often a caller sends again after "not run" or a cut.
+    /// Most resends of a request, after a refusal or a lost connection.
     pub resends: u32,
-    /// Threads that send.
+    /// Number of sending threads.
     pub threads: usize,
 }
 
 impl Driver {
-    /// Sends all arrivals, counted from `start`; gives a sample of each, by planned time.
+    /// Sends all arrivals at their times after `start` and returns the samples by planned time.
     pub fn run(&self, arrivals: &[Arrival], start: Instant) -> Vec<Sample> {
         let threads = self.threads.max(1);
         let handles: Vec<_> = (0..threads)
@@ -60,7 +60,7 @@
                 let share: Vec<Arrival> =
                     arrivals.iter().skip(index).step_by(threads).cloned().collect();
                 let driver = self.clone();
-                thread::spawn(move || runtime::block_on(driver.work(share, start)))
+                thread::spawn(move || runtime::block_on(driver.send_share(share, start)))
             })
             .collect();
         let mut samples: Vec<Sample> = handles
@@ -71,7 +71,7 @@
         samples
     }
 
-    async fn work(self, arrivals: Vec<Arrival>, start: Instant) -> Vec<Sample> {
+    async fn send_share(self, arrivals: Vec<Arrival>, start: Instant) -> Vec<Sample> {
         let client = runtime::client().await;
         let probe = self.start_probe(&client);
         let samples = Rc::new(RefCell::new(Vec::with_capacity(arrivals.len())));
@@ -81,7 +81,7 @@
             tokio::time::sleep_until((start + arrival.at).into()).await;
             let (driver, client, samples) = (driver.clone(), client.clone(), samples.clone());
             tasks.push(rt::spawn(async move {
-                let sample = driver.one(&client, &arrival, start).await;
+                let sample = driver.send_one(&client, &arrival, start).await;
                 samples.borrow_mut().push(sample);
             }));
         }
@@ -100,8 +100,8 @@
         Some(rt::spawn(async move { balancer.probe(&client).await }))
     }
 
-    /// Sends one request, again where its caller would, and notes its end.
-    async fn one(&self, client: &Client, arrival: &Arrival, start: Instant) -> Sample {
+    /// Sends one request, including resends, and records its outcome.
+    async fn send_one(&self, client: &Client, arrival: &Arrival, start: Instant) -> Sample {
         let planned = start + arrival.at;
         let lag = planned.elapsed();
         let mut sample = Sample {
@@ -125,25 +125,25 @@
             sample.sends += 1;
             sample.took = planned.elapsed();
             sample.first_token = reply.first_token.map(|first| before + first);
-            sample.ending = self.compared(arrival, &reply);
+            sample.ending = self.verified_ending(arrival, &reply);
             sample.stages = reply.stages;
-            let Some(pause) = self.resend_after(&sample, reply.retry_after) else {
+            let Some(delay) = self.resend_after(&sample, reply.retry_after) else {
                 return sample;
             };
             sample.doubted |= !matches!(sample.ending, Ending::NotRun(_) | Ending::Unreachable);
-            ntex::time::sleep(pause).await;
+            ntex::time::sleep(delay).await;
         }
     }
 
     async fn send(&self, client: &Client, arrival: &Arrival, waited: Duration) -> caller::Reply {
-        let left = arrival.deadline.saturating_sub(waited);
-        let patience = left + GRACE;
+        let time_left = arrival.deadline.saturating_sub(waited);
+        let timeout = time_left + ANSWER_GRACE;
         match &self.route {
-            Route::Direct(chains) => chains.send(client, arrival, left, patience).await,
+            Route::Direct(direct) => direct.send(client, arrival, time_left, timeout).await,
             Route::Entries(balancer) => {
-                let mut reply = caller::Reply::bare(Ending::Unreachable);
-                for entry in balancer.order() {
-                    reply = caller::send(client, &entry, arrival, left, patience).await;
+                let mut reply = caller::Reply::from_ending(Ending::Unreachable);
+                for entry in balancer.candidates() {
+                    reply = caller::send(client, &entry, arrival, time_left, timeout).await;
                     if reply.ending != Ending::Unreachable {
                         return reply;
                     }
@@ -154,7 +154,7 @@
         }
     }
 
-    fn compared(&self, arrival: &Arrival, reply: &caller::Reply) -> Ending {
+    fn verified_ending(&self, arrival: &Arrival, reply: &caller::Reply) -> Ending {
         let Some(output) = &reply.output else { return reply.ending.clone() };
         match self.verifier.compare(arrival, output) {
             Ok(()) => reply.ending.clone(),
@@ -162,15 +162,15 @@
         }
     }
 
-    /// The pause before the caller sends again; `None` where it does not.
+    /// Delay before the request is sent again; `None` if it is not.
     fn resend_after(&self, sample: &Sample, wait: Option<Duration>) -> Option<Duration> {
         if sample.sends > self.resends {
             return None;
         }
         let wait = match &sample.ending {
-            Ending::NotRun(_) | Ending::Unreachable => wait.unwrap_or(RESEND_PAUSE),
+            Ending::NotRun(_) | Ending::Unreachable => wait.unwrap_or(DEFAULT_RESEND_DELAY),
             Ending::MayHaveRun(_) => wait?,
-            Ending::Cut if sample.idempotent => RESEND_PAUSE,
+            Ending::Cut if sample.idempotent => DEFAULT_RESEND_DELAY,
             _ => return None,
         };
         (sample.took + wait < sample.deadline).then_some(wait)
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -1,99 +1,99 @@
-//! What can go wrong, each kind with its remedy.
+//! Errors of the tool. Each message says how to resolve the error.
 
 use std::sync::Arc;
 
-/// An error of the tool; the message says what to do.
+/// An error of the tool.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum Error {
-    /// A workload that cannot be used.
+    /// A workload file is invalid.
     #[error("the workload cannot be used: {0}; correct the TOML file given with --workload")]
     Workload(String),
-    /// A line of a trace that cannot be read.
+    /// A line of a trace is invalid.
     #[error(
         "line {line} of the trace cannot be read: {message}; correct the line, or record the trace again with `peatdeck-load record`"
     )]
     Trace {
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// Why.
+        /// The reason.
         message: String,
     },
-    /// A fault that cannot be read.
+    /// The description of a fault is invalid.
     #[error("fault `{given}` cannot be read: {message}; write it as {usage}")]
     Fault {
-        /// The text.
+        /// The description as given.
         given: String,
-        /// Why.
+        /// The reason.
         message: String,
-        /// The form it should have.
+        /// The expected form.
         usage: &'static str,
     },
-    /// A schedule file that cannot be read.
+    /// A schedule file is invalid.
     #[error(
         "the fault schedule cannot be read: {0}; give each fault as `[[fault]]` with `at`, `kind` and what the kind needs (see docs/reference/load.md)"
     )]
     Schedule(String),
-    /// A fault needs a system that the tool started.
+    /// A fault can only be injected into a system that the tool started.
     #[error(
         "fault `{0}` needs a system that the tool has started; give --preset instead of --entry"
     )]
     NeedsPreset(String),
-    /// A fault names what the system does not have.
+    /// A fault names an endpoint that the system does not have.
     #[error("fault `{fault}` names `{name}`, which the system does not have; use one of: {known}")]
     UnknownTarget {
-        /// The fault.
+        /// Kind of the fault.
         fault: String,
-        /// The name.
+        /// The name as given.
         name: String,
-        /// Names that exist.
+        /// The existing names, separated by commas.
         known: String,
     },
-    /// A preset that does not exist.
+    /// No preset has the given name.
     #[error("there is no preset `{name}`; use one of: {known}, or a path to a preset's TOML file")]
     UnknownPreset {
-        /// The name.
+        /// The name as given.
         name: String,
-        /// Names that exist.
+        /// The existing names, separated by commas.
         known: String,
     },
-    /// A preset file that cannot be used.
+    /// A preset file is invalid.
     #[error("the preset cannot be used: {0}; correct its TOML")]
     Preset(String),
-    /// A file that cannot be read or written.
+    /// A file cannot be read or written.
     #[error("{path}: {source}; check the path and its permissions")]
     File {
-        /// The path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The reason.
         source: std::io::Error,
     },
-    /// A system that could not be started.
+    /// A system could not be started.
     #[error(
         "the system could not be started: {0}; build all binaries first (`cargo build --release --workspace`) and run this one from beside them"
     )]
     Start(String),
-    /// A process of the system that did not do what it was asked.
+    /// A request to a process of the system failed, or the process could not be killed.
     #[error("{what} failed: {message}; look at the process's own log, given with --logs")]
     Control {
-        /// What was asked.
+        /// The operation, such as `GET URL`.
         what: String,
-        /// Why.
+        /// The reason.
         message: String,
     },
-    /// Settings that contradict each other or are out of range.
+    /// Arguments contradict each other or are out of range.
     #[error("{problem}; {remedy}")]
     Setting {
-        /// What is wrong.
+        /// The problem.
         problem: String,
-        /// What to do.
+        /// How to resolve it.
         remedy: Arc<str>,
     },
-    /// The answers and the endpoints' own records contradict each other.
+    /// Answers contradict the endpoints' own records.
     #[error(
         "{0} contradictions between answers and the endpoints' records; they are listed above, file an issue with the seed"
     )]
     Violations(usize),
 }
 
-/// What the tool's own operations give.
+/// Result of an operation of the tool.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/load/src/events.rs
+++ b/crates/load/src/events.rs
@@ -1,32 +1,32 @@
-//! Server-sent events, cut out of the bytes of a streamed answer.
+//! Parses server-sent events from the bytes of a streamed answer.
 
 use peatdeck_macros::data;
 
-/// One event.
+/// A server-sent event.
 #[data]
 pub struct Event {
-    /// Its name.
+    /// Value of the `event` field.
     pub name: String,
-    /// Its data.
+    /// Value of the `data` field.
     pub data: String,
 }
 
-/// Holds the bytes of an event that has not come whole yet.
+/// Incremental parser. Stores the bytes of an incomplete event.
 #[derive(Debug, Default)]
 pub struct Parser {
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-/// What separates two events.
+/// Separator of events.
 const SEPARATOR: &[u8] = b"\n\n";
 
 impl Parser {
-    /// Takes in bytes; gives the events that are whole now.
+    /// Adds received bytes and returns the events that are now complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Event> {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = find(&self.rest, SEPARATOR) {
-            let block: Vec<u8> = self.rest.drain(..end + SEPARATOR.len()).collect();
+        while let Some(end) = find(&self.buffer, SEPARATOR) {
+            let block: Vec<u8> = self.buffer.drain(..end + SEPARATOR.len()).collect();
             events.push(parse(&String::from_utf8_lossy(&block)));
         }
         events
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -1,4 +1,4 @@
-//! One run, whole: requests sent, faults brought about, records read, a report.
+//! A whole run: sends requests, injects faults, reads the records and computes a report.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -15,156 +15,157 @@
     driver::{Driver, Route},
     error, fairness,
     records::{self, Records},
-    report::{Event, Frame, Report},
+    report::{Event, Report, ReportParams},
     sample::Sample,
     schedule::{Fault, Kind},
     system::System,
     verify::Verifier,
-    work::Ledger,
+    work::CallIndex,
 };
 
-/// Time that the threads get to set up before the first request is due.
-const SET_UP: Duration = Duration::from_millis(300);
-/// Time that endpoints get to end what callers no longer wait for.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Time for the threads to set up before the plan starts.
+const START_DELAY: Duration = Duration::from_millis(300);
+/// Time for endpoints to end calls for which no caller waits any more, before the records are read.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// What is tried.
+/// The system that requests are sent to.
 #[derive(Debug)]
 pub enum Target {
-    /// Processes that somebody else started.
-    Given(Given),
+    /// Processes that the tool did not start.
+    External(ExternalSystem),
     /// A system that the tool started.
     Started(Box<System>),
 }
 
-/// Processes that somebody else started.
+/// A system that the tool did not start.
 #[data]
 #[derive(Default)]
-pub struct Given {
-    /// Entry instances, `http://ip:port`.
+pub struct ExternalSystem {
+    /// URLs of the entry instances, `http://ip:port`.
     pub entries: Vec<Arc<str>>,
-    /// The platform's list, to find the endpoints' records by.
+    /// URL of the platform's list, through which the endpoints' records are found.
     pub list: Option<Arc<str>>,
-    /// The configuration in force, to compare answers by.
+    /// The configuration in force, to verify answers.
     pub document: Option<Arc<Document>>,
 }
 
-/// How the requests are sent and counted.
+/// How requests are sent and results computed.
 #[data]
 pub struct Setup {
-    /// What is run, in a few words.
+    /// Label of the run in reports.
     pub label: Arc<str>,
-    /// The seed of the arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// How long requests are planned for.
+    /// Length of the plan.
     pub length: Duration,
-    /// The time at the start that does not count.
+    /// Time at the start that is left out of the results.
     pub warm_up: Duration,
-    /// The capacity, where it is known.
+    /// The capacity in requests a second; `None` if it is not known.
     pub capacity: Option<f64>,
-    /// What is done to the system.
+    /// Faults to inject.
     pub faults: Vec<Fault>,
-    /// How often a caller sends again.
+    /// Most resends of one request.
     pub resends: u32,
-    /// Threads that send.
+    /// Number of sending threads.
     pub threads: usize,
-    /// Whether requests go past the entries.
-    pub direct: bool,
-    /// Whether the endpoints' records are read: cost and contradictions need them.
-    pub records: bool,
+    /// Whether requests go directly to the endpoints.
+    pub is_direct: bool,
+    /// Whether the endpoints' records are read; needed for costs and contradictions.
+    pub reads_records: bool,
 }
 
-/// What a run gave.
+/// Result of a run.
 #[data]
 pub struct Outcome {
     /// The report.
     pub report: Report,
-    /// Every request's end.
+    /// One sample for each request.
     pub samples: Vec<Sample>,
 }
 
 impl Target {
-    /// The entries' URLs.
+    /// URLs of the entries.
     pub fn entries(&self) -> Vec<Arc<str>> {
         match self {
-            Target::Given(given) => given.entries.clone(),
+            Target::External(external) => external.entries.clone(),
             Target::Started(system) => system.entries(),
         }
     }
 
-    /// The configuration in force, where it is known.
+    /// The configuration in force; `None` if it is not known.
     pub fn document(&self) -> Option<Arc<Document>> {
         match self {
-            Target::Given(given) => given.document.clone(),
+            Target::External(external) => external.document.clone(),
             Target::Started(system) => Some(system.document()),
         }
     }
 
-    /// The platform's list; empty where its URL is not known.
+    /// The platform's list; empty if its URL is not known.
     ///
     /// # Errors
     /// If it cannot be read.
     pub fn listing(&self) -> error::Result<Listing> {
         match self {
-            Target::Given(given) => {
-                given.list.as_deref().map_or_else(|| Ok(Listing::default()), records::listing)
+            Target::External(external) => {
+                external.list.as_deref().map_or_else(|| Ok(Listing::default()), records::listing)
             }
             Target::Started(system) => records::listing(&system.list()),
         }
     }
 
-    /// The endpoints' records; `None` where they are not to be had.
+    /// The endpoints' records; `None` if the URL of the list is not known.
     fn records(&self) -> error::Result<Option<Records>> {
         match self {
-            Target::Given(Given { list: None, .. }) => Ok(None),
-            Target::Given(_) => Ok(Some(records::read(&self.listing()?.endpoints))),
+            Target::External(ExternalSystem { list: None, .. }) => Ok(None),
+            Target::External(_) => Ok(Some(records::read(&self.listing()?.endpoints))),
             Target::Started(system) => Ok(Some(system.records())),
         }
     }
 }
 
-/// Runs a plan against a target.
+/// Sends the arrivals to a target and computes the report.
 ///
 /// # Errors
-/// If a fault cannot be brought about or the records cannot be read.
+/// If a fault cannot be injected, or the list of endpoints cannot be read.
 pub fn run(target: &mut Target, setup: &Setup, arrivals: &[Arrival]) -> error::Result<Outcome> {
     check_faults(target, &setup.faults)?;
     let driver = driver(target, setup)?;
-    let start = Instant::now() + SET_UP;
+    let start = Instant::now() + START_DELAY;
     let events = Mutex::new(Vec::new());
     let samples = thread::scope(|scope| {
         let sending = scope.spawn(|| driver.run(arrivals, start));
-        let brought = bring(target, &setup.faults, start, &events);
+        let injected = inject_faults(target, &setup.faults, start, &events);
         let samples = sending.join().expect("the sending threads do not panic");
-        brought.map(|()| samples)
+        injected.map(|()| samples)
     })?;
     let events = events.into_inner().unwrap_or_else(PoisonError::into_inner);
     if let Target::Started(system) = target {
-        system.mend()?;
+        system.revert_all()?;
     }
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
     let report = report(target, setup, &samples, events)?;
     Ok(Outcome { report, samples })
 }
 
 fn driver(target: &Target, setup: &Setup) -> error::Result<Driver> {
     let document = target.document();
-    let verifier = document.clone().map_or_else(Verifier::off, Verifier::standins);
-    let route = match (setup.direct, document) {
+    let verifier = document.clone().map_or_else(Verifier::disabled, Verifier::for_standins);
+    let route = match (setup.is_direct, document) {
         (true, Some(document)) => {
-            let chains = crate::direct::Chains::new(document, &target.listing()?);
-            Route::Direct(Arc::new(chains))
+            let client = crate::direct::DirectClient::new(document, &target.listing()?);
+            Route::Direct(Arc::new(client))
         }
         _ => Route::Entries(Arc::new(Balancer::new(&target.entries()))),
     };
     Ok(Driver { route, verifier, resends: setup.resends, threads: setup.threads })
 }
 
-/// Bursts are part of the arrivals; everything else needs a started system.
+/// Checks that all faults can be injected. Bursts are part of the arrivals; any other fault needs
+/// a system that the tool started.
 fn check_faults(target: &Target, faults: &[Fault]) -> error::Result<()> {
     match target {
         Target::Started(system) => faults.iter().try_for_each(|fault| system.check(&fault.kind)),
-        Target::Given(_) => {
+        Target::External(_) => {
             let other = faults.iter().find(|fault| !matches!(fault.kind, Kind::Burst { .. }));
             match other {
                 Some(fault) => Err(error::Error::NeedsPreset(fault.kind.label())),
@@ -174,26 +175,26 @@
     }
 }
 
-/// One step of the schedule: a fault begins, or ends.
+/// One step of the schedule: the start or the end of a fault.
 struct Step {
     at: Duration,
     kind: Kind,
-    begins: bool,
+    is_start: bool,
 }
 
 fn steps(faults: &[Fault]) -> Vec<Step> {
     let mut steps = Vec::new();
     for fault in faults {
-        steps.push(Step { at: fault.at, kind: fault.kind.clone(), begins: true });
+        steps.push(Step { at: fault.at, kind: fault.kind.clone(), is_start: true });
         if let Some(length) = fault.kind.length() {
-            steps.push(Step { at: fault.at + length, kind: fault.kind.clone(), begins: false });
+            steps.push(Step { at: fault.at + length, kind: fault.kind.clone(), is_start: false });
         }
     }
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-fn bring(
+fn inject_faults(
     target: &mut Target,
     faults: &[Fault],
     start: Instant,
@@ -202,11 +203,11 @@
     for step in steps(faults) {
         thread::sleep((start + step.at).saturating_duration_since(Instant::now()));
         let what = match target {
-            Target::Started(system) if step.begins => system.bring(&step.kind)?,
-            Target::Started(system) => system.end(&step.kind)?,
-            Target::Given(_) => step.kind.label(),
+            Target::Started(system) if step.is_start => system.inject(&step.kind)?,
+            Target::Started(system) => system.revert(&step.kind)?,
+            Target::External(_) => step.kind.label(),
         };
-        let what = if step.begins { what } else { format!("end of {what}") };
+        let what = if step.is_start { what } else { format!("end of {what}") };
         let event = Event { at: start.elapsed(), what: what.into() };
         events.lock().unwrap_or_else(PoisonError::into_inner).push(event);
     }
@@ -220,7 +221,7 @@
     events: Vec<Event>,
 ) -> error::Result<Report> {
     let document = target.document().unwrap_or_default();
-    let frame = Frame {
+    let params = ReportParams {
         label: setup.label.clone(),
         seed: setup.seed,
         length: setup.length,
@@ -229,15 +230,15 @@
         events,
         weights: fairness::weights(&document),
     };
-    let records = if setup.records { target.records()? } else { None };
+    let records = if setup.reads_records { target.records()? } else { None };
     let Some(records) = records else {
-        let violations = Ledger::new([]).violations(samples, &document);
-        return Ok(Report::new(&frame, samples, None, violations));
+        let violations = CallIndex::new([]).violations(samples, &document);
+        return Ok(Report::new(&params, samples, None, violations));
     };
     let blind = records.dropped + records.unread.len() as u64;
     let unread = records.unread;
-    let ledger = Ledger::new(records.works);
-    let violations = ledger.violations(samples, &document);
-    let report = Report::new(&frame, samples, Some(&ledger), violations);
+    let index = CallIndex::new(records.calls);
+    let violations = index.violations(samples, &document);
+    let report = Report::new(&params, samples, Some(&index), violations);
     Ok(Report { blind: (blind > 0).then_some(unread), ..report })
 }
--- a/crates/load/src/fairness.rs
+++ b/crates/load/src/fairness.rs
@@ -1,9 +1,9 @@
-//! Whether each team got its share.
+//! Computes whether each team received its share.
 //!
-//! A team is entitled to the smaller of what it asked for and its weight's
-//! part of everything that was answered in time. What it got of that is 1 or
-//! more where it is not under its share; unused shares are lent, so more than
-//! 1 is common.
+//! A team is entitled to the smaller of its own requests and its weighted share
+//! of all requests that were answered in time. Its ratio is the number of its
+//! requests answered in time to that entitlement. Teams may use the unused
+//! shares of others, so ratios above 1 are common.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -16,22 +16,22 @@
     document.teams.iter().map(|team| (team.name.clone(), team.weight)).collect()
 }
 
-/// What each team got of what it is entitled to. Teams without a weight or
-/// without requests are left out.
-pub fn of_share(
+/// The ratio of each team's requests answered in time to its entitlement.
+/// Teams without a weight or an entitlement are left out.
+pub fn entitlement_ratios(
     weights: &BTreeMap<Arc<str>, u32>,
     teams: &BTreeMap<Arc<str>, Share>,
 ) -> BTreeMap<Arc<str>, f64> {
     let total: u32 = weights.values().sum();
     let answered: u64 = teams.values().map(|share| share.in_time).sum();
-    let mut got = BTreeMap::new();
+    let mut ratios = BTreeMap::new();
     for (team, share) in teams {
         let Some(weight) = weights.get(team) else { continue };
         let part = answered as f64 * f64::from(*weight) / f64::from(total);
         let entitled = part.min(share.planned as f64);
         if entitled > 0.0 {
-            got.insert(team.clone(), share.in_time as f64 / entitled);
+            ratios.insert(team.clone(), share.in_time as f64 / entitled);
         }
     }
-    got
+    ratios
 }
--- a/crates/load/src/files.rs
+++ b/crates/load/src/files.rs
@@ -27,7 +27,7 @@
 /// Reads a trace file.
 ///
 /// # Errors
-/// If it cannot be read or is no trace.
+/// If it cannot be read or is not a valid trace.
 pub fn read_trace(path: &Path) -> error::Result<Vec<Arrival>> {
     trace::read(read(path)?.as_bytes())
 }
@@ -35,10 +35,10 @@
 /// Reads a configuration file.
 ///
 /// # Errors
-/// If it cannot be read or is no configuration.
+/// If it cannot be read or is not a valid configuration.
 pub fn read_document(path: &Path) -> error::Result<Document> {
     toml::from_str(&read(path)?).map_err(|err| error::Error::Setting {
-        problem: format!("{} is no configuration: {err}", path.display()),
-        remedy: "correct it; `peatdeck check FILE` points at what is wrong".into(),
+        problem: format!("{} is not a configuration: {err}", path.display()),
+        remedy: "correct it; `peatdeck check FILE` shows the errors".into(),
     })
 }
--- a/crates/load/src/launch.rs
+++ b/crates/load/src/launch.rs
@@ -1,8 +1,8 @@
-//! Starts a preset as processes on this machine and ends them all.
+//! Starts the system of a preset as processes on this host.
 //!
-//! Order: log and list, endpoints, administration, entries; then the list is
-//! told of all of them, the configuration is published, and the launch is
-//! done when every entry has it in force and is ready.
+//! The processes start in this order: log and list, endpoints, administration,
+//! entries. The tool then writes all of them to the list, publishes the
+//! configuration, and waits until every entry has it in force and is ready.
 
 use std::{path::PathBuf, sync::Arc, thread, time::Duration};
 
@@ -20,39 +20,39 @@
     preset::{Preset, Service},
     processes::Processes,
     runtime,
-    system::{AUTHOR, Admin, Entry, Parts, System},
+    system::{AUTHOR, Admin, Components, Entry, System},
     tag,
 };
 
 /// How the processes are started.
 #[data]
 #[derive(Default)]
-pub struct Launch {
-    /// More arguments of the entries.
+pub struct LaunchOptions {
+    /// Additional arguments of the entries.
     pub flags: Vec<String>,
-    /// More environment of the entries.
+    /// Additional environment variables of the entries.
     pub env: Vec<(String, String)>,
-    /// Where the ends of their logs go; nowhere if `None`.
+    /// Directory for the ends of the processes' logs; `None` to discard them.
     pub logs: Option<PathBuf>,
 }
 
-/// The binary of all stand-ins.
+/// Binary of the stand-ins.
 const STANDIN: &str = "peatdeck-standin";
-/// Lets the kernel choose a port.
+/// Address on which the kernel chooses a free port.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// How long the list lags behind the truth.
+/// Delay until a change of the list is visible to its readers.
 const LIST_LAG: Duration = Duration::from_secs(1);
-/// How long the entries get to be ready.
-const READY_TIME: Duration = Duration::from_secs(30);
-/// How often they are asked.
-const READY_EVERY: Duration = Duration::from_millis(100);
-/// The operators' token of systems that the tool starts.
+/// Time limit for a process to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which readiness is polled.
+const READY_INTERVAL: Duration = Duration::from_millis(100);
+/// Operator token of systems that the tool starts.
 const TOKEN: &str = "peatdeck-load-operator-token";
 
-impl Launch {
-    /// The same with one more setting: arguments and `NAME=VALUE` pairs, apart by spaces.
+impl LaunchOptions {
+    /// Adds a setting: arguments and `NAME=VALUE` pairs, separated by spaces.
     #[must_use]
-    pub fn with_setting(mut self, setting: &str) -> Launch {
+    pub fn with_setting(mut self, setting: &str) -> LaunchOptions {
         for word in setting.split_whitespace() {
             match word.split_once('=') {
                 Some((name, value)) if !name.starts_with('-') => {
@@ -65,11 +65,12 @@
     }
 }
 
-/// Starts a preset.
+/// Starts the system of a preset.
 ///
 /// # Errors
-/// If a process does not start, or the entries do not become ready.
-pub fn start(preset: &Preset, launch: &Launch) -> error::Result<System> {
+/// If a process does not start, the configuration cannot be published, or the entries do not become
+/// ready in time.
+pub fn start(preset: &Preset, launch: &LaunchOptions) -> error::Result<System> {
     let mut processes = Processes::new(launch.logs.clone())?;
     let log = processes.start(&Spec::new("log", STANDIN).args(["log"]))?;
     let lag = LIST_LAG.as_millis().to_string();
@@ -91,14 +92,14 @@
     Request::put(format!("{list}/control/list"), &listing).send()?;
     publish(preset, &admin)?;
     wait_ready(&entries)?;
-    System::new(Parts {
+    System::new(Components {
         document: Arc::new(preset.config.clone()),
         entries,
         endpoints,
         admin,
         log: url(&log),
         list,
-        log_delay: preset.way(),
+        log_delay: preset.round_trip(),
         processes,
     })
 }
@@ -125,11 +126,11 @@
     Ok(endpoints)
 }
 
-/// The way between data centres is part of an endpoint's own time.
+/// The process of an endpoint. Its call time includes the mean round trip between data centres.
 fn endpoint_spec(preset: &Preset, service: &Service, name: &str) -> Spec {
     let kind = preset.config.pool(&service.pool).map(|pool| pool.kind);
     let role = if kind == Some(PoolKind::Engine) { "engine" } else { "service" };
-    let call_ms = service.call_ms + preset.way().as_secs_f64() * 1000.0;
+    let call_ms = service.call_ms + preset.round_trip().as_secs_f64() * 1000.0;
     Spec::new(name, STANDIN)
         .args([role, "--name", name])
         .args(["--places", &service.places.to_string()])
@@ -149,7 +150,7 @@
     Ok(admin)
 }
 
-fn entry_spec(name: &str, data_centre: &str, launch: &Launch) -> Spec {
+fn entry_spec(name: &str, data_centre: &str, launch: &LaunchOptions) -> Spec {
     let mut spec = Spec::new(name, "peatdeck-entry")
         .args(["--name", name, "--data-centre", data_centre])
         .args(["--listen", ANY_PORT, "--peer-listen", ANY_PORT])
@@ -164,9 +165,9 @@
     processes: &mut Processes,
 ) -> error::Result<(Entry, InstanceEntry)> {
     let addr = processes.start(spec)?;
-    let peers = processes.peers(&spec.name)?;
+    let peers = processes.peer_addr(&spec.name)?;
     let name: Arc<str> = spec.name.as_str().into();
-    let pid = processes.id(&name).unwrap_or_default();
+    let pid = processes.pid(&name).unwrap_or_default();
     let entry = Entry { name: name.clone(), url: url(&addr), pid };
     let instance = InstanceEntry {
         name,
@@ -194,17 +195,17 @@
     wait_for(&urls)
 }
 
-/// Waits until each of the URLs answers 200.
+/// Waits until all URLs answer with a success status.
 fn wait_for(urls: &[String]) -> error::Result<()> {
-    let tries = READY_TIME.as_millis() / READY_EVERY.as_millis();
+    let tries = READY_TIMEOUT.as_millis() / READY_INTERVAL.as_millis();
     for _ in 0..tries {
         if urls.iter().all(|url| runtime::get(url).is_some()) {
             return Ok(());
         }
-        thread::sleep(READY_EVERY);
+        thread::sleep(READY_INTERVAL);
     }
-    let (urls, seconds) = (urls.join(", "), READY_TIME.as_secs());
-    Err(error::Error::Start(format!("not all ready within {seconds} s: {urls}")))
+    let (urls, seconds) = (urls.join(", "), READY_TIMEOUT.as_secs());
+    Err(error::Error::Start(format!("not all of these were ready within {seconds} s: {urls}")))
 }
 
 fn data_centre(preset: &Preset, index: usize) -> Arc<str> {
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,27 +1,27 @@
-//! Load and experiments against real processes.
+//! Load tests and experiments against real processes.
 //!
-//! The tool asks one question in several ways: what share of requests is
-//! answered whole within its deadline, and what work does that cost? It sends
-//! requests at planned times whatever the answers are, compares every answer
-//! with what it should be, and sets what callers were told beside what the
-//! endpoints say they ran.
+//! The tool measures the share of requests that are answered completely within
+//! their deadline, and the endpoint time that this costs. It sends requests at
+//! planned times regardless of the answers, compares every answer with the
+//! expected one, and compares the outcomes that callers received with the
+//! endpoints' records of the calls that they ran.
 //!
 //! Phases of a run, and the data between them:
 //!
-//! 1. [`workload`] and [`arrivals`] (or a recorded [`trace`]) give a plan:
+//! 1. [`workload`] and [`arrivals`] (or a recorded [`trace`]) produce a plan:
 //!    requests and their times.
-//! 2. [`driver`] sends them through [`balancer`] and [`caller`], or past the
-//!    entries ([`direct`]), and gives a [`sample`] of each. Meanwhile the
-//!    faults of a [`schedule`] are brought about.
-//! 3. [`work`] sets the samples beside the endpoints' records.
-//! 4. [`report`] does the arithmetic, [`table`] and [`plot`] print it,
+//! 2. [`driver`] sends them through [`balancer`] and [`caller`], or directly
+//!    to the endpoints ([`direct`]), and produces a [`sample`] for each. At the
+//!    same time the faults of a [`schedule`] are injected.
+//! 3. [`work`] matches the samples with the endpoints' records.
+//! 4. [`report`] computes the results, [`table`] and [`plot`] print them,
 //!    [`paired`] compares two settings.
 //!
-//! [`preset`] and [`launch`] start whole systems, [`system`] does to them what
-//! the schedule says, [`commands`] are what the tool offers.
+//! [`preset`] and [`launch`] start whole systems, [`system`] injects faults
+//! into them, [`commands`] are the commands of the tool.
 //!
-//! Traps: latency counts from the planned time, not from the send; a run in
-//! which the tool's own delay is large says nothing about the system.
+//! Note that latency counts from the planned time, not from the send, and that
+//! a run in which the tool's own delay is large says nothing about the system.
 
 pub mod args;
 pub mod arrivals;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `peatdeck-load`: load and experiments against real processes.
+//! `peatdeck-load`: load tests and experiments against real processes.
 
 use peatdeck_load::cli;
 use peatdeck_util::logging;
--- a/crates/load/src/output.rs
+++ b/crates/load/src/output.rs
@@ -1,12 +1,12 @@
-//! Prints and writes what runs gave.
+//! Prints and writes the results of runs.
 
 use crate::{args, error, experiment::Outcome, files, plot, report::Report};
 
-/// Prints a run's report and writes the files that were asked for.
+/// Prints the report of a run and writes the requested files.
 ///
 /// # Errors
 /// If a file cannot be written, or if the report has contradictions.
-pub fn write(output: &args::Output, outcome: &Outcome) -> error::Result<()> {
+pub fn write(output: &args::OutputArgs, outcome: &Outcome) -> error::Result<()> {
     println!("{}", outcome.report);
     if let Some(path) = &output.json {
         files::write(path, &json(&outcome.report))?;
@@ -19,19 +19,19 @@
             outcome.samples.iter().map(|sample| format!("{}\n", line(sample))).collect();
         files::write(path, &lines)?;
     }
-    refuse_violations([&outcome.report])
+    fail_on_violations([&outcome.report])
 }
 
-/// An error if any report has contradictions, so that the exit code tells.
+/// Fails if any report has contradictions, so that the exit code shows them.
 ///
 /// # Errors
 /// [`error::Error::Violations`].
-pub fn refuse_violations<'a>(reports: impl IntoIterator<Item = &'a Report>) -> error::Result<()> {
+pub fn fail_on_violations<'a>(reports: impl IntoIterator<Item = &'a Report>) -> error::Result<()> {
     let count = reports.into_iter().map(|report| report.violations.len()).sum();
     if count == 0 { Ok(()) } else { Err(error::Error::Violations(count)) }
 }
 
-/// A value as JSON, spread over lines.
+/// Formats a value as indented JSON.
 pub fn json(value: &impl serde::Serialize) -> String {
     serde_json::to_string_pretty(value).expect("reports have string keys only")
 }
--- a/crates/load/src/paired.rs
+++ b/crates/load/src/paired.rs
@@ -1,7 +1,7 @@
-//! Two settings set beside each other: A B A B …, a difference for each pair.
+//! Compares two settings that run in turn (A B A B …), pair by pair.
 //!
-//! The machine's own drift hits both halves of a pair alike, so the spread
-//! given is that of the differences, not that of the values.
+//! A slow change in the speed of the host affects both runs of a pair alike,
+//! so the deviation is that of the differences, not that of the values.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,18 @@
 
 use crate::report::Report;
 
-/// A metric over all repeats.
+/// A metric over all pairs.
 #[message]
 pub struct Comparison {
-    /// Each repeat's value under A.
+    /// The value under A in each pair.
     pub a: Vec<f64>,
-    /// Each repeat's value under B.
+    /// The value under B in each pair.
     pub b: Vec<f64>,
-    /// Each repeat's B less A.
+    /// B minus A in each pair.
     pub differences: Vec<f64>,
     /// Mean of the differences.
     pub mean: f64,
-    /// Standard deviation of the differences (of a sample, n - 1).
+    /// Sample standard deviation (n - 1) of the differences.
     pub deviation: f64,
     /// The smallest difference.
     pub least: f64,
@@ -29,7 +29,7 @@
 }
 
 impl Comparison {
-    /// Compares the values of pairs.
+    /// Compares values; those at the same index form a pair.
     pub fn new(a: Vec<f64>, b: Vec<f64>) -> Comparison {
         let differences: Vec<f64> = a.iter().zip(&b).map(|(a, b)| b - a).collect();
         let count = differences.len() as f64;
@@ -57,7 +57,7 @@
     columns.into_iter().map(|(name, (a, b))| (name, Comparison::new(a, b))).collect()
 }
 
-/// A report's numbers by name.
+/// The compared metrics of a report, by name.
 fn metrics(report: &Report) -> BTreeMap<String, f64> {
     let mut metrics = BTreeMap::new();
     let mut put = |name: String, value: f64| {
--- a/crates/load/src/plot.rs
+++ b/crates/load/src/plot.rs
@@ -1,21 +1,21 @@
-//! Attainment over time, drawn as SVG.
+//! Plots attainment over time as SVG.
 
 use std::fmt::Write;
 
 use crate::report::{Report, Slot};
 
-/// Width of the drawing, in pixels.
+/// Width of the plot, in pixels.
 const WIDTH: f64 = 900.0;
 /// Height of one report's panel, in pixels.
 const PANEL: f64 = 220.0;
-/// Space round a panel's axes, in pixels.
+/// Space around the axes of a panel, in pixels.
 const MARGIN: f64 = 45.0;
-/// Shares at which a line is drawn across.
+/// Shares at which a horizontal grid line is drawn.
 const GRID: [f64; 5] = [0.0, 0.25, 0.5, 0.75, 1.0];
 
-/// Draws a panel for each report, one below the other. The thick line is the
-/// attainment of the requests planned in each second, the bars are requests
-/// planned, against the largest.
+/// Draws a panel for each report, one below the other. The line is the
+/// attainment of the requests planned in each second. The bars are the number
+/// of these requests, relative to the second with the most.
 pub fn attainment(reports: &[&Report]) -> String {
     let height = PANEL * reports.len() as f64;
     let mut svg = format!(
@@ -122,7 +122,7 @@
     writeln!(svg, "<text x=\"{x:.1}\" y=\"{y:.1}\" text-anchor=\"{anchor}\">{content}</text>").ok();
 }
 
-/// Text as XML allows it.
+/// Escapes text for XML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/crates/load/src/preset.rs
+++ b/crates/load/src/preset.rs
@@ -1,18 +1,18 @@
-//! Whole systems to try: endpoints, configuration and traffic.
+//! Presets: whole systems with endpoints, configuration and traffic.
 //!
-//! A preset is a TOML file; those of the two users come with the tool. The
-//! capacity is worked out from the places and times in it, not measured:
+//! A preset is a TOML file; some are built into the tool. The capacity of a
+//! preset is computed from its slots and times, not measured:
 //!
-//! - A call holds its place for its time. A service's time is `call_ms`; an
-//!   engine's is `call_ms` for the prompt and a `token_ms` for each token
-//!   behind the first, of which it makes three quarters of `max_tokens` on
-//!   average, each slowed by the other calls of a full batch.
-//! - A pool can give `endpoints x places` seconds of place a second. The mix
-//!   of classes takes some of it for each request. The capacity is the rate
-//!   at which the first pool has no place left.
+//! - A call occupies a slot for its whole time. For a service this is
+//!   `call_ms`; for an engine it is `call_ms` for the prompt and `token_ms` for
+//!   each token after the first. An engine generates three quarters of
+//!   `max_tokens` on average, each slowed by the other calls of a full batch.
+//! - A pool provides `endpoints x places` seconds of slot time a second, and
+//!   the mix of classes determines how much of it a request needs. The capacity
+//!   is the rate at which the first pool has no free slot left.
 //!
-//! Prompts are taken for uncached, so the capacity is the lower one; with all
-//! first-stage prefixes cached an engine does more ([`Preset::warm_capacity`]).
+//! Prompts count as uncached, so this is the lower bound. With all first-stage
+//! prefixes cached the capacity is higher ([`Preset::warm_capacity`]).
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,24 +24,24 @@
     workload::{Class, Workload},
 };
 
-/// A system to try.
+/// A system to start and the traffic for it.
 #[message]
 #[serde(deny_unknown_fields)]
 pub struct Preset {
-    /// Its name.
+    /// Name, used in reports.
     pub name: Arc<str>,
-    /// Entry instances.
+    /// Number of entry instances.
     pub entries: usize,
-    /// Data centres; entries and endpoints are dealt over them in turn.
+    /// Data centres; entries and endpoints are assigned to them in rotation.
     pub data_centres: Vec<Arc<str>>,
-    /// Time one way between two data centres, in milliseconds.
+    /// One-way latency between two data centres, in milliseconds.
     pub one_way_ms: f64,
     /// The endpoints of each pool.
     #[serde(rename = "service")]
     pub services: Vec<Service>,
-    /// The configuration to publish.
+    /// The configuration that is published.
     pub config: Document,
-    /// What is sent.
+    /// The mix of requests that is sent.
     pub traffic: Workload,
 }
 
@@ -49,42 +49,41 @@
 #[message]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The pool.
+    /// Name of the pool.
     pub pool: Arc<str>,
-    /// How many.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Calls that one works on at once.
+    /// Concurrent calls of one endpoint.
     pub places: u32,
-    /// Calls that wait inside one.
+    /// Calls that can wait in the queue of one endpoint.
     pub queue: u32,
-    /// Time of a call, of an engine's prompt, in milliseconds.
+    /// Time of a call in milliseconds; for engines, time of the prompt.
     pub call_ms: f64,
-    /// Time of a token, in milliseconds; engines only.
+    /// Time of each token after the first, in milliseconds; engines only.
     #[serde(default)]
     pub token_ms: f64,
-    /// Share by which each further running call slows a token; engines only.
+    /// Factor by which each other running call slows a token, such as 0.1; engines only.
     #[serde(default)]
     pub batch_cost: f64,
 }
 
-/// The presets that come with the tool.
+/// Built-in presets.
 const BUILT_IN: [(&str, &str); 3] = [
     ("wash-fleet", include_str!("../presets/wash-fleet.toml")),
     ("guild", include_str!("../presets/guild.toml")),
     ("thin", include_str!("../presets/thin.toml")),
 ];
-/// Tokens that an engine makes on average, of those asked for at the most.
+/// Mean number of tokens that an engine generates, as a share of the maximum.
 const MEAN_TOKENS: f64 = 0.75;
-/// What a cached prefix leaves of the time of a prompt.
+/// Time of a prompt with a cached prefix, as a share of the full time.
 const CACHED_SHARE: f64 = 0.2;
-/// Milliseconds in a second.
 const MILLIS: f64 = 1000.0;
 
 impl Preset {
-    /// A preset by the name of a built-in one, or by the path of a file.
+    /// Loads a built-in preset by its name, or a TOML file by its path.
     ///
     /// # Errors
-    /// If there is none, or it cannot be used.
+    /// If there is none, or it is invalid.
     pub fn load(name: &str) -> error::Result<Preset> {
         if let Some((_, text)) = BUILT_IN.iter().find(|(known, _)| *known == name) {
             return Preset::parse(text);
@@ -98,10 +97,10 @@
         Preset::parse(&text)
     }
 
-    /// Reads a preset.
+    /// Parses and checks a preset.
     ///
     /// # Errors
-    /// If its parts do not fit together.
+    /// If the text is not a preset, or its parts contradict each other.
     pub fn parse(text: &str) -> error::Result<Preset> {
         let preset: Preset =
             toml::from_str(text).map_err(|err| error::Error::Preset(err.to_string()))?;
@@ -133,7 +132,7 @@
         Ok(())
     }
 
-    /// The same system with all times, deadlines included, `factor` times as long.
+    /// Multiplies all times, including deadlines, by `factor`.
     #[must_use]
     pub fn scaled(mut self, factor: f64) -> Preset {
         self.one_way_ms *= factor;
@@ -147,38 +146,40 @@
         self
     }
 
-    /// The endpoints of a pool.
+    /// The endpoints of a pool; `None` if the preset has none.
     pub fn service(&self, pool: &str) -> Option<&Service> {
         self.services.iter().find(|service| &*service.pool == pool)
     }
 
-    /// Mean time of the way to an endpoint and back: an entry and an endpoint
-    /// are in the same data centre by chance.
-    pub fn way(&self) -> Duration {
+    /// Mean round trip between an entry and an endpoint, with each in a random
+    /// data centre.
+    pub fn round_trip(&self) -> Duration {
         let centres = self.data_centres.len() as f64;
-        let away = (centres - 1.0) / centres;
-        Duration::from_secs_f64(2.0 * self.one_way_ms * away / MILLIS)
+        let remote_share = (centres - 1.0) / centres;
+        Duration::from_secs_f64(2.0 * self.one_way_ms * remote_share / MILLIS)
     }
 
-    /// Requests a second at which the first pool has no place left, no prompt cached.
+    /// Rate in requests a second at which the first pool has no free slot left, with no prompt
+    /// cached.
     pub fn capacity(&self) -> f64 {
-        self.limits(false).map(|(_, rate)| rate).fold(f64::INFINITY, f64::min)
+        self.pool_capacities(false).map(|(_, rate)| rate).fold(f64::INFINITY, f64::min)
     }
 
-    /// The same with every prefix of a first stage cached.
+    /// The same rate with every prefix of a first stage cached.
     pub fn warm_capacity(&self) -> f64 {
-        self.limits(true).map(|(_, rate)| rate).fold(f64::INFINITY, f64::min)
+        self.pool_capacities(true).map(|(_, rate)| rate).fold(f64::INFINITY, f64::min)
     }
 
-    /// For each pool, the rate of requests at which it has no place left.
-    pub fn limits(&self, warm: bool) -> impl Iterator<Item = (Arc<str>, f64)> {
+    /// For each pool, the rate in requests a second at which it has no free slot left. With
+    /// `warm`, prefixes of first stages count as cached.
+    pub fn pool_capacities(&self, warm: bool) -> impl Iterator<Item = (Arc<str>, f64)> {
         self.services.iter().map(move |service| {
-            let places = service.endpoints as f64 * f64::from(service.places);
-            (service.pool.clone(), places / self.demand(service, warm))
+            let slots = service.endpoints as f64 * f64::from(service.places);
+            (service.pool.clone(), slots / self.demand(service, warm))
         })
     }
 
-    /// Seconds of place that a request takes of a pool, over the mix of classes.
+    /// Mean slot time that a request needs in a pool over the mix of classes, in seconds.
     fn demand(&self, service: &Service, warm: bool) -> f64 {
         let classes = self.traffic.class_shares();
         classes.map(|(class, share)| share * self.class_demand(class, service, warm)).sum()
@@ -191,16 +192,16 @@
             .filter(|(_, stage)| stage.pool == service.pool)
             .map(|(index, stage)| {
                 let cached = warm && index == 0 && class.prefixes > 0;
-                self.place_time(service, stage, cached)
+                self.slot_time(service, stage, cached)
             })
             .sum()
     }
 
-    /// How long one call holds its place, in seconds.
-    fn place_time(&self, service: &Service, stage: &Stage, cached: bool) -> f64 {
-        let way = self.way().as_secs_f64() * MILLIS;
+    /// Time for which one call occupies its slot, in seconds.
+    fn slot_time(&self, service: &Service, stage: &Stage, cached: bool) -> f64 {
+        let round_trip = self.round_trip().as_secs_f64() * MILLIS;
         let share = if cached { CACHED_SHARE } else { 1.0 };
-        let prompt = service.call_ms * share + way;
+        let prompt = service.call_ms * share + round_trip;
         let tokens = stage.max_tokens.map_or(0.0, |max| f64::from(max) * MEAN_TOKENS - 1.0);
         let batch = 1.0 + service.batch_cost * f64::from(service.places - 1);
         (prompt + tokens.max(0.0) * service.token_ms * batch) / MILLIS
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -1,27 +1,27 @@
-//! What a process uses, as the kernel tells under `/proc`.
+//! Resource usage of a process, read from `/proc`.
 
 use std::{fs, time::Duration};
 
 use peatdeck_macros::message;
 
-/// Ticks of processor time in a second (`USER_HZ`, fixed by the kernel's interface).
-const TICKS: f64 = 100.0;
-/// Field of user time in `/proc/PID/stat`, counted behind the command's name.
-const USER_TIME: usize = 11;
+/// Clock ticks in a second of CPU time (`USER_HZ`, fixed by the kernel's interface).
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Index of the user time in `/proc/PID/stat`, counted from the field after the command name.
+const USER_TIME_FIELD: usize = 11;
 
-/// What a process has used so far.
+/// Resource usage of a process since its start.
 #[message]
 #[derive(Copy)]
 pub struct Usage {
-    /// Processor time, of user and kernel.
+    /// CPU time in user and kernel mode.
     pub processor: Duration,
-    /// Resident memory, in KiB.
+    /// Current resident memory, in KiB.
     pub resident_kib: u64,
-    /// The largest resident memory so far, in KiB.
+    /// Peak resident memory, in KiB.
     pub peak_kib: u64,
 }
 
-/// Reads what a process uses. `None` when it is gone.
+/// Reads the usage of a process; `None` if the process does not exist any more.
 pub fn usage(pid: u32) -> Option<Usage> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -32,16 +32,16 @@
     })
 }
 
-/// User and kernel time from the text of `/proc/PID/stat`.
+/// Sum of user and kernel time in the text of `/proc/PID/stat`; `None` if it is malformed.
 pub fn processor_time(stat: &str) -> Option<Duration> {
     let (_, fields) = stat.rsplit_once(')')?;
-    let mut fields = fields.split_whitespace().skip(USER_TIME);
+    let mut fields = fields.split_whitespace().skip(USER_TIME_FIELD);
     let user: u64 = fields.next()?.parse().ok()?;
     let kernel: u64 = fields.next()?.parse().ok()?;
-    Some(Duration::from_secs_f64((user + kernel) as f64 / TICKS))
+    Some(Duration::from_secs_f64((user + kernel) as f64 / TICKS_PER_SECOND))
 }
 
-/// A size from the text of `/proc/PID/status`.
+/// Size in KiB of the line that starts with `key` in the text of `/proc/PID/status`, if any.
 pub fn status_kib(status: &str, key: &str) -> Option<u64> {
     let line = status.lines().find(|line| line.starts_with(key))?;
     line.split_whitespace().nth(1)?.parse().ok()
--- a/crates/load/src/records.rs
+++ b/crates/load/src/records.rs
@@ -1,4 +1,4 @@
-//! Reads the stand-ins' records of what they ran.
+//! Reads the stand-ins' records of the calls that they ran.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -9,45 +9,45 @@
 
 use crate::{
     control, error, runtime,
-    work::{End, Work},
+    work::{CallEnd, EndpointCall},
 };
 
-/// How long one endpoint may take to give its records.
-const READ_TIME: Duration = Duration::from_secs(30);
+/// Time limit for reading the records of one endpoint.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What was read.
+/// Records of several endpoints.
 #[data]
 #[derive(Default)]
 pub struct Records {
     /// The calls that ran.
-    pub works: Vec<Work>,
-    /// Records that endpoints no longer held.
+    pub calls: Vec<EndpointCall>,
+    /// Number of records that endpoints had already discarded.
     pub dropped: u64,
-    /// Endpoints that gave no records.
+    /// Endpoints whose records could not be read.
     pub unread: Vec<Arc<str>>,
 }
 
 impl Records {
-    /// Adds records that were read earlier, such as those of an endpoint that
-    /// is gone by now.
+    /// Adds other records, such as those read from an endpoint before it was
+    /// killed.
     pub fn add(&mut self, other: Records) {
-        self.works.extend(other.works);
+        self.calls.extend(other.calls);
         self.dropped += other.dropped;
         self.unread.extend(other.unread);
     }
 
-    /// Drops what counts twice because an endpoint was read twice; the later
-    /// reading stands.
-    pub fn unique(&mut self) {
-        let mut last: HashMap<(Arc<str>, u64), Work> = HashMap::new();
-        for work in self.works.drain(..) {
-            last.insert((work.endpoint.clone(), work.number), work);
+    /// Removes duplicates of endpoints that were read twice; the record that was
+    /// added last is kept.
+    pub fn deduplicate(&mut self) {
+        let mut last: HashMap<(Arc<str>, u64), EndpointCall> = HashMap::new();
+        for call in self.calls.drain(..) {
+            last.insert((call.endpoint.clone(), call.number), call);
         }
-        self.works = last.into_values().collect();
+        self.calls = last.into_values().collect();
     }
 }
 
-/// The list as it stands, from its URL (`http://ip:port`).
+/// Reads the current list from its URL (`http://ip:port`).
 ///
 /// # Errors
 /// If it cannot be read.
@@ -55,7 +55,7 @@
     control::Request::get(format!("{list}/v1/list")).json()
 }
 
-/// Reads the records of endpoints.
+/// Reads the records of all given endpoints concurrently.
 pub fn read(endpoints: &[EndpointEntry]) -> Records {
     let endpoints = endpoints.to_vec();
     runtime::block_on(async move {
@@ -71,25 +71,25 @@
 
 async fn read_one(client: &Client, entry: &EndpointEntry) -> Records {
     let url = format!("http://{}/control/calls", entry.addr);
-    let body = runtime::fetch(client, &url, READ_TIME).await;
+    let body = runtime::fetch(client, &url, READ_TIMEOUT).await;
     let parsed = body.and_then(|body| serde_json::from_slice::<CallsBody>(&body).ok());
     let Some(body) = parsed else {
         return Records { unread: vec![entry.name.clone()], ..Records::default() };
     };
-    let now = body.calls.iter().filter_map(newest).max().unwrap_or(0);
-    let works = body.calls.iter().filter_map(|call| work(entry, call, now)).collect();
-    Records { works, dropped: body.dropped, unread: Vec::new() }
+    let now = body.calls.iter().filter_map(last_time).max().unwrap_or(0);
+    let calls = body.calls.iter().filter_map(|call| endpoint_call(entry, call, now)).collect();
+    Records { calls, dropped: body.dropped, unread: Vec::new() }
 }
 
-fn newest(call: &CallRecord) -> Option<u64> {
+fn last_time(call: &CallRecord) -> Option<u64> {
     call.ended_ms.or(call.started_ms)
 }
 
-/// A record as work; `None` if the call never ran.
-fn work(entry: &EndpointEntry, call: &CallRecord, now: u64) -> Option<Work> {
+/// Converts a record; `None` if the call never started.
+fn endpoint_call(entry: &EndpointEntry, call: &CallRecord, now: u64) -> Option<EndpointCall> {
     let began = call.started_ms?;
     let ended = call.ended_ms.unwrap_or(now);
-    Some(Work {
+    Some(EndpointCall {
         endpoint: entry.name.clone(),
         pool: entry.pool.clone(),
         number: call.seq.0,
@@ -99,14 +99,14 @@
         attempt: call.echo.attempt,
         began: Duration::from_millis(began),
         busy: Duration::from_millis(ended.saturating_sub(began)),
-        end: end(call.state),
+        end: call_end(call.state),
     })
 }
 
-fn end(state: CallState) -> End {
+fn call_end(state: CallState) -> CallEnd {
     match state {
-        CallState::Finished => End::Finished,
-        CallState::Cancelled => End::Cancelled,
-        CallState::Waiting | CallState::Running | CallState::Cut => End::Broken,
+        CallState::Finished => CallEnd::Finished,
+        CallState::Cancelled => CallEnd::Cancelled,
+        CallState::Waiting | CallState::Running | CallState::Cut => CallEnd::Broken,
     }
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,9 +1,9 @@
-//! What a run came to: attainment, refusals, cost by stage, latency.
+//! Computes the report of a run: attainment, refusals, cost by stage, latency.
 //!
-//! A request counts as attained when its whole answer, and the right one, was
-//! with its caller within the deadline, counted from the planned time.
-//! Requests planned within the warm-up are left out everywhere but in the
-//! timeline and the violations.
+//! Attainment is the share of requests whose caller received the complete and
+//! correct answer within the deadline, counted from the planned time. Requests
+//! planned within the warm-up are included only in the timeline and the
+//! violations.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -13,104 +13,104 @@
 use crate::{
     fairness,
     sample::{Ending, Sample},
-    work::{Ledger, USES, Use, Violation},
+    work::{CallIndex, USES, Use, Violation},
 };
 
-/// Length of a slot of the timeline.
-pub const SLOT: Duration = Duration::from_secs(1);
+/// Length of a [`Slot`] of the timeline.
+pub const SLOT_LENGTH: Duration = Duration::from_secs(1);
 
-/// How a report is worked out.
+/// Parameters of a report.
 #[data]
-pub struct Frame {
-    /// What was run, in a few words.
+pub struct ReportParams {
+    /// Label of the run.
     pub label: Arc<str>,
-    /// The seed of the arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// How long requests were planned for.
+    /// Length of the plan.
     pub length: Duration,
-    /// The time at the start that is left out.
+    /// Time at the start that is left out of the results.
     pub warm_up: Duration,
-    /// The capacity, in requests a second, where it is known.
+    /// The capacity in requests a second; `None` if it is not known.
     pub capacity: Option<f64>,
-    /// What was done to the system, and when.
+    /// Faults that were injected and reverted.
     pub events: Vec<Event>,
-    /// The teams' weights, where they are known.
+    /// Weights of the teams; empty if they are not known.
     pub weights: BTreeMap<Arc<str>, u32>,
 }
 
-/// Something done to the system during the run.
+/// Start or end of a fault during the run.
 #[message]
 pub struct Event {
-    /// When.
+    /// Time from the start of the run.
     pub at: Duration,
-    /// What.
+    /// Description of the fault.
     pub what: Arc<str>,
 }
 
-/// A run's report.
+/// Report of a run.
 #[message]
 pub struct Report {
     /// What was run.
     pub label: Arc<str>,
-    /// The seed of the arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Seconds that count.
+    /// Length of the run without the warm-up, in seconds.
     pub seconds: f64,
-    /// The capacity, in requests a second, where it is known.
+    /// The capacity in requests a second; `None` if it is not known.
     pub capacity: Option<f64>,
-    /// Requests a second that were planned.
+    /// Planned requests a second.
     pub offered: f64,
-    /// Requests a second that were answered in time.
+    /// Requests a second answered in time.
     pub goodput: f64,
-    /// All requests.
+    /// Counts over all requests.
     pub total: Share,
-    /// By team.
+    /// Counts by team.
     pub teams: BTreeMap<Arc<str>, Share>,
-    /// What each team got of its share, see [`fairness`].
+    /// Ratio of each team's requests answered in time to its entitlement, see [`fairness`].
     pub of_share: BTreeMap<Arc<str>, f64>,
-    /// By pipeline.
+    /// Counts by pipeline.
     pub pipelines: BTreeMap<Arc<str>, Share>,
-    /// How many requests ended in each way.
+    /// Number of requests by [`Ending::label`]; late answers are `answered_late`.
     pub endings: BTreeMap<String, u64>,
-    /// Cost by stage.
+    /// Cost by stage; empty without records.
     pub stages: Vec<StageCost>,
-    /// Share of all stage work that was wasted; `None` without records.
+    /// Share of all slot time that was not [`Use::Useful`]; `None` without records.
     pub waste: Option<f64>,
-    /// From the planned time to the whole answer, of answers in time or late.
+    /// Time from the planned time to the complete answer, for answers in time or late.
     pub latency: Quantiles,
-    /// From the planned time to the first piece of a streamed answer.
+    /// Time from the planned time to the first piece of a streamed answer.
     pub first_token: Quantiles,
-    /// The tool's own delay before it sent.
+    /// Delay of the tool itself between the planned time and the first send.
     pub lag: Quantiles,
-    /// Sends for each request: above 1 where callers sent again.
+    /// Mean number of sends per request; above 1 if requests were resent.
     pub sends: f64,
     /// Attainment over time.
     pub timeline: Vec<Slot>,
-    /// What was done to the system.
+    /// Faults that were injected and reverted.
     pub events: Vec<Event>,
-    /// Contradictions between answers and records.
+    /// Contradictions between answers and the endpoints' records.
     pub violations: Vec<Violation>,
-    /// Set where records are missing, so that contradictions may be unseen:
-    /// the endpoints that gave none.
+    /// Set if records are missing, so that contradictions may go undetected.
+    /// Lists the endpoints whose records could not be read.
     pub blind: Option<Vec<Arc<str>>>,
 }
 
-/// How many of some requests were answered in time.
+/// Counts of a group of requests.
 #[message]
 #[derive(Default)]
 pub struct Share {
-    /// Requests planned.
+    /// Planned requests.
     pub planned: u64,
-    /// Answered whole, in time or not.
+    /// Answered completely and correctly, in time or late.
     pub answered: u64,
-    /// Answered whole within the deadline.
+    /// Answered completely and correctly within the deadline.
     pub in_time: u64,
-    /// Told "not run".
+    /// Refused with the outcome "not run".
     pub not_run: u64,
 }
 
 impl Share {
-    /// The attainment, between 0 and 1; 1 where nothing was asked.
+    /// The attainment, between 0 and 1; 1 if no request was planned.
     pub fn attainment(&self) -> f64 {
         if self.planned == 0 { 1.0 } else { ratio(self.in_time, self.planned) }
     }
@@ -123,41 +123,41 @@
     }
 }
 
-/// Work spent on one stage.
+/// Endpoint time spent on one stage.
 #[message]
 pub struct StageCost {
-    /// The pipeline.
+    /// Name of the pipeline.
     pub pipeline: Arc<str>,
-    /// The stage.
+    /// Name of the stage.
     pub stage: Arc<str>,
-    /// The pool.
+    /// Name of the pool.
     pub pool: Arc<str>,
-    /// Calls that endpoints took on.
+    /// Calls that endpoints ran.
     pub calls: u64,
-    /// Place time of all calls, in milliseconds.
+    /// Slot time of all calls, in milliseconds.
     pub busy_ms: f64,
-    /// Place time by what became of it, in milliseconds.
+    /// Slot time by its use, in milliseconds.
     pub uses: BTreeMap<Use, f64>,
-    /// Place time for each request of the pipeline that was answered in time,
-    /// in milliseconds; `None` where none was.
+    /// Slot time per request of the pipeline that was answered in time, in
+    /// milliseconds; `None` if none was.
     pub cost_ms: Option<f64>,
 }
 
-/// Quantiles, in milliseconds.
+/// Quantiles of times, in milliseconds.
 #[message]
 #[derive(Default)]
 pub struct Quantiles {
-    /// How many values.
+    /// Number of values.
     pub count: u64,
-    /// The middle.
+    /// Median.
     pub p50: f64,
-    /// Nine tenths are at or below it.
+    /// 90th percentile.
     pub p90: f64,
-    /// All but a hundredth are at or below it.
+    /// 99th percentile.
     pub p99: f64,
-    /// All but a thousandth are at or below it.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// The largest.
+    /// Largest value.
     pub max: f64,
 }
 
@@ -165,48 +165,48 @@
 #[message]
 #[derive(Default)]
 pub struct Slot {
-    /// Requests planned in it.
+    /// Requests planned in this second.
     pub planned: u64,
-    /// Of these, answered in time.
+    /// Of these, requests answered in time.
     pub in_time: u64,
-    /// Of these, told "not run".
+    /// Of these, requests refused with the outcome "not run".
     pub not_run: u64,
 }
 
 impl Report {
-    /// Works a report out.
+    /// Computes the report. Without `index` it has no costs.
     pub fn new(
-        frame: &Frame,
+        params: &ReportParams,
         samples: &[Sample],
-        ledger: Option<&Ledger>,
+        index: Option<&CallIndex>,
         violations: Vec<Violation>,
     ) -> Report {
         let counted: Vec<&Sample> =
-            samples.iter().filter(|sample| sample.planned >= frame.warm_up).collect();
-        let seconds = frame.length.saturating_sub(frame.warm_up).as_secs_f64();
+            samples.iter().filter(|sample| sample.planned >= params.warm_up).collect();
+        let seconds = params.length.saturating_sub(params.warm_up).as_secs_f64();
         let mut total = Share::default();
         counted.iter().for_each(|sample| total.add(sample));
         let teams = shares(&counted, |sample| sample.team.clone());
-        let stages = ledger.map_or_else(Vec::new, |ledger| stage_costs(&counted, ledger));
+        let stages = index.map_or_else(Vec::new, |index| stage_costs(&counted, index));
         Report {
-            label: frame.label.clone(),
-            seed: frame.seed,
+            label: params.label.clone(),
+            seed: params.seed,
             seconds,
-            capacity: frame.capacity,
+            capacity: params.capacity,
             offered: total.planned as f64 / seconds,
             goodput: total.in_time as f64 / seconds,
-            of_share: fairness::of_share(&frame.weights, &teams),
+            of_share: fairness::entitlement_ratios(&params.weights, &teams),
             teams,
             pipelines: shares(&counted, |sample| sample.pipeline.clone()),
             endings: endings(&counted),
-            waste: ledger.map(|_| waste(&stages)),
+            waste: index.map(|_| waste(&stages)),
             stages,
-            latency: answered(&counted, |sample| Some(sample.took)),
-            first_token: answered(&counted, |sample| sample.first_token),
-            lag: Quantiles::of(counted.iter().map(|sample| sample.lag)),
+            latency: answer_quantiles(&counted, |sample| Some(sample.took)),
+            first_token: answer_quantiles(&counted, |sample| sample.first_token),
+            lag: Quantiles::from_durations(counted.iter().map(|sample| sample.lag)),
             sends: mean(counted.iter().map(|sample| f64::from(sample.sends))),
-            timeline: timeline(frame.length, samples),
-            events: frame.events.clone(),
+            timeline: timeline(params.length, samples),
+            events: params.events.clone(),
             violations,
             blind: None,
             total,
@@ -215,9 +215,9 @@
 }
 
 impl Quantiles {
-    /// Quantiles of durations.
-    pub fn of(values: impl Iterator<Item = Duration>) -> Quantiles {
-        let mut histogram = Histogram::<u64>::new_with_max(LONGEST, SIGNIFICANT)
+    /// Computes the quantiles of durations.
+    pub fn from_durations(values: impl Iterator<Item = Duration>) -> Quantiles {
+        let mut histogram = Histogram::<u64>::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS)
             .expect("the bounds are within what the histogram allows");
         for value in values {
             let micros = u64::try_from(value.as_micros()).unwrap_or(u64::MAX);
@@ -238,11 +238,10 @@
     }
 }
 
-/// The longest time that is told apart, in microseconds: an hour.
-const LONGEST: u64 = 3_600_000_000;
+/// Longest time that the histogram distinguishes, in microseconds: an hour.
+const MAX_MICROS: u64 = 3_600_000_000;
 /// Significant digits of recorded times.
-const SIGNIFICANT: u8 = 3;
-/// Microseconds in a millisecond.
+const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROS_IN_MILLI: f64 = 1000.0;
 
 fn shares(samples: &[&Sample], key: impl Fn(&Sample) -> Arc<str>) -> BTreeMap<Arc<str>, Share> {
@@ -263,21 +262,21 @@
     endings
 }
 
-fn stage_costs(samples: &[&Sample], ledger: &Ledger) -> Vec<StageCost> {
+fn stage_costs(samples: &[&Sample], index: &CallIndex) -> Vec<StageCost> {
     let mut costs: BTreeMap<(Arc<str>, u32), StageCost> = BTreeMap::new();
     for sample in samples {
-        for (work, usage) in ledger.uses(sample) {
-            let key = (sample.pipeline.clone(), work.stage);
+        for (call, usage) in index.uses(sample) {
+            let key = (sample.pipeline.clone(), call.stage);
             let cost = costs.entry(key).or_insert_with(|| StageCost {
                 pipeline: sample.pipeline.clone(),
-                stage: work.name.clone(),
-                pool: work.pool.clone(),
+                stage: call.name.clone(),
+                pool: call.pool.clone(),
                 calls: 0,
                 busy_ms: 0.0,
                 uses: USES.into_iter().map(|usage| (usage, 0.0)).collect(),
                 cost_ms: None,
             });
-            let busy = work.busy.as_secs_f64() * MICROS_IN_MILLI;
+            let busy = call.busy.as_secs_f64() * MICROS_IN_MILLI;
             cost.calls += 1;
             cost.busy_ms += busy;
             *cost.uses.entry(usage).or_default() += busy;
@@ -300,16 +299,16 @@
     if busy == 0.0 { 0.0 } else { 1.0 - useful / busy }
 }
 
-fn answered(samples: &[&Sample], time: impl Fn(&Sample) -> Option<Duration>) -> Quantiles {
+fn answer_quantiles(samples: &[&Sample], time: impl Fn(&Sample) -> Option<Duration>) -> Quantiles {
     let answered = samples.iter().filter(|sample| sample.ending == Ending::Answered);
-    Quantiles::of(answered.filter_map(|sample| time(sample)))
+    Quantiles::from_durations(answered.filter_map(|sample| time(sample)))
 }
 
 fn timeline(length: Duration, samples: &[Sample]) -> Vec<Slot> {
-    let count = length.as_secs_f64() / SLOT.as_secs_f64();
+    let count = length.as_secs_f64() / SLOT_LENGTH.as_secs_f64();
     let mut slots = vec![Slot::default(); count.ceil() as usize];
     for sample in samples {
-        let index = (sample.planned.as_secs_f64() / SLOT.as_secs_f64()) as usize;
+        let index = (sample.planned.as_secs_f64() / SLOT_LENGTH.as_secs_f64()) as usize;
         let Some(slot) = slots.get_mut(index) else { continue };
         slot.planned += 1;
         slot.in_time += u64::from(sample.in_time());
--- a/crates/load/src/sample.rs
+++ b/crates/load/src/sample.rs
@@ -1,38 +1,38 @@
-//! What became of one request, as its caller saw it.
+//! Outcome of one request from the view of its caller.
 
 use std::{sync::Arc, time::Duration};
 
 use peatdeck_macros::message;
 use peatdeck_wire::caller;
 
-/// One request's end.
+/// Outcome of one request.
 #[message]
 pub struct Sample {
-    /// The caller's id.
+    /// Id that the caller gave it.
     pub id: Arc<str>,
-    /// The team.
+    /// Name of the team.
     pub team: Arc<str>,
-    /// The pipeline.
+    /// Name of the pipeline.
     pub pipeline: Arc<str>,
-    /// Whether it was idempotent.
+    /// Whether the request was idempotent.
     pub idempotent: bool,
-    /// When it was to be sent, from the start of the run.
+    /// Planned time, from the start of the run.
     pub planned: Duration,
-    /// How much later than planned it was sent: the tool's own delay.
+    /// Delay of the tool itself between the planned time and the first send.
     pub lag: Duration,
     /// How long its caller waits, from the planned time.
     pub deadline: Duration,
-    /// From the planned time to the end.
+    /// Time from the planned time to the end.
     pub took: Duration,
-    /// From the planned time to the first piece of a streamed answer.
+    /// Time from the planned time to the first piece of a streamed answer, if any.
     pub first_token: Option<Duration>,
-    /// Times it was sent.
+    /// Number of sends.
     pub sends: u32,
-    /// Whether an earlier send of it may have run.
+    /// Whether an earlier send, before the last one, may have run.
     pub doubted: bool,
-    /// How it ended.
+    /// How the last send ended.
     pub ending: Ending,
-    /// The stages of a whole answer.
+    /// The stages of an answer; empty for any other ending.
     pub stages: Vec<caller::StageBody>,
 }
 
@@ -40,26 +40,27 @@
 #[message]
 #[serde(tag = "ending", content = "code", rename_all = "snake_case")]
 pub enum Ending {
-    /// The whole answer, and the right one.
+    /// The caller received the complete and correct answer.
     Answered,
-    /// Called an answer, but not the answer to this request.
+    /// The caller received a reply that is not a correct answer to this request. Contains the
+    /// difference.
     Wrong(Arc<str>),
-    /// Nothing of it ran.
+    /// The reply states that no stage ran. Contains its error code.
     NotRun(Arc<str>),
-    /// Something of it may have run.
+    /// The reply states that some stage may have run. Contains its error code.
     MayHaveRun(Arc<str>),
-    /// The request was called wrong in itself.
+    /// The reply states that the request is invalid. Contains its error code.
     Invalid(Arc<str>),
-    /// No connection could be made: not a byte was sent.
+    /// No connection could be established; nothing was sent.
     Unreachable,
-    /// The connection or the answer was cut.
+    /// The connection failed before the answer was complete.
     Cut,
-    /// No answer by the deadline, nor in the time that the tool waits beyond.
+    /// No complete answer by the deadline, nor in the time for which the tool waits after it.
     Silent,
 }
 
 impl Ending {
-    /// Its kind and code, as the reports print it.
+    /// Kind and code, as reports print them.
     pub fn label(&self) -> String {
         match self {
             Ending::Answered => "answered".to_owned(),
@@ -75,7 +76,7 @@
 }
 
 impl Sample {
-    /// Whether the whole answer was there within the deadline.
+    /// Whether the complete and correct answer arrived within the deadline.
     pub fn in_time(&self) -> bool {
         self.ending == Ending::Answered && self.took <= self.deadline
     }
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,20 +1,20 @@
-//! What is done to a system while a run goes on, and when.
+//! Parses the faults that are injected into a system during a run.
 //!
 //! A fault is written in a TOML file as `[[fault]]`, or in a flag as
-//! `KIND@AT[,KEY=VALUE]…`; both read the same keys:
+//! `KIND@AT[,KEY=VALUE]…`, with the same keys:
 //!
-//! | kind | keys | what happens |
+//! | kind | keys | effect |
 //! | --- | --- | --- |
-//! | `straggler` | `endpoint`, `factor`, `length` | the endpoint takes `factor` times as long |
-//! | `kill-engines` | `count` | that many engines die |
-//! | `kill-entry` | `count` | that many entry instances die |
+//! | `straggler` | `endpoint`, `factor`, `length` | calls at the endpoint take `factor` times as long |
+//! | `kill-engines` | `count` | that many engines are killed |
+//! | `kill-entry` | `count` | that many entry instances are killed |
 //! | `burst` | `factor`, `length` | requests arrive `factor` times as often |
 //! | `late-load` | `delay`, `length` | load reports are `delay` old |
-//! | `log-outage` | `length` | the log answers nothing |
-//! | `drain` | `endpoint` | the endpoint is to get no new work |
+//! | `log-outage` | `length` | the log does not answer |
+//! | `drain` | `endpoint` | the endpoint is drained: it receives no new calls |
 //!
-//! Without `length` a fault stays to the end of the run. Without `endpoint`
-//! a straggler is the first engine. Times are written as `5s` or `250ms`.
+//! Without `length` a fault lasts until the end of the run. Without `endpoint`
+//! the straggler is the first engine. Times are written as `5s` or `250ms`.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,65 +22,65 @@
 
 use crate::{arrivals::Burst, error, span};
 
-/// A fault and its time.
+/// A fault and its start.
 #[data]
 pub struct Fault {
-    /// When it begins, from the start of the run.
+    /// Start, from the start of the run.
     pub at: Duration,
-    /// What happens.
+    /// Kind and parameters.
     pub kind: Kind,
 }
 
-/// What can be done to a system.
+/// Kinds of faults.
 #[data]
 pub enum Kind {
-    /// An endpoint takes longer.
+    /// Calls take longer at an endpoint.
     Straggler {
-        /// The endpoint; the first engine where none is named.
+        /// Name of the endpoint; `None` for the first engine.
         endpoint: Option<Arc<str>>,
-        /// How many times as long.
+        /// Factor by which the time of a call is multiplied.
         factor: f64,
-        /// For how long; to the end where `None`.
+        /// Duration; `None` until the end of the run.
         length: Option<Duration>,
     },
-    /// Engines die.
+    /// Engines are killed.
     KillEngines {
-        /// How many.
+        /// Number of processes to kill.
         count: usize,
     },
-    /// Entry instances die.
+    /// Entry instances are killed.
     KillEntry {
-        /// How many.
+        /// Number of processes to kill.
         count: usize,
     },
     /// Requests arrive more often.
     Burst {
-        /// How many times as often.
+        /// Factor by which the rate is multiplied.
         factor: f64,
-        /// For how long.
+        /// Duration.
         length: Duration,
     },
-    /// Load reports come late.
+    /// Load reports are delayed.
     LateLoad {
-        /// How old they are.
+        /// Age of the reports.
         delay: Duration,
-        /// For how long; to the end where `None`.
+        /// Duration; `None` until the end of the run.
         length: Option<Duration>,
     },
-    /// The log answers nothing.
+    /// The log does not answer.
     LogOutage {
-        /// For how long; to the end where `None`.
+        /// Duration; `None` until the end of the run.
         length: Option<Duration>,
     },
     /// An endpoint is drained.
     Drain {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: Arc<str>,
     },
 }
 
 impl Kind {
-    /// Its name in schedules.
+    /// Name of the kind in schedules.
     pub fn label(&self) -> String {
         let label = match self {
             Kind::Straggler { .. } => "straggler",
@@ -94,7 +94,7 @@
         label.to_owned()
     }
 
-    /// How long it lasts; `None` where it stays.
+    /// Duration of the fault; `None` until the end of the run.
     pub fn length(&self) -> Option<Duration> {
         match self {
             Kind::Straggler { length, .. }
@@ -106,20 +106,20 @@
     }
 }
 
-/// How a fault is written in a flag.
+/// Form of a fault in a flag, for messages.
 const USAGE: &str = "KIND@AT[,KEY=VALUE]…, such as `straggler@5s,factor=10,length=10s` or `kill-engines@8s,count=2`";
-/// The kinds, for messages.
+/// Names of the kinds, for messages.
 const KINDS: &str = "straggler, kill-engines, kill-entry, burst, late-load, log-outage, drain";
-/// Times as long that a straggler takes where nothing is said.
-const STRAGGLE: f64 = 10.0;
-/// Times as often that requests arrive in a burst where nothing is said.
-const BURST: f64 = 5.0;
+/// Factor of a straggler without `factor`.
+const DEFAULT_SLOWDOWN: f64 = 10.0;
+/// Factor of a burst without `factor`.
+const DEFAULT_BURST: f64 = 5.0;
 
-/// A fault as it is written.
+/// A fault as written in a file or a flag, before its keys are checked.
 #[message]
 #[derive(Default)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct FaultSpec {
     at: String,
     kind: String,
     endpoint: Option<Arc<str>>,
@@ -133,65 +133,65 @@
 #[message]
 #[derive(Default)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ScheduleFile {
     #[serde(default, rename = "fault")]
-    faults: Vec<Written>,
+    faults: Vec<FaultSpec>,
 }
 
-/// Reads a schedule file.
+/// Parses a schedule file.
 ///
 /// # Errors
-/// If it is no TOML of the form, or a fault lacks what its kind needs.
+/// If it is not a valid file, or a fault lacks a key or has one that its kind does not use.
 pub fn parse_file(text: &str) -> error::Result<Vec<Fault>> {
-    let file: File =
+    let file: ScheduleFile =
         toml::from_str(text).map_err(|err| error::Error::Schedule(err.message().to_owned()))?;
     file.faults
         .into_iter()
         .enumerate()
-        .map(|(index, written)| {
-            let name = format!("number {}, {}", index + 1, written.kind);
-            written.fault().map_err(|message| bad(&name, message))
+        .map(|(index, spec)| {
+            let name = format!("number {}, {}", index + 1, spec.kind);
+            spec.into_fault().map_err(|message| fault_error(&name, message))
         })
         .collect()
 }
 
-/// Reads a fault from a flag.
+/// Parses a fault from a flag.
 ///
 /// # Errors
-/// If it is not of the form.
+/// If it does not have the form of a fault, or lacks a key or has one that its kind does not use.
 pub fn parse_flag(text: &str) -> error::Result<Fault> {
-    written(text).and_then(Written::fault).map_err(|message| bad(text, message))
+    parse_spec(text).and_then(FaultSpec::into_fault).map_err(|message| fault_error(text, message))
 }
 
-fn bad(given: &str, message: String) -> error::Error {
+fn fault_error(given: &str, message: String) -> error::Error {
     error::Error::Fault { given: given.to_owned(), message, usage: USAGE }
 }
 
-fn written(text: &str) -> Result<Written, String> {
+fn parse_spec(text: &str) -> Result<FaultSpec, String> {
     let mut parts = text.split(',');
     let head = parts.next().unwrap_or_default();
     let (kind, at) = head.split_once('@').ok_or("there is no `@` with a time")?;
-    let mut written = Written { kind: kind.to_owned(), at: at.to_owned(), ..Written::default() };
+    let mut spec = FaultSpec { kind: kind.to_owned(), at: at.to_owned(), ..FaultSpec::default() };
     for part in parts {
         let (key, value) = part.split_once('=').ok_or(format!("`{part}` has no `=`"))?;
         match key {
-            "endpoint" => written.endpoint = Some(value.into()),
-            "factor" => written.factor = Some(number(key, value)?),
-            "count" => written.count = Some(number(key, value)?),
-            "length" => written.length = Some(value.to_owned()),
-            "delay" => written.delay = Some(value.to_owned()),
+            "endpoint" => spec.endpoint = Some(value.into()),
+            "factor" => spec.factor = Some(number(key, value)?),
+            "count" => spec.count = Some(number(key, value)?),
+            "length" => spec.length = Some(value.to_owned()),
+            "delay" => spec.delay = Some(value.to_owned()),
             other => return Err(format!("`{other}` is no key")),
         }
     }
-    Ok(written)
+    Ok(spec)
 }
 
 fn number<T: std::str::FromStr>(key: &str, value: &str) -> Result<T, String> {
     value.parse().map_err(|_| format!("`{key}` is not a number"))
 }
 
-impl Written {
-    fn fault(self) -> Result<Fault, String> {
+impl FaultSpec {
+    fn into_fault(self) -> Result<Fault, String> {
         let at = span::parse(&self.at)?;
         let length = self.length.as_deref().map(span::parse).transpose()?;
         let delay = self.delay.as_deref().map(span::parse).transpose()?;
@@ -199,13 +199,13 @@
         let kind = match &*self.kind {
             "straggler" => Kind::Straggler {
                 endpoint: self.endpoint,
-                factor: factor(self.factor, STRAGGLE)?,
+                factor: factor(self.factor, DEFAULT_SLOWDOWN)?,
                 length,
             },
             "kill-engines" => Kind::KillEngines { count: self.count.unwrap_or(1) },
             "kill-entry" => Kind::KillEntry { count: self.count.unwrap_or(1) },
             "burst" => Kind::Burst {
-                factor: factor(self.factor, BURST)?,
+                factor: factor(self.factor, DEFAULT_BURST)?,
                 length: length.ok_or("a burst needs `length`")?,
             },
             "late-load" => {
@@ -218,7 +218,7 @@
         Ok(Fault { at, kind })
     }
 
-    /// A key that the kind does not read would be ignored: that is an error.
+    /// Rejects keys that the kind does not use, since they would be ignored.
     fn check_keys(&self) -> Result<(), String> {
         let read: &[&str] = match &*self.kind {
             "straggler" => &["endpoint", "factor", "length"],
@@ -253,7 +253,7 @@
     Ok(factor)
 }
 
-/// The bursts of a schedule: they belong to the arrivals, not to the system.
+/// The bursts of a schedule. They change the arrivals, not the system.
 pub fn bursts(faults: &[Fault]) -> Vec<Burst> {
     faults
         .iter()
--- a/crates/load/src/span.rs
+++ b/crates/load/src/span.rs
@@ -1,14 +1,14 @@
-//! Spans of time as people write them: `5s`, `250ms`, `2m`.
+//! Parses durations such as `5s`, `250ms` and `2m`.
 
 use std::time::Duration;
 
-/// Units, the longer suffix first where one ends in another.
+/// Units in seconds. `ms` precedes `s`, in which it ends.
 const UNITS: [(&str, f64); 3] = [("ms", 0.001), ("s", 1.0), ("m", 60.0)];
 
-/// Reads a span.
+/// Parses a duration.
 ///
 /// # Errors
-/// A sentence that says which form is right.
+/// A message that states the expected form.
 pub fn parse(text: &str) -> Result<Duration, String> {
     for (suffix, seconds) in UNITS {
         let Some(number) = text.strip_suffix(suffix) else { continue };
--- a/crates/load/src/system.rs
+++ b/crates/load/src/system.rs
@@ -1,4 +1,4 @@
-//! A system that the tool started, and what can be done to it.
+//! A system that the tool started, and the faults that can be injected into it.
 
 use std::{collections::HashMap, fmt, sync::Arc, time::Duration};
 
@@ -18,199 +18,203 @@
     schedule::Kind,
 };
 
-/// Who the tool says it is in the history of the configuration.
+/// Author of the changes that the tool makes through the administration API.
 pub const AUTHOR: &str = "peatdeck-load";
 
-/// An entry instance that runs.
+/// A running entry instance.
 #[data]
 pub struct Entry {
-    /// Its name in the list.
+    /// Name in the list.
     pub name: Arc<str>,
-    /// Where callers reach it, `http://ip:port`.
+    /// URL for callers, `http://ip:port`.
     pub url: Arc<str>,
-    /// Its process.
+    /// Process id.
     pub pid: u32,
 }
 
 /// The administration API.
 #[data]
 pub struct Admin {
-    /// Where operators reach it, `http://ip:port`.
+    /// URL for operators, `http://ip:port`.
     pub url: Arc<str>,
-    /// Their token.
+    /// Operator token.
     pub token: Arc<str>,
 }
 
-/// What a system is made of, as its launcher found it.
-pub struct Parts {
+/// Components of a started system.
+pub struct Components {
     /// The configuration that was published.
     pub document: Arc<Document>,
-    /// Entry instances.
+    /// The entry instances.
     pub entries: Vec<Entry>,
-    /// Endpoints.
+    /// The endpoints.
     pub endpoints: Vec<EndpointEntry>,
     /// The administration API.
     pub admin: Admin,
-    /// The log, `http://ip:port`.
+    /// URL of the log, `http://ip:port`.
     pub log: Arc<str>,
-    /// The list, `http://ip:port`.
+    /// URL of the list, `http://ip:port`.
     pub list: Arc<str>,
-    /// Time that the log takes to answer where nothing is wrong.
+    /// Delay of the log while no fault is injected.
     pub log_delay: Duration,
-    /// The processes. They end with the system.
+    /// The processes. Dropping the system kills them.
     pub processes: Processes,
 }
 
 /// A running system.
 pub struct System {
-    parts: Parts,
+    components: Components,
     faults: HashMap<Arc<str>, EndpointFaults>,
-    kept: Records,
+    killed_records: Records,
 }
 
 impl System {
-    /// A system of these parts.
+    /// Wraps the components and sets the delay of the log.
     ///
     /// # Errors
-    /// If the log cannot be given its delay.
-    pub fn new(parts: Parts) -> error::Result<System> {
-        let system = System { parts, faults: HashMap::new(), kept: Records::default() };
-        system.set_log(false)?;
+    /// If the log cannot be reached.
+    pub fn new(components: Components) -> error::Result<System> {
+        let system =
+            System { components, faults: HashMap::new(), killed_records: Records::default() };
+        system.set_log_outage(false)?;
         Ok(system)
     }
 
-    /// The entries' URLs.
+    /// URLs of the entries that have not been killed.
     pub fn entries(&self) -> Vec<Arc<str>> {
-        self.parts.entries.iter().map(|entry| entry.url.clone()).collect()
+        self.components.entries.iter().map(|entry| entry.url.clone()).collect()
     }
 
-    /// The entries that still run.
+    /// The entries that have not been killed.
     pub fn live_entries(&self) -> &[Entry] {
-        &self.parts.entries
+        &self.components.entries
     }
 
     /// The configuration that was published.
     pub fn document(&self) -> Arc<Document> {
-        self.parts.document.clone()
+        self.components.document.clone()
     }
 
-    /// The list's URL.
+    /// URL of the list.
     pub fn list(&self) -> Arc<str> {
-        self.parts.list.clone()
+        self.components.list.clone()
     }
 
     /// The administration API.
     pub fn admin(&self) -> &Admin {
-        &self.parts.admin
+        &self.components.admin
     }
 
-    /// The log's URL.
+    /// URL of the log.
     pub fn log(&self) -> Arc<str> {
-        self.parts.log.clone()
+        self.components.log.clone()
     }
 
-    /// The records of all endpoints, of killed ones as of just before.
+    /// The records of all endpoints; those of killed endpoints were read just before the kill.
     pub fn records(&self) -> Records {
-        let mut records = self.kept.clone();
-        records.add(records::read(&self.parts.endpoints));
-        records.unique();
+        let mut records = self.killed_records.clone();
+        records.add(records::read(&self.components.endpoints));
+        records.deduplicate();
         records
     }
 
-    /// Checks that a fault can be brought about here.
+    /// Checks that a fault can be injected into this system.
     ///
     /// # Errors
-    /// If it names an endpoint that is not there, or more of something than there is.
+    /// If it names an unknown endpoint, or is to kill more processes than there are.
     pub fn check(&self, kind: &Kind) -> error::Result<()> {
         match kind {
             Kind::Straggler { endpoint: Some(name), .. } | Kind::Drain { endpoint: name } => {
                 self.endpoint(kind, name).map(|_| ())
             }
-            Kind::KillEngines { count } => enough(kind, *count, self.engines().count()),
-            Kind::KillEntry { count } => enough(kind, *count, self.parts.entries.len()),
+            Kind::KillEngines { count } => check_count(kind, *count, self.engines().count()),
+            Kind::KillEntry { count } => check_count(kind, *count, self.components.entries.len()),
             _ => Ok(()),
         }
     }
 
-    /// Brings a fault about; gives what was done, in a few words.
+    /// Injects a fault and returns a description for the report.
     ///
     /// # Errors
     /// If a process cannot be reached or killed.
-    pub fn bring(&mut self, kind: &Kind) -> error::Result<String> {
+    pub fn inject(&mut self, kind: &Kind) -> error::Result<String> {
         match kind {
             Kind::Straggler { endpoint, factor, .. } => {
                 let entry = self.straggler(kind, endpoint.as_deref())?;
                 let factor = *factor;
-                self.set(&entry, |faults| faults.slowdown = Some(factor))?;
-                Ok(format!("{} takes {factor} times as long", entry.name))
+                self.update_faults(&entry, |faults| faults.slowdown = Some(factor))?;
+                Ok(format!("calls at {} take {factor} times as long", entry.name))
             }
             Kind::KillEngines { count } => self.kill_engines(*count),
             Kind::KillEntry { count } => self.kill_entries(*count),
             Kind::Burst { factor, .. } => Ok(format!("{factor} times the rate")),
             Kind::LateLoad { delay, .. } => {
-                self.set_lag(Some(*delay))?;
+                self.set_load_lag(Some(*delay))?;
                 Ok(format!("load reports {} s late", delay.as_secs_f64()))
             }
             Kind::LogOutage { .. } => {
-                self.set_log(true)?;
-                Ok("the log is out".to_owned())
+                self.set_log_outage(true)?;
+                Ok("the log does not answer".to_owned())
             }
             Kind::Drain { endpoint } => self.drain(endpoint),
         }
     }
 
-    /// Ends a fault that does not stay.
+    /// Reverts a fault at the end of its duration and returns its name.
     ///
     /// # Errors
     /// If a process cannot be reached.
-    pub fn end(&mut self, kind: &Kind) -> error::Result<String> {
+    pub fn revert(&mut self, kind: &Kind) -> error::Result<String> {
         match kind {
             Kind::Straggler { endpoint, .. } => {
                 let entry = self.straggler(kind, endpoint.as_deref())?;
-                self.set(&entry, |faults| faults.slowdown = None)?;
+                self.update_faults(&entry, |faults| faults.slowdown = None)?;
             }
-            Kind::LateLoad { .. } => self.set_lag(None)?,
-            Kind::LogOutage { .. } => self.set_log(false)?,
+            Kind::LateLoad { .. } => self.set_load_lag(None)?,
+            Kind::LogOutage { .. } => self.set_log_outage(false)?,
             _ => {}
         }
         Ok(kind.label())
     }
 
-    /// Ends every fault that can be ended.
+    /// Reverts every fault that can be reverted.
     ///
     /// # Errors
     /// If a process cannot be reached.
-    pub fn mend(&mut self) -> error::Result<()> {
-        for entry in self.parts.endpoints.clone() {
+    pub fn revert_all(&mut self) -> error::Result<()> {
+        for entry in self.components.endpoints.clone() {
             if self.faults.contains_key(&entry.name) {
-                self.set(&entry, |faults| *faults = EndpointFaults::default())?;
+                self.update_faults(&entry, |faults| *faults = EndpointFaults::default())?;
             }
         }
-        self.set_log(false)
+        self.set_log_outage(false)
     }
 
-    /// Sets how long the log takes for everything: half of it before the
-    /// effect, half before the answer.
+    /// Sets the delay of every operation of the log: half of it before the
+    /// operation takes effect, half before the answer.
     ///
     /// # Errors
     /// If it cannot be reached.
-    pub fn slow_log(&self, delay: Duration) -> error::Result<()> {
+    pub fn set_log_delay(&self, delay: Duration) -> error::Result<()> {
         let half = millis(delay / 2);
-        self.put_log(&LogFaults { delay_ms: half, answer_ms: half, ..LogFaults::default() })
+        self.put_log_faults(&LogFaults { delay_ms: half, answer_ms: half, ..LogFaults::default() })
     }
 
     fn engines(&self) -> impl Iterator<Item = &EndpointEntry> {
-        self.parts.endpoints.iter().filter(|entry| {
-            self.parts.document.pool(&entry.pool).is_some_and(|pool| pool.kind == PoolKind::Engine)
+        self.components.endpoints.iter().filter(|entry| {
+            self.components
+                .document
+                .pool(&entry.pool)
+                .is_some_and(|pool| pool.kind == PoolKind::Engine)
         })
     }
 
     fn endpoint(&self, kind: &Kind, name: &str) -> error::Result<EndpointEntry> {
-        let found = self.parts.endpoints.iter().find(|entry| &*entry.name == name);
+        let found = self.components.endpoints.iter().find(|entry| &*entry.name == name);
         found.cloned().ok_or_else(|| error::Error::UnknownTarget {
             fault: kind.label(),
             name: name.to_owned(),
-            known: names(self.parts.endpoints.iter().map(|entry| &entry.name)),
+            known: names(self.components.endpoints.iter().map(|entry| &entry.name)),
         })
     }
 
@@ -219,57 +223,57 @@
             return self.endpoint(kind, name);
         }
         let first = self.engines().next().cloned();
-        first.ok_or_else(|| missing(kind, "no engine is left"))
+        first.ok_or_else(|| fault_error(kind, "no engine is left"))
     }
 
-    /// Records of an endpoint go with its process: they are read just before.
+    /// Kills engines. Their records are lost with the processes, so they are read first.
     fn kill_engines(&mut self, count: usize) -> error::Result<String> {
-        let doomed: Vec<EndpointEntry> = self.engines().take(count).cloned().collect();
-        self.kept.add(records::read(&doomed));
-        for entry in &doomed {
-            self.parts.processes.kill(&entry.name)?;
+        let killed: Vec<EndpointEntry> = self.engines().take(count).cloned().collect();
+        self.killed_records.add(records::read(&killed));
+        for entry in &killed {
+            self.components.processes.kill(&entry.name)?;
         }
-        let gone = |name: &Arc<str>| doomed.iter().any(|entry| entry.name == *name);
-        self.parts.endpoints.retain(|entry| !gone(&entry.name));
-        self.unlist(|listing| listing.endpoints.retain(|entry| !gone(&entry.name)))?;
-        Ok(format!("killed {}", names(doomed.iter().map(|entry| &entry.name))))
+        let gone = |name: &Arc<str>| killed.iter().any(|entry| entry.name == *name);
+        self.components.endpoints.retain(|entry| !gone(&entry.name));
+        self.edit_listing(|listing| listing.endpoints.retain(|entry| !gone(&entry.name)))?;
+        Ok(format!("killed {}", names(killed.iter().map(|entry| &entry.name))))
     }
 
     fn kill_entries(&mut self, count: usize) -> error::Result<String> {
-        let doomed: Vec<Entry> = self.parts.entries.drain(..count).collect();
-        for entry in &doomed {
-            self.parts.processes.kill(&entry.name)?;
+        let killed: Vec<Entry> = self.components.entries.drain(..count).collect();
+        for entry in &killed {
+            self.components.processes.kill(&entry.name)?;
         }
-        let gone = |name: &Arc<str>| doomed.iter().any(|entry| entry.name == *name);
-        self.unlist(|listing| listing.instances.retain(|entry| !gone(&entry.name)))?;
-        Ok(format!("killed {}", names(doomed.iter().map(|entry| &entry.name))))
+        let gone = |name: &Arc<str>| killed.iter().any(|entry| entry.name == *name);
+        self.edit_listing(|listing| listing.instances.retain(|entry| !gone(&entry.name)))?;
+        Ok(format!("killed {}", names(killed.iter().map(|entry| &entry.name))))
     }
 
-    /// Takes something out of the list's truth; it shows after the list's lag.
-    fn unlist(&self, change: impl FnOnce(&mut Listing)) -> error::Result<()> {
-        let list = &self.parts.list;
-        let mut truth: Listing = Request::get(format!("{list}/control/state")).json()?;
-        change(&mut truth);
-        Request::put(format!("{list}/control/list"), &truth).send().map(drop)
+    /// Changes the contents of the list. Its readers receive the change after the list's lag.
+    fn edit_listing(&self, change: impl FnOnce(&mut Listing)) -> error::Result<()> {
+        let list = &self.components.list;
+        let mut listing: Listing = Request::get(format!("{list}/control/state")).json()?;
+        change(&mut listing);
+        Request::put(format!("{list}/control/list"), &listing).send().map(drop)
     }
 
     fn drain(&self, endpoint: &str) -> error::Result<String> {
-        let admin = &self.parts.admin;
+        let admin = &self.components.admin;
         let url = format!("{}/v1/endpoints/{endpoint}/drain", admin.url);
         let body = admin::DrainBody { author: AUTHOR.into(), incarnation: None };
         Request::post(url, &body).token(&admin.token).send()?;
         Ok(format!("drained {endpoint}"))
     }
 
-    fn set_lag(&mut self, delay: Option<Duration>) -> error::Result<()> {
-        for entry in self.parts.endpoints.clone() {
-            self.set(&entry, |faults| faults.load_lag_ms = delay.map(millis))?;
+    fn set_load_lag(&mut self, delay: Option<Duration>) -> error::Result<()> {
+        for entry in self.components.endpoints.clone() {
+            self.update_faults(&entry, |faults| faults.load_lag_ms = delay.map(millis))?;
         }
         Ok(())
     }
 
-    /// Changes the faults of an endpoint; the others that it has stay.
-    fn set(
+    /// Changes some faults of an endpoint; its other faults remain.
+    fn update_faults(
         &mut self,
         entry: &EndpointEntry,
         change: impl FnOnce(&mut EndpointFaults),
@@ -279,32 +283,32 @@
         Request::put(format!("http://{}/control/faults", entry.addr), faults).send().map(drop)
     }
 
-    fn set_log(&self, outage: bool) -> error::Result<()> {
-        let delay_ms = millis(self.parts.log_delay);
-        self.put_log(&LogFaults { outage, delay_ms, ..LogFaults::default() })
+    fn set_log_outage(&self, outage: bool) -> error::Result<()> {
+        let delay_ms = millis(self.components.log_delay);
+        self.put_log_faults(&LogFaults { outage, delay_ms, ..LogFaults::default() })
     }
 
-    fn put_log(&self, faults: &LogFaults) -> error::Result<()> {
-        Request::put(format!("{}/control/faults", self.parts.log), faults).send().map(drop)
+    fn put_log_faults(&self, faults: &LogFaults) -> error::Result<()> {
+        Request::put(format!("{}/control/faults", self.components.log), faults).send().map(drop)
     }
 }
 
 impl fmt::Debug for System {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("System").field("entries", &self.parts.entries).finish_non_exhaustive()
+        f.debug_struct("System").field("entries", &self.components.entries).finish_non_exhaustive()
     }
 }
 
-fn enough(kind: &Kind, wanted: usize, there: usize) -> error::Result<()> {
-    if wanted <= there {
+fn check_count(kind: &Kind, wanted: usize, available: usize) -> error::Result<()> {
+    if wanted <= available {
         return Ok(());
     }
-    Err(missing(kind, &format!("it asks for {wanted}, there are {there}")))
+    Err(fault_error(kind, &format!("it asks for {wanted}, there are {available}")))
 }
 
-fn missing(kind: &Kind, problem: &str) -> error::Error {
+fn fault_error(kind: &Kind, problem: &str) -> error::Error {
     error::Error::Setting {
-        problem: format!("fault `{}` cannot be brought about: {problem}", kind.label()),
+        problem: format!("fault `{}` cannot be injected: {problem}", kind.label()),
         remedy: "lower its `count` or use a larger preset".into(),
     }
 }
--- a/crates/load/src/table.rs
+++ b/crates/load/src/table.rs
@@ -1,4 +1,4 @@
-//! Reports as tables for people.
+//! Formats reports as text tables.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-fn share(name: &str, share: &Share, got: Option<&f64>, f: &mut Formatter<'_>) -> fmt::Result {
+fn share(name: &str, share: &Share, ratio: Option<&f64>, f: &mut Formatter<'_>) -> fmt::Result {
     write!(
         f,
         "{name:<28} {:>8} {:>9} {:>8} {:>8} {:>10.2}%",
@@ -54,8 +54,8 @@
         share.not_run,
         PERCENT * share.attainment(),
     )?;
-    match got {
-        Some(got) => writeln!(f, " {got:>9.3}"),
+    match ratio {
+        Some(ratio) => writeln!(f, " {ratio:>9.3}"),
         None => writeln!(f),
     }
 }
@@ -138,5 +138,5 @@
     Ok(())
 }
 
-/// Turns a share into a percentage.
+/// Factor from a share to a percentage.
 const PERCENT: f64 = 100.0;
--- a/crates/load/src/trace.rs
+++ b/crates/load/src/trace.rs
@@ -1,4 +1,4 @@
-//! Recorded arrivals: a line of JSON a request.
+//! Traces: recorded arrivals, one line of JSON per request.
 //!
 //! The first line is a header, `{"peatdeck_trace":1}`; its number is the
 //! format's version. Every other line is one request:
@@ -12,7 +12,7 @@
 //! | `deadline_ms` | how long the caller waits |
 //! | `input` | the input |
 //!
-//! Lines are by rising `at_us`. Unknown fields are errors.
+//! Lines are in order of `at_us`. Unknown fields are errors.
 
 use std::{
     io::{BufRead, Write},
@@ -24,20 +24,20 @@
 
 use crate::{arrivals::Arrival, error};
 
-/// Version of the format that is written, and the only one that is read.
+/// Version of the format; no other version can be read.
 pub const VERSION: u32 = 1;
 
-/// The first line.
+/// First line of a trace.
 #[message]
 #[serde(deny_unknown_fields)]
 struct Header {
     peatdeck_trace: u32,
 }
 
-/// Any other line.
+/// A line with a request.
 #[message]
 #[serde(deny_unknown_fields)]
-struct Line {
+struct RequestLine {
     at_us: u64,
     id: Arc<str>,
     team: Arc<str>,
@@ -48,62 +48,67 @@
     input: Arc<str>,
 }
 
-/// Writes arrivals as a trace.
+/// Writes arrivals in the trace format.
 ///
 /// # Errors
-/// If `out` fails.
+/// If writing to `out` fails.
 pub fn write(out: &mut impl Write, arrivals: &[Arrival]) -> std::io::Result<()> {
     serde_json::to_writer(&mut *out, &Header { peatdeck_trace: VERSION })?;
     out.write_all(b"\n")?;
     for arrival in arrivals {
-        serde_json::to_writer(&mut *out, &Line::from(arrival))?;
+        serde_json::to_writer(&mut *out, &RequestLine::from(arrival))?;
         out.write_all(b"\n")?;
     }
     out.flush()
 }
 
-/// Reads a trace whole.
+/// Reads a whole trace.
 ///
 /// # Errors
-/// If a line is not of the format; the error names it.
+/// If a line is invalid; the error contains its number.
 pub fn read(input: impl BufRead) -> Result<Vec<Arrival>, error::Error> {
     let mut arrivals: Vec<Arrival> = Vec::new();
     for (index, line) in input.lines().enumerate() {
         let number = index + 1;
-        let line = line.map_err(|err| bad(number, err.to_string()))?;
+        let line = line.map_err(|err| line_error(number, err.to_string()))?;
         if index == 0 {
             check_header(&line)?;
             continue;
         }
-        let line: Line = serde_json::from_str(&line).map_err(|err| bad(number, err.to_string()))?;
+        let line: RequestLine =
+            serde_json::from_str(&line).map_err(|err| line_error(number, err.to_string()))?;
         let arrival = Arrival::from(line);
         if arrivals.last().is_some_and(|last| last.at > arrival.at) {
-            return Err(bad(number, "`at_us` is smaller than on the line before".to_owned()));
+            return Err(line_error(
+                number,
+                "`at_us` is smaller than on the line before".to_owned(),
+            ));
         }
         arrivals.push(arrival);
     }
     if arrivals.is_empty() {
-        return Err(bad(1, "there is no request in it".to_owned()));
+        return Err(line_error(1, "there is no request in it".to_owned()));
     }
     Ok(arrivals)
 }
 
 fn check_header(line: &str) -> Result<(), error::Error> {
-    let header: Header = serde_json::from_str(line).map_err(|err| bad(1, err.to_string()))?;
+    let header: Header =
+        serde_json::from_str(line).map_err(|err| line_error(1, err.to_string()))?;
     if header.peatdeck_trace != VERSION {
         let message = format!("version {} of the format is not known", header.peatdeck_trace);
-        return Err(bad(1, message));
+        return Err(line_error(1, message));
     }
     Ok(())
 }
 
-fn bad(line: usize, message: String) -> error::Error {
+fn line_error(line: usize, message: String) -> error::Error {
     error::Error::Trace { line, message }
 }
 
-impl From<&Arrival> for Line {
-    fn from(arrival: &Arrival) -> Line {
-        Line {
+impl From<&Arrival> for RequestLine {
+    fn from(arrival: &Arrival) -> RequestLine {
+        RequestLine {
             at_us: u64::try_from(arrival.at.as_micros()).unwrap_or(u64::MAX),
             id: arrival.id.clone(),
             team: arrival.team.clone(),
@@ -116,8 +121,8 @@
     }
 }
 
-impl From<Line> for Arrival {
-    fn from(line: Line) -> Arrival {
+impl From<RequestLine> for Arrival {
+    fn from(line: RequestLine) -> Arrival {
         Arrival {
             at: Duration::from_micros(line.at_us),
             id: line.id,
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -1,4 +1,4 @@
-//! Compares each answer with what the endpoints should have made of the request.
+//! Compares each answer with the output that the endpoints should have produced.
 
 use std::{fmt, sync::Arc};
 
@@ -7,31 +7,31 @@
 
 use crate::arrivals::Arrival;
 
-/// Longest piece of an output that an error shows, in characters.
-const SHOWN: usize = 80;
+/// Most characters of an output that an error contains.
+const MAX_SHOWN: usize = 80;
 
-/// What the answer to a request should be; `None` where that is not known.
+/// Returns the expected output of a request; `None` if it is not known.
 type Expected = dyn Fn(&Arrival) -> Option<String> + Send + Sync;
 
-/// Compares answers.
+/// Compares answers with their expected outputs.
 #[derive(Clone)]
 pub struct Verifier {
     expected: Arc<Expected>,
 }
 
 impl Verifier {
-    /// Compares nothing but what the answer itself carries.
-    pub fn off() -> Verifier {
+    /// Accepts every output.
+    pub fn disabled() -> Verifier {
         Verifier::new(|_| None)
     }
 
-    /// Compares with what this closure expects.
+    /// Compares with the output that `expected` returns.
     pub fn new(expected: impl Fn(&Arrival) -> Option<String> + Send + Sync + 'static) -> Verifier {
         Verifier { expected: Arc::new(expected) }
     }
 
-    /// Compares with what the stand-ins make of a request under a configuration.
-    pub fn standins(document: Arc<Document>) -> Verifier {
+    /// Compares with the output that stand-ins produce under a configuration.
+    pub fn for_standins(document: Arc<Document>) -> Verifier {
         Verifier::new(move |arrival| {
             let pipeline = document.pipeline(&arrival.pipeline)?;
             let request = RequestId { team: arrival.team.clone(), id: arrival.id.clone() };
@@ -39,14 +39,14 @@
         })
     }
 
-    /// Compares an answer's output.
+    /// Compares the output of an answer.
     ///
     /// # Errors
-    /// The difference, in a sentence.
+    /// A description of the difference.
     pub fn compare(&self, arrival: &Arrival, output: &str) -> Result<(), String> {
         match (self.expected)(arrival) {
             Some(expected) if expected != output => {
-                Err(format!("expected `{}`, got `{}`", cut(&expected), cut(output)))
+                Err(format!("expected `{}`, got `{}`", truncate(&expected), truncate(output)))
             }
             _ => Ok(()),
         }
@@ -59,6 +59,6 @@
     }
 }
 
-fn cut(text: &str) -> String {
-    text.chars().take(SHOWN).collect()
+fn truncate(text: &str) -> String {
+    text.chars().take(MAX_SHOWN).collect()
 }
