--- a/crates/load/src/work.rs
+++ b/crates/load/src/work.rs
@@ -1,9 +1,8 @@
-//! What the endpoints say they worked on, and which of it was of use.
+//! Compares the calls that endpoints recorded with the outcomes that callers received.
 //!
-//! The stand-ins keep a record of every call. Set beside what callers were
-//! told, it shows where work was wasted, and whether an answer was untrue: a
-//! request that "did not run" must have no call, and one that is not
-//! idempotent must not have run twice.
+//! The stand-ins record every call. The comparison shows which calls were
+//! wasted, and which replies were wrong: a request with the outcome "not run"
+//! must have no call, and one that is not idempotent must not have run twice.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,66 +15,66 @@
 
 use crate::sample::{Ending, Sample};
 
-/// One call that an endpoint took on.
+/// A call that an endpoint ran.
 #[message]
-pub struct Work {
-    /// The endpoint.
+pub struct EndpointCall {
+    /// Name of the endpoint.
     pub endpoint: Arc<str>,
-    /// Its pool.
+    /// Pool of the endpoint.
     pub pool: Arc<str>,
-    /// The call's number at the endpoint.
+    /// Sequence number of the call at the endpoint.
     pub number: u64,
-    /// The request.
+    /// The request that the call belongs to.
     pub request: RequestId,
-    /// The stage's position.
+    /// Index of the stage in the pipeline.
     pub stage: u32,
-    /// The stage's name.
+    /// Name of the stage.
     pub name: Arc<str>,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// When it began to run, on a clock that all endpoints share.
+    /// Start of the call, on a clock that all endpoints share.
     pub began: Duration,
-    /// How long it held a place.
+    /// How long it occupied a slot.
     pub busy: Duration,
     /// How it ended.
-    pub end: End,
+    pub end: CallEnd,
 }
 
 /// How a call ended at its endpoint.
 #[message]
 #[derive(Copy, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
-    /// It ran to its end.
+pub enum CallEnd {
+    /// It ran to completion.
     Finished,
-    /// It was stopped by its caller.
+    /// The instance that made the call cancelled it.
     Cancelled,
-    /// It failed, was cut, or had not ended when the record was read.
+    /// It failed, lost its connection, or had not ended when the record was read.
     Broken,
 }
 
-/// What became of a call's work.
+/// What the slot time of a call was used for.
 #[message]
 #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Use {
-    /// Its reply is part of an answer that came in time.
+    /// Its reply is part of an answer in time.
     Useful,
-    /// It ran beside another call of the same stage.
+    /// It ran concurrently with another call of the same stage.
     Hedge,
-    /// It was one of several calls of the same stage, one after the other.
+    /// It was one of several consecutive calls of the same stage.
     Retry,
-    /// It was stopped, of whatever request.
+    /// It was cancelled, whether or not the request was answered in time.
     Cancelled,
     /// It ran for a request that was not answered in time.
     Late,
 }
 
-/// All kinds of use, in the order of the reports.
+/// All uses, in the order of the reports.
 pub const USES: [Use; 5] = [Use::Useful, Use::Hedge, Use::Retry, Use::Cancelled, Use::Late];
 
 impl Use {
-    /// Its name in the reports.
+    /// Name in the reports.
     pub fn label(self) -> &'static str {
         match self {
             Use::Useful => "useful",
@@ -87,76 +86,76 @@
     }
 }
 
-/// An answer that the endpoints' records contradict.
+/// A reply that contradicts the endpoints' records or is not correct.
 #[message]
 #[derive(Eq)]
 #[serde(tag = "violation", rename_all = "snake_case")]
 pub enum Violation {
-    /// The caller was told that nothing ran.
+    /// Endpoints ran calls of a request with the outcome "not run".
     RanAfterNotRun {
-        /// The request.
+        /// Id of the request.
         id: Arc<str>,
-        /// What the caller was told.
+        /// The outcome that the caller received.
         told: Arc<str>,
-        /// The calls, as `stage N at ENDPOINT`.
+        /// The calls, each as `stage N attempt N at ENDPOINT`.
         calls: Vec<Arc<str>>,
     },
-    /// A stage that may not be repeated ran more than once.
+    /// A stage that may not be repeated ran more than once for a request that is not idempotent.
     RanTwice {
-        /// The request.
+        /// Id of the request.
         id: Arc<str>,
-        /// The stage.
+        /// Name of the stage.
         stage: Arc<str>,
-        /// The calls.
+        /// The calls, in the same form.
         calls: Vec<Arc<str>>,
     },
-    /// The answer was not this request's.
+    /// The answer is not correct for this request.
     WrongAnswer {
-        /// The request.
+        /// Id of the request.
         id: Arc<str>,
-        /// The difference.
+        /// Description of the difference.
         difference: Arc<str>,
     },
 }
 
-/// The records by request.
+/// The endpoints' records, indexed by request.
 #[data]
-pub struct Ledger {
-    calls: HashMap<RequestId, Vec<Work>>,
+pub struct CallIndex {
+    by_request: HashMap<RequestId, Vec<EndpointCall>>,
 }
 
-impl Ledger {
-    /// A ledger of these records.
-    pub fn new(works: impl IntoIterator<Item = Work>) -> Ledger {
-        let mut calls: HashMap<RequestId, Vec<Work>> = HashMap::new();
-        for work in works {
-            calls.entry(work.request.clone()).or_default().push(work);
+impl CallIndex {
+    /// Indexes records.
+    pub fn new(calls: impl IntoIterator<Item = EndpointCall>) -> CallIndex {
+        let mut by_request: HashMap<RequestId, Vec<EndpointCall>> = HashMap::new();
+        for call in calls {
+            by_request.entry(call.request.clone()).or_default().push(call);
         }
-        Ledger { calls }
+        CallIndex { by_request }
     }
 
-    /// The calls made for a request.
-    pub fn of(&self, sample: &Sample) -> &[Work] {
+    /// The recorded calls of a request.
+    pub fn calls_of(&self, sample: &Sample) -> &[EndpointCall] {
         let key = RequestId { team: sample.team.clone(), id: sample.id.clone() };
-        self.calls.get(&key).map_or(&[], Vec::as_slice)
+        self.by_request.get(&key).map_or(&[], Vec::as_slice)
     }
 
-    /// What became of each call made for a request.
-    pub fn uses<'a>(&'a self, sample: &'a Sample) -> impl Iterator<Item = (&'a Work, Use)> {
-        let works = self.of(sample);
-        let taken = taken(sample, works);
-        works.iter().map(move |work| (work, use_of(sample, works, work, &taken)))
+    /// The recorded calls of a request, each with its use.
+    pub fn uses<'a>(&'a self, sample: &'a Sample) -> impl Iterator<Item = (&'a EndpointCall, Use)> {
+        let calls = self.calls_of(sample);
+        let used = used(sample, calls);
+        calls.iter().map(move |call| (call, use_of(sample, calls, call, &used)))
     }
 
     /// Every contradiction between the samples and the records.
     ///
-    /// `document` tells which stages may be repeated.
+    /// `document` defines which stages may be repeated.
     pub fn violations(&self, samples: &[Sample], document: &Document) -> Vec<Violation> {
         samples.iter().flat_map(|sample| self.violations_of(sample, document)).collect()
     }
 
     fn violations_of(&self, sample: &Sample, document: &Document) -> Vec<Violation> {
-        let works = self.of(sample);
+        let calls = self.calls_of(sample);
         let mut found = Vec::new();
         if let Ending::Wrong(difference) = &sample.ending {
             let difference = difference.clone();
@@ -164,76 +163,81 @@
         }
         if let Ending::NotRun(_) = &sample.ending
             && !sample.doubted
-            && !works.is_empty()
+            && !calls.is_empty()
         {
             found.push(Violation::RanAfterNotRun {
                 id: sample.id.clone(),
                 told: sample.ending.label().into(),
-                calls: works.iter().map(place).collect(),
+                calls: calls.iter().map(describe_call).collect(),
             });
         }
         if !sample.idempotent {
-            found.extend(repeated(sample, works, document));
+            found.extend(repeated_stages(sample, calls, document));
         }
         found
     }
 }
 
-/// The calls whose replies make up an answer in time: one a stage.
-fn taken(sample: &Sample, works: &[Work]) -> HashSet<(u32, u32)> {
-    let mut taken = HashSet::new();
+/// Stage and attempt of the calls whose replies make up an answer in time, one per stage.
+fn used(sample: &Sample, calls: &[EndpointCall]) -> HashSet<(u32, u32)> {
+    let mut used = HashSet::new();
     if !sample.in_time() {
-        return taken;
+        return used;
     }
     for (index, stage) in sample.stages.iter().enumerate() {
-        let last = works
+        let last = calls
             .iter()
-            .filter(|work| work.stage as usize == index && work.endpoint == stage.endpoint)
-            .filter(|work| work.end == End::Finished)
-            .max_by_key(|work| work.attempt);
-        taken.extend(last.map(|work| (work.stage, work.attempt)));
+            .filter(|call| call.stage as usize == index && call.endpoint == stage.endpoint)
+            .filter(|call| call.end == CallEnd::Finished)
+            .max_by_key(|call| call.attempt);
+        used.extend(last.map(|call| (call.stage, call.attempt)));
     }
-    taken
+    used
 }
 
-fn use_of(sample: &Sample, works: &[Work], work: &Work, taken: &HashSet<(u32, u32)>) -> Use {
-    if taken.contains(&(work.stage, work.attempt)) {
+fn use_of(
+    sample: &Sample,
+    calls: &[EndpointCall],
+    call: &EndpointCall,
+    used: &HashSet<(u32, u32)>,
+) -> Use {
+    if used.contains(&(call.stage, call.attempt)) {
         return Use::Useful;
     }
-    if work.end == End::Cancelled {
+    if call.end == CallEnd::Cancelled {
         return Use::Cancelled;
     }
     if !sample.in_time() {
         return Use::Late;
     }
-    let beside = works
+    let beside = calls
         .iter()
-        .filter(|other| other.stage == work.stage && other.attempt != work.attempt)
-        .any(|other| overlap(work, other));
+        .filter(|other| other.stage == call.stage && other.attempt != call.attempt)
+        .any(|other| overlap(call, other));
     if beside { Use::Hedge } else { Use::Retry }
 }
 
-fn overlap(one: &Work, other: &Work) -> bool {
+fn overlap(one: &EndpointCall, other: &EndpointCall) -> bool {
     one.began < other.began + other.busy && other.began < one.began + one.busy
 }
 
-/// Stages that ran more than once though they may not be repeated.
-fn repeated(sample: &Sample, works: &[Work], document: &Document) -> Vec<Violation> {
+/// Violations by stages that ran more than once although they may not be repeated.
+fn repeated_stages(sample: &Sample, calls: &[EndpointCall], document: &Document) -> Vec<Violation> {
     let Some(pipeline) = document.pipeline(&sample.pipeline) else { return Vec::new() };
     let stages = pipeline.stages.iter().enumerate().filter(|(_, stage)| !stage.repeatable);
     stages
         .filter_map(|(index, stage)| {
-            let runs: Vec<&Work> =
-                works.iter().filter(|work| work.stage as usize == index).collect();
+            let runs: Vec<&EndpointCall> =
+                calls.iter().filter(|call| call.stage as usize == index).collect();
             (runs.len() > 1).then(|| Violation::RanTwice {
                 id: sample.id.clone(),
                 stage: stage.name.clone(),
-                calls: runs.into_iter().map(place).collect(),
+                calls: runs.into_iter().map(describe_call).collect(),
             })
         })
         .collect()
 }
 
-fn place(work: &Work) -> Arc<str> {
-    format!("stage {} attempt {} at {}", work.stage, work.attempt, work.endpoint).into()
+fn describe_call(call: &EndpointCall) -> Arc<str> {
+    format!("stage {} attempt {} at {}", call.stage, call.attempt, call.endpoint).into()
 }
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -1,4 +1,4 @@
-//! Who sends what: teams, classes of requests and how often each occurs.
+//! The mix of requests: teams, classes of requests and their shares.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,25 +6,25 @@
 
 use crate::error;
 
-/// A mix of requests from several teams.
+/// A mix of requests.
 #[message]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
-    /// The teams that send, with their share of the requests.
+    /// The teams that send requests.
     #[serde(rename = "team")]
-    pub teams: Vec<Sender>,
-    /// The classes of requests that every team sends.
+    pub teams: Vec<TeamShare>,
+    /// The classes of requests; every team sends all of them.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
 }
 
-/// A team as a source of requests.
+/// A team and its share of the requests.
 #[message]
 #[serde(deny_unknown_fields)]
-pub struct Sender {
-    /// Its name, as the configuration gives it.
+pub struct TeamShare {
+    /// Name of the team in the configuration.
     pub name: Arc<str>,
-    /// Its share of the requests, relative to the other teams.
+    /// Share of the requests, relative to the other teams.
     pub share: f64,
 }
 
@@ -32,22 +32,22 @@
 #[message]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// The pipeline that answers it.
+    /// Pipeline that the requests are sent to.
     pub pipeline: Arc<str>,
-    /// Its share of the requests, relative to the other classes.
+    /// Share of the requests, relative to the other classes.
     pub share: f64,
-    /// Whether its requests are idempotent.
+    /// Whether the requests are idempotent.
     #[serde(default)]
     pub idempotent: bool,
-    /// Whether its answers are streamed.
+    /// Whether the answers are streamed.
     #[serde(default)]
     pub stream: bool,
-    /// How long its callers wait, in milliseconds.
+    /// Deadline of the requests, in milliseconds.
     pub deadline_ms: u64,
-    /// Length of the part of the input that is the request's own, in bytes.
+    /// Length of the random part of an input, after the prefix, in bytes.
     #[serde(default = "default_input")]
     pub input_bytes: usize,
-    /// How many different prefixes its inputs start with; 0 for none.
+    /// Number of different prefixes that inputs start with; 0 for none.
     #[serde(default)]
     pub prefixes: u32,
     /// Length of a prefix, in bytes.
@@ -55,7 +55,7 @@
     pub prefix_bytes: usize,
 }
 
-/// Length of an input where a class states none.
+/// Value of `input_bytes` if a class has none, in bytes.
 const DEFAULT_INPUT: usize = 64;
 
 fn default_input() -> usize {
@@ -63,7 +63,7 @@
 }
 
 impl Class {
-    /// How long its callers wait.
+    /// Deadline of the requests.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
@@ -73,7 +73,7 @@
     /// Reads a workload from TOML.
     ///
     /// # Errors
-    /// If the text is no workload, or nothing could be drawn from it.
+    /// If the text is not a workload, or no request can be drawn from it.
     pub fn parse(text: &str) -> Result<Workload, error::Error> {
         let workload: Workload =
             toml::from_str(text).map_err(|err| error::Error::Workload(err.message().to_owned()))?;
@@ -81,30 +81,30 @@
         Ok(workload)
     }
 
-    /// Checks that requests can be drawn from it.
+    /// Checks that requests can be drawn from the workload.
     ///
     /// # Errors
-    /// If no team or class has a share above zero.
+    /// If a share is negative or not finite, or no team or no class has a share above zero.
     pub fn check(&self) -> Result<(), error::Error> {
         let teams = self.teams.iter().map(|team| team.share);
         let classes = self.classes.iter().map(|class| class.share);
-        if !drawable(teams) {
+        if !is_drawable(teams) {
             return Err(error::Error::Workload("no `[[team]]` has a share above 0".to_owned()));
         }
-        if !drawable(classes) {
+        if !is_drawable(classes) {
             return Err(error::Error::Workload("no `[[class]]` has a share above 0".to_owned()));
         }
         Ok(())
     }
 
-    /// Share of the requests that belongs to each class, adding up to 1.
+    /// Share of each class in the requests; the shares add up to 1.
     pub fn class_shares(&self) -> impl Iterator<Item = (&Class, f64)> {
         let total: f64 = self.classes.iter().map(|class| class.share).sum();
         self.classes.iter().map(move |class| (class, class.share / total))
     }
 }
 
-fn drawable(shares: impl Iterator<Item = f64>) -> bool {
+fn is_drawable(shares: impl Iterator<Item = f64>) -> bool {
     let mut total = 0.0;
     for share in shares {
         if !share.is_finite() || share < 0.0 {
--- a/crates/load/tests/load/arrivals.rs
+++ b/crates/load/tests/load/arrivals.rs
@@ -54,7 +54,7 @@
         arrivals.windows(2).map(|pair| (pair[1].at - pair[0].at).as_secs_f64()).collect();
     let mean = gaps.iter().sum::<f64>() / gaps.len() as f64;
     let variance = gaps.iter().map(|gap| (gap - mean).powi(2)).sum::<f64>() / gaps.len() as f64;
-    // An exponential gap's deviation is its mean.
+    // The standard deviation of an exponential distribution equals its mean.
     assert!((mean * 100.0 - 1.0).abs() < 0.05, "mean gap {mean}");
     assert!((variance.sqrt() / mean - 1.0).abs() < 0.1, "deviation {}", variance.sqrt());
 }
--- a/crates/load/tests/load/main.rs
+++ b/crates/load/tests/load/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the load tool: its arithmetic, formats and plans. None measures
-//! the machine.
+//! Tests of the load tool: its computations, formats and plans. None depends on
+//! the speed of the host.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/load/tests/load/plot.rs
+++ b/crates/load/tests/load/plot.rs
@@ -5,8 +5,8 @@
 
 use crate::report::report;
 
-/// The names of elements in order, each closed where it was opened. A small
-/// reader of XML as the plot writes it; it panics on anything else.
+/// The names of all elements in order. Parses only the subset of XML that the
+/// plot uses, and panics if the text is not well-formed.
 fn elements(svg: &str) -> Vec<String> {
     let mut open = Vec::new();
     let mut seen = Vec::new();
--- a/crates/load/tests/load/preset.rs
+++ b/crates/load/tests/load/preset.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn capacity_follows_from_places_and_times() {
-    // 3 endpoints of 200 places, 2 ms a call, one call a request.
+    // 3 endpoints with 200 slots, 2 ms per call, one call per request.
     assert_eq!(thin().capacity().round(), 300_000.0);
 }
 
@@ -40,7 +40,7 @@
             preset.capacity(),
             preset.warm_capacity()
         ));
-        for (pool, rate) in preset.limits(false) {
+        for (pool, rate) in preset.pool_capacities(false) {
             text.push_str(&format!("  {pool} {rate:.1}\n"));
         }
     }
--- a/crates/load/tests/load/report.rs
+++ b/crates/load/tests/load/report.rs
@@ -2,15 +2,16 @@
 
 use expect_test::expect;
 use peatdeck_load::{
-    report::{Event, Frame, Report},
+    report::{Event, Report, ReportParams},
     sample::{Ending, Sample},
-    work::{End, Ledger, Work},
+    work::{CallEnd, CallIndex, EndpointCall},
 };
 
-use crate::support::{answered, frame, ms, sample, work};
+use crate::support::{answered, call, ms, params, sample};
 
-/// A run with one request of each kind; the first is within the warm-up.
-pub fn recorded() -> (Vec<Sample>, Vec<Work>) {
+/// Samples and recorded calls of a run with one request of each kind; the first is within the
+/// warm-up.
+pub fn recorded() -> (Vec<Sample>, Vec<EndpointCall>) {
     let small = |sample: Sample| Sample { team: "small".into(), ..sample };
     let samples = vec![
         answered("warm", 500, 100, "e-1"),
@@ -20,23 +21,23 @@
         sample("doubt", 2000, 1000, Ending::MayHaveRun("timed_out".into())),
         small(sample("refused", 2500, 5, Ending::NotRun("infeasible".into()))),
     ];
-    let works = vec![
-        work("warm", 1, "e-1", 0, 90, End::Finished),
-        work("good", 1, "e-1", 0, 100, End::Finished),
-        work("hedged", 1, "e-1", 100, 200, End::Cancelled),
-        work("hedged", 2, "e-2", 200, 100, End::Finished),
-        work("late", 1, "e-1", 300, 100, End::Finished),
-        work("doubt", 1, "e-1", 400, 300, End::Cancelled),
+    let calls = vec![
+        call("warm", 1, "e-1", 0, 90, CallEnd::Finished),
+        call("good", 1, "e-1", 0, 100, CallEnd::Finished),
+        call("hedged", 1, "e-1", 100, 200, CallEnd::Cancelled),
+        call("hedged", 2, "e-2", 200, 100, CallEnd::Finished),
+        call("late", 1, "e-1", 300, 100, CallEnd::Finished),
+        call("doubt", 1, "e-1", 400, 300, CallEnd::Cancelled),
     ];
-    (samples, works)
+    (samples, calls)
 }
 
-/// Its report.
+/// The report of that run.
 pub fn report() -> Report {
-    let (samples, works) = recorded();
+    let (samples, calls) = recorded();
     let event = Event { at: ms(1500), what: "killed <e-3> & e-4".into() };
-    let frame = Frame { events: vec![event], ..frame() };
-    Report::new(&frame, &samples, Some(&Ledger::new(works)), Vec::new())
+    let params = ReportParams { events: vec![event], ..params() };
+    Report::new(&params, &samples, Some(&CallIndex::new(calls)), Vec::new())
 }
 
 #[test]
@@ -87,7 +88,7 @@
 #[test]
 fn without_records_there_is_no_cost() {
     let (samples, _) = recorded();
-    let report = Report::new(&frame(), &samples, None, Vec::new());
+    let report = Report::new(&params(), &samples, None, Vec::new());
     assert_eq!(report.waste, None);
     assert!(report.stages.is_empty());
 }
--- a/crates/load/tests/load/support.rs
+++ b/crates/load/tests/load/support.rs
@@ -1,4 +1,4 @@
-//! Small samples and records.
+//! Builders of samples and recorded calls.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,18 +9,18 @@
     model::RequestId,
 };
 use peatdeck_load::{
-    report::Frame,
+    report::ReportParams,
     sample::{Ending, Sample},
-    work::{End, Work},
+    work::{CallEnd, EndpointCall},
 };
 use peatdeck_wire::caller::StageBody;
 
-/// A span in milliseconds.
+/// A duration in milliseconds.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// An idempotent request of team `big` that was planned at `at` and ended `took` later.
+/// An idempotent request of team `big`, planned at `at` ms and ended `took` ms later.
 pub fn sample(id: &str, at: u64, took: u64, ending: Ending) -> Sample {
     Sample {
         id: id.into(),
@@ -39,7 +39,7 @@
     }
 }
 
-/// The same, answered by one stage at an endpoint.
+/// The same request, answered by one stage at `endpoint`.
 pub fn answered(id: &str, at: u64, took: u64, endpoint: &str) -> Sample {
     let stage = StageBody {
         stage: "generate".into(),
@@ -50,9 +50,16 @@
     Sample { stages: vec![stage], ..sample(id, at, took, Ending::Answered) }
 }
 
-/// A call of the first stage.
-pub fn work(id: &str, attempt: u32, endpoint: &str, began: u64, busy: u64, end: End) -> Work {
-    Work {
+/// A recorded call of the first stage; `began` and `busy` in milliseconds.
+pub fn call(
+    id: &str,
+    attempt: u32,
+    endpoint: &str,
+    began: u64,
+    busy: u64,
+    end: CallEnd,
+) -> EndpointCall {
+    EndpointCall {
         endpoint: endpoint.into(),
         pool: "engines".into(),
         number: u64::from(attempt),
@@ -66,7 +73,7 @@
     }
 }
 
-/// A configuration whose one stage may not be repeated.
+/// A configuration with a single stage, which may not be repeated.
 pub fn document() -> Document {
     let stage = Stage {
         name: "generate".into(),
@@ -84,9 +91,9 @@
     Document { pipelines: vec![pipeline], ..Document::default() }
 }
 
-/// Three seconds of which the first does not count.
-pub fn frame() -> Frame {
-    Frame {
+/// Parameters of a run of three seconds with a warm-up of one.
+pub fn params() -> ReportParams {
+    ReportParams {
         label: Arc::from("small"),
         seed: 7,
         length: ms(3000),
