--- a/crates/load/src/args/meaning.rs
+++ b/crates/load/src/args/meaning.rs
@@ -55,7 +55,7 @@
             }
             (None, false) => Ok((Target::External(self.external()?), None)),
             _ => Err(error::Error::Setting {
-                problem: "no target is given, or more than one".to_owned(),
+                problem: "the arguments do not determine the target".to_owned(),
                 remedy: "give either --preset or --entry".into(),
             }),
         }
@@ -82,7 +82,7 @@
             (None, Some(load), Some(preset)) => load * preset.capacity(),
             _ => {
                 return Err(error::Error::Setting {
-                    problem: "no rate is given, or more than one".to_owned(),
+                    problem: "the arguments do not determine the rate".to_owned(),
                     remedy: "give either --rate, or --load together with --preset".into(),
                 });
             }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -31,21 +31,17 @@
 }
 
 impl Reply {
-    /// A reply without output or stages.
-    pub fn from_ending(ending: Ending) -> Reply {
+    /// A reply with this ending and nothing else.
+    pub fn ended(ending: Ending) -> Reply {
         Reply { ending, output: None, stages: Vec::new(), first_token: None, retry_after: None }
     }
 
     fn answered(body: caller::AnswerBody, id: &str) -> Reply {
         if &*body.id != id {
             let other = format!("the answer carries the id {}", body.id);
-            return Reply::from_ending(Ending::Wrong(other.into()));
-        }
-        Reply {
-            output: Some(body.output),
-            stages: body.stages,
-            ..Reply::from_ending(Ending::Answered)
+            return Reply::ended(Ending::Wrong(other.into()));
         }
+        Reply { output: Some(body.output), stages: body.stages, ..Reply::ended(Ending::Answered) }
     }
 
     fn error(body: caller::ErrorBody) -> Reply {
@@ -56,7 +52,7 @@
             other => Ending::Wrong(format!("unknown outcome {other}").into()),
         };
         let retry_after = body.retry_after_ms.map(Duration::from_millis);
-        Reply { retry_after, ..Reply::from_ending(ending) }
+        Reply { retry_after, ..Reply::ended(ending) }
     }
 }
 
@@ -81,7 +77,7 @@
     let exchange = exchange(client.post(url), body, &arrival.id);
     match ntex::time::timeout(timeout, exchange).await {
         Ok(reply) => reply,
-        Err(()) => Reply::from_ending(Ending::Silent),
+        Err(()) => Reply::ended(Ending::Silent),
     }
 }
 
@@ -90,7 +86,7 @@
     let stream = body.stream;
     let response = match request.send_json(&body).await {
         Ok(response) => response,
-        Err(err) => return Reply::from_ending(classify_error(&err)),
+        Err(err) => return Reply::ended(classify_error(&err)),
     };
     if stream && response.status() == StatusCode::OK {
         return read_events(response, id, sent).await;
@@ -101,17 +97,17 @@
 async fn read_whole(response: ClientResponse, id: &str) -> Reply {
     let ok = response.status() == StatusCode::OK;
     let Ok(bytes) = response.body().await else {
-        return Reply::from_ending(Ending::Cut);
+        return Reply::ended(Ending::Cut);
     };
     if ok {
         return match serde_json::from_slice(&bytes) {
             Ok(body) => Reply::answered(body, id),
-            Err(err) => Reply::from_ending(Ending::Wrong(err.to_string().into())),
+            Err(err) => Reply::ended(Ending::Wrong(err.to_string().into())),
         };
     }
     match serde_json::from_slice(&bytes) {
         Ok(body) => Reply::error(body),
-        Err(_) => Reply::from_ending(Ending::Wrong(format!("status {}", response.status()).into())),
+        Err(_) => Reply::ended(Ending::Wrong(format!("status {}", response.status()).into())),
     }
 }
 
@@ -121,7 +117,7 @@
     let mut text = String::new();
     while let Some(chunk) = response.next().await {
         let Ok(chunk) = chunk else {
-            return Reply { first_token, ..Reply::from_ending(Ending::Cut) };
+            return Reply { first_token, ..Reply::ended(Ending::Cut) };
         };
         for event in parser.feed(&chunk) {
             match &*event.name {
@@ -130,7 +126,7 @@
                     match serde_json::from_str::<caller::TextEvent>(&event.data) {
                         Ok(piece) => text.push_str(&piece.text),
                         Err(err) => {
-                            return Reply::from_ending(Ending::Wrong(err.to_string().into()));
+                            return Reply::ended(Ending::Wrong(err.to_string().into()));
                         }
                     }
                 }
@@ -138,26 +134,24 @@
                 "error" => {
                     return match serde_json::from_str(&event.data) {
                         Ok(body) => Reply { first_token, ..Reply::error(body) },
-                        Err(err) => Reply::from_ending(Ending::Wrong(err.to_string().into())),
+                        Err(err) => Reply::ended(Ending::Wrong(err.to_string().into())),
                     };
                 }
                 _ => {}
             }
         }
     }
-    Reply { first_token, ..Reply::from_ending(Ending::Cut) }
+    Reply { first_token, ..Reply::ended(Ending::Cut) }
 }
 
 /// Reads the final event. The pieces that preceded it must add up to the answer.
 fn end_of_stream(data: &str, id: &str, text: &str, first_token: Option<Duration>) -> Reply {
     let body: caller::AnswerBody = match serde_json::from_str(data) {
         Ok(body) => body,
-        Err(err) => return Reply::from_ending(Ending::Wrong(err.to_string().into())),
+        Err(err) => return Reply::ended(Ending::Wrong(err.to_string().into())),
     };
     if !text.is_empty() && text != &*body.output {
-        return Reply::from_ending(Ending::Wrong(
-            "the streamed pieces differ from the answer".into(),
-        ));
+        return Reply::ended(Ending::Wrong("the streamed pieces differ from the answer".into()));
     }
     Reply { first_token, ..Reply::answered(body, id) }
 }
--- a/crates/load/src/commands/replay.rs
+++ b/crates/load/src/commands/replay.rs
@@ -73,7 +73,7 @@
     arrivals
 }
 
-/// Length of the run: the time of the last request, rounded up to whole seconds.
+/// Length of the run: the time of the last request in whole seconds, plus one.
 fn length(arrivals: &[Arrival]) -> Duration {
     let last = arrivals.last().map_or(Duration::ZERO, |arrival| arrival.at);
     Duration::from_secs(last.as_secs() + 1)
--- a/crates/load/src/direct.rs
+++ b/crates/load/src/direct.rs
@@ -48,11 +48,9 @@
         timeout: Duration,
     ) -> Reply {
         match ntex::time::timeout(timeout, self.run(client, arrival, time_left)).await {
-            Ok(Some(output)) => {
-                Reply { output: Some(output), ..Reply::from_ending(Ending::Answered) }
-            }
-            Ok(None) => Reply::from_ending(Ending::Cut),
-            Err(()) => Reply::from_ending(Ending::Silent),
+            Ok(Some(output)) => Reply { output: Some(output), ..Reply::ended(Ending::Answered) },
+            Ok(None) => Reply::ended(Ending::Cut),
+            Err(()) => Reply::ended(Ending::Silent),
         }
     }
 
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -141,7 +141,7 @@
         match &self.route {
             Route::Direct(direct) => direct.send(client, arrival, time_left, timeout).await,
             Route::Entries(balancer) => {
-                let mut reply = caller::Reply::from_ending(Ending::Unreachable);
+                let mut reply = caller::Reply::ended(Ending::Unreachable);
                 for entry in balancer.candidates() {
                     reply = caller::send(client, &entry, arrival, time_left, timeout).await;
                     if reply.ending != Ending::Unreachable {
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -26,14 +26,14 @@
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     Some(Usage {
-        processor: processor_time(&stat)?,
+        processor: cpu_time(&stat)?,
         resident_kib: status_kib(&status, "VmRSS:")?,
         peak_kib: status_kib(&status, "VmHWM:")?,
     })
 }
 
 /// Sum of user and kernel time in the text of `/proc/PID/stat`; `None` if it is malformed.
-pub fn processor_time(stat: &str) -> Option<Duration> {
+pub fn cpu_time(stat: &str) -> Option<Duration> {
     let (_, fields) = stat.rsplit_once(')')?;
     let mut fields = fields.split_whitespace().skip(USER_TIME_FIELD);
     let user: u64 = fields.next()?.parse().ok()?;
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -180,7 +180,7 @@
             "count" => spec.count = Some(number(key, value)?),
             "length" => spec.length = Some(value.to_owned()),
             "delay" => spec.delay = Some(value.to_owned()),
-            other => return Err(format!("`{other}` is no key")),
+            other => return Err(format!("`{other}` is not a key of a fault")),
         }
     }
     Ok(spec)
--- a/crates/load/src/table.rs
+++ b/crates/load/src/table.rs
@@ -89,7 +89,7 @@
 
 fn costs(report: &Report, f: &mut Formatter<'_>) -> fmt::Result {
     let Some(waste) = report.waste else {
-        return writeln!(f, "\nno records of the endpoints: cost and waste not known");
+        return writeln!(f, "\nno records of the endpoints: cost and waste unknown");
     };
     write!(f, "\n{:<34} {:>7} {:>13}", "stage work", "calls", "ms/in time")?;
     for usage in USES {
@@ -126,7 +126,7 @@
 
 fn violations(report: &Report, f: &mut Formatter<'_>) -> fmt::Result {
     if let Some(unread) = &report.blind {
-        writeln!(f, "records are not whole (no records of: {})", unread.join(", "))?;
+        writeln!(f, "records are incomplete (no records of: {})", unread.join(", "))?;
     }
     if report.violations.is_empty() {
         return writeln!(f, "violations: none");
--- a/crates/load/tests/load/arrivals.rs
+++ b/crates/load/tests/load/arrivals.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn one_seed_gives_one_plan() {
+fn the_seed_determines_the_plan() {
     assert_eq!(draw(&plan(1)), draw(&plan(1)));
     assert_ne!(draw(&plan(1)), draw(&plan(2)));
 }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_burst_of_factor_nought_is_a_silence() {
+fn a_burst_of_factor_zero_has_no_arrivals() {
     let burst = Burst { at: Duration::from_secs(10), length: Duration::from_secs(10), factor: 0.0 };
     let arrivals = draw(&Plan { bursts: vec![burst], ..plan(4) });
     assert_eq!(within(&arrivals, 10, 20), 0);
--- a/crates/load/tests/load/events.rs
+++ b/crates/load/tests/load/events.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn events_come_out_when_they_are_whole() {
+fn events_are_returned_once_complete() {
     let mut parser = Parser::default();
     assert_eq!(parser.feed(b"event: text\nda"), []);
     assert_eq!(
--- a/crates/load/tests/load/paired.rs
+++ b/crates/load/tests/load/paired.rs
@@ -6,7 +6,7 @@
 use crate::report::report;
 
 #[test]
-fn the_spread_is_that_of_the_differences() {
+fn the_deviation_is_that_of_the_differences() {
     let comparison = Comparison::new(vec![1.0, 10.0, 100.0], vec![2.0, 12.0, 103.0]);
     expect![[r#"
         Comparison {
--- a/crates/load/tests/load/preset.rs
+++ b/crates/load/tests/load/preset.rs
@@ -18,20 +18,20 @@
 }
 
 #[test]
-fn capacity_follows_from_places_and_times() {
+fn capacity_follows_from_slots_and_times() {
     // 3 endpoints with 200 slots, 2 ms per call, one call per request.
     assert_eq!(thin().capacity().round(), 300_000.0);
 }
 
 #[test]
-fn half_the_times_are_twice_the_capacity() {
+fn halving_all_times_doubles_the_capacity() {
     let preset = Preset::load("guild").unwrap();
     let ratio = preset.clone().scaled(0.5).capacity() / preset.capacity();
     assert!((ratio - 2.0).abs() < 1e-9, "{ratio}");
 }
 
 #[test]
-fn the_pools_that_limit_are_stated() {
+fn each_pool_has_the_expected_capacity() {
     let mut text = String::new();
     for name in ["wash-fleet", "guild"] {
         let preset = Preset::load(name).unwrap();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn parts_that_do_not_fit_together_are_refused() {
+fn a_class_without_a_pipeline_is_refused() {
     let text = include_str!("../../presets/thin.toml")
         .replace("pipeline = \"lookup\"", "pipeline = \"lockup\"");
     expect!["the preset cannot be used: class `lockup` names no pipeline; correct its TOML"]
--- a/crates/load/tests/load/process.rs
+++ b/crates/load/tests/load/process.rs
@@ -5,9 +5,9 @@
 use peatdeck_load::process;
 
 #[test]
-fn processor_time_is_read_behind_a_name_with_blanks() {
+fn cpu_time_is_read_after_a_command_name_with_spaces() {
     let stat = "42 (a (b) c) S 1 42 42 0 -1 4194304 100 0 0 0 250 50 0 0 20 0 1 0 1 1 1";
-    assert_eq!(process::processor_time(stat), Some(Duration::from_secs(3)));
+    assert_eq!(process::cpu_time(stat), Some(Duration::from_secs(3)));
 }
 
 #[test]
--- a/crates/load/tests/load/schedule.rs
+++ b/crates/load/tests/load/schedule.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn errors_name_the_remedy() {
+fn errors_contain_the_expected_form() {
     read(
         "straggler",
         &expect![
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn files_read_the_same_keys() {
+fn files_use_the_same_keys_as_flags() {
     let text = "[[fault]]\nat = \"5s\"\nkind = \"burst\"\nfactor = 3.0\nlength = \"10s\"\n";
     let faults = schedule::parse_file(text).unwrap();
     assert_eq!(faults, [schedule::parse_flag("burst@5s,factor=3,length=10s").unwrap()]);
--- a/crates/load/tests/load/trace.rs
+++ b/crates/load/tests/load/trace.rs
@@ -20,11 +20,11 @@
 }
 
 fn refused(text: &str, expected: &Expect) {
-    expected.assert_eq(&trace::read(text.as_bytes()).expect_err("it is no trace").to_string());
+    expected.assert_eq(&trace::read(text.as_bytes()).expect_err("it is not a trace").to_string());
 }
 
 #[test]
-fn what_was_written_is_read() {
+fn a_written_trace_is_read_back() {
     let mut written = Vec::new();
     trace::write(&mut written, &arrivals()).unwrap();
     assert_eq!(trace::read(written.as_slice()).unwrap(), arrivals());
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_bad_line_is_named() {
+fn errors_contain_the_line_number() {
     let head = "{\"peatdeck_trace\":1}\n";
     refused(
         "",
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn times_may_not_go_back() {
+fn decreasing_times_are_refused() {
     let mut written = Vec::new();
     let mut backwards = arrivals();
     backwards.reverse();
--- a/crates/load/tests/load/work.rs
+++ b/crates/load/tests/load/work.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_reply_that_was_taken_is_useful() {
+fn the_reply_used_in_the_answer_is_useful() {
     let calls = vec![call("a", 1, "e-1", 0, 100, CallEnd::Finished)];
     assert_eq!(uses(&answered("a", 0, 120, "e-1"), calls), [Use::Useful]);
 }
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_call_before_the_one_taken_is_a_retry() {
+fn a_call_before_the_used_one_is_a_retry() {
     let calls = vec![
         call("a", 1, "e-1", 0, 40, CallEnd::Broken),
         call("a", 2, "e-2", 50, 30, CallEnd::Finished),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_stopped_call_is_cancelled() {
+fn a_cancelled_call_is_counted_as_cancelled() {
     let calls = vec![
         call("a", 1, "e-1", 0, 100, CallEnd::Cancelled),
         call("a", 2, "e-2", 50, 30, CallEnd::Finished),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn another_answer_is_a_violation() {
+fn a_wrong_answer_is_a_violation() {
     let wrong = sample("a", 0, 100, Ending::Wrong("expected `x`, got `y`".into()));
     let found = violations(&[wrong], Vec::new());
     assert!(matches!(&found[..], [Violation::WrongAnswer { .. }]), "{found:?}");
