--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -43,9 +43,9 @@
 /// The requests to send and the faults to inject.
 #[data]
 pub struct TrafficArgs {
-    /// Requests a second, if given directly.
+    /// Rate in requests a second; `None` if `load` is given.
     pub rate: Option<f64>,
-    /// Rate as a multiple of the preset's capacity.
+    /// Rate as a multiple of the preset's capacity; `None` if `rate` is given.
     pub load: Option<f64>,
     /// How long requests are sent.
     pub length: Duration,
@@ -157,7 +157,7 @@
     let schedule =
         long("schedule").help("Faults as a TOML file").argument::<PathBuf>("FILE").optional();
     let resends = long("resends")
-        .help("How often a caller sends again after a refusal, when Retry-After says so")
+        .help("Most resends of a request after a refusal or a lost connection")
         .argument::<u32>("N")
         .fallback(0)
         .display_fallback();
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -125,9 +125,7 @@
                     first_token = first_token.or_else(|| Some(sent.elapsed()));
                     match serde_json::from_str::<caller::TextEvent>(&event.data) {
                         Ok(piece) => text.push_str(&piece.text),
-                        Err(err) => {
-                            return Reply::ended(Ending::Wrong(err.to_string().into()));
-                        }
+                        Err(err) => return Reply::ended(Ending::Wrong(err.to_string().into())),
                     }
                 }
                 "answer" => return end_of_stream(&event.data, id, &text, first_token),
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -17,7 +17,7 @@
     records::{self, Records},
     report::{Event, Report, ReportParams},
     sample::Sample,
-    schedule::{Fault, Kind},
+    schedule::{Fault, FaultKind},
     system::System,
     verify::Verifier,
     work::CallIndex,
@@ -166,7 +166,7 @@
     match target {
         Target::Started(system) => faults.iter().try_for_each(|fault| system.check(&fault.kind)),
         Target::External(_) => {
-            let other = faults.iter().find(|fault| !matches!(fault.kind, Kind::Burst { .. }));
+            let other = faults.iter().find(|fault| !matches!(fault.kind, FaultKind::Burst { .. }));
             match other {
                 Some(fault) => Err(error::Error::NeedsPreset(fault.kind.label())),
                 None => Ok(()),
@@ -178,7 +178,7 @@
 /// One step of the schedule: the start or the end of a fault.
 struct Step {
     at: Duration,
-    kind: Kind,
+    kind: FaultKind,
     is_start: bool,
 }
 
@@ -235,10 +235,10 @@
         let violations = CallIndex::new([]).violations(samples, &document);
         return Ok(Report::new(&params, samples, None, violations));
     };
-    let blind = records.dropped + records.unread.len() as u64;
+    let missing = records.dropped + records.unread.len() as u64;
     let unread = records.unread;
     let index = CallIndex::new(records.calls);
     let violations = index.violations(samples, &document);
     let report = Report::new(&params, samples, Some(&index), violations);
-    Ok(Report { blind: (blind > 0).then_some(unread), ..report })
+    Ok(Report { blind: (missing > 0).then_some(unread), ..report })
 }
--- a/crates/load/src/launch.rs
+++ b/crates/load/src/launch.rs
@@ -24,7 +24,7 @@
     tag,
 };
 
-/// How the processes are started.
+/// Options for starting the processes of a preset.
 #[data]
 #[derive(Default)]
 pub struct LaunchOptions {
@@ -70,8 +70,8 @@
 /// # Errors
 /// If a process does not start, the configuration cannot be published, or the entries do not become
 /// ready in time.
-pub fn start(preset: &Preset, launch: &LaunchOptions) -> error::Result<System> {
-    let mut processes = Processes::new(launch.logs.clone())?;
+pub fn start(preset: &Preset, options: &LaunchOptions) -> error::Result<System> {
+    let mut processes = Processes::new(options.logs.clone())?;
     let log = processes.start(&Spec::new("log", STANDIN).args(["log"]))?;
     let lag = LIST_LAG.as_millis().to_string();
     let list = processes.start(&Spec::new("list", STANDIN).args(["list", "--lag-ms", &lag]))?;
@@ -82,7 +82,7 @@
     for index in 0..preset.entries {
         let data_centre = data_centre(preset, index);
         let name = format!("entry-{}", index + 1);
-        let spec = entry_spec(&name, &data_centre, launch).args(["--log", &log, "--list", &list]);
+        let spec = entry_spec(&name, &data_centre, options).args(["--log", &log, "--list", &list]);
         let (entry, instance) = start_entry(&spec, data_centre, &mut processes)?;
         entries.push(entry);
         instances.push(instance);
@@ -150,12 +150,12 @@
     Ok(admin)
 }
 
-fn entry_spec(name: &str, data_centre: &str, launch: &LaunchOptions) -> Spec {
+fn entry_spec(name: &str, data_centre: &str, options: &LaunchOptions) -> Spec {
     let mut spec = Spec::new(name, "peatdeck-entry")
         .args(["--name", name, "--data-centre", data_centre])
         .args(["--listen", ANY_PORT, "--peer-listen", ANY_PORT])
-        .args(&launch.flags);
-    spec.env.extend(launch.env.iter().cloned());
+        .args(&options.flags);
+    spec.env.extend(options.env.iter().cloned());
     spec
 }
 
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -28,12 +28,12 @@
     /// Start, from the start of the run.
     pub at: Duration,
     /// Kind and parameters.
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
 /// Kinds of faults.
 #[data]
-pub enum Kind {
+pub enum FaultKind {
     /// Calls take longer at an endpoint.
     Straggler {
         /// Name of the endpoint; `None` for the first engine.
@@ -79,17 +79,17 @@
     },
 }
 
-impl Kind {
+impl FaultKind {
     /// Name of the kind in schedules.
     pub fn label(&self) -> String {
         let label = match self {
-            Kind::Straggler { .. } => "straggler",
-            Kind::KillEngines { .. } => "kill-engines",
-            Kind::KillEntry { .. } => "kill-entry",
-            Kind::Burst { .. } => "burst",
-            Kind::LateLoad { .. } => "late-load",
-            Kind::LogOutage { .. } => "log-outage",
-            Kind::Drain { .. } => "drain",
+            FaultKind::Straggler { .. } => "straggler",
+            FaultKind::KillEngines { .. } => "kill-engines",
+            FaultKind::KillEntry { .. } => "kill-entry",
+            FaultKind::Burst { .. } => "burst",
+            FaultKind::LateLoad { .. } => "late-load",
+            FaultKind::LogOutage { .. } => "log-outage",
+            FaultKind::Drain { .. } => "drain",
         };
         label.to_owned()
     }
@@ -97,11 +97,13 @@
     /// Duration of the fault; `None` until the end of the run.
     pub fn length(&self) -> Option<Duration> {
         match self {
-            Kind::Straggler { length, .. }
-            | Kind::LateLoad { length, .. }
-            | Kind::LogOutage { length } => *length,
-            Kind::Burst { length, .. } => Some(*length),
-            Kind::KillEngines { .. } | Kind::KillEntry { .. } | Kind::Drain { .. } => None,
+            FaultKind::Straggler { length, .. }
+            | FaultKind::LateLoad { length, .. }
+            | FaultKind::LogOutage { length } => *length,
+            FaultKind::Burst { length, .. } => Some(*length),
+            FaultKind::KillEngines { .. }
+            | FaultKind::KillEntry { .. }
+            | FaultKind::Drain { .. } => None,
         }
     }
 }
@@ -197,22 +199,24 @@
         let delay = self.delay.as_deref().map(span::parse).transpose()?;
         self.check_keys()?;
         let kind = match &*self.kind {
-            "straggler" => Kind::Straggler {
+            "straggler" => FaultKind::Straggler {
                 endpoint: self.endpoint,
                 factor: factor(self.factor, DEFAULT_SLOWDOWN)?,
                 length,
             },
-            "kill-engines" => Kind::KillEngines { count: self.count.unwrap_or(1) },
-            "kill-entry" => Kind::KillEntry { count: self.count.unwrap_or(1) },
-            "burst" => Kind::Burst {
+            "kill-engines" => FaultKind::KillEngines { count: self.count.unwrap_or(1) },
+            "kill-entry" => FaultKind::KillEntry { count: self.count.unwrap_or(1) },
+            "burst" => FaultKind::Burst {
                 factor: factor(self.factor, DEFAULT_BURST)?,
                 length: length.ok_or("a burst needs `length`")?,
             },
             "late-load" => {
-                Kind::LateLoad { delay: delay.ok_or("late load needs `delay`")?, length }
+                FaultKind::LateLoad { delay: delay.ok_or("late load needs `delay`")?, length }
+            }
+            "log-outage" => FaultKind::LogOutage { length },
+            "drain" => {
+                FaultKind::Drain { endpoint: self.endpoint.ok_or("a drain needs `endpoint`")? }
             }
-            "log-outage" => Kind::LogOutage { length },
-            "drain" => Kind::Drain { endpoint: self.endpoint.ok_or("a drain needs `endpoint`")? },
             other => return Err(format!("there is no kind `{other}`; the kinds are {KINDS}")),
         };
         Ok(Fault { at, kind })
@@ -258,7 +262,7 @@
     faults
         .iter()
         .filter_map(|fault| match fault.kind {
-            Kind::Burst { factor, length } => Some(Burst { at: fault.at, length, factor }),
+            FaultKind::Burst { factor, length } => Some(Burst { at: fault.at, length, factor }),
             _ => None,
         })
         .collect()
--- a/crates/load/src/system.rs
+++ b/crates/load/src/system.rs
@@ -15,7 +15,7 @@
     error,
     processes::Processes,
     records::{self, Records},
-    schedule::Kind,
+    schedule::FaultKind,
 };
 
 /// Author of the changes that the tool makes through the administration API.
@@ -122,13 +122,14 @@
     ///
     /// # Errors
     /// If it names an unknown endpoint, or is to kill more processes than there are.
-    pub fn check(&self, kind: &Kind) -> error::Result<()> {
+    pub fn check(&self, kind: &FaultKind) -> error::Result<()> {
         match kind {
-            Kind::Straggler { endpoint: Some(name), .. } | Kind::Drain { endpoint: name } => {
-                self.endpoint(kind, name).map(|_| ())
+            FaultKind::Straggler { endpoint: Some(name), .. }
+            | FaultKind::Drain { endpoint: name } => self.endpoint(kind, name).map(|_| ()),
+            FaultKind::KillEngines { count } => check_count(kind, *count, self.engines().count()),
+            FaultKind::KillEntry { count } => {
+                check_count(kind, *count, self.components.entries.len())
             }
-            Kind::KillEngines { count } => check_count(kind, *count, self.engines().count()),
-            Kind::KillEntry { count } => check_count(kind, *count, self.components.entries.len()),
             _ => Ok(()),
         }
     }
@@ -137,26 +138,26 @@
     ///
     /// # Errors
     /// If a process cannot be reached or killed.
-    pub fn inject(&mut self, kind: &Kind) -> error::Result<String> {
+    pub fn inject(&mut self, kind: &FaultKind) -> error::Result<String> {
         match kind {
-            Kind::Straggler { endpoint, factor, .. } => {
+            FaultKind::Straggler { endpoint, factor, .. } => {
                 let entry = self.straggler(kind, endpoint.as_deref())?;
                 let factor = *factor;
                 self.update_faults(&entry, |faults| faults.slowdown = Some(factor))?;
                 Ok(format!("calls at {} take {factor} times as long", entry.name))
             }
-            Kind::KillEngines { count } => self.kill_engines(*count),
-            Kind::KillEntry { count } => self.kill_entries(*count),
-            Kind::Burst { factor, .. } => Ok(format!("{factor} times the rate")),
-            Kind::LateLoad { delay, .. } => {
+            FaultKind::KillEngines { count } => self.kill_engines(*count),
+            FaultKind::KillEntry { count } => self.kill_entries(*count),
+            FaultKind::Burst { factor, .. } => Ok(format!("{factor} times the rate")),
+            FaultKind::LateLoad { delay, .. } => {
                 self.set_load_lag(Some(*delay))?;
                 Ok(format!("load reports {} s late", delay.as_secs_f64()))
             }
-            Kind::LogOutage { .. } => {
+            FaultKind::LogOutage { .. } => {
                 self.set_log_outage(true)?;
                 Ok("the log does not answer".to_owned())
             }
-            Kind::Drain { endpoint } => self.drain(endpoint),
+            FaultKind::Drain { endpoint } => self.drain(endpoint),
         }
     }
 
@@ -164,14 +165,14 @@
     ///
     /// # Errors
     /// If a process cannot be reached.
-    pub fn revert(&mut self, kind: &Kind) -> error::Result<String> {
+    pub fn revert(&mut self, kind: &FaultKind) -> error::Result<String> {
         match kind {
-            Kind::Straggler { endpoint, .. } => {
+            FaultKind::Straggler { endpoint, .. } => {
                 let entry = self.straggler(kind, endpoint.as_deref())?;
                 self.update_faults(&entry, |faults| faults.slowdown = None)?;
             }
-            Kind::LateLoad { .. } => self.set_load_lag(None)?,
-            Kind::LogOutage { .. } => self.set_log_outage(false)?,
+            FaultKind::LateLoad { .. } => self.set_load_lag(None)?,
+            FaultKind::LogOutage { .. } => self.set_log_outage(false)?,
             _ => {}
         }
         Ok(kind.label())
@@ -209,7 +210,7 @@
         })
     }
 
-    fn endpoint(&self, kind: &Kind, name: &str) -> error::Result<EndpointEntry> {
+    fn endpoint(&self, kind: &FaultKind, name: &str) -> error::Result<EndpointEntry> {
         let found = self.components.endpoints.iter().find(|entry| &*entry.name == name);
         found.cloned().ok_or_else(|| error::Error::UnknownTarget {
             fault: kind.label(),
@@ -218,7 +219,7 @@
         })
     }
 
-    fn straggler(&self, kind: &Kind, name: Option<&str>) -> error::Result<EndpointEntry> {
+    fn straggler(&self, kind: &FaultKind, name: Option<&str>) -> error::Result<EndpointEntry> {
         if let Some(name) = name {
             return self.endpoint(kind, name);
         }
@@ -228,25 +229,25 @@
 
     /// Kills engines. Their records are lost with the processes, so they are read first.
     fn kill_engines(&mut self, count: usize) -> error::Result<String> {
-        let killed: Vec<EndpointEntry> = self.engines().take(count).cloned().collect();
-        self.killed_records.add(records::read(&killed));
-        for entry in &killed {
+        let targets: Vec<EndpointEntry> = self.engines().take(count).cloned().collect();
+        self.killed_records.add(records::read(&targets));
+        for entry in &targets {
             self.components.processes.kill(&entry.name)?;
         }
-        let gone = |name: &Arc<str>| killed.iter().any(|entry| entry.name == *name);
+        let gone = |name: &Arc<str>| targets.iter().any(|entry| entry.name == *name);
         self.components.endpoints.retain(|entry| !gone(&entry.name));
         self.edit_listing(|listing| listing.endpoints.retain(|entry| !gone(&entry.name)))?;
-        Ok(format!("killed {}", names(killed.iter().map(|entry| &entry.name))))
+        Ok(format!("killed {}", names(targets.iter().map(|entry| &entry.name))))
     }
 
     fn kill_entries(&mut self, count: usize) -> error::Result<String> {
-        let killed: Vec<Entry> = self.components.entries.drain(..count).collect();
-        for entry in &killed {
+        let targets: Vec<Entry> = self.components.entries.drain(..count).collect();
+        for entry in &targets {
             self.components.processes.kill(&entry.name)?;
         }
-        let gone = |name: &Arc<str>| killed.iter().any(|entry| entry.name == *name);
+        let gone = |name: &Arc<str>| targets.iter().any(|entry| entry.name == *name);
         self.edit_listing(|listing| listing.instances.retain(|entry| !gone(&entry.name)))?;
-        Ok(format!("killed {}", names(killed.iter().map(|entry| &entry.name))))
+        Ok(format!("killed {}", names(targets.iter().map(|entry| &entry.name))))
     }
 
     /// Changes the contents of the list. Its readers receive the change after the list's lag.
@@ -299,14 +300,14 @@
     }
 }
 
-fn check_count(kind: &Kind, wanted: usize, available: usize) -> error::Result<()> {
+fn check_count(kind: &FaultKind, wanted: usize, available: usize) -> error::Result<()> {
     if wanted <= available {
         return Ok(());
     }
     Err(fault_error(kind, &format!("it asks for {wanted}, there are {available}")))
 }
 
-fn fault_error(kind: &Kind, problem: &str) -> error::Error {
+fn fault_error(kind: &FaultKind, problem: &str) -> error::Error {
     error::Error::Setting {
         problem: format!("fault `{}` cannot be injected: {problem}", kind.label()),
         remedy: "lower its `count` or use a larger preset".into(),
