--- a/crates/load/src/commands/ceiling.rs
+++ b/crates/load/src/commands/ceiling.rs
@@ -278,7 +278,7 @@
 
 fn line(rate: &RateResult) -> String {
     format!(
-        "{:>8.0}/s {:<8} added p50 {:>7.2} ms, p99 {:>7.2} ms {:?}, answered {:.2}%, {:.3} ms processor a request, {:.0}% of a processor, {} KiB",
+        "{:>8.0}/s {:<8} added p50 {:>7.2} ms, p99 {:>7.2} ms {:?}, answered {:.2}%, {:.3} ms CPU per request, {:.0}% of a core, {} KiB",
         rate.rate,
         if rate.held { "held" } else { "not held" },
         median(&rate.added_p50),
--- a/crates/load/src/fairness.rs
+++ b/crates/load/src/fairness.rs
@@ -27,8 +27,8 @@
     let mut ratios = BTreeMap::new();
     for (team, share) in teams {
         let Some(weight) = weights.get(team) else { continue };
-        let part = answered as f64 * f64::from(*weight) / f64::from(total);
-        let entitled = part.min(share.planned as f64);
+        let weighted_share = answered as f64 * f64::from(*weight) / f64::from(total);
+        let entitled = weighted_share.min(share.planned as f64);
         if entitled > 0.0 {
             ratios.insert(team.clone(), share.in_time as f64 / entitled);
         }
--- a/crates/load/src/preset.rs
+++ b/crates/load/src/preset.rs
@@ -1,7 +1,7 @@
 //! Presets: whole systems with endpoints, configuration and traffic.
 //!
-//! A preset is a TOML file; some are built into the tool. The capacity of a
-//! preset is computed from its slots and times, not measured:
+//! A preset is a TOML file; those of the two users are built into the tool. The
+//! capacity of a preset is computed from its slots and times, not measured:
 //!
 //! - A call occupies a slot for its whole time. For a service this is
 //!   `call_ms`; for an engine it is `call_ms` for the prompt and `token_ms` for
@@ -77,7 +77,7 @@
 const MEAN_TOKENS: f64 = 0.75;
 /// Time of a prompt with a cached prefix, as a share of the full time.
 const CACHED_SHARE: f64 = 0.2;
-const MILLIS: f64 = 1000.0;
+const MILLIS_PER_SECOND: f64 = 1000.0;
 
 impl Preset {
     /// Loads a built-in preset by its name, or a TOML file by its path.
@@ -156,7 +156,7 @@
     pub fn round_trip(&self) -> Duration {
         let centres = self.data_centres.len() as f64;
         let remote_share = (centres - 1.0) / centres;
-        Duration::from_secs_f64(2.0 * self.one_way_ms * remote_share / MILLIS)
+        Duration::from_secs_f64(2.0 * self.one_way_ms * remote_share / MILLIS_PER_SECOND)
     }
 
     /// Rate in requests a second at which the first pool has no free slot left, with no prompt
@@ -199,11 +199,11 @@
 
     /// Time for which one call occupies its slot, in seconds.
     fn slot_time(&self, service: &Service, stage: &Stage, cached: bool) -> f64 {
-        let round_trip = self.round_trip().as_secs_f64() * MILLIS;
+        let round_trip = self.round_trip().as_secs_f64() * MILLIS_PER_SECOND;
         let share = if cached { CACHED_SHARE } else { 1.0 };
         let prompt = service.call_ms * share + round_trip;
         let tokens = stage.max_tokens.map_or(0.0, |max| f64::from(max) * MEAN_TOKENS - 1.0);
         let batch = 1.0 + service.batch_cost * f64::from(service.places - 1);
-        (prompt + tokens.max(0.0) * service.token_ms * batch) / MILLIS
+        (prompt + tokens.max(0.0) * service.token_ms * batch) / MILLIS_PER_SECOND
     }
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -50,7 +50,7 @@
 /// Report of a run.
 #[message]
 pub struct Report {
-    /// What was run.
+    /// Label of the run.
     pub label: Arc<str>,
     /// Seed of the arrivals.
     pub seed: u64,
