--- a/crates/cli/tests/testsuite/explain.rs
+++ b/crates/cli/tests/testsuite/explain.rs
@@ -1,4 +1,4 @@
-//! `peatdeck explain`: one request's story across instances.
+//! `peatdeck explain`: the log lines of one request across instances.
 
 use expect_test::expect;
 
@@ -13,7 +13,7 @@
 this line is no JSON
 "#;
 
-/// As a collector writes it: a time and the instance before each line.
+/// Log in the format of a collector: a time and the instance before each line.
 const MADE: &str = r#"
  1.0011 edge-2 {"timestamp":"2026-05-01T04:00:01.001500Z","level":"INFO","event":"take_over","id":"r1","ticket":9,"stage":0,"count":2}
  1.0012 edge-2 {"timestamp":"2026-05-01T04:00:01.001600Z","level":"INFO","event":"make","call":"CallKey(1v1)","endpoint":"l1","pieces":"r0/0/0 r1/0/0 r1/0/1"}
@@ -26,7 +26,7 @@
 "#;
 
 #[peatdeck_macros::on_system]
-async fn a_story_is_told_in_order_across_instances() {
+async fn lines_are_ordered_across_instances() {
     let bench = Bench::start("explain-story").await;
     let (asked, made) = (bench.file("edge-1.log", ASKED), bench.file("all.log", MADE));
     let shown = support::run(None, &["explain", "r1", &asked, &made]).await;
@@ -45,7 +45,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_request_that_nobody_saw_is_told_so() {
+async fn a_request_without_lines_is_reported() {
     let bench = Bench::start("explain-none").await;
     let asked = bench.file("edge-1.log", ASKED);
     let shown = support::run(None, &["explain", "r2", &asked]).await;
@@ -67,9 +67,10 @@
 {"timestamp":"2026-05-01T04:00:02.000100Z","level":"WARN","event":"refuse","id":"r2","reason":"quarantined","status":503}
 "#;
 
-/// A request that is refused for what others of the same content did.
+/// The request is refused because earlier requests of the same content crashed
+/// endpoints.
 #[peatdeck_macros::on_system]
-async fn a_story_has_the_crashes_under_the_same_content() {
+async fn crashes_of_the_same_content_are_included() {
     let bench = Bench::start("explain-crashed").await;
     let logs = bench.file("edge-1.log", CRASHED);
     let shown = support::run(None, &["explain", "r2", &logs]).await;
@@ -90,7 +91,7 @@
 "#;
 
 #[peatdeck_macros::on_system]
-async fn a_refusal_for_an_evacuation_shows_the_orders_that_its_instance_knew() {
+async fn a_refusal_for_an_evacuation_includes_the_evacuations_of_its_instance() {
     let bench = Bench::start("explain-evacuated").await;
     let own = bench.file("edge-1.log", EVACUATED);
     let other = bench.file("edge-2.log", EVACUATED.lines().nth(1).unwrap());
@@ -110,9 +111,9 @@
 {"timestamp":"2026-05-01T04:00:02.100000Z","level":"INFO","event":"send","id":"r2","call":"CallKey(2v1)","endpoint":"e2"}
 "#;
 
-/// What the endpoint that it was sent to had said of itself.
+/// Only the terms of the endpoint that the request was sent to are included.
 #[peatdeck_macros::on_system]
-async fn a_story_has_the_terms_of_its_endpoints() {
+async fn terms_of_the_endpoints_used_are_included() {
     let bench = Bench::start("explain-limited").await;
     let logs = bench.file("edge-1.log", LIMITED);
     let shown = support::run(None, &["explain", "r1", &logs]).await;
@@ -130,9 +131,9 @@
 {"timestamp":"2026-05-01T04:00:03.000000Z","level":"WARN","event":"table_copied","table":"config","from":2,"timeline":3,"end_before":9,"end":6}
 "#;
 
-/// Which older copy of the store the instance that decided had heard of, and no other's.
+/// Only copies that the instance that sent the request had read before are included.
 #[peatdeck_macros::on_system]
-async fn a_story_has_the_older_copies_of_the_store() {
+async fn older_copies_of_the_store_are_included() {
     let bench = Bench::start("explain-copied").await;
     let own = bench.file("edge-1.log", COPIED);
     let other = bench.file("edge-2.log", COPIED.lines().nth(1).unwrap());
--- a/crates/entry/tests/entry/serving.rs
+++ b/crates/entry/tests/entry/serving.rs
@@ -12,14 +12,14 @@
 const REQUESTS: &str = "/v1/pipelines/two/requests";
 
 #[ntex::test]
-async fn a_whole_answer_is_the_requests_own() {
+async fn each_request_gets_its_own_answer() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     for id in ["r1", "r2"] {
         let (status, body) = support::read(bench.send(&entry, id, false).await).await;
         assert_eq!(status, 200, "{body}");
         assert_eq!(body["id"], id);
-        assert_eq!(body["output"], bench.expected(id));
+        assert_eq!(body["output"], bench.expected_output(id));
         let stages: Vec<_> = body["stages"].as_array().unwrap().iter().collect();
         assert_eq!(stages[0]["endpoint"], "s1");
         assert_eq!(stages[1]["endpoint"], "g1");
@@ -27,7 +27,7 @@
 }
 
 #[ntex::test]
-async fn a_stream_gives_the_answer_piece_by_piece_and_its_end() {
+async fn a_stream_delivers_the_answer_in_pieces_and_its_end() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     let response = bench.send(&entry, "r1", true).await;
@@ -36,9 +36,9 @@
     let (last, texts) = events.split_last().unwrap();
     let text: String = texts.iter().map(|(_, data)| data["text"].as_str().unwrap()).collect();
     assert!(texts.len() > 1 && texts.iter().all(|(name, _)| name == "text"));
-    assert_eq!(text, bench.expected("r1"));
+    assert_eq!(text, bench.expected_output("r1"));
     assert_eq!(last.0, "answer");
-    assert_eq!(last.1["output"], bench.expected("r1"));
+    assert_eq!(last.1["output"], bench.expected_output("r1"));
 }
 
 #[ntex::test]
@@ -57,14 +57,14 @@
     let entry = bench.entry("e1").await;
     bench.engine_faults(json!({"hang": true})).await;
     let connection = open(&entry, "r1", false).await;
-    support::eventually(async || state(&bench).await == Some(CallState::Running)).await;
+    support::eventually(async || call_state(&bench).await == Some(CallState::Running)).await;
     drop(connection);
-    support::eventually(async || state(&bench).await == Some(CallState::Cancelled)).await;
+    support::eventually(async || call_state(&bench).await == Some(CallState::Cancelled)).await;
     assert_eq!(bench.status(&entry).await.counters["entry.caller_gone"], 1);
 }
 
 #[ntex::test]
-async fn a_caller_that_closes_its_stream_is_noticed_while_no_text_comes() {
+async fn a_closed_stream_is_detected_while_no_text_is_sent() {
     let bench = Bench::start(&["--token-ms", "600000"]).await;
     let entry = bench.entry("e1").await;
     let mut connection = open(&entry, "r1", true).await;
@@ -77,11 +77,11 @@
     drop(connection);
     support::eventually(async || bench.status(&entry).await.counters["entry.caller_gone"] == 1)
         .await;
-    support::eventually(async || state(&bench).await == Some(CallState::Cancelled)).await;
+    support::eventually(async || call_state(&bench).await == Some(CallState::Cancelled)).await;
 }
 
 #[ntex::test]
-async fn a_caller_that_has_its_answer_is_not_gone() {
+async fn a_caller_that_has_its_answer_is_not_counted_as_disconnected() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     support::read(bench.send(&entry, "r1", false).await).await;
@@ -90,7 +90,7 @@
 }
 
 #[ntex::test]
-async fn nothing_runs_of_a_request_with_a_wrong_form() {
+async fn a_malformed_request_runs_nothing() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     let mut absurd = support::body("r1", false);
@@ -114,7 +114,7 @@
 }
 
 #[ntex::test]
-async fn outcomes_show_in_the_status() {
+async fn the_status_includes_outcomes() {
     let bench = Bench::start(&[]).await;
     let entry = bench.entry("e1").await;
     support::read(bench.send(&entry, "r1", false).await).await;
@@ -125,7 +125,7 @@
 }
 
 #[ntex::test]
-async fn two_entries_meet_as_peers() {
+async fn two_entries_become_peers() {
     let bench = Bench::start(&[]).await;
     let (one, two) = (bench.entry("e1").await, bench.entry("e2").await);
     bench.list_instances(&[&one, &two]).await;
@@ -149,8 +149,8 @@
     connection
 }
 
-/// How the engine's newest call stands.
-async fn state(bench: &Bench) -> Option<CallState> {
+/// State of the engine's newest call.
+async fn call_state(bench: &Bench) -> Option<CallState> {
     bench.engine_calls().await.calls.last().map(|call| call.state)
 }
 
--- a/crates/standin/src/endpoint/routes.rs
+++ b/crates/standin/src/endpoint/routes.rs
@@ -1,4 +1,4 @@
-//! The paths that engines and services share.
+//! The routes that engines and services share.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use super::Endpoint;
 use crate::{faults::EndpointFaults, reply};
 
-/// Adds the resources that engines and services share.
+/// Adds the routes that engines and services share.
 pub fn configure(cfg: &mut web::ServiceConfig, endpoint: Arc<Endpoint>) {
     cfg.state(endpoint)
         .route("/v1/cancel", web::post().to(cancel))
@@ -23,9 +23,9 @@
         .route("/control/state", web::get().to(state));
 }
 
-/// The answer to a call that was not taken in.
+/// The response to a call that was refused.
 pub fn refusal(endpoint: &Endpoint, reason: RefuseReason) -> HttpResponse {
-    let body = RefusalBody { ran: false, reason, load: Some(endpoint.reported()) };
+    let body = RefusalBody { ran: false, reason, load: Some(endpoint.reported_load()) };
     reply::json(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
 
@@ -44,7 +44,7 @@
 }
 
 async fn load(endpoint: types::State<Arc<Endpoint>>) -> HttpResponse {
-    reply::json(StatusCode::OK, &endpoint.reported())
+    reply::json(StatusCode::OK, &endpoint.reported_load())
 }
 
 async fn set_faults(
@@ -59,7 +59,7 @@
     endpoint: types::State<Arc<Endpoint>>,
     query: types::Query<CallsQuery>,
 ) -> HttpResponse {
-    let body = reply::lock(&endpoint.state).book.body(&endpoint.name, query.from);
+    let body = reply::lock(&endpoint.state).history.body(&endpoint.name, query.from);
     reply::json(StatusCode::OK, &body)
 }
 
--- a/crates/standin/src/streams.rs
+++ b/crates/standin/src/streams.rs
@@ -1,7 +1,7 @@
 //! The log's streams: offsets without gaps, limited retention.
 //!
-//! A stream counts from 0. Records leave at the front only, by age or by
-//! count, and never change while they stand.
+//! Offsets of a stream start at 0. Only the oldest records are dropped, by age
+//! or by count; kept records never change.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -15,9 +15,9 @@
 /// How long records are kept.
 #[data]
 pub struct Retention {
-    /// The longest a record stands.
+    /// Maximum age of a record.
     pub age: Duration,
-    /// The most records of a stream that stand.
+    /// Maximum number of records of a stream.
     pub count: usize,
 }
 
@@ -28,10 +28,10 @@
     streams: BTreeMap<Arc<str>, Records>,
 }
 
-/// Where one stream stands.
+/// Offsets of one stream.
 #[message]
 pub struct StreamState {
-    /// The oldest offset kept.
+    /// Offset of the oldest kept record, or `next` if there is none.
     pub earliest: u64,
     /// The offset of the next append.
     pub next: u64,
@@ -40,17 +40,17 @@
 #[derive(Debug, Default)]
 struct Records {
     earliest: u64,
-    kept: VecDeque<RecordBody>,
+    records: VecDeque<RecordBody>,
 }
 
 impl Streams {
-    /// No streams yet.
+    /// Creates a log without streams.
     pub fn new(retention: Retention) -> Streams {
         Streams { retention, streams: BTreeMap::new() }
     }
 
-    /// Appends one record and gives its offset. A time before the stream's
-    /// newest record counts as that record's time.
+    /// Appends one record and returns its offset. The record gets the time of the
+    /// stream's newest record if `now_ms` is earlier.
     pub fn append(&mut self, stream: &str, data: Arc<str>, now_ms: u64) -> u64 {
         let records = self.streams.entry(Arc::from(stream)).or_default();
         let offset = records.push(data, now_ms);
@@ -58,7 +58,7 @@
         offset
     }
 
-    /// At most `max` records from `from` on.
+    /// Reads at most `max` records, starting at offset `from`.
     pub fn read(&mut self, stream: &str, from: u64, max: usize, now_ms: u64) -> ReadReply {
         let Some(records) = self.streams.get_mut(stream) else {
             return ReadReply { earliest: 0, next: 0, now_ms, records: Vec::new() };
@@ -67,13 +67,14 @@
         records.read(from, max, now_ms)
     }
 
-    /// Drops everything before `before`, and nothing that was not appended yet.
+    /// Drops the records before offset `before`; an offset past the end of the
+    /// stream drops all of them.
     pub fn expire(&mut self, stream: &str, before: u64) {
         let Some(records) = self.streams.get_mut(stream) else { return };
         while records.earliest < before && records.drop_oldest() {}
     }
 
-    /// Where each stream stands.
+    /// Oldest and next offset of each stream.
     pub fn states(&self) -> BTreeMap<Arc<str>, StreamState> {
         let states = self.streams.iter();
         states.map(|(name, records)| (name.clone(), records.state())).collect()
@@ -82,7 +83,7 @@
 
 impl Records {
     fn next(&self) -> u64 {
-        self.earliest + self.kept.len() as u64
+        self.earliest + self.records.len() as u64
     }
 
     fn state(&self) -> StreamState {
@@ -91,14 +92,15 @@
 
     fn push(&mut self, data: Arc<str>, now_ms: u64) -> u64 {
         let offset = self.next();
-        let newest = self.kept.back().map_or(0, |record| record.time_ms);
-        self.kept.push_back(RecordBody { offset, time_ms: now_ms.max(newest), data });
+        let newest = self.records.back().map_or(0, |record| record.time_ms);
+        self.records.push_back(RecordBody { offset, time_ms: now_ms.max(newest), data });
         offset
     }
 
     fn read(&self, from: u64, max: usize, now_ms: u64) -> ReadReply {
         let skipped = usize::try_from(from.saturating_sub(self.earliest)).unwrap_or(usize::MAX);
-        let records: Vec<RecordBody> = self.kept.iter().skip(skipped).take(max).cloned().collect();
+        let records: Vec<RecordBody> =
+            self.records.iter().skip(skipped).take(max).cloned().collect();
         let next = records.last().map_or(self.next(), |record| record.offset + 1);
         ReadReply { earliest: self.earliest, next, now_ms, records }
     }
@@ -107,13 +109,13 @@
         let age_ms = u64::try_from(retention.age.as_millis()).unwrap_or(u64::MAX);
         let horizon = now_ms.saturating_sub(age_ms);
         let is_old = |record: &RecordBody| record.time_ms < horizon;
-        while self.kept.len() > retention.count || self.kept.front().is_some_and(is_old) {
+        while self.records.len() > retention.count || self.records.front().is_some_and(is_old) {
             self.drop_oldest();
         }
     }
 
     fn drop_oldest(&mut self) -> bool {
-        let dropped = self.kept.pop_front().is_some();
+        let dropped = self.records.pop_front().is_some();
         self.earliest += u64::from(dropped);
         dropped
     }
--- a/crates/standin/tests/testsuite/load_lag.rs
+++ b/crates/standin/tests/testsuite/load_lag.rs
@@ -1,4 +1,4 @@
-//! Load reports lag by as much as was asked for last.
+//! Load reports lag by the value that was set last.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn a_lag_set_later_holds_from_then_on() {
+fn a_lag_set_later_applies_from_then_on() {
     let mut lagged = LaggedLoad::new(Duration::ZERO, load(0));
-    lagged.note(Duration::from_secs(1), load(1));
+    lagged.record(Duration::from_secs(1), load(1));
     lagged.set_lag(Duration::from_secs(5));
-    lagged.note(Duration::from_secs(2), load(2));
+    lagged.record(Duration::from_secs(2), load(2));
     assert_eq!(lagged.report(Duration::from_secs(3)), Load { age_ms: 5000, ..load(1) });
     assert_eq!(lagged.report(Duration::from_secs(7)), Load { age_ms: 5000, ..load(2) });
 }
