--- a/crates/admin/tests/testsuite/publish.rs
+++ b/crates/admin/tests/testsuite/publish.rs
@@ -67,7 +67,7 @@
 #[peatdeck_macros::on_system]
 async fn a_conflict_seen_only_in_the_log_is_told() {
     let bench = Bench::start().await;
-    bench.platform.overtake(&ConfigRecord::Publish(Publish {
+    bench.platform.append_before_next(&ConfigRecord::Publish(Publish {
         id: "p-1".into(),
         base: 0,
         author: "ann".into(),
--- a/crates/admin/tests/testsuite/restore.rs
+++ b/crates/admin/tests/testsuite/restore.rs
@@ -98,7 +98,7 @@
 #[peatdeck_macros::on_system]
 async fn of_two_restores_at_once_the_first_record_counts() {
     let bench = lost().await;
-    bench.platform.overtake(&ConfigRecord::Snapshot(Snapshot {
+    bench.platform.append_before_next(&ConfigRecord::Snapshot(Snapshot {
         as_of: Some(1),
         version: 8,
         publish: Some("r-0".into()),
--- a/crates/admin/tests/testsuite/show.rs
+++ b/crates/admin/tests/testsuite/show.rs
@@ -71,7 +71,7 @@
     assert!(config.contains("\"confirmed\":false"), "{config}");
     let answer = bench.publish("p-4", 1, TEAM).await;
     assert!(answer.contains("\"code\":\"no_state\""), "{answer}");
-    bench.platform.overtake(&ConfigRecord::Snapshot(Snapshot {
+    bench.platform.append_before_next(&ConfigRecord::Snapshot(Snapshot {
         as_of: Some(2),
         version: 3,
         publish: Some("p-3".into()),
--- a/crates/test-support/src/callers.rs
+++ b/crates/test-support/src/callers.rs
@@ -27,20 +27,20 @@
 
 /// What a caller was told, and when.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct CallerResponse {
     /// The status; 0 where no whole response came.
     pub status: u16,
     /// The `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
     /// The response.
-    pub what: What,
+    pub content: ResponseContent,
     /// Time from the sending to the end of the response.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 /// A response.
 #[derive(Debug, Clone)]
-pub enum What {
+pub enum ResponseContent {
     /// A whole answer.
     Answered(AnswerBody),
     /// Any other outcome.
@@ -49,43 +49,45 @@
     Lost(String),
 }
 
-impl Told {
+impl CallerResponse {
     /// The output of a whole answer.
     pub fn output(&self) -> Option<&str> {
-        match &self.what {
-            What::Answered(body) => Some(&body.output),
-            What::Failed(_) | What::Lost(_) => None,
+        match &self.content {
+            ResponseContent::Answered(body) => Some(&body.output),
+            ResponseContent::Failed(_) | ResponseContent::Lost(_) => None,
         }
     }
 
     /// The endpoint that ran a stage of a whole answer.
     pub fn endpoint(&self, stage: &str) -> Option<&str> {
-        let What::Answered(body) = &self.what else { return None };
+        let ResponseContent::Answered(body) = &self.content else { return None };
         let line = body.stages.iter().find(|line| &*line.stage == stage)?;
         Some(&line.endpoint)
     }
 
     /// The remedy of any other outcome.
     pub fn remedy(&self) -> Option<&str> {
-        match &self.what {
-            What::Failed(body) => Some(&body.remedy),
-            What::Answered(_) | What::Lost(_) => None,
+        match &self.content {
+            ResponseContent::Failed(body) => Some(&body.remedy),
+            ResponseContent::Answered(_) | ResponseContent::Lost(_) => None,
         }
     }
 
     /// Whether the caller was told that nothing ran.
     pub fn is_not_run(&self) -> bool {
-        matches!(&self.what, What::Failed(body) if &*body.outcome == NOT_RUN)
+        matches!(&self.content, ResponseContent::Failed(body) if &*body.outcome == NOT_RUN)
     }
 }
 
 /// `200 answered`, `503 not_run/claim_unknown` or `lost`.
-impl fmt::Display for Told {
+impl fmt::Display for CallerResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.what {
-            What::Answered(_) => write!(f, "{} answered", self.status),
-            What::Failed(body) => write!(f, "{} {}/{}", self.status, body.outcome, body.code),
-            What::Lost(_) => write!(f, "lost"),
+        match &self.content {
+            ResponseContent::Answered(_) => write!(f, "{} answered", self.status),
+            ResponseContent::Failed(body) => {
+                write!(f, "{} {}/{}", self.status, body.outcome, body.code)
+            }
+            ResponseContent::Lost(_) => write!(f, "lost"),
         }
     }
 }
@@ -96,7 +98,7 @@
     body: RequestBody,
     expected: Option<String>,
     at_ms: u64,
-    told: Option<(u64, Told)>,
+    response: Option<(u64, CallerResponse)>,
 }
 
 /// All callers of a test.
@@ -115,21 +117,21 @@
 
 /// A request on its way.
 #[derive(Debug)]
-pub struct Pending(rt::JoinHandle<Told>);
+pub struct Pending(rt::JoinHandle<CallerResponse>);
 
 impl Pending {
     /// Waits for what the caller is told.
-    pub async fn told(self) -> Told {
+    pub async fn response(self) -> CallerResponse {
         self.0.await.expect("the task is only ended by its own end")
     }
 
     /// Goes away: closes the connection without waiting for an answer.
-    pub fn leave(self) {
+    pub fn disconnect(self) {
         self.0.cancel();
     }
 
     /// Whether the caller was told already.
-    pub fn is_told(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.0.is_finished()
     }
 }
@@ -138,15 +140,15 @@
     /// Sends a request to an address. It goes on by itself.
     pub fn send(&self, addr: &str, pipeline: &str, body: &RequestBody) -> Pending {
         let expected = self.expected(pipeline, body);
-        let sent = Sent { body: body.clone(), expected, at_ms: now_ms(), told: None };
+        let sent = Sent { body: body.clone(), expected, at_ms: now_ms(), response: None };
         let idx = self.sent.borrow().len();
         self.sent.borrow_mut().push(sent);
         let (caller, addr, body) = (self.clone(), addr.to_owned(), body.clone());
         let path = format!("/v1/pipelines/{pipeline}/requests");
         Pending(rt::spawn(async move {
-            let told = exchange(&caller.http, &addr, &path, &body).await;
-            caller.sent.borrow_mut()[idx].told = Some((now_ms(), told.clone()));
-            told
+            let response = exchange(&caller.http, &addr, &path, &body).await;
+            caller.sent.borrow_mut()[idx].response = Some((now_ms(), response.clone()));
+            response
         }))
     }
 
@@ -186,17 +188,22 @@
     }
 
     /// How many were told something that `is_so` holds of.
-    pub fn count(&self, is_so: impl Fn(&Told) -> bool) -> usize {
+    pub fn count(&self, matches: impl Fn(&CallerResponse) -> bool) -> usize {
         let sent = self.caller.sent.borrow();
-        sent.iter().filter(|one| one.told.as_ref().is_some_and(|(_, told)| is_so(told))).count()
+        sent.iter()
+            .filter(|one| one.response.as_ref().is_some_and(|(_, response)| matches(response)))
+            .count()
     }
 
     /// How many were told what, over all of them.
     pub fn tally(&self) -> BTreeMap<String, usize> {
         let mut tally = BTreeMap::new();
         for one in self.caller.sent.borrow().iter() {
-            let told = one.told.as_ref().map_or("nothing".to_owned(), |(_, told)| told.to_string());
-            *tally.entry(told).or_default() += 1;
+            let response = one
+                .response
+                .as_ref()
+                .map_or("nothing".to_owned(), |(_, response)| response.to_string());
+            *tally.entry(response).or_default() += 1;
         }
         tally
     }
@@ -217,7 +224,7 @@
         for (id, sent) in by_id {
             let runs = runs.get(id).map_or(&[][..], Vec::as_slice);
             wrong.extend(wrong_answers(id, &sent));
-            wrong.extend(untrue_not_run(id, &sent, runs));
+            wrong.extend(false_not_run(id, &sent, runs));
             wrong.extend(ran_twice(system, id, &sent, runs));
         }
         Ok(wrong)
@@ -240,26 +247,30 @@
 
 fn wrong_answers(id: &str, sent: &[&Sent]) -> Vec<String> {
     let answered = sent.iter().filter_map(|one| {
-        let output = one.told.as_ref()?.1.output()?;
+        let output = one.response.as_ref()?.1.output()?;
         let is_right = Some(output) == one.expected.as_deref();
         (!is_right).then(|| format!("{id}: answered `{output}`, not `{:?}`", one.expected))
     });
     answered.collect()
 }
 
-fn untrue_not_run(id: &str, sent: &[&Sent], runs: &[Run]) -> Vec<String> {
+fn false_not_run(id: &str, sent: &[&Sent], runs: &[Run]) -> Vec<String> {
     let mut wrong = Vec::new();
     for one in sent {
-        let Some((told_ms, told)) = one.told.as_ref().filter(|(_, told)| told.is_not_run()) else {
+        let Some((received_ms, response)) =
+            one.response.as_ref().filter(|(_, response)| response.is_not_run())
+        else {
             continue;
         };
         for (endpoint, call) in runs {
             let started_ms = call.started_ms.unwrap_or_default();
-            let is_earlier = one.body.repeat && started_ms < *told_ms;
-            let is_own = !sent.iter().any(|other| other.explains(started_ms));
+            let is_earlier = one.body.repeat && started_ms < *received_ms;
+            let is_own = !sent.iter().any(|other| other.may_have_started(started_ms));
             if is_earlier || is_own {
-                wrong
-                    .push(format!("{id}: told {told}, but stage {} ran at {endpoint}", call.stage));
+                wrong.push(format!(
+                    "{id}: response {response}, but stage {} ran at {endpoint}",
+                    call.stage
+                ));
             }
         }
     }
@@ -268,8 +279,8 @@
 
 impl Sent {
     /// Whether a call that started then may be one of this sending.
-    fn explains(&self, started_ms: u64) -> bool {
-        let is_not_run = self.told.as_ref().is_some_and(|(_, told)| told.is_not_run());
+    fn may_have_started(&self, started_ms: u64) -> bool {
+        let is_not_run = self.response.as_ref().is_some_and(|(_, response)| response.is_not_run());
         !is_not_run && self.at_ms <= started_ms
     }
 }
@@ -291,21 +302,21 @@
     wrong
 }
 
-async fn exchange(http: &Http, addr: &str, path: &str, body: &RequestBody) -> Told {
+async fn exchange(http: &Http, addr: &str, path: &str, body: &RequestBody) -> CallerResponse {
     let start = Instant::now();
     let reply = http.post(addr, path, body).await;
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     let reply = match reply {
         Ok(reply) => reply,
         Err(error) => {
-            let what = What::Lost(error.to_string());
-            return Told { status: 0, retry_after: None, what, took };
+            let content = ResponseContent::Lost(error.to_string());
+            return CallerResponse { status: 0, retry_after: None, content, elapsed };
         }
     };
-    let answer = reply.json().map(What::Answered).filter(|_| reply.status == 200);
-    let other = || reply.json().map(What::Failed).filter(|_| reply.status != 200);
-    let what = answer.or_else(other).unwrap_or_else(|| What::Lost(reply.text()));
-    Told { status: reply.status, retry_after: reply.retry_after, what, took }
+    let answer = reply.json().map(ResponseContent::Answered).filter(|_| reply.status == 200);
+    let other = || reply.json().map(ResponseContent::Failed).filter(|_| reply.status != 200);
+    let content = answer.or_else(other).unwrap_or_else(|| ResponseContent::Lost(reply.text()));
+    CallerResponse { status: reply.status, retry_after: reply.retry_after, content, elapsed }
 }
 
 fn now_ms() -> u64 {
--- a/crates/test-support/src/error.rs
+++ b/crates/test-support/src/error.rs
@@ -18,7 +18,7 @@
     },
     /// A process said nothing that was waited for.
     #[error("process {name} did not print `{prefix}`; its last lines of log are:\n{log}")]
-    Silent {
+    MissingLine {
         /// The process.
         name: String,
         /// The start of the line that was waited for.
@@ -28,13 +28,13 @@
     },
     /// An event did not come.
     #[error(
-        "{what} did not come within {bound:?}; look at the logs of the processes, or raise the bound"
+        "{what} did not come within {timeout:?}; look at the logs of the processes, or raise the timeout"
     )]
-    Late {
+    Timeout {
         /// The event.
         what: String,
         /// The bound.
-        bound: Duration,
+        timeout: Duration,
     },
     /// A call failed.
     #[error("{what} failed: {cause}; check that the process runs")]
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -24,7 +24,7 @@
 use crate::system::Served;
 
 /// Pause between two looks of a long poll.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What goes wrong with one append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,7 +51,7 @@
     /// Faults of the appends to come.
     pub append_faults: VecDeque<AppendFault>,
     /// What somebody else appends just before the next append.
-    pub overtaker: Option<Arc<str>>,
+    pub competing_record: Option<Arc<str>>,
     /// Whether reads are refused.
     pub reads_out: bool,
     /// Whether the list is refused.
@@ -124,9 +124,9 @@
     }
 
     /// Lets somebody else append a record just before the next append.
-    pub fn overtake(&self, record: &ConfigRecord) {
+    pub fn append_before_next(&self, record: &ConfigRecord) {
         let json = serde_json::to_string(record).expect("records have a JSON form");
-        self.state().overtaker = Some(json.into());
+        self.state().competing_record = Some(json.into());
     }
 }
 
@@ -141,17 +141,17 @@
             })
             .collect();
         let next = entries.len() as u64;
-        let mut fold = ConfigReader::new();
-        fold.read(&Batch { from: 0, earliest: 0, next, now_ms: 0, entries });
-        fold.read(&Batch { from: next, earliest: 0, next, now_ms: 0, entries: Vec::new() });
-        fold.current().map_or(0, |snapshot| snapshot.version)
+        let mut reader = ConfigReader::new();
+        reader.read(&Batch { from: 0, earliest: 0, next, now_ms: 0, entries });
+        reader.read(&Batch { from: next, earliest: 0, next, now_ms: 0, entries: Vec::new() });
+        reader.current().map_or(0, |snapshot| snapshot.version)
     }
 }
 
 async fn append(platform: types::State<Platform>, body: types::Json<AppendBody>) -> HttpResponse {
     let mut state = platform.state();
-    let overtaker = state.overtaker.take();
-    state.records.extend(overtaker);
+    let competing_record = state.competing_record.take();
+    state.records.extend(competing_record);
     let fault = state.append_faults.pop_front();
     match fault {
         Some(AppendFault::OverRate) => return HttpResponse::TooManyRequests().finish(),
@@ -176,7 +176,7 @@
 async fn read(platform: types::State<Platform>, range: types::Query<Range>) -> HttpResponse {
     let end = Instant::now() + Duration::from_millis(range.wait_ms);
     while platform.state().records.len() <= range.from && Instant::now() < end {
-        ntex::time::sleep(LOOK_PAUSE).await;
+        ntex::time::sleep(POLL_INTERVAL).await;
     }
     if platform.state().reads_out {
         return HttpResponse::ServiceUnavailable().finish();
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -22,7 +22,7 @@
 };
 
 /// How long a process may take to print where it listens.
-const START_BOUND: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Lines of standard error that are kept.
 const LOG_LINES: usize = 200;
 
@@ -97,10 +97,10 @@
     /// If it does not come in time, or the process ends.
     pub fn line(&mut self, prefix: &str) -> Result<String> {
         loop {
-            let Ok(line) = self.lines.recv_timeout(START_BOUND) else {
+            let Ok(line) = self.lines.recv_timeout(START_TIMEOUT) else {
                 let log = self.log();
                 let prefix = prefix.to_owned();
-                return Err(Error::Silent { name: self.name.clone(), prefix, log });
+                return Err(Error::MissingLine { name: self.name.clone(), prefix, log });
             };
             if let Some(rest) = line.strip_prefix(prefix) {
                 return Ok(rest.trim().to_owned());
@@ -157,11 +157,11 @@
     /// Waits for its end by itself.
     ///
     /// # Errors
-    /// If it still runs when `bound` has passed.
-    pub async fn wait(&mut self, bound: Duration) -> Result<ExitStatus> {
+    /// If it still runs when `timeout` has passed.
+    pub async fn wait(&mut self, timeout: Duration) -> Result<ExitStatus> {
         let what = format!("the end of {}", self.name);
         let child = &mut self.child;
-        wait::until(&what, bound, async || child.try_wait().ok().flatten()).await
+        wait::until(&what, timeout, async || child.try_wait().ok().flatten()).await
     }
 
     fn signal(&self, signal: Signal) -> Result<()> {
--- a/crates/test-support/src/processes.rs
+++ b/crates/test-support/src/processes.rs
@@ -18,7 +18,7 @@
     error::{Error, Result},
     http::{Http, Reply},
     process::Process,
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 
 pub mod builder;
@@ -110,7 +110,7 @@
         self.process(name)?.terminate()
     }
 
-    /// Ends an endpoint or an entry and starts it again, as a later life on
+    /// Ends an endpoint or an entry and starts it again, as a later incarnation on
     /// another port, and tells the list.
     ///
     /// # Errors
@@ -118,9 +118,9 @@
     pub async fn restart(&mut self, name: &str) -> Result<()> {
         if let Some(mut old) = self.endpoints.remove(name) {
             old.node.process.kill()?;
-            let life = old.incarnation + 1;
+            let incarnation = old.incarnation + 1;
             let spec = old.node.spec;
-            let new = Endpoint::start(spec, old.pool, old.kind, life, old.data_centre)?;
+            let new = Endpoint::start(spec, old.pool, old.kind, incarnation, old.data_centre)?;
             self.endpoints.insert(name.to_owned(), new);
         } else if let Some(mut old) = self.entries.remove(name) {
             old.node.process.kill()?;
@@ -129,7 +129,7 @@
         } else {
             return Err(Error::Unknown(name.to_owned()));
         }
-        self.tell_list().await
+        self.update_list().await
     }
 
     fn node(&self, name: &str) -> Result<&Node> {
@@ -176,8 +176,8 @@
     /// If it does not in time.
     pub async fn wait_ready(&self, entry: &str) -> Result<()> {
         let addr = self.addr(entry)?;
-        let look = async || self.http.get(addr, "/readyz").await.ok().filter(|r| r.status == 200);
-        wait::until(&format!("{entry} being ready"), BOUND, look).await.map(drop)
+        let poll = async || self.http.get(addr, "/readyz").await.ok().filter(|r| r.status == 200);
+        wait::until(&format!("{entry} being ready"), TIMEOUT, poll).await.map(drop)
     }
 
     /// Waits until every entry has a version, or a later one, in force.
@@ -187,7 +187,7 @@
     pub async fn wait_version(&self, version: Version) -> Result<()> {
         for name in self.entries.keys() {
             let what = format!("version {version} at {name}");
-            self.wait_status(name, &what, BOUND, |status| status.version >= version).await?;
+            self.wait_status(name, &what, TIMEOUT, |status| status.version >= version).await?;
         }
         Ok(())
     }
@@ -200,7 +200,7 @@
         let others = self.entries.len().saturating_sub(1);
         for name in self.entries.keys() {
             let what = format!("{others} peers of {name}");
-            self.wait_status(name, &what, BOUND, |status| status.peers.len() >= others).await?;
+            self.wait_status(name, &what, TIMEOUT, |status| status.peers.len() >= others).await?;
         }
         Ok(())
     }
@@ -213,11 +213,11 @@
         &self,
         entry: &str,
         what: &str,
-        bound: Duration,
-        is_so: impl Fn(&EntryStatus) -> bool,
+        timeout: Duration,
+        matches: impl Fn(&EntryStatus) -> bool,
     ) -> Result<EntryStatus> {
         self.addr(entry)?;
-        let look = async || self.status(entry).await.ok().filter(|status| is_so(status));
-        wait::until(what, bound, look).await
+        let poll = async || self.status(entry).await.ok().filter(|status| matches(status));
+        wait::until(what, timeout, poll).await
     }
 }
--- a/crates/test-support/src/processes/builder.rs
+++ b/crates/test-support/src/processes/builder.rs
@@ -134,9 +134,9 @@
             entries: BTreeMap::new(),
         };
         // Entries find every endpoint with their first look at the list.
-        system.tell_list().await?;
+        system.update_list().await?;
         system.entries = self.start_entries(&system)?;
-        system.tell_list().await?;
+        system.update_list().await?;
         if self.has_admin {
             system.add_admin(ADMIN).await?;
         }
--- a/crates/test-support/src/processes/control.rs
+++ b/crates/test-support/src/processes/control.rs
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// If the list cannot be reached.
-    pub async fn tell_list(&self) -> Result<()> {
+    pub async fn update_list(&self) -> Result<()> {
         self.http.put(&self.list.addr, "/control/list", &self.listing()).await
     }
 
@@ -56,7 +56,7 @@
         } else {
             return Err(Error::Unknown(name.to_owned()));
         }
-        self.tell_list().await
+        self.update_list().await
     }
 
     /// Publishes through the administration process.
--- a/crates/test-support/src/processes/node.rs
+++ b/crates/test-support/src/processes/node.rs
@@ -59,8 +59,8 @@
         incarnation: u64,
         data_centre: Arc<str>,
     ) -> Result<Endpoint> {
-        let life = incarnation.to_string();
-        let node = Node::start(spec.env("PEATDECK_INCARNATION", &life))?;
+        let text = incarnation.to_string();
+        let node = Node::start(spec.env("PEATDECK_INCARNATION", &text))?;
         Ok(Endpoint { node, pool, kind, incarnation, presence: Presence::Live, data_centre })
     }
 
--- a/crates/test-support/tests/processes.rs
+++ b/crates/test-support/tests/processes.rs
@@ -7,7 +7,7 @@
 use peatdeck_test_support::{
     fixture::{self, CERTIFICATE, TICKET},
     processes::{System, builder::Builder},
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::caller::{AnswerBody, RequestBody};
 
@@ -33,15 +33,15 @@
 }
 
 #[ntex::test]
-async fn a_killed_endpoint_comes_back_as_a_later_life() {
+async fn a_killed_endpoint_restarts_as_a_later_incarnation() {
     let mut system = Builder::default().without_admin().entries(1).start().await.unwrap();
     system.kill("encode-1").unwrap();
     assert!(system.calls("encode-1").await.is_err());
     system.restart("encode-1").await.unwrap();
     assert_eq!(system.calls("encode-1").await.unwrap(), []);
     let listed = system.listing().endpoints;
-    let lives = listed.iter().filter(|entry| &*entry.name == "encode-1");
-    assert_eq!(lives.map(|entry| entry.incarnation.0).collect::<Vec<u64>>(), [2]);
+    let incarnations = listed.iter().filter(|entry| &*entry.name == "encode-1");
+    assert_eq!(incarnations.map(|entry| entry.incarnation.0).collect::<Vec<u64>>(), [2]);
     let addr = system.addr("encode-1").unwrap();
     let state: EndpointState = system.http.get_json(addr, "/control/state").await.unwrap();
     assert_eq!(state.incarnation.0, 2);
@@ -52,8 +52,8 @@
     let mut system = Builder::default().without_admin().entries(1).start().await.unwrap();
     system.freeze("entry-1").unwrap();
     let pid = system.process("entry-1").unwrap().id();
-    let look = async || is_stopped(pid).then_some(());
-    wait::until("the entry being frozen", BOUND, look).await.unwrap();
+    let poll = async || is_stopped(pid).then_some(());
+    wait::until("the entry being frozen", TIMEOUT, poll).await.unwrap();
     system.thaw("entry-1").unwrap();
     system.wait_ready("entry-1").await.unwrap();
     check_answer(&system, "entry-1", CERTIFICATE, &fixture::request("r", "input")).await;
@@ -64,7 +64,7 @@
     let mut system = Builder::default().without_admin().start().await.unwrap();
     system.set_presence("entry-2", Presence::Leaving).await.unwrap();
     system.terminate("entry-2").unwrap();
-    let end = system.process("entry-2").unwrap().wait(BOUND).await.unwrap();
+    let end = system.process("entry-2").unwrap().wait(TIMEOUT).await.unwrap();
     assert!(end.success());
 }
 
--- a/crates/testsuite/examples/record.rs
+++ b/crates/testsuite/examples/record.rs
@@ -13,7 +13,7 @@
 use peatdeck_test_support::{
     fixture::{self, CERTIFICATE, TICKET},
     processes::{System, builder::Builder},
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::{admin::EntryStatus, caller::RequestBody};
 
@@ -28,7 +28,7 @@
 async fn main() {
     let folder = std::env::args().nth(1).expect("give the folder for the traces");
     let folder = Path::new(&folder);
-    killed_neighbour(folder).await;
+    killed_peer(folder).await;
     log_out(folder).await;
     cut_stream(folder).await;
     wrong_echo(folder).await;
@@ -49,18 +49,18 @@
 }
 
 /// A neighbour is killed while its ledger call runs; the caller retries here.
-async fn killed_neighbour(folder: &Path) {
+async fn killed_peer(folder: &Path) {
     record(folder, "killed-neighbour", Builder::default(), async |system| {
         let hang = EndpointFaults { hang: true, ..Default::default() };
         system.set_pool_faults("ledger", &hang).await.unwrap();
         let body = fixture::once("paid", "input");
         let asked = system.request("entry-2", TICKET, &body);
         let run = async {
-            let look = async || {
+            let poll = async || {
                 let calls = system.calls_for("paid").await.ok()?;
                 calls.iter().any(|(name, _)| name.starts_with("ledger")).then_some(())
             };
-            wait::until("the ledger call", BOUND, look).await.unwrap();
+            wait::until("the ledger call", TIMEOUT, poll).await.unwrap();
         };
         let (asked, run) = (Box::pin(asked), Box::pin(run));
         let left = futures::future::select(asked, run).await;
@@ -68,9 +68,9 @@
         drop(left);
         system.kill("entry-2").unwrap();
         system.set_pool_faults("ledger", &EndpointFaults::default()).await.unwrap();
-        tell(system, TICKET, &RequestBody { repeat: true, ..body }).await;
-        tell(system, TICKET, &fixture::once("other", "input")).await;
-        tell(system, CERTIFICATE, &fixture::request("read", "input")).await;
+        send_and_print(system, TICKET, &RequestBody { repeat: true, ..body }).await;
+        send_and_print(system, TICKET, &fixture::once("other", "input")).await;
+        send_and_print(system, CERTIFICATE, &fixture::request("read", "input")).await;
     })
     .await;
 }
@@ -79,7 +79,7 @@
 /// out for a while.
 async fn log_out(folder: &Path) {
     record(folder, "log-out", Builder::default().entries(1), async |system| {
-        tell(system, TICKET, &fixture::once("before", "input")).await;
+        send_and_print(system, TICKET, &fixture::once("before", "input")).await;
         let document = system.document.clone();
         system.append_publish("second", 1, &document).await.unwrap();
         system.append_publish("late", 1, &document).await.unwrap();
@@ -87,11 +87,11 @@
         let out = LogFaults { outage: true, ..Default::default() };
         system.set_log_faults(&out).await.unwrap();
         let body = RequestBody { deadline_ms: SHORT_MS, ..fixture::once("during", "input") };
-        tell(system, TICKET, &body).await;
-        tell(system, TICKET, &fixture::once("at-once", "input")).await;
-        tell(system, CERTIFICATE, &fixture::request("read", "input")).await;
+        send_and_print(system, TICKET, &body).await;
+        send_and_print(system, TICKET, &fixture::once("at-once", "input")).await;
+        send_and_print(system, CERTIFICATE, &fixture::request("read", "input")).await;
         system.set_log_faults(&LogFaults::default()).await.unwrap();
-        let look = async || {
+        let poll = async || {
             let reply = system.request("entry-1", TICKET, &fixture::once("during", "input")).await;
             let taken = reply.ok().filter(|reply| reply.status == 200);
             if taken.is_none() {
@@ -99,7 +99,7 @@
             }
             taken
         };
-        wait::until("claims being taken again", BOUND, look).await.unwrap();
+        wait::until("claims being taken again", TIMEOUT, poll).await.unwrap();
     })
     .await;
 }
@@ -111,12 +111,17 @@
         let cut = EndpointFaults { cut_after: Some(4), calls: Some(1), ..Default::default() };
         system.set_pool_faults("generate", &cut).await.unwrap();
         for id in ["first", "second", "third"] {
-            tell(system, CERTIFICATE, &fixture::request(id, "input")).await;
+            send_and_print(system, CERTIFICATE, &fixture::request(id, "input")).await;
         }
         let cut = EndpointFaults { cut_after: Some(1), ..Default::default() };
         system.set_pool_faults("ledger", &cut).await.unwrap();
-        tell(system, TICKET, &fixture::once("paid", "input")).await;
-        tell(system, TICKET, &RequestBody { repeat: true, ..fixture::once("paid", "input") }).await;
+        send_and_print(system, TICKET, &fixture::once("paid", "input")).await;
+        send_and_print(
+            system,
+            TICKET,
+            &RequestBody { repeat: true, ..fixture::once("paid", "input") },
+        )
+        .await;
     })
     .await;
 }
@@ -128,10 +133,10 @@
         system.set_faults("encode-1", &wrong).await.unwrap();
         system.set_faults("generate-2", &wrong).await.unwrap();
         for id in ["first", "second", "third", "fourth"] {
-            tell(system, CERTIFICATE, &fixture::request(id, id)).await;
+            send_and_print(system, CERTIFICATE, &fixture::request(id, id)).await;
         }
         system.set_pool_faults("ledger", &wrong).await.unwrap();
-        tell(system, TICKET, &fixture::once("paid", "input")).await;
+        send_and_print(system, TICKET, &fixture::once("paid", "input")).await;
     })
     .await;
 }
@@ -142,15 +147,20 @@
         let busy = EndpointFaults { refuse: Some(RefuseReason::Busy), ..Default::default() };
         system.set_pool_faults("encode", &busy).await.unwrap();
         let body = RequestBody { deadline_ms: SHORT_MS, ..fixture::request("read", "input") };
-        tell(system, CERTIFICATE, &body).await;
+        send_and_print(system, CERTIFICATE, &body).await;
         let body = RequestBody { deadline_ms: SHORT_MS, ..fixture::once("paid", "input") };
-        tell(system, TICKET, &body).await;
+        send_and_print(system, TICKET, &body).await;
         system.set_pool_faults("encode", &EndpointFaults::default()).await.unwrap();
-        tell(system, TICKET, &RequestBody { repeat: true, ..fixture::once("paid", "input") }).await;
+        send_and_print(
+            system,
+            TICKET,
+            &RequestBody { repeat: true, ..fixture::once("paid", "input") },
+        )
+        .await;
         system.kill("rerank-1").unwrap();
         system.kill("rerank-2").unwrap();
         let body = RequestBody { deadline_ms: SHORT_MS, ..fixture::request("late", "input") };
-        tell(system, CERTIFICATE, &body).await;
+        send_and_print(system, CERTIFICATE, &body).await;
     })
     .await;
 }
@@ -158,7 +168,7 @@
 /// Endpoints leave, by the list and by their own word, then the entry stops.
 async fn drain(folder: &Path) {
     record(folder, "drain", Builder::default().entries(1), async |system| {
-        tell(system, CERTIFICATE, &fixture::request("before", "input")).await;
+        send_and_print(system, CERTIFICATE, &fixture::request("before", "input")).await;
         let leaving = Some(RefuseReason::Leaving);
         let leaving = EndpointFaults { refuse: leaving, ..Default::default() };
         system.set_faults("ledger-1", &leaving).await.unwrap();
@@ -169,10 +179,10 @@
             let mut endpoints = status.endpoints.iter();
             endpoints.any(|known| &*known.endpoint == "encode-1" && &*known.state == "leaving")
         };
-        system.wait_status("entry-1", what, BOUND, left).await.unwrap();
+        system.wait_status("entry-1", what, TIMEOUT, left).await.unwrap();
         for id in ["one", "two", "three", "four"] {
-            tell(system, TICKET, &fixture::once(&format!("pay-{id}"), "input")).await;
-            tell(system, CERTIFICATE, &fixture::request(id, "input")).await;
+            send_and_print(system, TICKET, &fixture::once(&format!("pay-{id}"), "input")).await;
+            send_and_print(system, CERTIFICATE, &fixture::request(id, "input")).await;
         }
         let slow = EndpointFaults { delay_ms: SLOW_MS, ..Default::default() };
         system.set_pool_faults("retrieve", &slow).await.unwrap();
@@ -180,19 +190,19 @@
         let held = fixture::request("held", "input");
         let held = system.request("entry-1", CERTIFICATE, &held);
         let late = async {
-            let look = async || system.calls_for("held").await.ok().filter(|calls| calls.len() > 1);
-            wait::until("the held request's second stage", BOUND, look).await.unwrap();
+            let poll = async || system.calls_for("held").await.ok().filter(|calls| calls.len() > 1);
+            wait::until("the held request's second stage", TIMEOUT, poll).await.unwrap();
             terminate(pid);
-            let look = async || {
+            let poll = async || {
                 let body = fixture::request("late", "input");
                 let reply = system.request("entry-1", TICKET, &body).await;
                 reply.ok().filter(|reply| reply.status == 503)
             };
-            wait::until("the end of the grace", BOUND, look).await.unwrap();
+            wait::until("the end of the grace", TIMEOUT, poll).await.unwrap();
         };
         let (held, ()) = futures::join!(held, late);
         println!("held: {}", held.unwrap().status);
-        system.process("entry-1").unwrap().wait(BOUND).await.unwrap();
+        system.process("entry-1").unwrap().wait(TIMEOUT).await.unwrap();
     })
     .await;
 }
@@ -202,7 +212,7 @@
     assert!(status.unwrap().success());
 }
 
-async fn tell(system: &System, pipeline: &str, body: &RequestBody) {
+async fn send_and_print(system: &System, pipeline: &str, body: &RequestBody) {
     let reply = system.request("entry-1", pipeline, body).await.unwrap();
     println!("{}: {}", body.id, reply.status);
 }
--- a/crates/testsuite/tests/testsuite/claims.rs
+++ b/crates/testsuite/tests/testsuite/claims.rs
@@ -15,7 +15,7 @@
 };
 use peatdeck_wire::caller::RequestBody;
 
-use crate::support::{Bench, again};
+use crate::support::{Bench, as_repeat};
 
 /// How long the log holds its answers back where a claim must not be read.
 const HELD_MS: u64 = 3_000;
@@ -46,7 +46,7 @@
     let pending = bench.send("entry-1", TICKET, body);
     bench.wait_log(Stream::Claims, 0).await;
     bench.system.freeze("entry-1").unwrap();
-    bench.mend_log().await;
+    bench.clear_log_faults().await;
     let calls = bench.system.calls_for(&body.id).await.unwrap();
     assert!(calls.is_empty(), "the entry was frozen too late: {calls:?}");
     pending
@@ -54,8 +54,8 @@
 
 /// The first entry is dead: a repeat through the other one is told `told`,
 /// the ledger's record shows `runs`.
-async fn check_after_kill(bench: Bench, body: &RequestBody, told: &str, runs: usize) {
-    bench.check("entry-2", TICKET, &again(body), told).await;
+async fn check_after_kill(bench: Bench, body: &RequestBody, expected: &str, runs: usize) {
+    bench.check("entry-2", TICKET, &as_repeat(body), expected).await;
     assert_eq!(ledger_runs(&bench, &body.id).await, runs);
     bench.finish().await;
 }
@@ -66,7 +66,7 @@
     let body = fixture::once("killed-claimed", "trailer 1");
     let pending = freeze_claimed(&mut bench, &body).await;
     bench.system.kill("entry-1").unwrap();
-    assert_eq!(pending.told().await.to_string(), "lost");
+    assert_eq!(pending.response().await.to_string(), "lost");
     check_after_kill(bench, &body, "502 may_have_run/claimed_elsewhere", 0).await;
 }
 
@@ -78,7 +78,7 @@
     let pending = bench.send("entry-1", TICKET, &body);
     bench.wait_calls("killed-before", "the encode call", |call| call.ran()).await;
     bench.system.kill("entry-1").unwrap();
-    assert_eq!(pending.told().await.to_string(), "lost");
+    assert_eq!(pending.response().await.to_string(), "lost");
     check_after_kill(bench, &body, "502 may_have_run/claimed_elsewhere", 0).await;
 }
 
@@ -91,7 +91,7 @@
     let at_ledger = |call: &_| is_ledger(call, CallState::Running);
     bench.wait_calls("killed-during", "the ledger call", at_ledger).await;
     bench.system.kill("entry-1").unwrap();
-    assert_eq!(pending.told().await.to_string(), "lost");
+    assert_eq!(pending.response().await.to_string(), "lost");
     check_after_kill(bench, &body, "502 may_have_run/claimed_elsewhere", 1).await;
 }
 
@@ -109,7 +109,7 @@
     let is_done = |call: &_| is_ledger(call, CallState::Finished);
     bench.wait_calls("killed-after", "the ledger's reply", is_done).await;
     bench.system.kill("entry-1").unwrap();
-    assert_eq!(pending.told().await.to_string(), "lost");
+    assert_eq!(pending.response().await.to_string(), "lost");
     check_after_kill(bench, &body, "502 may_have_run/claimed_elsewhere", 1).await;
 }
 
@@ -122,8 +122,8 @@
     let bench = start().await;
     let body = fixture::once("answer-lost", "trailer 5");
     bench.check("entry-1", TICKET, &body, "200 answered").await;
-    bench.check("entry-2", TICKET, &again(&body), "200 answered").await;
-    bench.check("entry-1", TICKET, &again(&body), "200 answered").await;
+    bench.check("entry-2", TICKET, &as_repeat(&body), "200 answered").await;
+    bench.check("entry-1", TICKET, &as_repeat(&body), "200 answered").await;
     let other = RequestBody { input: "trailer 6".into(), ..body.clone() };
     bench.check("entry-2", TICKET, &other, "409 invalid/key_reused").await;
     assert_eq!(ledger_runs(&bench, "answer-lost").await, 1);
@@ -139,10 +139,11 @@
     let pending = bench.send("entry-1", TICKET, &body);
     let at_ledger = |call: &_| is_ledger(call, CallState::Running);
     bench.wait_calls("running", "the ledger call", at_ledger).await;
-    let told = bench.check("entry-2", TICKET, &again(&body), "504 may_have_run/in_progress").await;
-    assert!(told.retry_after.is_some(), "{told:?}");
-    assert_eq!(pending.told().await.to_string(), "200 answered");
-    bench.check("entry-2", TICKET, &again(&body), "200 answered").await;
+    let response =
+        bench.check("entry-2", TICKET, &as_repeat(&body), "504 may_have_run/in_progress").await;
+    assert!(response.retry_after.is_some(), "{response:?}");
+    assert_eq!(pending.response().await.to_string(), "200 answered");
+    bench.check("entry-2", TICKET, &as_repeat(&body), "200 answered").await;
     bench.finish().await;
 }
 
@@ -151,11 +152,11 @@
     let mut bench = start().await;
     let body = fixture::once("frozen", "trailer 8");
     let pending = freeze_claimed(&mut bench, &body).await;
-    bench.check("entry-2", TICKET, &again(&body), "502 may_have_run/claimed_elsewhere").await;
+    bench.check("entry-2", TICKET, &as_repeat(&body), "502 may_have_run/claimed_elsewhere").await;
     assert_eq!(ledger_runs(&bench, "frozen").await, 0);
     bench.system.thaw("entry-1").unwrap();
-    assert_eq!(pending.told().await.to_string(), "200 answered");
-    bench.check("entry-2", TICKET, &again(&body), "200 answered").await;
+    assert_eq!(pending.response().await.to_string(), "200 answered");
+    bench.check("entry-2", TICKET, &as_repeat(&body), "200 answered").await;
     assert_eq!(ledger_runs(&bench, "frozen").await, 1);
     bench.finish().await;
 }
@@ -167,16 +168,16 @@
     let body = RequestBody { deadline_ms: 4_000, ..fixture::once("frozen-late", "trailer 9") };
     let start = Instant::now();
     let pending = freeze_claimed(&mut bench, &body).await;
-    bench.check("entry-2", TICKET, &again(&body), "502 may_have_run/claimed_elsewhere").await;
+    bench.check("entry-2", TICKET, &as_repeat(&body), "502 may_have_run/claimed_elsewhere").await;
     // The condition of this test, not its proof.
     time::sleep(deadline.saturating_sub(start.elapsed())).await;
     let claims = bench.system.log_next(Stream::Claims).await.unwrap();
     bench.system.thaw("entry-1").unwrap();
-    assert_eq!(pending.told().await.to_string(), "503 not_run/claim_unknown");
+    assert_eq!(pending.response().await.to_string(), "503 not_run/claim_unknown");
     bench.wait_log(Stream::Claims, claims).await;
     assert_eq!(ledger_runs(&bench, "frozen-late").await, 0);
     // The key is free: the repeat runs, once.
-    let longer = RequestBody { deadline_ms: 20_000, ..again(&body) };
+    let longer = RequestBody { deadline_ms: 20_000, ..as_repeat(&body) };
     bench.check("entry-2", TICKET, &longer, "200 answered").await;
     assert_eq!(ledger_runs(&bench, "frozen-late").await, 1);
     bench.finish().await;
@@ -190,7 +191,7 @@
     for idx in 0..5 {
         let body = fixture::once(&format!("{id}-{idx}"), "trailer 10");
         bench.check("entry-1", TICKET, &body, "200 answered").await;
-        bench.check("entry-2", TICKET, &again(&body), "200 answered").await;
+        bench.check("entry-2", TICKET, &as_repeat(&body), "200 answered").await;
         assert_eq!(ledger_runs(&bench, &body.id).await, 1);
     }
     bench.finish().await;
--- a/crates/testsuite/tests/testsuite/config.rs
+++ b/crates/testsuite/tests/testsuite/config.rs
@@ -15,7 +15,7 @@
     fixture::{self, CERTIFICATE},
     http::Http,
     processes::{ADMIN, builder::Builder},
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::admin::{ApiError, EntryStatus, ErrorDetail, PublishReply};
 
@@ -25,7 +25,7 @@
 /// The race behind which an entry is started again.
 const RESTART: u64 = 25;
 /// How often the watch looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The first document with one more pipeline, whose name shows the version.
 fn document_with(pipeline: &str) -> Document {
@@ -53,13 +53,13 @@
             seen: RefCell::default(),
             wrong: RefCell::default(),
         });
-        watch.look_up(bench);
+        watch.update_addrs(bench);
         rt::spawn(watch.clone().run()).detach();
         watch
     }
 
     /// Takes in the addresses of entries that were started again.
-    fn look_up(&self, bench: &Bench) {
+    fn update_addrs(&self, bench: &Bench) {
         let entries = bench.system.entries().into_iter();
         let addr = |name: String| (name.clone(), bench.system.addr(&name).unwrap().to_owned());
         *self.addrs.borrow_mut() = entries.map(addr).collect();
@@ -75,7 +75,7 @@
                     self.note(&name, status.version);
                 }
             }
-            time::sleep(LOOK_PERIOD).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -91,8 +91,8 @@
 }
 
 /// The version of an accepted publish, or what the loser is told.
-fn verdict(told: Result<PublishReply>) -> std::result::Result<Version, ApiError> {
-    match told {
+fn publish_result(response: Result<PublishReply>) -> std::result::Result<Version, ApiError> {
+    match response {
         Ok(reply) => Ok(reply.version),
         Err(Error::Status { body, .. }) => Err(serde_json::from_str(&body).unwrap()),
         Err(error) => panic!("{error}"),
@@ -108,28 +108,28 @@
         bench.system.publish_by("admin-2", &two, base, &second),
     )
     .await;
-    let (winner, version, loser) = match (verdict(first), verdict(second)) {
+    let (winner, version, loser) = match (publish_result(first), publish_result(second)) {
         (Ok(version), Err(error)) => (one, version, error),
         (Err(error), Ok(version)) => (two, version, error),
         other => panic!("race on {base}: {other:?}"),
     };
     assert_eq!(version, base + 1);
     assert_eq!(&*loser.code, "conflict", "{loser:?}");
-    let Some(ErrorDetail::Conflict(told)) = &loser.detail else { panic!("{loser:?}") };
-    assert_eq!(told.version, version, "{loser:?}");
-    assert_eq!(told.publish.as_deref(), Some(&*winner), "{loser:?}");
+    let Some(ErrorDetail::Conflict(conflict)) = &loser.detail else { panic!("{loser:?}") };
+    assert_eq!(conflict.version, version, "{loser:?}");
+    assert_eq!(conflict.publish.as_deref(), Some(&*winner), "{loser:?}");
     winner
 }
 
 /// Every entry serves the winner's pipeline and not the loser's.
-async fn check_chain(bench: &Bench, base: Version, winner: &str) {
+async fn check_in_force(bench: &Bench, base: Version, winner: &str) {
     bench.system.wait_version(base + 1).await.unwrap();
     for entry in bench.system.entries() {
         for pipeline in ["one", "two"].map(|operator| format!("race-{base}-{operator}")) {
-            let told =
+            let expected =
                 if pipeline == winner { "200 answered" } else { "404 invalid/unknown_pipeline" };
             let body = fixture::request(&format!("{entry}-{pipeline}"), "licence");
-            bench.check(&entry, &pipeline, &body, told).await;
+            bench.check(&entry, &pipeline, &body, expected).await;
         }
     }
 }
@@ -143,12 +143,12 @@
     let watch = Watch::start(&bench);
     for base in 1..=RACES {
         let winner = race(&bench, base).await;
-        check_chain(&bench, base, &winner).await;
+        check_in_force(&bench, base, &winner).await;
         if base == RESTART {
             bench.system.restart("entry-2").await.unwrap();
-            watch.look_up(&bench);
+            watch.update_addrs(&bench);
             bench.system.wait_ready("entry-2").await.unwrap();
-            check_chain(&bench, base, &winner).await;
+            check_in_force(&bench, base, &winner).await;
         }
     }
     // The retention has passed: the first records are gone.
@@ -157,10 +157,10 @@
         let earliest = state.streams.get(Stream::Config.name())?.earliest;
         (earliest > RACES).then_some(())
     };
-    wait::until("the races' records being gone", BOUND, earliest).await.unwrap();
+    wait::until("the races' records being gone", TIMEOUT, earliest).await.unwrap();
     for entry in ["entry-1", "entry-2"] {
         bench.system.restart(entry).await.unwrap();
-        watch.look_up(&bench);
+        watch.update_addrs(&bench);
         bench.system.wait_ready(entry).await.unwrap();
         assert_eq!(bench.system.status(entry).await.unwrap().version, RACES + 1);
     }
@@ -179,7 +179,7 @@
         let reply = bench.system.publish("second", 1, &document).await.unwrap();
         assert_eq!(reply.version, 2);
     }
-    bench.mend_log().await;
+    bench.clear_log_faults().await;
     let reply = bench.system.publish("third", 2, &document_with("third")).await.unwrap();
     assert_eq!(reply.version, 3);
     bench.system.wait_version(3).await.unwrap();
@@ -231,7 +231,7 @@
             let config = state.streams.get(Stream::Config.name())?;
             (config.earliest >= next).then_some(())
         };
-        wait::until("the records being gone", BOUND, expired).await.unwrap();
+        wait::until("the records being gone", TIMEOUT, expired).await.unwrap();
         bench.system.restart("entry-1").await.unwrap();
         bench.system.wait_ready("entry-1").await.unwrap();
         assert_eq!(bench.system.status("entry-1").await.unwrap().version, 2);
--- a/crates/testsuite/tests/testsuite/drain.rs
+++ b/crates/testsuite/tests/testsuite/drain.rs
@@ -12,7 +12,7 @@
 use peatdeck_test_support::{
     fixture::{self, CERTIFICATE, TICKET},
     processes::builder::Builder,
-    wait::BOUND,
+    wait::TIMEOUT,
 };
 
 use crate::{
@@ -75,7 +75,7 @@
     }
     load.finish().await;
     let (last_ms, _) = arrivals(&bench, "encode-1").await;
-    assert!(last_ms <= bound_ms, "a call came {} ms after the bound", last_ms - bound_ms);
+    assert!(last_ms <= bound_ms, "a call came {} ms after the limit", last_ms - bound_ms);
     assert!(arrivals(&bench, "encode-2").await.0 > bound_ms);
     bench.wait_leaving("encode-1", 1, Duration::ZERO).await;
     let (mut retries, mut hedges) = (0, 0);
@@ -107,32 +107,35 @@
     bench.system.set_presence("ledger-1", Presence::Leaving).await.unwrap();
     bench.wait_leaving("ledger-1", 1, FEW_SECONDS).await;
     for (id, pending) in sent {
-        let told = pending.told().await;
-        assert_eq!(told.to_string(), "200 answered", "{id}: {told:?}");
+        let response = pending.response().await;
+        assert_eq!(response.to_string(), "200 answered", "{id}: {response:?}");
     }
     let calls = bench.system.calls("ledger-1").await.unwrap();
     assert!(calls.iter().all(|call| call.state == CallState::Finished), "{calls:?}");
     bench.system.set_pool_faults("ledger", &EndpointFaults::default()).await.unwrap();
     for idx in 0..6 {
         let body = fixture::once(&format!("after-{idx}"), "ticket");
-        let told = bench.check("entry-1", TICKET, &body, "200 answered").await;
-        assert_eq!(told.endpoint("ledger"), Some("ledger-2"));
+        let response = bench.check("entry-1", TICKET, &body, "200 answered").await;
+        assert_eq!(response.endpoint("ledger"), Some("ledger-2"));
     }
     bench.finish().await;
 }
 
 #[ntex::test]
-async fn an_operators_drain_holds_for_that_life_also_after_an_entrys_restart() {
+async fn an_operators_drain_applies_to_one_incarnation_and_outlasts_an_entry_restart() {
     let mut bench = Bench::start(Builder::default()).await;
     bench.system.drain("encode-1").await.unwrap();
     bench.wait_leaving("encode-1", 1, FEW_SECONDS).await;
     let (_, before) = arrivals(&bench, "encode-1").await;
-    bench.ask_many(CERTIFICATE, requests("drained", 20)).await;
+    bench.request_all(CERTIFICATE, requests("drained", 20)).await;
     bench.system.restart("entry-1").await.unwrap();
     bench.system.wait_ready("entry-1").await.unwrap();
-    bench.wait_leaving("encode-1", 1, BOUND).await;
-    let told = bench.ask_many(CERTIFICATE, requests("restarted", 20)).await;
-    assert!(told.iter().all(|told| told.endpoint("encode") == Some("encode-2")), "{told:?}");
+    bench.wait_leaving("encode-1", 1, TIMEOUT).await;
+    let responses = bench.request_all(CERTIFICATE, requests("restarted", 20)).await;
+    assert!(
+        responses.iter().all(|response| response.endpoint("encode") == Some("encode-2")),
+        "{responses:?}"
+    );
     assert_eq!(arrivals(&bench, "encode-1").await.1, before);
 
     // Its next life is another endpoint.
@@ -141,12 +144,12 @@
         let mut endpoints = status.endpoints.iter();
         endpoints.any(|known| &*known.endpoint == "encode-1" && &*known.state == "usable")
     };
-    bench.system.wait_status("entry-2", "encode-1 in use again", BOUND, back).await.unwrap();
-    let look = async || {
-        bench.ask_many(CERTIFICATE, requests("next-life", 1)).await;
+    bench.system.wait_status("entry-2", "encode-1 in use again", TIMEOUT, back).await.unwrap();
+    let poll = async || {
+        bench.request_all(CERTIFICATE, requests("next-life", 1)).await;
         (arrivals(&bench, "encode-1").await.1 > 0).then_some(())
     };
-    peatdeck_test_support::wait::until("a call in the next life", BOUND, look).await.unwrap();
+    peatdeck_test_support::wait::until("a call in the next life", TIMEOUT, poll).await.unwrap();
     bench.finish().await;
 }
 
@@ -161,13 +164,17 @@
     bench.system.set_faults("encode-1", &leaving).await.unwrap();
     // The one that is refused is answered by another endpoint; the other entry
     // hears of it from its peer, and the list says otherwise.
-    let told = bench.ask_many(CERTIFICATE, requests("refused", 20)).await;
-    assert!(told.iter().all(|told| told.output().is_some()), "{:?}", bench.callers.tally());
+    let responses = bench.request_all(CERTIFICATE, requests("refused", 20)).await;
+    assert!(
+        responses.iter().all(|response| response.output().is_some()),
+        "{:?}",
+        bench.callers.tally()
+    );
     bench.wait_leaving("encode-1", 1, FEW_SECONDS).await;
     let (_, before) = arrivals(&bench, "encode-1").await;
     for turn in ["later-a", "later-b", "later-c"] {
         time::sleep(Duration::from_millis(700)).await;
-        bench.ask_many(CERTIFICATE, requests(turn, 20)).await;
+        bench.request_all(CERTIFICATE, requests(turn, 20)).await;
     }
     assert_eq!(arrivals(&bench, "encode-1").await.1, before);
     bench.wait_leaving("encode-1", 1, Duration::ZERO).await;
@@ -184,22 +191,25 @@
         endpoints.any(|known| &*known.endpoint == "encode-1" && &*known.state == "evacuated")
     };
     for entry in ["entry-1", "entry-2"] {
-        bench.system.wait_status(entry, "it is evacuated", BOUND, evacuated).await.unwrap();
+        bench.system.wait_status(entry, "it is evacuated", TIMEOUT, evacuated).await.unwrap();
     }
     let (_, before) = arrivals(&bench, "encode-1").await;
-    bench.ask_many(CERTIFICATE, requests("evacuated", 20)).await;
+    bench.request_all(CERTIFICATE, requests("evacuated", 20)).await;
     bench.system.restart("entry-1").await.unwrap();
     bench.system.wait_ready("entry-1").await.unwrap();
-    bench.system.wait_status("entry-1", "it knows", BOUND, evacuated).await.unwrap();
-    let told = bench.ask_many(CERTIFICATE, requests("restarted", 20)).await;
-    assert!(told.iter().all(|told| told.endpoint("encode") == Some("encode-2")), "{told:?}");
+    bench.system.wait_status("entry-1", "it knows", TIMEOUT, evacuated).await.unwrap();
+    let responses = bench.request_all(CERTIFICATE, requests("restarted", 20)).await;
+    assert!(
+        responses.iter().all(|response| response.endpoint("encode") == Some("encode-2")),
+        "{responses:?}"
+    );
     assert_eq!(arrivals(&bench, "encode-1").await.1, before);
 
     bench.system.evacuate("dc-1", true).await.unwrap();
-    let look = async || {
-        bench.ask_many(CERTIFICATE, requests("back", 4)).await;
+    let poll = async || {
+        bench.request_all(CERTIFICATE, requests("back", 4)).await;
         (arrivals(&bench, "encode-1").await.1 > before).then_some(())
     };
-    peatdeck_test_support::wait::until("a call once it is over", BOUND, look).await.unwrap();
+    peatdeck_test_support::wait::until("a call once it is over", TIMEOUT, poll).await.unwrap();
     bench.finish().await;
 }
--- a/crates/testsuite/tests/testsuite/invalid.rs
+++ b/crates/testsuite/tests/testsuite/invalid.rs
@@ -8,7 +8,7 @@
     http::Reply,
     process::{Process, Spec},
     processes::{TOKEN, builder::Builder},
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::{
     admin::{ApiError, ErrorDetail},
@@ -62,11 +62,11 @@
         (CERTIFICATE, with("prioriti", 1.into()), "400 unknown_field"),
     ];
     let addr = bench.system.addr("entry-1").unwrap().to_owned();
-    for (pipeline, body, told) in cases {
+    for (pipeline, body, expected) in cases {
         let path = format!("/v1/pipelines/{pipeline}/requests");
         let reply = bench.system.http.post_text(None, &addr, &path, body).await.unwrap();
         let error: ErrorBody = reply.json().unwrap();
-        assert_eq!(format!("{} {}", reply.status, error.code), told, "{error:?}");
+        assert_eq!(format!("{} {}", reply.status, error.code), expected, "{error:?}");
         assert_eq!(&*error.outcome, "invalid", "{error:?}");
         assert!(!error.remedy.is_empty() && !error.message.is_empty(), "{error:?}");
     }
@@ -84,9 +84,9 @@
     (reply, error)
 }
 
-async fn check_publish(bench: &Bench, token: Option<&str>, document: &Value, told: &str) {
+async fn check_publish(bench: &Bench, token: Option<&str>, document: &Value, expected: &str) {
     let (reply, error) = publish(bench, token, document).await;
-    assert_eq!(format!("{} {}", reply.status, error.code), told, "{error:?}");
+    assert_eq!(format!("{} {}", reply.status, error.code), expected, "{error:?}");
     assert!(!error.remedy.is_empty(), "{error:?}");
 }
 
@@ -130,9 +130,9 @@
     fs::write(&path, "[[team]]\nname = \"bala\"\nwieght = 2\n").unwrap();
     let spec = Spec::new("check", "peatdeck").args(["check", path.to_str().unwrap()]);
     let mut check = Process::start(&spec).unwrap();
-    let status = check.wait(BOUND).await.unwrap();
+    let status = check.wait(TIMEOUT).await.unwrap();
     let said = async || Some(check.log()).filter(|log| log.contains("help:"));
-    let log = wait::until("the error's remedy", BOUND, said).await.unwrap();
+    let log = wait::until("the error's remedy", TIMEOUT, said).await.unwrap();
     fs::remove_file(&path).unwrap();
     assert_eq!(status.code(), Some(3), "{log}");
     assert!(log.contains("unknown field `wieght`") && log.contains(":3:1"), "{log}");
--- a/crates/testsuite/tests/testsuite/load.rs
+++ b/crates/testsuite/tests/testsuite/load.rs
@@ -4,7 +4,7 @@
 
 use ntex::{rt, time};
 use peatdeck_test_support::{
-    callers::{Caller, Told},
+    callers::{Caller, CallerResponse},
     fixture,
     http::Http,
 };
@@ -13,7 +13,7 @@
 use crate::support::Bench;
 
 /// How often the balancer asks the entries whether they are ready.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause of a caller between two requests.
 const PAUSE: Duration = Duration::from_millis(20);
 
@@ -57,15 +57,15 @@
             work,
         });
         let load = Load { shared: shared.clone(), callers: Vec::new() };
-        load.look_up(bench);
-        shared.look().await;
+        load.update_addrs(bench);
+        shared.update_ready().await;
         rt::spawn(balance(shared.clone())).detach();
         let callers = (0..work.callers).map(|_| rt::spawn(call(shared.clone()))).collect();
         Load { callers, ..load }
     }
 
     /// Takes in the addresses of entries that were started again.
-    pub fn look_up(&self, bench: &Bench) {
+    pub fn update_addrs(&self, bench: &Bench) {
         let entries = bench.system.entries().into_iter();
         let addr = |name: String| (name.clone(), bench.system.addr(&name).unwrap().to_owned());
         *self.shared.addrs.borrow_mut() = entries.map(addr).collect();
@@ -74,9 +74,9 @@
     /// Waits until so many more requests have ended.
     pub async fn wait_more(&self, count: usize) {
         let until = self.shared.count.get() + count;
-        let look = async || (self.shared.count.get() >= until).then_some(());
+        let poll = async || (self.shared.count.get() >= until).then_some(());
         let what = format!("{count} more requests of the load");
-        peatdeck_test_support::wait::until(&what, Duration::from_secs(60), look).await.unwrap();
+        peatdeck_test_support::wait::until(&what, Duration::from_secs(60), poll).await.unwrap();
     }
 
     /// Ends it once each request under way has ended.
@@ -89,7 +89,7 @@
 }
 
 impl Shared {
-    async fn look(&self) {
+    async fn update_ready(&self) {
         let addrs: Vec<String> = self.addrs.borrow().values().cloned().collect();
         let mut ready = Vec::new();
         for addr in addrs {
@@ -109,8 +109,8 @@
 
 async fn balance(shared: Rc<Shared>) {
     while !shared.stop.get() {
-        time::sleep(LOOK_PERIOD).await;
-        shared.look().await;
+        time::sleep(POLL_INTERVAL).await;
+        shared.update_ready().await;
     }
 }
 
@@ -133,14 +133,14 @@
 async fn request(shared: &Shared, turn: usize, body: RequestBody) {
     for attempt in 0.. {
         let Some(addr) = shared.choose(turn + attempt) else { return };
-        let told = shared.caller.send(&addr, shared.work.pipeline, &body).told().await;
-        if !is_stopping(&told) {
+        let response = shared.caller.send(&addr, shared.work.pipeline, &body).response().await;
+        if !is_stopping(&response) {
             return;
         }
         time::sleep(PAUSE).await;
     }
 }
 
-fn is_stopping(told: &Told) -> bool {
-    told.to_string() == "503 not_run/stopping"
+fn is_stopping(response: &CallerResponse) -> bool {
+    response.to_string() == "503 not_run/stopping"
 }
--- a/crates/testsuite/tests/testsuite/outage.rs
+++ b/crates/testsuite/tests/testsuite/outage.rs
@@ -6,10 +6,10 @@
 use peatdeck_test_support::{
     fixture::{self, CERTIFICATE, TICKET},
     processes::builder::Builder,
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 
-use crate::support::{Bench, again};
+use crate::support::{Bench, as_repeat};
 
 /// How long an instance may hear neither the log nor a peer before it is
 /// unready, and a little more.
@@ -24,7 +24,7 @@
     let bench = Bench::start(builder).await;
     bench.set_log(outage()).await;
     for entry in bench.system.entries() {
-        bench.wait_log_missed(&entry).await;
+        bench.wait_log_read_failures(&entry).await;
     }
     bench
 }
@@ -39,22 +39,22 @@
             let body = fixture::request(&format!("out-{turn}-{entry}"), "licence");
             bench.check(entry, CERTIFICATE, &body, "200 answered").await;
             let body = fixture::once(&format!("once-{turn}-{entry}"), "ticket");
-            let told = bench.check(entry, TICKET, &body, "503 not_run/claim_unknown").await;
-            assert!(told.retry_after.is_some(), "{told:?}");
+            let response = bench.check(entry, TICKET, &body, "503 not_run/claim_unknown").await;
+            assert!(response.retry_after.is_some(), "{response:?}");
             // At once: far below the deadline, at which it is told anyway.
-            assert!(told.took < Duration::from_secs(5), "{told:?}");
+            assert!(response.elapsed < Duration::from_secs(5), "{response:?}");
             let calls = bench.system.calls_for(&body.id).await.unwrap();
-            assert_eq!(calls, [], "{} was told not to have run", body.id);
+            assert_eq!(calls, [], "{} was reported not to have run", body.id);
         }
         turn += 1;
     }
-    bench.mend_log().await;
+    bench.clear_log_faults().await;
     let body = fixture::once("once-0-entry-1", "ticket");
-    let look = async || {
-        let told = bench.ask("entry-2", TICKET, &again(&body)).await;
-        told.output().map(drop)
+    let poll = async || {
+        let response = bench.request("entry-2", TICKET, &as_repeat(&body)).await;
+        response.output().map(drop)
     };
-    wait::until("the refused request's run after the outage", BOUND, look).await.unwrap();
+    wait::until("the refused request's run after the outage", TIMEOUT, poll).await.unwrap();
     bench.finish().await;
 }
 
@@ -65,13 +65,13 @@
     bench.check("entry-1", TICKET, &body, "200 answered").await;
     bench.set_log(outage()).await;
     for entry in ["entry-1", "entry-2"] {
-        bench.wait_log_missed(entry).await;
-        let told = bench.ask(entry, TICKET, &again(&body)).await;
-        assert!(!told.is_not_run(), "{told:?}");
+        bench.wait_log_read_failures(entry).await;
+        let response = bench.request(entry, TICKET, &as_repeat(&body)).await;
+        assert!(!response.is_not_run(), "{response:?}");
     }
     let other = fixture::once("never-seen", "ticket");
-    let told = "502 may_have_run/earlier_unknown";
-    bench.check("entry-2", TICKET, &again(&other), told).await;
+    let expected = "502 may_have_run/earlier_unknown";
+    bench.check("entry-2", TICKET, &as_repeat(&other), expected).await;
     bench.finish().await;
 }
 
@@ -98,7 +98,7 @@
     bench.system.freeze("entry-2").unwrap();
     let is_unready = |status: &peatdeck_wire::admin::EntryStatus| !status.ready;
     let what = "entry-1 being unready";
-    bench.system.wait_status("entry-1", what, BOUND, is_unready).await.unwrap();
+    bench.system.wait_status("entry-1", what, TIMEOUT, is_unready).await.unwrap();
     let body = fixture::request("cut-off", "licence");
     bench.check("entry-1", CERTIFICATE, &body, "503 not_run/not_ready").await;
     let body = fixture::once("cut-off-once", "ticket");
--- a/crates/testsuite/tests/testsuite/path.rs
+++ b/crates/testsuite/tests/testsuite/path.rs
@@ -24,8 +24,8 @@
 #[ntex::test]
 async fn requests_over_two_entries_get_their_own_answers() {
     let bench = Bench::start(Builder::new(four_pools())).await;
-    let told = bench.ask_many(CERTIFICATE, support::requests("path", REQUESTS)).await;
-    let outputs: HashSet<_> = told.iter().filter_map(|one| one.output()).collect();
+    let responses = bench.request_all(CERTIFICATE, support::requests("path", REQUESTS)).await;
+    let outputs: HashSet<_> = responses.iter().filter_map(|one| one.output()).collect();
     assert_eq!(outputs.len(), REQUESTS, "{:?}", bench.callers.tally());
     for pool in ["encode", "retrieve", "rerank", "generate"] {
         for endpoint in bench.system.pool(pool) {
--- a/crates/testsuite/tests/testsuite/replies.rs
+++ b/crates/testsuite/tests/testsuite/replies.rs
@@ -10,11 +10,11 @@
 use peatdeck_test_support::{
     fixture::{self, CERTIFICATE, TICKET},
     processes::builder::Builder,
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::caller::RequestBody;
 
-use crate::support::{self, Bench, again};
+use crate::support::{self, Bench, as_repeat};
 
 /// Requests of each burst.
 const BURST: usize = 40;
@@ -36,8 +36,8 @@
 async fn check(bench: &Bench, endpoint: &str, faults: EndpointFaults, name: &str, counter: &str) {
     let before = count(bench, counter).await;
     bench.system.set_faults(endpoint, &faults).await.unwrap();
-    let told = bench.ask_many(CERTIFICATE, requests(name)).await;
-    let failed: Vec<_> = told.iter().filter(|told| told.output().is_none()).collect();
+    let responses = bench.request_all(CERTIFICATE, requests(name)).await;
+    let failed: Vec<_> = responses.iter().filter(|response| response.output().is_none()).collect();
     assert!(failed.is_empty(), "{name}: {failed:?}");
     let addr = bench.system.addr(endpoint).unwrap();
     let state: EndpointState = bench.system.http.get_json(addr, "/control/state").await.unwrap();
@@ -55,7 +55,7 @@
 async fn callers_get_their_own_answers_from_services_that_misbehave() {
     let bench = Bench::start(Builder::default()).await;
     // So that the endpoint has calls of other requests to mix up.
-    bench.ask_many(CERTIFICATE, requests("warm")).await;
+    bench.request_all(CERTIFICATE, requests("warm")).await;
     let of_other = EndpointFaults { wrong_echo: true, ..faults(2) };
     check(&bench, "rerank-1", of_other, "of-other", "echo_mismatch").await;
     let doubled = EndpointFaults { duplicate: true, ..faults(2) };
@@ -72,7 +72,7 @@
 #[ntex::test]
 async fn callers_get_their_own_answers_from_engines_that_misbehave() {
     let bench = Bench::start(Builder::default()).await;
-    bench.ask_many(CERTIFICATE, requests("warm")).await;
+    bench.request_all(CERTIFICATE, requests("warm")).await;
     let of_other = EndpointFaults { wrong_echo: true, ..faults(2) };
     check(&bench, "generate-1", of_other, "of-other", "echo_mismatch").await;
     let doubled = EndpointFaults { duplicate: true, ..faults(4) };
@@ -117,7 +117,7 @@
     for id in ["second-1", "second-2"] {
         let body = fixture::once(id, "ticket");
         bench.check("entry-1", TICKET, &body, "502 may_have_run/stage_failed").await;
-        bench.check("entry-2", TICKET, &again(&body), "502 may_have_run/stage_failed").await;
+        bench.check("entry-2", TICKET, &as_repeat(&body), "502 may_have_run/stage_failed").await;
     }
     // Neither of the two is trusted now.
     let body = fixture::once("third", "ticket");
@@ -137,7 +137,7 @@
     let body = fixture::request("gone", "licence");
     let pending = bench.send("entry-1", CERTIFICATE, &body);
     bench.wait_calls("gone", "the generation", is_at("generate", CallState::Running)).await;
-    pending.leave();
+    pending.disconnect();
     let what = "the generation's cancel";
     bench.wait_calls("gone", what, is_at("generate", CallState::Cancelled)).await;
 
@@ -150,7 +150,7 @@
     bench.wait_calls("gone-streamed", what, is_at("generate", CallState::Cancelled)).await;
     for entry in ["entry-1", "entry-2"] {
         let idle = |status: &peatdeck_wire::admin::EntryStatus| status.running == 0;
-        bench.system.wait_status(entry, "nothing held", BOUND, idle).await.unwrap();
+        bench.system.wait_status(entry, "nothing held", TIMEOUT, idle).await.unwrap();
     }
     bench.finish().await;
 }
@@ -163,13 +163,13 @@
     let body = fixture::once("ticket-gone", "ticket");
     let pending = bench.send("entry-1", TICKET, &body);
     bench.wait_calls("ticket-gone", "the ledger call", is_at("ledger", CallState::Running)).await;
-    pending.leave();
+    pending.disconnect();
     let done = is_at("ledger", CallState::Finished);
     bench.wait_calls("ticket-gone", "the ledger's end", done).await;
-    let look = async || {
-        let told = bench.ask("entry-2", TICKET, &again(&body)).await;
-        told.output().map(drop)
+    let poll = async || {
+        let response = bench.request("entry-2", TICKET, &as_repeat(&body)).await;
+        response.output().map(drop)
     };
-    wait::until("the answer at the other entry", BOUND, look).await.unwrap();
+    wait::until("the answer at the other entry", TIMEOUT, poll).await.unwrap();
     bench.finish().await;
 }
--- a/crates/testsuite/tests/testsuite/stop.rs
+++ b/crates/testsuite/tests/testsuite/stop.rs
@@ -5,7 +5,7 @@
 use peatdeck_test_support::{
     fixture::{self, CERTIFICATE, TICKET},
     processes::builder::Builder,
-    wait::BOUND,
+    wait::TIMEOUT,
 };
 use peatdeck_wire::caller::RequestBody;
 
@@ -32,7 +32,8 @@
 /// Everybody was answered, or told by an entry that stops to go to another.
 fn check_tally(bench: &Bench) {
     let tally = bench.callers.tally();
-    let is_known = |told: &String| told == "200 answered" || told == "503 not_run/stopping";
+    let is_known =
+        |response: &String| response == "200 answered" || response == "503 not_run/stopping";
     assert!(tally.keys().all(is_known), "{tally:?}");
 }
 
@@ -40,7 +41,7 @@
 async fn stop(bench: &mut Bench, entry: &str) {
     bench.system.terminate(entry).unwrap();
     let process = bench.system.process(entry).unwrap();
-    let status = process.wait(BOUND).await.unwrap();
+    let status = process.wait(TIMEOUT).await.unwrap();
     assert_eq!(status.code(), Some(0), "{entry}: {status}\n{}", process.log());
 }
 
@@ -56,7 +57,7 @@
     let at_ledger = |call: &peatdeck_standin::calls::CallRecord| &*call.stage == "ledger";
     bench.wait_calls("in-flight", "the ledger call", at_ledger).await;
     stop(&mut bench, "entry-1").await;
-    assert_eq!(pending.told().await.to_string(), "200 answered");
+    assert_eq!(pending.response().await.to_string(), "200 answered");
     load.wait_more(50).await;
     load.finish().await;
     check_tally(&bench);
@@ -84,7 +85,7 @@
     let expected = bench.system.expected(CERTIFICATE, "streamed", "licence").unwrap();
     let output = serde_json::to_string(&expected).unwrap();
     assert!(text.contains(&format!("\"output\":{output}")), "{text}");
-    let status = bench.system.process("entry-1").unwrap().wait(BOUND).await.unwrap();
+    let status = bench.system.process("entry-1").unwrap().wait(TIMEOUT).await.unwrap();
     assert_eq!(status.code(), Some(0));
     bench.finish().await;
 }
@@ -99,8 +100,8 @@
         stop(&mut bench, entry).await;
         bench.system.restart(entry).await.unwrap();
         bench.system.wait_ready(entry).await.unwrap();
-        certificates.look_up(&bench);
-        tickets.look_up(&bench);
+        certificates.update_addrs(&bench);
+        tickets.update_addrs(&bench);
         certificates.wait_more(50).await;
         tickets.wait_more(20).await;
     }
--- a/crates/testsuite/tests/testsuite/support.rs
+++ b/crates/testsuite/tests/testsuite/support.rs
@@ -9,7 +9,7 @@
 use peatdeck_core::{model::Incarnation, record::Stream};
 use peatdeck_standin::{calls::CallRecord, faults::LogFaults};
 use peatdeck_test_support::{
-    callers::{Callers, Pending, Told},
+    callers::{CallerResponse, Callers, Pending},
     fixture,
     processes::{System, builder::Builder},
     wait,
@@ -23,16 +23,16 @@
 pub struct Bench {
     pub system: System,
     pub callers: Callers,
-    _place: Place,
+    _permit: SystemPermit,
 }
 
 impl Bench {
     /// Starts a system once there is a place for it.
     pub async fn start(builder: Builder) -> Bench {
-        let place = Place::take();
+        let permit = SystemPermit::acquire();
         let system = builder.start().await.unwrap();
         let callers = Callers::new(&system);
-        Bench { system, callers, _place: place }
+        Bench { system, callers, _permit: permit }
     }
 
     /// Sends a request; it goes on by itself.
@@ -41,28 +41,34 @@
     }
 
     /// Sends a request and waits for what its caller is told.
-    pub async fn ask(&self, entry: &str, pipeline: &str, body: &RequestBody) -> Told {
-        self.send(entry, pipeline, body).told().await
+    pub async fn request(&self, entry: &str, pipeline: &str, body: &RequestBody) -> CallerResponse {
+        self.send(entry, pipeline, body).response().await
     }
 
     /// Sends a request, waits, and compares what its caller is told.
-    pub async fn check(&self, entry: &str, pipeline: &str, body: &RequestBody, told: &str) -> Told {
-        let heard = self.ask(entry, pipeline, body).await;
-        assert_eq!(heard.to_string(), told, "{} at {entry}: {heard:?}", body.id);
-        heard
+    pub async fn check(
+        &self,
+        entry: &str,
+        pipeline: &str,
+        body: &RequestBody,
+        expected: &str,
+    ) -> CallerResponse {
+        let response = self.request(entry, pipeline, body).await;
+        assert_eq!(response.to_string(), expected, "{} at {entry}: {response:?}", body.id);
+        response
     }
 
     /// Sends requests by turns to the entries, all at once, and waits for all.
-    pub async fn ask_many(
+    pub async fn request_all(
         &self,
         pipeline: &str,
         bodies: impl IntoIterator<Item = RequestBody>,
-    ) -> Vec<Told> {
+    ) -> Vec<CallerResponse> {
         let entries = self.system.entries();
         let mut turns = entries.iter().cycle();
         let sent = bodies.into_iter().map(|body| {
             let entry = turns.next().expect("there are entries");
-            self.send(entry, pipeline, &body).told()
+            self.send(entry, pipeline, &body).response()
         });
         future::join_all(sent).await
     }
@@ -72,27 +78,27 @@
         &self,
         id: &str,
         what: &str,
-        is_so: impl Fn(&CallRecord) -> bool,
+        matches: impl Fn(&CallRecord) -> bool,
     ) -> Vec<(String, CallRecord)> {
-        let look = async || {
+        let poll = async || {
             let mut calls = self.system.calls_for(id).await.ok()?;
-            calls.retain(|(_, call)| is_so(call));
+            calls.retain(|(_, call)| matches(call));
             (!calls.is_empty()).then_some(calls)
         };
-        wait::until(what, wait::BOUND, look).await.unwrap()
+        wait::until(what, wait::TIMEOUT, poll).await.unwrap()
     }
 
     /// Waits until a stream of the log holds records behind an offset.
     pub async fn wait_log(&self, stream: Stream, offset: u64) {
-        let look = async || {
+        let poll = async || {
             let next = self.system.log_next(stream).await.ok()?;
             (next > offset).then_some(())
         };
-        wait::until(&format!("a record behind {offset}"), wait::BOUND, look).await.unwrap();
+        wait::until(&format!("a record behind {offset}"), wait::TIMEOUT, poll).await.unwrap();
     }
 
     /// Waits until an entry has noticed that the log is out.
-    pub async fn wait_log_missed(&self, entry: &str) {
+    pub async fn wait_log_read_failures(&self, entry: &str) {
         let before = self.counter(entry, "log_read_failures").await;
         self.wait_counter(entry, "log_read_failures", before + 4).await;
     }
@@ -100,10 +106,10 @@
     /// Waits until a counter of an entry has reached a value.
     pub async fn wait_counter(&self, entry: &str, name: &str, value: u64) {
         let what = format!("{name} of {entry} at {value}");
-        let is_so = |status: &peatdeck_wire::admin::EntryStatus| {
+        let matches = |status: &peatdeck_wire::admin::EntryStatus| {
             status.counters.get(name).is_some_and(|count| *count >= value)
         };
-        self.system.wait_status(entry, &what, wait::BOUND, is_so).await.unwrap();
+        self.system.wait_status(entry, &what, wait::TIMEOUT, matches).await.unwrap();
     }
 
     /// A counter of an entry.
@@ -113,21 +119,21 @@
     }
 
     /// Waits until every entry sees an endpoint as leaving.
-    pub async fn wait_leaving(&self, endpoint: &str, incarnation: u64, bound: Duration) {
+    pub async fn wait_leaving(&self, endpoint: &str, incarnation: u64, timeout: Duration) {
         for entry in self.system.entries() {
             let what = format!("{endpoint} leaving at {entry}");
-            let is_so = |status: &peatdeck_wire::admin::EntryStatus| {
+            let matches = |status: &peatdeck_wire::admin::EntryStatus| {
                 status.endpoints.iter().any(|known| {
-                    let is_life = known.incarnation == Incarnation(incarnation);
-                    &*known.endpoint == endpoint && is_life && &*known.state == "leaving"
+                    let is_incarnation = known.incarnation == Incarnation(incarnation);
+                    &*known.endpoint == endpoint && is_incarnation && &*known.state == "leaving"
                 })
             };
-            self.system.wait_status(&entry, &what, bound, is_so).await.unwrap();
+            self.system.wait_status(&entry, &what, timeout, matches).await.unwrap();
         }
     }
 
     /// Mends the log.
-    pub async fn mend_log(&self) {
+    pub async fn clear_log_faults(&self) {
         self.set_log(LogFaults::default()).await;
     }
 
@@ -150,31 +156,31 @@
 }
 
 /// The same request, sent again because its outcome is not known.
-pub fn again(body: &RequestBody) -> RequestBody {
+pub fn as_repeat(body: &RequestBody) -> RequestBody {
     RequestBody { repeat: true, ..body.clone() }
 }
 
 /// A place among the systems that run at once.
-struct Place;
+struct SystemPermit;
 
-static TAKEN: Mutex<usize> = Mutex::new(0);
-static FREED: Condvar = Condvar::new();
+static RUNNING: Mutex<usize> = Mutex::new(0);
+static SYSTEM_ENDED: Condvar = Condvar::new();
 
-impl Place {
+impl SystemPermit {
     /// Waits for a place. Each test has a thread of its own.
-    fn take() -> Place {
-        let taken = TAKEN.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut taken = FREED
+    fn acquire() -> SystemPermit {
+        let taken = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut taken = SYSTEM_ENDED
             .wait_while(taken, |taken| *taken >= SYSTEMS)
             .unwrap_or_else(PoisonError::into_inner);
         *taken += 1;
-        Place
+        SystemPermit
     }
 }
 
-impl Drop for Place {
+impl Drop for SystemPermit {
     fn drop(&mut self) {
-        *TAKEN.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        FREED.notify_one();
+        *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        SYSTEM_ENDED.notify_one();
     }
 }
