--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -1,9 +1,8 @@
-//! Processor time of the instance that batches a service's pieces, by how many
-//! wait.
+//! Processor time of the batcher of a service, by the number of waiting pieces.
 //!
-//! A peer hands over the two pieces of one request and takes them back, while
-//! others wait: for endpoints that are all busy, or for room at endpoints that
-//! are idle. Sockets and logs are not part of it.
+//! A peer hands over the two pieces of one request and recalls them, while the
+//! pieces of other requests wait: for endpoints that are all busy, or for free
+//! result memory at endpoints that are idle. Sockets and logs are not included.
 //!
 //! `cargo run --release -p peatdeck-core --example batch_cost`
 
@@ -22,15 +21,13 @@
 };
 use peatdeck_util::cost::{self, Sampling};
 
-/// How each figure is measured.
-const EFFORT: Sampling = Sampling { cpu_time: Duration::from_millis(500), max_batch: 200 };
-/// Endpoints of the service, as on the grown deployments.
+const SAMPLING: Sampling = Sampling { cpu_time: Duration::from_millis(500), max_batch: 200 };
+/// Endpoints of the service, as in a large deployment.
 const ENDPOINTS: usize = 18;
-/// Data centres of these.
-const PLACES: usize = 4;
-/// Requests that wait while the figure is taken.
+/// Data centres of the endpoints.
+const DATA_CENTRES: usize = 4;
+/// Numbers of requests that wait during a measurement.
 const WAITING: [u64; 4] = [0, 100, 500, 2000];
-/// The service.
 const SERVICE: &str = "ledger";
 
 fn main() {
@@ -42,10 +39,10 @@
     }
 }
 
-/// Microseconds of one hand-over of two pieces that is recalled again.
+/// Processor time of one hand-over of two pieces and its recall, in microseconds.
 fn hand_over(room: u64, waiting: u64) -> f64 {
     let mut relay = relay(room);
-    // Every endpoint gets a call, or all the results that it has room for.
+    // Each endpoint gets a call, or as many results as fit into its result memory.
     for ticket in 0..ENDPOINTS as u64 {
         relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_000_000));
     }
@@ -55,7 +52,7 @@
     }
     relay.take_actions();
     let mut ticket = 1_000_000;
-    cost::cpu_micros(EFFORT, || {
+    cost::cpu_micros(SAMPLING, || {
         ticket += 1;
         relay.on_handover(Duration::ZERO, ticket, pieces(ticket, 1_500_000));
         relay.on_handover_recall(ticket);
@@ -64,11 +61,12 @@
 }
 
 fn relay(room: u64) -> Relay {
-    let bound = RetryBudgetConfig { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
+    let retry_budget =
+        RetryBudgetConfig { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
-        retry_budget: bound,
+        retry_budget,
         min_instances: 74,
         millicores: 120,
     };
@@ -98,7 +96,7 @@
             incarnation: Incarnation(1),
             service: Arc::from(SERVICE),
             addr: Arc::from(format!("10.0.0.{idx}:80")),
-            data_centre: Arc::from(format!("dc-{}", idx % PLACES)),
+            data_centre: Arc::from(format!("dc-{}", idx % DATA_CENTRES)),
             slots: 1,
             is_leaving: false,
             cold_left: None,
@@ -121,7 +119,7 @@
         deadline: Duration::from_secs(600),
         target: Duration::from_secs(300) + Duration::from_millis(request % 1000),
         priority: 0,
-        destination: Some(Arc::from(format!("dc-{}", request % PLACES as u64))),
+        destination: Some(Arc::from(format!("dc-{}", request % DATA_CENTRES as u64))),
         round: 0,
         tries: 0,
         is_repeat: false,
--- a/crates/core/examples/instance_cost.rs
+++ b/crates/core/examples/instance_cost.rs
@@ -1,8 +1,9 @@
-//! Memory and processor time of one instance by the size of what it knows.
+//! Memory and processor time of one instance, by the number of peers, endpoints
+//! and teams.
 //!
-//! Builds an [`Instance`] with some peers, endpoints and teams, feeds it what
-//! the event loop would feed it, and prints one line a figure. Sockets and the
-//! HTTP library are not part of it: this is the cost of the decisions alone.
+//! Creates an [`Instance`], passes it the inputs that the event loop would pass,
+//! and prints the measurements. Sockets and the HTTP library are not included:
+//! this is the cost of the state machine alone.
 //!
 //! `cargo run --release -p peatdeck-core --example instance_cost`
 
@@ -27,15 +28,14 @@
 };
 use peatdeck_util::cost::{self, Sampling};
 
-/// How each figure is measured.
-const EFFORT: Sampling = Sampling { cpu_time: Duration::from_millis(500), max_batch: 500 };
-/// Pools of the document, and stages of its one pipeline.
+const SAMPLING: Sampling = Sampling { cpu_time: Duration::from_millis(500), max_batch: 500 };
+/// Pools of the document, and stages of each of its pipelines.
 const POOLS: usize = 4;
-/// Pieces that the last stage generates.
+/// Pieces of text that the last stage generates.
 const PIECES: u32 = 233;
-/// Requests held at once where memory is measured.
-const HELD: u64 = 20_000;
-/// Claims read where memory is measured.
+/// Active requests whose memory is measured.
+const ACTIVE_REQUESTS: u64 = 20_000;
+/// Claims whose memory is measured.
 const CLAIMS: u64 = 200_000;
 
 fn main() {
@@ -66,12 +66,16 @@
     println!("{:<40} {:>10.0}", "instance, 30 endpoints, 5 teams", empty - start);
 
     let input: Text = "x".repeat(2048).into();
-    for idx in 0..HELD {
+    for idx in 0..ACTIVE_REQUESTS {
         bench.submit(idx, &input);
     }
-    assert_eq!(u64::from(bench.instance.status().running), HELD, "none should be refused");
-    let per = (cost::resident_bytes() - empty) / HELD as f64;
-    println!("{:<40} {per:>10.0}", "held request (input of 2 kB shared)");
+    assert_eq!(
+        u64::from(bench.instance.status().running),
+        ACTIVE_REQUESTS,
+        "none should be refused"
+    );
+    let per = (cost::resident_bytes() - empty) / ACTIVE_REQUESTS as f64;
+    println!("{:<40} {per:>10.0}", "active request (input of 2 kB shared)");
     std::mem::forget(bench);
 
     let start = cost::resident_bytes();
@@ -104,11 +108,11 @@
         "claim with its outcome",
         (cost::resident_bytes() - start) / CLAIMS as f64
     );
-    println!("{:<40} {:>10.2}", "  its fold, in µs (making it included)", spent * 1e6);
+    println!("{:<40} {:>10.2}", "  reading it, in µs (creation included)", spent * 1e6);
     std::mem::forget(claims);
 }
 
-/// One append with claims and the outcomes of the same claims.
+/// A batch with one record, which has `count` claims and their outcomes.
 fn claims_batch(offset: u64, count: u64) -> Batch<ClaimBatch> {
     let facts = (0..count).flat_map(|idx| {
         let nonce = offset * 100 + idx;
@@ -133,7 +137,7 @@
     println!("\n{:<40} {:>10}", "compile of a document", "µs");
     for teams in [5, 1000, 2800] {
         let document = Arc::new(document(teams));
-        let us = cost::cpu_micros(EFFORT, || {
+        let us = cost::cpu_micros(SAMPLING, || {
             black_box(Plan::new(1, document.clone()).expect("it has no policy"));
         });
         println!("{:<40} {us:>10.1}", format!("{teams} teams"));
@@ -145,14 +149,14 @@
     let input: Text = "x".repeat(2048).into();
     let (request_us, piece_us) = bench.requests(&input);
     let listed = listing(peers, endpoints);
-    let list_us = cost::cpu_micros(EFFORT, || bench.feed(Input::Listed(listed.clone())));
+    let list_us = cost::cpu_micros(SAMPLING, || bench.feed(Input::Listed(listed.clone())));
     let mut heartbeat = 0;
-    let gossip_us = cost::cpu_micros(EFFORT, || {
+    let gossip_us = cost::cpu_micros(SAMPLING, || {
         heartbeat += 1;
         let message = gossip(peers, endpoints, heartbeat);
         bench.feed(Input::Gossip(message));
     });
-    let round_us = cost::cpu_micros(EFFORT, || {
+    let round_us = cost::cpu_micros(SAMPLING, || {
         bench.now += Duration::from_millis(500);
         bench.feed(Input::Tick);
     });
@@ -179,7 +183,7 @@
         bench
     }
 
-    /// Feeds an input as the event loop does, and asks when to wake.
+    /// Passes an input to the instance and reads its next wake-up, as the event loop does.
     fn feed(&mut self, input: Input) {
         self.actions = self.instance.handle(self.now, input);
         black_box(self.instance.next_wake());
@@ -198,12 +202,12 @@
         self.feed(Input::Submit { caller: CallerId(idx), request });
     }
 
-    /// Runs requests through all stages. Processor time of a request without
-    /// its pieces, and of a piece, in microseconds.
+    /// Runs requests through all stages. Returns the processor time of a request
+    /// without its pieces, and of a piece, in microseconds.
     fn requests(&mut self, input: &Text) -> (f64, f64) {
         let (mut plain, mut idx) = (0.0, 0);
         for pieces in [0, PIECES] {
-            let us = cost::cpu_micros(EFFORT, || {
+            let us = cost::cpu_micros(SAMPLING, || {
                 idx += 1;
                 self.request(idx, input, pieces);
             });
@@ -217,7 +221,7 @@
     }
 
     fn request(&mut self, idx: u64, input: &Text, pieces: u32) {
-        // The isolation check wants to hear the log now and then.
+        // Without regular reads of the log, the instance would consider itself isolated.
         let next = self.instance.next_config_offset();
         let empty = Batch { from: next, earliest: 0, next, now_ms: 0, entries: Vec::new() };
         if idx.is_multiple_of(64) {
@@ -228,7 +232,7 @@
             self.now += Duration::from_millis(2);
             let call = self.call();
             if stage + 1 == POOLS {
-                self.pieces(&call, pieces);
+                self.send_pieces(&call, pieces);
             }
             let engine = stage + 1 == POOLS;
             let event = CallEvent::Reply {
@@ -243,7 +247,7 @@
         assert!(answered, "the request should be answered: {:?}", self.actions);
     }
 
-    fn pieces(&mut self, call: &Call, pieces: u32) {
+    fn send_pieces(&mut self, call: &Call, pieces: u32) {
         let text: Text = "word ".into();
         for index in 0..pieces {
             let event = CallEvent::Chunk { echo: call.echo.clone(), index, text: text.clone() };
@@ -331,7 +335,7 @@
     }
 }
 
-/// A message as a peer sends it: full up to the bounds of the defaults.
+/// A gossip message of a peer, as large as the default limits allow.
 fn gossip(peers: usize, endpoints: usize, heartbeat: u64) -> Gossip {
     let member = |idx| MemberState {
         name: name("entry-dc07", idx),
--- a/crates/core/examples/pool/main.rs
+++ b/crates/core/examples/pool/main.rs
@@ -1,9 +1,9 @@
-//! Virtual-time trials of the decisions round one pool.
+//! Simulation in virtual time of admission and routing for one pool.
 //!
-//! A few instances share a pool of endpoints. Arrivals and service times come
+//! A few instances share a pool of endpoints. Arrivals and service times are drawn
 //! from a fixed seed and are the same for every variant, so that variants are
-//! compared pairwise. No process, socket or clock takes part: the figures show
-//! what the decisions do to each other, not what a deployment does.
+//! compared pairwise. There are no processes, sockets or clocks: the figures show
+//! how the mechanisms interact, not how a deployment performs.
 //!
 //! `cargo run --release -p peatdeck-core --example pool [SEEDS]`
 
@@ -15,18 +15,16 @@
 use model::{Choice, Fault, Outcome, Scenario, Variant};
 use world::World;
 
-/// Mean service time of a call to a plain service.
+/// Mean service time of a call to a service.
 const SHORT: Duration = Duration::from_millis(100);
 /// Mean service time of a generation.
 const LONG: Duration = Duration::from_secs(2);
-/// Repeats of each trial where none are given.
+/// Number of seeds for each trial unless given as an argument.
 const DEFAULT_SEEDS: u64 = 5;
 
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|arg| arg.parse().ok()).unwrap_or(DEFAULT_SEEDS);
-    println!(
-        "in time: share of requests, mean over {seeds} seeds; less: what is lost against `full`"
-    );
+    println!("in time: share of requests, mean over {seeds} seeds; less: shortfall against `full`");
     println!("on the same seed, mean (least, most); waste: share of endpoint work that no reply");
     println!("was taken from; p99: of the times of requests in time");
     for scenario in scenarios() {
@@ -44,18 +42,18 @@
 }
 
 fn report(variant: &Variant, outcomes: &[Outcome], full: &[Outcome]) {
-    let shares: Vec<f64> = outcomes.iter().map(Outcome::attained).collect();
+    let shares: Vec<f64> = outcomes.iter().map(Outcome::in_time_share).collect();
     let pairs = shares.iter().zip(full);
-    let less: Vec<f64> = pairs.map(|(share, full)| full.attained() - share).collect();
-    let least = less.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = less.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    let waste: Vec<f64> = outcomes.iter().map(Outcome::wasted).collect();
+    let shortfall: Vec<f64> = pairs.map(|(share, full)| full.in_time_share() - share).collect();
+    let least = shortfall.iter().copied().fold(f64::INFINITY, f64::min);
+    let most = shortfall.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    let waste: Vec<f64> = outcomes.iter().map(Outcome::wasted_share).collect();
     let p99: Vec<f64> = outcomes.iter().map(|outcome| outcome.p99() * 1000.0).collect();
     println!(
         "  {:<24} {:.3}    {:>6.3} ({:>6.3}, {:>6.3})  {:.3}  {:>6.0}",
         variant.name,
         mean(&shares),
-        mean(&less),
+        mean(&shortfall),
         least,
         most,
         mean(&waste),
--- a/crates/core/examples/pool/model.rs
+++ b/crates/core/examples/pool/model.rs
@@ -1,28 +1,28 @@
-//! What a trial varies, and what comes of it.
+//! Variants and scenarios of the trials, and their outcomes.
 
 use std::time::Duration;
 
-/// How an endpoint is chosen.
+/// How an instance chooses an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// Any free one.
+    /// A random free endpoint.
     Random,
-    /// As the product does.
+    /// The routing of `peatdeck_core`.
     BuiltIn,
 }
 
-/// Which decisions are on.
+/// Which mechanisms are enabled.
 #[derive(Debug, Clone, Copy)]
 pub struct Variant {
-    /// Its name in the table.
+    /// Name in the table.
     pub name: &'static str,
-    /// How an endpoint is chosen.
+    /// How an instance chooses an endpoint.
     pub choice: Choice,
-    /// Whether peers tell their calls in flight.
+    /// Whether peers exchange their counts of calls in flight.
     pub peers: bool,
-    /// Whether endpoints' reports are heeded.
+    /// Whether load reports of endpoints are used.
     pub reports: bool,
-    /// Whether limits adapt.
+    /// Whether concurrency limits adapt.
     pub adaptive: bool,
     /// Whether infeasible requests are refused.
     pub admission: bool,
@@ -33,7 +33,7 @@
 }
 
 impl Variant {
-    /// Everything on.
+    /// All mechanisms enabled.
     pub fn full() -> Variant {
         Variant {
             name: "full",
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Everything off.
+    /// All mechanisms disabled.
     pub fn baseline() -> Variant {
         Variant {
             name: "baseline",
@@ -62,21 +62,21 @@
     }
 }
 
-/// What goes wrong, from a third of the trial on.
+/// Fault of a trial; it begins after a third of the trial unless stated otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One endpoint takes ten times its time.
+    /// The service times of one endpoint are ten times as long.
     Straggler,
     /// Two endpoints refuse connections.
     Killed,
-    /// Load reports are five seconds late, from the start.
+    /// Load reports arrive five seconds late, from the start of the trial.
     LateReports,
 }
 
 impl Fault {
-    /// Its name in the table.
+    /// Name in the table.
     pub fn name(self) -> &'static str {
         match self {
             Fault::None => "quiet",
@@ -90,47 +90,47 @@
 /// Load and fault of a trial.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
-    /// Arrivals over capacity.
+    /// Rate of arrivals divided by the capacity of the pool.
     pub load: f64,
     /// Mean service time.
     pub mean: Duration,
-    /// The fault.
+    /// Fault during the trial.
     pub fault: Fault,
 }
 
 impl Scenario {
-    /// Its name in the table.
+    /// Name in the table.
     pub fn name(&self) -> String {
         let (load, mean, fault) = (self.load, self.mean, self.fault.name());
         format!("load {load} of capacity, calls of {mean:?}, {fault}")
     }
 }
 
-/// What came of a trial.
+/// Result of a trial.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrived: u64,
-    /// Times of those answered in time.
+    /// Latencies of the requests answered in time.
     pub times: Vec<Duration>,
-    /// Endpoint work done.
+    /// Time that endpoints spent on calls.
     pub work: Duration,
-    /// Endpoint work whose reply was taken.
+    /// Time that endpoints spent on calls whose reply was used.
     pub useful: Duration,
 }
 
 impl Outcome {
-    /// Share answered in time.
-    pub fn attained(&self) -> f64 {
+    /// Share of requests answered in time.
+    pub fn in_time_share(&self) -> f64 {
         self.times.len() as f64 / self.arrived as f64
     }
 
-    /// Share of endpoint work that no reply was taken from.
-    pub fn wasted(&self) -> f64 {
+    /// Share of the endpoints' time spent on calls whose reply was not used.
+    pub fn wasted_share(&self) -> f64 {
         1.0 - self.useful.as_secs_f64() / self.work.as_secs_f64()
     }
 
-    /// The 99th percentile of the times, in seconds.
+    /// The 99th percentile of the latencies, in seconds.
     pub fn p99(&self) -> f64 {
         let mut times = self.times.clone();
         times.sort_unstable();
--- a/crates/core/examples/pool/world.rs
+++ b/crates/core/examples/pool/world.rs
@@ -1,4 +1,4 @@
-//! Instances, endpoints and the order of events.
+//! The simulation: instances, endpoints and the queue of events.
 
 mod fresh;
 mod reports;
@@ -27,20 +27,20 @@
 const POOL: &str = "pool";
 const INSTANCES: usize = 6;
 const ENDPOINTS: usize = 12;
-const PLACES: usize = 4;
-/// Spread of the lognormal service times.
+const SLOTS: usize = 4;
+/// Standard deviation of the logarithm of service times.
 const SIGMA: f64 = 0.7;
-/// Deadline over the mean service time.
-const DEADLINE: u32 = 10;
-/// Length of a trial over the mean service time, beside `MIN_LENGTH`.
-const LENGTH: u32 = 60;
+/// Deadline as a multiple of the mean service time.
+const DEADLINE_FACTOR: u32 = 10;
+/// Length of a trial as a multiple of the mean service time, at least `MIN_LENGTH`.
+const LENGTH_FACTOR: u32 = 60;
 const MIN_LENGTH: Duration = Duration::from_secs(60);
-const SLOWNESS: f64 = 10.0;
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const SLOW_FACTOR: f64 = 10.0;
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 const REPORT_LAG: Duration = Duration::from_millis(1000);
-const LATE_LAG: Duration = Duration::from_secs(5);
-const GOSSIP_EVERY: Duration = Duration::from_millis(200);
-/// Attempts at a request, hedges included.
+const LATE_REPORT_LAG: Duration = Duration::from_secs(5);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of calls for a request, hedges included.
 const MAX_ATTEMPTS: usize = 3;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,11 +58,11 @@
 struct Request {
     instance: usize,
     arrived: Duration,
-    /// Service time at each attempt.
+    /// Service time of each attempt, in seconds.
     service: [f64; MAX_ATTEMPTS],
     calls: Vec<usize>,
     done: bool,
-    /// Whether it was let through against the estimate.
+    /// Whether it was admitted as a probe although the estimate exceeds its deadline.
     probe: bool,
 }
 
@@ -71,8 +71,8 @@
     endpoint: usize,
     sent: Duration,
     service: Duration,
-    began: Option<Duration>,
-    over: bool,
+    started: Option<Duration>,
+    has_ended: bool,
 }
 
 struct Instance {
@@ -80,7 +80,7 @@
     queue: Queue<usize>,
     drain: DrainRate,
     probe: ProbePacer,
-    took: Estimator,
+    latency: Estimator,
     budget: RetryBudget,
     peers: HashMap<EndpointName, u32>,
 }
@@ -91,7 +91,7 @@
     waiting: VecDeque<usize>,
 }
 
-/// One trial under way.
+/// State of one trial.
 pub struct World<'a> {
     scenario: &'a Scenario,
     variant: &'a Variant,
@@ -109,7 +109,7 @@
 }
 
 impl<'a> World<'a> {
-    /// A trial at its start.
+    /// Creates a trial at virtual time zero.
     pub fn new(scenario: &'a Scenario, variant: &'a Variant, seed: u64) -> World<'a> {
         let names: Vec<EndpointName> =
             (0..ENDPOINTS).map(|idx| Arc::from(format!("endpoint-{idx}"))).collect();
@@ -128,13 +128,13 @@
             calls: Vec::new(),
             outcome: Outcome::default(),
         };
-        world.after(Duration::ZERO, Event::Arrive);
-        world.after(REPORT_EVERY, Event::Report);
-        world.after(GOSSIP_EVERY, Event::Gossip);
+        world.schedule(Duration::ZERO, Event::Arrive);
+        world.schedule(REPORT_INTERVAL, Event::Report);
+        world.schedule(GOSSIP_INTERVAL, Event::Gossip);
         world
     }
 
-    /// Runs it to its end.
+    /// Handles all events of the trial.
     pub fn run(mut self) -> Outcome {
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
@@ -156,17 +156,17 @@
         }
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.seq += 1;
         self.events.push(Reverse((self.now + delay, self.seq, event)));
     }
 
     fn deadline(&self) -> Duration {
-        self.scenario.mean * DEADLINE
+        self.scenario.mean * DEADLINE_FACTOR
     }
 
     fn length(&self) -> Duration {
-        MIN_LENGTH.max(self.scenario.mean * LENGTH)
+        MIN_LENGTH.max(self.scenario.mean * LENGTH_FACTOR)
     }
 
     fn is_over(&self) -> bool {
@@ -178,38 +178,38 @@
             return;
         }
         let rate =
-            (ENDPOINTS * PLACES) as f64 / self.scenario.mean.as_secs_f64() * self.scenario.load;
+            (ENDPOINTS * SLOTS) as f64 / self.scenario.mean.as_secs_f64() * self.scenario.load;
         let gap = -(1.0 - self.arrivals.random::<f64>()).ln() / rate;
         let mean = self.scenario.mean.as_secs_f64();
         let service = std::array::from_fn(|_| fresh::lognormal(&mut self.arrivals, mean));
         let instance = self.arrivals.random_range(0..INSTANCES);
-        self.after(Duration::from_secs_f64(gap), Event::Arrive);
+        self.schedule(Duration::from_secs_f64(gap), Event::Arrive);
         self.outcome.arrived += 1;
-        let Some(probe) = self.admits(instance) else { return };
+        let Some(probe) = self.admit(instance) else { return };
         let request = self.requests.len();
         let arrived = self.now;
         let calls = Vec::new();
         self.requests.push(Request { instance, arrived, service, calls, done: false, probe });
         self.instances[instance].budget.deposit();
-        self.after(self.deadline(), Event::Expire { request });
+        self.schedule(self.deadline(), Event::Expire { request });
         self.enqueue(request);
     }
 
-    /// Whether to take a request in, and if so, whether as a probe.
-    fn admits(&mut self, instance: usize) -> Option<bool> {
+    /// Decides whether to admit a request: `None` if not, else whether as a probe.
+    fn admit(&mut self, instance: usize) -> Option<bool> {
         if !self.variant.admission {
             return Some(false);
         }
-        let Instance { queue, drain, took, table, probe, .. } = &self.instances[instance];
+        let Instance { queue, drain, latency, table, probe, .. } = &self.instances[instance];
         let deadline = self.now + self.deadline();
         let ahead = queue.cost_ahead("team", deadline);
-        let places = table.pool_slots(self.now, POOL);
-        let service = took.quantile(0.5).unwrap_or_default();
-        let guess = || admission::expected_wait(ahead, places, service);
+        let slots = table.pool_slots(self.now, POOL);
+        let service = latency.quantile(0.5).unwrap_or_default();
+        let guess = || admission::expected_wait(ahead, slots, service);
         let wait = drain.time_to_drain(self.now, ahead).unwrap_or_else(guess);
-        let (work, quick) = (timing::work(&[took]), timing::min_work(&[took]));
+        let (work, min_work) = (timing::work(&[latency]), timing::min_work(&[latency]));
         let left = self.deadline();
-        let estimate = Estimate { left, wait, work, min_work: quick, share: Share::default() };
+        let estimate = Estimate { left, wait, work, min_work, share: Share::default() };
         let fits = admission::decide(&estimate).is_ok();
         if !fits && !probe.is_due(self.now) {
             return None;
@@ -248,12 +248,12 @@
         }
     }
 
-    /// Whether the request can still be answered in time.
+    /// Whether the request can still be answered before its deadline.
     fn is_in_time(&self, request: usize) -> bool {
         let Request { instance, arrived, probe, .. } = self.requests[request];
         let left = (arrived + self.deadline()).saturating_sub(self.now);
-        let took = &self.instances[instance].took;
-        !self.variant.admission || probe || timing::stage_time(left, took, &[]).is_some()
+        let latency = &self.instances[instance].latency;
+        !self.variant.admission || probe || timing::stage_time(left, latency, &[]).is_some()
     }
 
     fn call(&mut self, request: usize) -> bool {
@@ -261,21 +261,21 @@
         let Some(name) = self.choose(request) else { return false };
         let endpoint = self.names.iter().position(|other| *other == name).expect("a known name");
         let attempt = self.requests[request].calls.len();
-        let slow = self.scenario.fault == Fault::Straggler && self.is_hit(endpoint, 1);
-        let factor = if slow { SLOWNESS } else { 1.0 };
+        let slow = self.scenario.fault == Fault::Straggler && self.is_faulty(endpoint, 1);
+        let factor = if slow { SLOW_FACTOR } else { 1.0 };
         let service = Duration::from_secs_f64(self.requests[request].service[attempt] * factor);
         let call = self.calls.len();
         let sent = self.now;
-        self.calls.push(Call { request, endpoint, sent, service, began: None, over: false });
+        self.calls.push(Call { request, endpoint, sent, service, started: None, has_ended: false });
         self.requests[request].calls.push(call);
         self.instances[instance].table.call_started(self.now, &name);
         self.plan_hedge(request);
-        if self.scenario.fault == Fault::Killed && self.is_hit(endpoint, 2) {
-            self.after(Duration::from_millis(1), Event::Refuse { call });
+        if self.scenario.fault == Fault::Killed && self.is_faulty(endpoint, 2) {
+            self.schedule(Duration::from_millis(1), Event::Refuse { call });
             return true;
         }
         self.endpoints[endpoint].waiting.push_back(call);
-        self.work(endpoint);
+        self.start_waiting(endpoint);
         true
     }
 
@@ -285,12 +285,12 @@
             return;
         }
         let left = (arrived + self.deadline()).saturating_sub(self.now);
-        if let Some(delay) = timing::hedge_delay(&self.instances[instance].took, left) {
-            self.after(delay, Event::Hedge { request });
+        if let Some(delay) = timing::hedge_delay(&self.instances[instance].latency, left) {
+            self.schedule(delay, Event::Hedge { request });
         }
     }
 
-    fn is_hit(&self, endpoint: usize, count: usize) -> bool {
+    fn is_faulty(&self, endpoint: usize, count: usize) -> bool {
         self.now >= self.length() / 3 && endpoint < count
     }
 
@@ -305,52 +305,52 @@
             return names.choose(&mut self.choices).map(|name| (*name).clone());
         }
         let peers = |name: &str| inst.peers.get(name).copied().unwrap_or(0);
-        let demand = Criteria { pool: POOL, prefix: None, exclude: &tried, peers: &peers };
-        routing::choose(&inst.table, self.now, &demand, &mut self.choices)
+        let criteria = Criteria { pool: POOL, prefix: None, exclude: &tried, peers: &peers };
+        routing::choose(&inst.table, self.now, &criteria, &mut self.choices)
     }
 
-    fn work(&mut self, endpoint: usize) {
-        while self.endpoints[endpoint].running < PLACES {
+    fn start_waiting(&mut self, endpoint: usize) {
+        while self.endpoints[endpoint].running < SLOTS {
             let Some(call) = self.endpoints[endpoint].waiting.pop_front() else { return };
-            if self.calls[call].over {
+            if self.calls[call].has_ended {
                 continue;
             }
             self.endpoints[endpoint].running += 1;
-            self.calls[call].began = Some(self.now);
-            self.after(self.calls[call].service, Event::Finish { call });
+            self.calls[call].started = Some(self.now);
+            self.schedule(self.calls[call].service, Event::Finish { call });
         }
     }
 
     fn finish(&mut self, call: usize) {
-        if self.calls[call].over {
+        if self.calls[call].has_ended {
             return;
         }
         let Call { request, sent, service, .. } = self.calls[call];
         self.outcome.useful += service;
         let Request { instance, arrived, .. } = self.requests[request];
-        self.instances[instance].took.record(self.now, self.now - sent);
+        self.instances[instance].latency.record(self.now, self.now - sent);
         self.outcome.times.push(self.now - arrived);
         self.requests[request].done = true;
         self.end_call(call, CallResult::Ok);
         self.cancel_all(request);
     }
 
-    /// Ends a call and frees its place; a failed one is tried again.
+    /// Ends a call and frees its slot; a failed call is retried.
     fn end_call(&mut self, call: usize, result: CallResult) {
-        if std::mem::replace(&mut self.calls[call].over, true) {
+        if std::mem::replace(&mut self.calls[call].has_ended, true) {
             return;
         }
-        let Call { request, endpoint, sent, began, .. } = self.calls[call];
+        let Call { request, endpoint, sent, started, .. } = self.calls[call];
         let instance = self.requests[request].instance;
         let end = CallEnd { took: self.now - sent, result, tokens: None };
         self.instances[instance].table.call_ended(self.now, &self.names[endpoint], end);
-        if let Some(began) = began {
-            self.outcome.work += self.now - began;
+        if let Some(started) = started {
+            self.outcome.work += self.now - started;
             self.endpoints[endpoint].running -= 1;
-            self.work(endpoint);
+            self.start_waiting(endpoint);
         }
         if result == CallResult::Failed {
-            self.repeat(request);
+            self.retry(request);
         }
         self.dispatch(instance);
     }
@@ -363,13 +363,13 @@
 
     fn hedge(&mut self, request: usize) {
         let calls = &self.requests[request].calls;
-        let is_running = calls.iter().any(|call| !self.calls[*call].over);
+        let is_running = calls.iter().any(|call| !self.calls[*call].has_ended);
         if is_running {
-            self.repeat(request);
+            self.retry(request);
         }
     }
 
-    fn repeat(&mut self, request: usize) {
+    fn retry(&mut self, request: usize) {
         let Request { instance, ref calls, done, .. } = self.requests[request];
         if done || calls.len() >= MAX_ATTEMPTS {
             return;
--- a/crates/core/examples/pool/world/fresh.rs
+++ b/crates/core/examples/pool/world/fresh.rs
@@ -1,4 +1,4 @@
-//! Instances as they start, and how long work takes.
+//! Creation of instances, and random service times.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -31,7 +31,7 @@
         queue: Queue::new(),
         drain: DrainRate::new(),
         probe: ProbePacer::new(),
-        took: Estimator::new(),
+        latency: Estimator::new(),
         budget: RetryBudget::new(budget::Settings::default()),
         peers: HashMap::new(),
     }
--- a/crates/core/examples/pool/world/reports.rs
+++ b/crates/core/examples/pool/world/reports.rs
@@ -1,11 +1,12 @@
-//! What instances learn of the endpoints besides their own calls.
+//! Load reports of endpoints and gossip between instances.
 
 use std::collections::HashMap;
 
 use peatdeck_core::model::{EndpointName, Load};
 
 use super::{
-    ENDPOINTS, Endpoint, Event, GOSSIP_EVERY, LATE_LAG, PLACES, REPORT_EVERY, REPORT_LAG, World,
+    ENDPOINTS, Endpoint, Event, GOSSIP_INTERVAL, LATE_REPORT_LAG, REPORT_INTERVAL, REPORT_LAG,
+    SLOTS, World,
 };
 use crate::model::Fault;
 
@@ -15,21 +16,22 @@
             return;
         }
         let is_late = self.scenario.fault == Fault::LateReports;
-        let lag = if is_late { LATE_LAG } else { REPORT_LAG };
+        let lag = if is_late { LATE_REPORT_LAG } else { REPORT_LAG };
         for endpoint in 0..ENDPOINTS {
             let Endpoint { running, waiting } = &self.endpoints[endpoint];
             let (queued, running) = (waiting.len() as u32, *running as u32);
-            self.after(lag, Event::Deliver { endpoint, queued, running });
+            self.schedule(lag, Event::Deliver { endpoint, queued, running });
         }
-        self.after(REPORT_EVERY, Event::Report);
+        self.schedule(REPORT_INTERVAL, Event::Report);
     }
 
-    /// A report arrives everywhere. Its sender doesn't know how late it is.
+    /// Delivers a report to all instances. Its age is 0, since the sender doesn't
+    /// know the delay.
     pub(super) fn deliver(&mut self, endpoint: usize, queued: u32, running: u32) {
         if !self.variant.reports {
             return;
         }
-        let load = Load { running, queued, places: PLACES as u32, age_ms: 0 };
+        let load = Load { running, queued, places: SLOTS as u32, age_ms: 0 };
         for inst in &mut self.instances {
             inst.table.load_reported(self.now, &self.names[endpoint], load);
         }
@@ -39,7 +41,7 @@
         if self.is_over() {
             return;
         }
-        self.after(GOSSIP_EVERY, Event::Gossip);
+        self.schedule(GOSSIP_INTERVAL, Event::Gossip);
         if !self.variant.peers {
             return;
         }
--- a/crates/core/examples/record_cost.rs
+++ b/crates/core/examples/record_cost.rs
@@ -1,16 +1,16 @@
-//! Bytes and processor time of the log's records, by what they carry.
+//! Bytes and processor time of the log's records, by their content.
 //!
-//! Prints, for documents of several sizes, the bytes of a publish as JSON,
-//! the bytes of the same publish inside an append (JSON within JSON), the
-//! processor time to write and to parse it, and the memory of a parsed
-//! document; then the bytes of claim facts and of the platform's list.
-//! Processor time and resident
-//! memory come from `/proc/self`.
+//! Prints, for documents of several sizes, the bytes of a publish as JSON, the
+//! bytes of the same publish inside an append (JSON within JSON), the processor
+//! time to write and to parse it, and the memory of a parsed document; then the
+//! same for claim facts and the platform's list, without memory. Processor time
+//! and resident memory are read from `/proc/self`.
 //!
 //! `cargo run --release -p peatdeck-core --example record_cost`
 //!
-//! With an argument, it writes the publish of that many teams to standard
-//! output instead, so that its compressed size can be had:
+//! With a number of teams as argument, it writes the publish of a document with
+//! that many teams to standard output instead, so that its compressed size can
+//! be measured:
 //! `… --example record_cost -- 2800 | gzip -6 | wc -c`
 
 use std::{env, sync::Arc, time::Duration};
@@ -22,11 +22,10 @@
 };
 use peatdeck_util::cost::{self, Sampling};
 
-/// How each figure is measured.
-const EFFORT: Sampling = Sampling { cpu_time: Duration::from_secs(1), max_batch: 20_000 };
-/// Copies of a document held to measure its memory.
+const SAMPLING: Sampling = Sampling { cpu_time: Duration::from_secs(1), max_batch: 20_000 };
+/// Number of copies of a document whose memory is measured together.
 const COPIES: usize = 50;
-/// A policy of the usual length.
+/// A policy script of typical length.
 const SCRIPT: &str = "fn admit(request) {\n    if request.estimate_ms > \
      request.deadline_ms * 0.9 { refuse(\"infeasible\") } else { accept() }\n}\n\
      fn order(request) { request.deadline_ms - request.estimate_ms }\n";
@@ -48,15 +47,16 @@
         "publish", "bytes", "append", "write_us", "parse_us", "memory"
     );
     let sizes = [(0, 0), (5, 5), (21, 5), (21, 100), (21, 1000), (21, 2800)];
-    // Memory first: freed memory of other measurements would be used again unseen.
+    // Memory is measured first: values would reuse memory that other measurements have
+    // freed, and resident memory would not grow.
     let texts = sizes.map(|(pipelines, teams)| json(&publish(pipelines, teams)));
     let memory = texts.each_ref().map(|text| memory(|| parse(text)));
     for ((pipelines, teams), memory) in sizes.into_iter().zip(memory) {
         let record = publish(pipelines, teams);
         let text = json(&record);
         let append = serde_json::to_string(&text).expect("a string is JSON");
-        let write_us = cost::cpu_micros(EFFORT, || json(&record).len());
-        let parse_us = cost::cpu_micros(EFFORT, || match parse(&text) {
+        let write_us = cost::cpu_micros(SAMPLING, || json(&record).len());
+        let parse_us = cost::cpu_micros(SAMPLING, || match parse(&text) {
             ConfigRecord::Publish(publish) => publish.document.teams.len(),
             _ => 0,
         });
@@ -79,8 +79,8 @@
             let batch = batch(kind, count);
             let text = json(&batch);
             let append = serde_json::to_string(&text).expect("a string is JSON");
-            let write_us = cost::cpu_micros(EFFORT, || json(&batch).len());
-            let parse_us = cost::cpu_micros(EFFORT, || {
+            let write_us = cost::cpu_micros(SAMPLING, || json(&batch).len());
+            let parse_us = cost::cpu_micros(SAMPLING, || {
                 let batch: ClaimBatch = serde_json::from_str(&text).expect("written above");
                 batch.facts.len()
             });
@@ -102,7 +102,7 @@
             endpoints: (0..endpoints).map(endpoint).collect(),
         };
         let text = json(&listing);
-        let parse_us = cost::cpu_micros(EFFORT, || {
+        let parse_us = cost::cpu_micros(SAMPLING, || {
             let listing: Listing = serde_json::from_str(&text).expect("written above");
             listing.endpoints.len()
         });
@@ -155,7 +155,7 @@
     Pool { name: name("pool", idx), kind, cost: 1.5, fenced: idx.is_multiple_of(2) }
 }
 
-/// Pipelines of three to six stages in turn.
+/// A pipeline of three to six stages, depending on the index.
 fn pipeline(idx: usize) -> Pipeline {
     Pipeline {
         name: name("pipeline", idx),
@@ -216,13 +216,14 @@
     serde_json::from_str(text).expect("the record was written above")
 }
 
-/// Memory of one value, in bytes, from what many copies add to the process.
+/// Memory of one value in bytes: the growth of the process for many copies, divided
+/// by their number.
 fn memory<T>(mut make: impl FnMut() -> T) -> f64 {
     drop(make());
     let start = cost::resident_bytes();
     let copies: Vec<T> = (0..COPIES).map(|_| make()).collect();
     let grown = cost::resident_bytes() - start;
-    // Kept, so that the next value cannot take their place.
+    // The copies are leaked, so that the next measurement cannot reuse their memory.
     std::mem::forget(copies);
     grown / COPIES as f64
 }
--- a/crates/core/examples/subset_spread.rs
+++ b/crates/core/examples/subset_spread.rs
@@ -1,9 +1,9 @@
 //! How evenly independent subsets cover a pool, and what a change moves.
 //!
-//! For each size of subset: instances that keep to an endpoint (least, mean,
-//! most), how far the most loaded endpoint is above the mean if every instance
-//! spread its calls evenly, and places moved in all subsets when one endpoint
-//! or one instance goes.
+//! Prints for each subset size how many instances have an endpoint in their
+//! subset (least, mean, most), the load of the most loaded endpoint over the mean
+//! if every instance spreads its calls evenly, and how many members of all
+//! subsets change when one endpoint is removed.
 //!
 //! `cargo run --release -p peatdeck-core --example subset_spread`
 
@@ -14,11 +14,11 @@
     subset::{self, Params},
 };
 
-/// Instances at the planned size.
+/// Instances in the largest planned deployment.
 const INSTANCES: usize = 390;
-/// Data centres at the planned size.
-const CENTRES: usize = 17;
-/// Endpoints of one of twelve models.
+/// Data centres in the largest planned deployment.
+const DATA_CENTRES: usize = 17;
+/// Endpoints in the pool of one of twelve models.
 const ENDPOINTS: usize = 167;
 
 type Subset = BTreeSet<String>;
@@ -31,11 +31,12 @@
     );
     for size in [5, 10, 20, 40, 80] {
         let subsets = subsets(size, &entries);
-        let held = held(&subsets);
+        let instance_counts = instance_counts(&subsets);
         let mean = (INSTANCES * size) as f64 / ENDPOINTS as f64;
-        let least = entries.iter().map(|e| held.get(&*e.name).copied().unwrap_or(0)).min();
-        let most = held.values().copied().max().unwrap_or(0);
-        let moved = moved(&subsets, &self::subsets(size, &entries[1..]));
+        let least =
+            entries.iter().map(|e| instance_counts.get(&*e.name).copied().unwrap_or(0)).min();
+        let most = instance_counts.values().copied().max().unwrap_or(0);
+        let moved = count_moved(&subsets, &self::subsets(size, &entries[1..]));
         println!(
             "{size:>6} {:>6} {mean:>6.1} {most:>6} {:>10.2} {moved:>14}",
             least.unwrap_or(0),
@@ -46,23 +47,23 @@
 
 fn subsets(size: usize, entries: &[EndpointEntry]) -> Vec<Subset> {
     let of = |idx: usize| {
-        let (name, data_centre) = (format!("entry-{idx}"), centre(idx));
-        let chooser =
+        let (name, data_centre) = (format!("entry-{idx}"), data_centre(idx));
+        let params =
             Params { name: &name, data_centre: &data_centre, size, evacuated: &BTreeSet::new() };
-        subset::choose(chooser, entries).iter().map(|entry| entry.name.to_string()).collect()
+        subset::choose(params, entries).iter().map(|entry| entry.name.to_string()).collect()
     };
     (0..INSTANCES).map(of).collect()
 }
 
-fn held(subsets: &[Subset]) -> BTreeMap<&str, usize> {
-    let mut held = BTreeMap::new();
+fn instance_counts(subsets: &[Subset]) -> BTreeMap<&str, usize> {
+    let mut instance_counts = BTreeMap::new();
     for name in subsets.iter().flatten() {
-        *held.entry(name.as_str()).or_default() += 1;
+        *instance_counts.entry(name.as_str()).or_default() += 1;
     }
-    held
+    instance_counts
 }
 
-fn moved(before: &[Subset], after: &[Subset]) -> usize {
+fn count_moved(before: &[Subset], after: &[Subset]) -> usize {
     before.iter().zip(after).map(|(before, after)| before.difference(after).count()).sum()
 }
 
@@ -71,12 +72,12 @@
         name: format!("engine-{idx}").into(),
         pool: "generate".into(),
         addr: "127.0.0.1:9".into(),
-        data_centre: centre(idx).into(),
+        data_centre: data_centre(idx).into(),
         incarnation: Incarnation(1),
         presence: Presence::Live,
     }
 }
 
-fn centre(idx: usize) -> String {
-    format!("dc-{:02}", idx % CENTRES)
+fn data_centre(idx: usize) -> String {
+    format!("dc-{:02}", idx % DATA_CENTRES)
 }
--- a/crates/test-support/src/callers.rs
+++ b/crates/test-support/src/callers.rs
@@ -1,12 +1,11 @@
-//! Callers that remember what they were told, and whether it was true.
+//! Callers that record their responses, so that a test can check them.
 //!
-//! Every request of a test goes through [`Callers::send`]. At the test's end
-//! [`Callers::check`] compares what all of them were told with what the
-//! stand-ins recorded:
+//! Every request of a test is sent by [`Callers::send`]. At the end of the test
+//! [`Callers::check`] compares all responses with the records of the stand-ins:
 //!
-//! - an answer is the one right answer of that request and input;
-//! - of a request that was told "not run", nothing ran. A caller that sends an
-//!   id again and marks it as a repeat is told so of the earlier attempts too;
+//! - an answer has the only correct output for that request and input;
+//! - after the response "not run", no call of the request has run. If the request
+//!   was marked as a repeat, this holds for earlier requests with its id too;
 //! - a request that is not idempotent ran at most once.
 
 use std::{
@@ -25,32 +24,32 @@
 
 use crate::{error::Result, fixture, http::Http, processes::System};
 
-/// What a caller was told, and when.
+/// A response as its caller received it, or its absence.
 #[derive(Debug, Clone)]
 pub struct CallerResponse {
-    /// The status; 0 where no whole response came.
+    /// The HTTP status; 0 if no complete response was received.
     pub status: u16,
     /// The `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
-    /// The response.
+    /// The decoded body.
     pub content: ResponseContent,
-    /// Time from the sending to the end of the response.
+    /// Time from sending the request to the end of the response.
     pub elapsed: Duration,
 }
 
-/// A response.
+/// The body of a response.
 #[derive(Debug, Clone)]
 pub enum ResponseContent {
-    /// A whole answer.
+    /// A complete answer.
     Answered(AnswerBody),
     /// Any other outcome.
     Failed(ErrorBody),
-    /// No whole response, or one of no known form.
+    /// No complete response was received, or its body has an unknown form; the text says which.
     Lost(String),
 }
 
 impl CallerResponse {
-    /// The output of a whole answer.
+    /// The output of a complete answer.
     pub fn output(&self) -> Option<&str> {
         match &self.content {
             ResponseContent::Answered(body) => Some(&body.output),
@@ -58,14 +57,14 @@
         }
     }
 
-    /// The endpoint that ran a stage of a whole answer.
+    /// The endpoint that ran a stage, if the request was answered.
     pub fn endpoint(&self, stage: &str) -> Option<&str> {
         let ResponseContent::Answered(body) = &self.content else { return None };
         let line = body.stages.iter().find(|line| &*line.stage == stage)?;
         Some(&line.endpoint)
     }
 
-    /// The remedy of any other outcome.
+    /// The remedy given with any other outcome.
     pub fn remedy(&self) -> Option<&str> {
         match &self.content {
             ResponseContent::Failed(body) => Some(&body.remedy),
@@ -73,13 +72,13 @@
         }
     }
 
-    /// Whether the caller was told that nothing ran.
+    /// Whether the response says that nothing ran.
     pub fn is_not_run(&self) -> bool {
         matches!(&self.content, ResponseContent::Failed(body) if &*body.outcome == NOT_RUN)
     }
 }
 
-/// `200 answered`, `503 not_run/claim_unknown` or `lost`.
+/// Formats a summary such as `200 answered`, `503 not_run/claim_unknown` or `lost`.
 impl fmt::Display for CallerResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.content {
@@ -92,7 +91,7 @@
     }
 }
 
-/// One sending of a request.
+/// A request that was sent once, with its response.
 #[derive(Debug)]
 struct Sent {
     body: RequestBody,
@@ -107,7 +106,7 @@
     caller: Caller,
 }
 
-/// Sends requests to any address; what it is told counts with the others'.
+/// Sends requests to any address; its responses are checked with those of all callers.
 #[derive(Debug, Clone)]
 pub struct Caller {
     http: Http,
@@ -115,29 +114,29 @@
     sent: Rc<RefCell<Vec<Sent>>>,
 }
 
-/// A request on its way.
+/// A request whose response may not have been received yet.
 #[derive(Debug)]
 pub struct Pending(rt::JoinHandle<CallerResponse>);
 
 impl Pending {
-    /// Waits for what the caller is told.
+    /// Waits for the response.
     pub async fn response(self) -> CallerResponse {
         self.0.await.expect("the task is only ended by its own end")
     }
 
-    /// Goes away: closes the connection without waiting for an answer.
+    /// Closes the connection without waiting for the response.
     pub fn disconnect(self) {
         self.0.cancel();
     }
 
-    /// Whether the caller was told already.
+    /// Whether the response has been received.
     pub fn is_complete(&self) -> bool {
         self.0.is_finished()
     }
 }
 
 impl Caller {
-    /// Sends a request to an address. It goes on by itself.
+    /// Sends a request to an address in the background.
     pub fn send(&self, addr: &str, pipeline: &str, body: &RequestBody) -> Pending {
         let expected = self.expected(pipeline, body);
         let sent = Sent { body: body.clone(), expected, at_ms: now_ms(), response: None };
@@ -152,8 +151,8 @@
         }))
     }
 
-    /// The one right output, by the document that was published first. A
-    /// pipeline that came later has the stages of the first one.
+    /// The only correct output, computed from the document that was published first.
+    /// Pipelines that a test adds have the same stages as its first pipeline.
     fn expected(&self, pipeline: &str, body: &RequestBody) -> Option<String> {
         let document = &self.document;
         let pipeline = document.pipeline(pipeline).or(document.pipelines.first())?;
@@ -162,18 +161,18 @@
 }
 
 impl Callers {
-    /// Callers of a system that have sent nothing yet.
+    /// Creates the callers of a system.
     pub fn new(system: &System) -> Callers {
         let document = Rc::new(system.document.clone());
         Callers { caller: Caller { http: system.http.clone(), document, sent: Rc::default() } }
     }
 
-    /// One of them, to be moved into a task.
+    /// A caller that a task can own.
     pub fn caller(&self) -> Caller {
         self.caller.clone()
     }
 
-    /// Sends a request to an entry. It goes on by itself.
+    /// Sends a request to an entry in the background.
     ///
     /// # Errors
     /// If there is no such entry.
@@ -187,7 +186,7 @@
         Ok(self.caller.send(system.addr(entry)?, pipeline, body))
     }
 
-    /// How many were told something that `is_so` holds of.
+    /// Number of received responses that match.
     pub fn count(&self, matches: impl Fn(&CallerResponse) -> bool) -> usize {
         let sent = self.caller.sent.borrow();
         sent.iter()
@@ -195,7 +194,7 @@
             .count()
     }
 
-    /// How many were told what, over all of them.
+    /// Number of requests for each summary of a response; `nothing` while there is none.
     pub fn tally(&self) -> BTreeMap<String, usize> {
         let mut tally = BTreeMap::new();
         for one in self.caller.sent.borrow().iter() {
@@ -208,11 +207,11 @@
         tally
     }
 
-    /// Everything that callers were told and that was not true, by the
-    /// records of every endpoint of the system.
+    /// Describes each response that contradicts the records of the system's
+    /// endpoints.
     ///
     /// # Errors
-    /// If a record cannot be had.
+    /// If an endpoint's records cannot be read.
     pub async fn check(&self, system: &System) -> Result<Vec<String>> {
         let runs = runs(system).await?;
         let sent = self.caller.sent.borrow();
@@ -231,10 +230,10 @@
     }
 }
 
-/// A call that ran: where, and its record.
+/// The endpoint and the record of a call that ran.
 type Run = (String, CallRecord);
 
-/// Calls that ran, by the request's id.
+/// All calls that ran, by the request's id.
 async fn runs(system: &System) -> Result<BTreeMap<Arc<str>, Vec<Run>>> {
     let mut runs: BTreeMap<Arc<str>, Vec<Run>> = BTreeMap::new();
     for (endpoint, call) in system.all_calls().await? {
@@ -278,15 +277,15 @@
 }
 
 impl Sent {
-    /// Whether a call that started then may be one of this sending.
+    /// Whether a call that started at `started_ms` may belong to this request.
     fn may_have_started(&self, started_ms: u64) -> bool {
         let is_not_run = self.response.as_ref().is_some_and(|(_, response)| response.is_not_run());
         !is_not_run && self.at_ms <= started_ms
     }
 }
 
-/// Each attempt of a stage at most once, and a stage that may not be repeated
-/// once altogether.
+/// Reports calls that ran twice: each attempt of a stage may run once, and a stage
+/// that is not repeatable may run once in all.
 fn ran_twice(system: &System, id: &str, sent: &[&Sent], runs: &[Run]) -> Vec<String> {
     if sent.iter().any(|one| one.body.idempotent) {
         return Vec::new();
--- a/crates/test-support/src/error.rs
+++ b/crates/test-support/src/error.rs
@@ -1,66 +1,66 @@
-//! What can go wrong with processes under test.
+//! Errors of the fixtures for processes under test.
 
 use std::{io, path::PathBuf, time::Duration};
 
-/// Any failure of the fixtures.
+/// An error of the fixtures.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A binary was not built.
+    /// A program has not been built; holds its name.
     #[error("there is no binary {}; build all of them with `cargo build --workspace`", .0.display())]
     NotBuilt(PathBuf),
     /// A process could not be started, signalled or waited for.
     #[error("process {name}: {source}; check the limits on processes and memory")]
     Process {
-        /// The process.
+        /// Name of the process in its system.
         name: String,
-        /// Why.
+        /// The underlying cause.
         source: io::Error,
     },
-    /// A process said nothing that was waited for.
-    #[error("process {name} did not print `{prefix}`; its last lines of log are:\n{log}")]
+    /// A process ended or timed out before it printed an expected line.
+    #[error("process {name} did not print `{prefix}`; the last lines of its log are:\n{log}")]
     MissingLine {
-        /// The process.
+        /// Name of the process in its system.
         name: String,
-        /// The start of the line that was waited for.
+        /// Start of the expected line.
         prefix: String,
-        /// The end of its standard error.
+        /// The last lines of its standard error.
         log: String,
     },
-    /// An event did not come.
+    /// An event did not occur in time.
     #[error(
-        "{what} did not come within {timeout:?}; look at the logs of the processes, or raise the timeout"
+        "{what} did not occur within {timeout:?}; check the logs of the processes, or raise the timeout"
     )]
     Timeout {
-        /// The event.
+        /// Description of the event.
         what: String,
-        /// The bound.
+        /// How long the test waited.
         timeout: Duration,
     },
-    /// A call failed.
+    /// An HTTP request failed, or its reply could not be read.
     #[error("{what} failed: {cause}; check that the process runs")]
     Http {
-        /// The call.
+        /// Method and URL of the request.
         what: String,
-        /// Why.
+        /// The underlying cause.
         cause: String,
     },
-    /// A call was answered by another status than success.
+    /// The status of a reply is not a success.
     #[error("{what} was answered with status {status}: {body}; the body says what to do")]
     Status {
-        /// The call.
+        /// Method and URL of the request.
         what: String,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The body.
+        /// The reply's body.
         body: String,
     },
-    /// Nothing of that name runs.
+    /// The system has no process of that name.
     #[error("there is no process named `{0}`; use a name that was given to the builder")]
     Unknown(String),
-    /// The administration process was not asked for.
+    /// The system was built without this administration process.
     #[error("there is no administration process; ask the builder for one")]
     NoAdmin,
 }
 
-/// A result of the fixtures.
+/// Result of an operation of the fixtures.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/test-support/src/fixture.rs
+++ b/crates/test-support/src/fixture.rs
@@ -1,9 +1,9 @@
-//! Documents and requests for tests.
+//! The configuration document and requests that tests use.
 //!
-//! The document has pools `encode`, `retrieve`, `rerank` and `ledger` of
-//! services and `generate` of engines, team `station`, and two pipelines:
-//! `certificate` (four stages that may all be repeated) and `ticket` (encode,
-//! generate, then `ledger`, which may not).
+//! The document has the service pools `encode`, `retrieve`, `rerank` and
+//! `ledger`, the engine pool `generate`, the team `station`, and two pipelines:
+//! `certificate` with four repeatable stages, and `ticket` with the stages
+//! `encode`, `generate` and `ledger`, the last of which is not repeatable.
 
 use std::sync::Arc;
 
@@ -15,16 +15,16 @@
 
 /// The team of every request.
 pub const TEAM: &str = "station";
-/// The pipeline whose stages may all be repeated.
+/// The pipeline whose stages are all repeatable.
 pub const CERTIFICATE: &str = "certificate";
-/// The pipeline whose last stage may not be repeated.
+/// The pipeline whose last stage is not repeatable.
 pub const TICKET: &str = "ticket";
-/// The longest deadline of both pipelines, in milliseconds.
+/// Largest deadline that both pipelines allow, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 60_000;
-/// Tokens that a generation has at the most.
+/// Limit on the tokens of a generation.
 const MAX_TOKENS: u32 = 12;
 
-/// The document.
+/// The document described above.
 pub fn document() -> Document {
     let services = ["encode", "retrieve", "rerank", "ledger"];
     let services = services.map(|name| pool(name, PoolKind::Service));
@@ -44,12 +44,12 @@
     }
 }
 
-/// A pool without costs of note.
+/// A pool with the default cost.
 pub fn pool(name: &str, kind: PoolKind) -> Pool {
     Pool { name: name.into(), kind, cost: 1.0, fenced: false }
 }
 
-/// A stage that runs in the pool of its own name.
+/// A stage in the pool of the same name.
 pub fn stage(name: &str, repeatable: bool, max_tokens: Option<u32>) -> Stage {
     Stage { name: name.into(), pool: name.into(), repeatable, max_tokens }
 }
@@ -73,12 +73,12 @@
     serde_json::from_value(body).expect("the body has the format's fields")
 }
 
-/// The body of a request that runs at most once.
+/// The body of a request that is not idempotent and so runs at most once.
 pub fn once(id: &str, input: &str) -> RequestBody {
     RequestBody { idempotent: false, ..request(id, input) }
 }
 
-/// A request's key.
+/// The id of a request of [`TEAM`], as instances store it.
 pub fn key(id: &str) -> RequestId {
     RequestId { team: Arc::from(TEAM), id: Arc::from(id) }
 }
--- a/crates/test-support/src/http.rs
+++ b/crates/test-support/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls to processes under test.
+//! HTTP requests to processes under test.
 
 use std::time::Duration;
 
@@ -12,39 +12,39 @@
 
 use crate::error::{Error, Result};
 
-/// How long a call may take.
+/// Time limit for a request.
 const CALL_TIME: Duration = Duration::from_secs(60);
-/// More connections than a process can have. With the pool's own 0 for "no
-/// limit", requests that wait for a connection are never woken.
+/// More connections than a process can have. The pool's value 0 for "no limit"
+/// is not usable: requests that wait for a connection are never woken.
 const NO_LIMIT: usize = usize::MAX;
-/// The largest body that is read, in bytes.
+/// Largest reply body that is read, in bytes.
 const MAX_BODY: usize = 256 << 20;
 
-/// A client. Each call has a connection of its own, so that a process that was
-/// killed and started again is never reached over an old one.
+/// An HTTP client. It opens a connection for each request, so that a request to a
+/// restarted process never uses a connection to its predecessor.
 #[derive(Debug, Clone)]
 pub struct Http {
     client: Client,
 }
 
-/// A whole reply.
+/// A reply whose body has been read.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Its status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its `Retry-After`, in seconds.
+    /// The `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
-    /// Its body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// The body as text.
+    /// The body as text, with invalid UTF-8 replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON; `None` if it is not of that form.
+    /// The body as JSON; `None` if it doesn't have the form of `T`.
     pub fn json<T: DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_slice(&self.body).ok()
     }
@@ -55,7 +55,7 @@
 }
 
 impl Http {
-    /// A client of this thread.
+    /// Creates a client for the current thread.
     pub async fn new() -> Http {
         let client = Client::builder()
             .connector::<()>(Connector::new().limit(NO_LIMIT))
@@ -67,37 +67,37 @@
         Http { client }
     }
 
-    /// `GET`, whatever the status.
+    /// Sends a `GET`; any status is a success.
     ///
     /// # Errors
-    /// If there is no whole reply.
+    /// If no complete reply is received.
     pub async fn get(&self, addr: &str, path: &str) -> Result<Reply> {
         self.send(self.request(Method::GET, addr, path), None, &what("GET", addr, path)).await
     }
 
-    /// `GET` of JSON.
+    /// Sends a `GET` and decodes the JSON of the reply.
     ///
     /// # Errors
-    /// If there is no success with that JSON.
+    /// If the status is not a success or the body doesn't have the form of the result.
     pub async fn get_json<T: DeserializeOwned>(&self, addr: &str, path: &str) -> Result<T> {
         let what = what("GET", addr, path);
         parse(&what, &checked(&what, self.get(addr, path).await?)?)
     }
 
-    /// `POST` of JSON, whatever the status.
+    /// Sends a `POST` with a JSON body; any status is a success.
     ///
     /// # Errors
-    /// If there is no whole reply.
+    /// If no complete reply is received.
     pub async fn post(&self, addr: &str, path: &str, body: &impl Serialize) -> Result<Reply> {
         let request = self.request(Method::POST, addr, path);
         self.send(request, Some(json(body)), &what("POST", addr, path)).await
     }
 
-    /// `POST` of a text as it is, with an operator's token if one is given,
-    /// whatever the status.
+    /// Sends a `POST` with an unchanged text, and with an operator's token if one is
+    /// given; any status is a success.
     ///
     /// # Errors
-    /// If there is no whole reply.
+    /// If no complete reply is received.
     pub async fn post_text(
         &self,
         token: Option<&str>,
@@ -112,10 +112,11 @@
         self.send(request, Some(body), &what("POST", addr, path)).await
     }
 
-    /// `POST` of JSON with an operator's token, for JSON.
+    /// Sends a `POST` with a JSON body and an operator's token, and decodes the JSON of the
+    /// reply.
     ///
     /// # Errors
-    /// If there is no success with that JSON.
+    /// If the status is not a success or the body doesn't have the form of the result.
     pub async fn post_as<T: DeserializeOwned>(
         &self,
         token: &str,
@@ -128,21 +129,21 @@
         parse(&what, &checked(&what, self.send(request, Some(json(body)), &what).await?)?)
     }
 
-    /// `PUT` of JSON.
+    /// Sends a `PUT` with a JSON body.
     ///
     /// # Errors
-    /// If there is no success.
+    /// If the status is not a success.
     pub async fn put(&self, addr: &str, path: &str, body: &impl Serialize) -> Result<()> {
         let what = what("PUT", addr, path);
         let request = self.request(Method::PUT, addr, path);
         checked(&what, self.send(request, Some(json(body)), &what).await?).map(drop)
     }
 
-    /// `POST` of JSON; the reply's body is left to read, piece by piece.
-    /// Dropping the response closes the connection.
+    /// Sends a `POST` with a JSON body and returns the response unread, for
+    /// streams. Dropping the response closes the connection.
     ///
     /// # Errors
-    /// If there is no reply.
+    /// If no reply is received.
     pub async fn open(
         &self,
         addr: &str,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,9 +1,9 @@
 //! Fixtures for tests.
 //!
-//! - [`platform`]: a log, a list and instances that a test holds in its hand.
-//! - [`processes`]: a whole system as processes, that a test kills, freezes
-//!   and breaks; with [`process`], one of them, and [`http`], calls to them.
-//! - [`callers`]: callers that check what they were told.
+//! - [`platform`]: a log, a list and instances inside the test's process.
+//! - [`processes`]: a whole system as processes that a test can kill, freeze or
+//!   give faults; [`process`] is one of them, [`http`] sends requests to them.
+//! - [`callers`]: callers whose responses are checked.
 //! - [`fixture`]: documents and requests.
 //! - [`system`]: one system for all asynchronous tests of a process.
 //! - [`wait`]: bounded waits for an event.
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -1,7 +1,7 @@
-//! A log, a list and instances in the test's own process.
+//! A log, a list and instances inside the test's process.
 //!
-//! Small on purpose: what it does is the interface's text and the faults that
-//! a test sets, one for each append to come.
+//! It is deliberately minimal: it has the documented interface and the faults
+//! that a test sets, one for each of the next appends.
 
 use std::{
     collections::VecDeque,
@@ -23,52 +23,52 @@
 
 use crate::system::Served;
 
-/// Pause between two looks of a long poll.
+/// Interval at which a long poll checks for new records.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What goes wrong with one append.
+/// Fault of one append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendFault {
-    /// It takes effect; its answer is lost.
+    /// The append takes effect, but its reply is an internal error.
     LoseAnswer,
-    /// It takes no effect; no answer tells so.
+    /// The append has no effect, and the reply doesn't say so.
     Swallow,
-    /// It is refused over the rate: no effect, and said so.
+    /// The append is refused with "too many requests" and has no effect.
     OverRate,
 }
 
-/// The platform: share it, set it, look into it.
+/// Handle of the platform's state, shared with its servers.
 #[derive(Debug, Clone, Default)]
 pub struct Platform(Arc<Mutex<State>>);
 
-/// What the platform holds.
+/// State of the platform.
 #[derive(Debug, Default)]
 pub struct State {
     /// Records of the configuration stream, by offset.
     pub records: Vec<Arc<str>>,
-    /// The oldest offset kept.
+    /// The oldest offset that reads return.
     pub earliest: usize,
-    /// Faults of the appends to come.
+    /// Faults of the next appends, in order.
     pub append_faults: VecDeque<AppendFault>,
-    /// What somebody else appends just before the next append.
+    /// Record of another writer that is appended just before the next append.
     pub competing_record: Option<Arc<str>>,
     /// Whether reads are refused.
     pub reads_out: bool,
     /// Whether the list is refused.
     pub list_out: bool,
-    /// The list.
+    /// The listing that the list returns.
     pub listing: Listing,
-    /// Outcomes that each instance says it counted.
+    /// Counts of outcomes that each instance reports in its status.
     pub outcomes: Vec<OutcomeCount>,
 }
 
 impl Platform {
-    /// Looks into it or sets it.
+    /// Locks the state, to read or change it.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().expect("no test panics while it holds the lock")
     }
 
-    /// Serves the log and the list.
+    /// Starts a server for the log and the list.
     pub fn serve(&self) -> Served {
         let platform = self.clone();
         let app = async move || {
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Adds an instance that has in force what the log says.
+    /// Starts and lists an instance whose status has the version in force by the log.
     pub fn add_instance(&self, name: &str) -> Served {
         let (platform, instance) = (self.clone(), Arc::<str>::from(name));
         let app = async move || {
@@ -100,7 +100,7 @@
         server
     }
 
-    /// Lists an instance at an address, whether it runs or not.
+    /// Adds an instance to the listing, whether it runs or not.
     pub fn list_instance(&self, name: &str, addr: &str) {
         self.state().listing.instances.push(InstanceEntry {
             name: name.into(),
@@ -111,7 +111,7 @@
         });
     }
 
-    /// Lists an endpoint.
+    /// Adds an endpoint to the listing.
     pub fn list_endpoint(&self, name: &str, incarnation: u64) {
         self.state().listing.endpoints.push(EndpointEntry {
             name: name.into(),
@@ -123,7 +123,7 @@
         });
     }
 
-    /// Lets somebody else append a record just before the next append.
+    /// Simulates another writer whose record is appended just before the next append.
     pub fn append_before_next(&self, record: &ConfigRecord) {
         let json = serde_json::to_string(record).expect("records have a JSON form");
         self.state().competing_record = Some(json.into());
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process: started from a built binary, killed on drop.
+//! A child process that is started from a built binary and killed on drop.
 
 use std::{
     collections::VecDeque,
@@ -21,38 +21,38 @@
     wait,
 };
 
-/// How long a process may take to print where it listens.
+/// Time limit for a process to print the next line after its start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Lines of standard error that are kept.
+/// Number of lines of standard error that are stored.
 const LOG_LINES: usize = 200;
 
-/// How to start a process.
+/// Command line and environment of a process.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// Its name among the processes of a test.
+    /// Name among the processes of a test.
     pub name: String,
-    /// Its binary.
+    /// File name of the program.
     pub binary: &'static str,
-    /// Its arguments.
+    /// Command-line arguments.
     pub args: Vec<String>,
-    /// Its environment, beside what it inherits.
+    /// Environment variables in addition to the inherited ones.
     pub env: Vec<(String, String)>,
 }
 
 impl Spec {
-    /// A process without arguments.
+    /// Creates a specification without arguments.
     pub fn new(name: &str, binary: &'static str) -> Spec {
         Spec { name: name.to_owned(), binary, args: Vec::new(), env: Vec::new() }
     }
 
-    /// The same with more arguments.
+    /// Adds arguments.
     #[must_use]
     pub fn args<S: ToString>(mut self, args: impl IntoIterator<Item = S>) -> Spec {
         self.args.extend(args.into_iter().map(|arg| arg.to_string()));
         self
     }
 
-    /// The same with one more variable.
+    /// Adds an environment variable.
     #[must_use]
     pub fn env(mut self, name: &str, value: &str) -> Spec {
         self.env.push((name.to_owned(), value.to_owned()));
@@ -73,7 +73,7 @@
     /// Starts a process.
     ///
     /// # Errors
-    /// If its binary was not built or does not start.
+    /// If the binary has not been built or cannot be started.
     pub fn start(spec: &Spec) -> Result<Process> {
         let path = binary(spec.binary)?;
         let mut child = Command::new(path)
@@ -91,10 +91,11 @@
         Ok(Process { name: spec.name.clone(), child, lines: read_lines(stdout), log })
     }
 
-    /// Waits for a line that starts with `prefix` and gives what follows.
+    /// Waits for a line of standard output that starts with `prefix`, and returns the rest
+    /// of it.
     ///
     /// # Errors
-    /// If it does not come in time, or the process ends.
+    /// If no such line is printed in time, or the process ends.
     pub fn line(&mut self, prefix: &str) -> Result<String> {
         loop {
             let Ok(line) = self.lines.recv_timeout(START_TIMEOUT) else {
@@ -108,21 +109,21 @@
         }
     }
 
-    /// The end of its standard error.
+    /// The last lines of standard error.
     pub fn log(&self) -> String {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         log.iter().map(String::as_str).collect::<Vec<&str>>().join("\n")
     }
 
-    /// Its id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends it at once (SIGKILL) and waits for its end.
+    /// Kills the process (SIGKILL) and waits until it has ended.
     ///
     /// # Errors
-    /// If it cannot be signalled or waited for.
+    /// If the process cannot be signalled or waited for.
     pub fn kill(&mut self) -> Result<()> {
         let name = &self.name;
         let fail = |source| Error::Process { name: name.clone(), source };
@@ -130,34 +131,34 @@
         self.child.wait().map_err(fail).map(drop)
     }
 
-    /// Stops it from running (SIGSTOP) until it is thawed.
+    /// Suspends the process (SIGSTOP) until [`Process::thaw`].
     ///
     /// # Errors
-    /// If it cannot be signalled.
+    /// If the process cannot be signalled.
     pub fn freeze(&self) -> Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets it run again (SIGCONT).
+    /// Resumes the process (SIGCONT).
     ///
     /// # Errors
-    /// If it cannot be signalled.
+    /// If the process cannot be signalled.
     pub fn thaw(&self) -> Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Tells it to stop (SIGTERM).
+    /// Requests the process to stop (SIGTERM).
     ///
     /// # Errors
-    /// If it cannot be signalled.
+    /// If the process cannot be signalled.
     pub fn terminate(&self) -> Result<()> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// Waits for its end by itself.
+    /// Waits until the process has ended by itself.
     ///
     /// # Errors
-    /// If it still runs when `timeout` has passed.
+    /// If the process still runs after `timeout`.
     pub async fn wait(&mut self, timeout: Duration) -> Result<ExitStatus> {
         let what = format!("the end of {}", self.name);
         let child = &mut self.child;
@@ -178,11 +179,12 @@
     }
 }
 
-/// Where a binary is: beside the running one, which is in the target
-/// directory itself or, for a test, in a folder below it.
+/// Path of a built binary. It is searched for in the directory of the running
+/// program and in the parent, since test programs are one directory below the
+/// binaries.
 ///
 /// # Errors
-/// [`Error::NotBuilt`] if it is not there.
+/// [`Error::NotBuilt`] if no such file exists.
 pub fn binary(name: &str) -> Result<PathBuf> {
     let own = env::current_exe().unwrap_or_default();
     let folders = own.ancestors().skip(1).take(2);
@@ -191,7 +193,7 @@
     found.ok_or_else(|| Error::NotBuilt(PathBuf::from(name)))
 }
 
-/// Reads lines to the end, so that the process never waits for a full pipe.
+/// Reads all lines in a thread, so that the process never blocks on a full pipe.
 fn read_lines(stdout: impl Read + Send + 'static) -> mpsc::Receiver<String> {
     let (tx, rx) = mpsc::channel();
     thread::spawn(move || {
--- a/crates/test-support/src/processes.rs
+++ b/crates/test-support/src/processes.rs
@@ -1,13 +1,13 @@
-//! A whole system as processes of this machine.
+//! A whole system as processes on this host.
 //!
 //! [`builder::Builder`] starts the stand-ins for log, list and endpoints, an
-//! administration process and entry instances, tells the list of them and
-//! publishes a document. The [`System`] that it gives kills, freezes and
-//! breaks them. Every process ends with the value.
+//! administration process and entry instances, sets the list and publishes a
+//! document. The [`System`] that it returns can kill, freeze and restart the
+//! processes and set faults. Dropping it kills all processes.
 //!
-//! Processes go by their names: `log`, `list`, `admin`, `entry-1`…, and
-//! `POOL-1`… for endpoints. A wait is for an event and has a bound; running
-//! out of it is an error that says what did not come.
+//! Processes have the names `log`, `list`, `admin`, `entry-1`…, and `POOL-1`…
+//! for endpoints. Each wait is for an event and has a timeout, whose error names
+//! the event.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -27,17 +27,17 @@
 
 use node::{Endpoint, Entry, Node};
 
-/// The operators' token of every system.
+/// Operators' token of the administration processes.
 pub const TOKEN: &str = "operators-token-for-tests";
-/// The first administration process.
+/// Name of the first administration process.
 pub const ADMIN: &str = "admin";
-/// Who publishes.
+/// Author of publishes and of operators' actions.
 pub const AUTHOR: &str = "test";
 
 /// A running system.
 #[derive(Debug)]
 pub struct System {
-    /// Calls to its processes.
+    /// Client for requests to the processes.
     pub http: Http,
     /// The document that was published first.
     pub document: Document,
@@ -48,7 +48,7 @@
     entries: BTreeMap<String, Entry>,
 }
 
-/// Processes, by name.
+/// Access to processes by name.
 impl System {
     /// The names of the entries, in order.
     pub fn entries(&self) -> Vec<String> {
@@ -62,59 +62,59 @@
         of_pool.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Where a process serves, `ip:port`.
+    /// Address on which a process serves, `ip:port`.
     ///
     /// # Errors
-    /// If there is no such process.
+    /// If the system has no such process.
     pub fn addr(&self, name: &str) -> Result<&str> {
         self.node(name).map(|node| node.addr.as_str())
     }
 
-    /// A process.
+    /// The process of that name.
     ///
     /// # Errors
-    /// If there is none of that name.
+    /// If the system has no process of that name.
     pub fn process(&mut self, name: &str) -> Result<&mut Process> {
         self.node_mut(name).map(|node| &mut node.process)
     }
 
-    /// Kills a process. The list goes on to name it.
+    /// Kills a process. The list still contains it.
     ///
     /// # Errors
-    /// If there is none, or it cannot be killed.
+    /// If the system has no such process, or it cannot be killed.
     pub fn kill(&mut self, name: &str) -> Result<()> {
         self.process(name)?.kill()
     }
 
-    /// Freezes a process.
+    /// Suspends a process.
     ///
     /// # Errors
-    /// If there is none, or it cannot be signalled.
+    /// If the system has no such process, or it cannot be signalled.
     pub fn freeze(&mut self, name: &str) -> Result<()> {
         self.process(name)?.freeze()
     }
 
-    /// Lets a frozen process run again.
+    /// Resumes a suspended process.
     ///
     /// # Errors
-    /// If there is none, or it cannot be signalled.
+    /// If the system has no such process, or it cannot be signalled.
     pub fn thaw(&mut self, name: &str) -> Result<()> {
         self.process(name)?.thaw()
     }
 
-    /// Tells a process to stop.
+    /// Requests a process to stop.
     ///
     /// # Errors
-    /// If there is none, or it cannot be signalled.
+    /// If the system has no such process, or it cannot be signalled.
     pub fn terminate(&mut self, name: &str) -> Result<()> {
         self.process(name)?.terminate()
     }
 
-    /// Ends an endpoint or an entry and starts it again, as a later incarnation on
-    /// another port, and tells the list.
+    /// Kills an endpoint or an entry, starts its next incarnation on another port,
+    /// and updates the list.
     ///
     /// # Errors
-    /// If there is none, or it does not start.
+    /// If the system has no such process, or it does not start.
     pub async fn restart(&mut self, name: &str) -> Result<()> {
         if let Some(mut old) = self.endpoints.remove(name) {
             old.node.process.kill()?;
@@ -153,37 +153,37 @@
 
 /// Entries and requests.
 impl System {
-    /// Sends a request to an entry and waits for the whole reply.
+    /// Sends a request to an entry and waits for the complete reply.
     ///
     /// # Errors
-    /// If there is no such entry, or no whole reply.
+    /// If the system has no such entry, or no complete reply is received.
     pub async fn request(&self, entry: &str, pipeline: &str, body: &RequestBody) -> Result<Reply> {
         let path = format!("/v1/pipelines/{pipeline}/requests");
         self.http.post(self.addr(entry)?, &path, body).await
     }
 
-    /// An entry's status.
+    /// Reads the status of an entry.
     ///
     /// # Errors
-    /// If there is none, or it cannot be reached.
+    /// If the system has no such entry, or it cannot be reached.
     pub async fn status(&self, entry: &str) -> Result<EntryStatus> {
         self.http.get_json(self.addr(entry)?, "/v1/status").await
     }
 
-    /// Waits until an entry says that it is ready.
+    /// Waits until an entry reports that it is ready.
     ///
     /// # Errors
-    /// If it does not in time.
+    /// If the entry is not ready in time.
     pub async fn wait_ready(&self, entry: &str) -> Result<()> {
         let addr = self.addr(entry)?;
         let poll = async || self.http.get(addr, "/readyz").await.ok().filter(|r| r.status == 200);
         wait::until(&format!("{entry} being ready"), TIMEOUT, poll).await.map(drop)
     }
 
-    /// Waits until every entry has a version, or a later one, in force.
+    /// Waits until every entry has at least this version in force.
     ///
     /// # Errors
-    /// If one does not in time.
+    /// If an entry does not reach that state in time.
     pub async fn wait_version(&self, version: Version) -> Result<()> {
         for name in self.entries.keys() {
             let what = format!("version {version} at {name}");
@@ -192,10 +192,10 @@
         Ok(())
     }
 
-    /// Waits until every entry believes every other one alive.
+    /// Waits until every entry lists all others as its peers.
     ///
     /// # Errors
-    /// If one does not in time.
+    /// If an entry does not reach that state in time.
     pub async fn wait_peers(&self) -> Result<()> {
         let others = self.entries.len().saturating_sub(1);
         for name in self.entries.keys() {
@@ -205,10 +205,10 @@
         Ok(())
     }
 
-    /// Waits until an entry's status is as asked for.
+    /// Waits until the status of an entry matches, and returns it.
     ///
     /// # Errors
-    /// If it is not in time.
+    /// If the status does not match in time.
     pub async fn wait_status(
         &self,
         entry: &str,
--- a/crates/test-support/src/processes/builder.rs
+++ b/crates/test-support/src/processes/builder.rs
@@ -1,4 +1,4 @@
-//! Settings of a system of processes, and its start.
+//! Configures and starts a system of processes.
 
 use std::{collections::BTreeMap, path::PathBuf, sync::Arc};
 
@@ -10,12 +10,12 @@
 };
 use crate::{error::Result, fixture, http::Http, process::Spec};
 
-/// The binary of all stand-ins.
+/// The program that all stand-ins run.
 const STANDIN: &str = "peatdeck-standin";
 /// The id of the first publish.
 const FIRST_PUBLISH: &str = "first";
 
-/// What to start. Every list of flags is empty unless set.
+/// Settings of a system to start. All lists of flags are empty by default.
 #[derive(Debug, Clone)]
 pub struct Builder {
     document: Document,
@@ -38,7 +38,8 @@
 }
 
 impl Builder {
-    /// Two endpoints a pool of `document`, two entries, an administration process.
+    /// A system with two endpoints for each pool of `document`, two entries and an
+    /// administration process.
     pub fn new(document: Document) -> Builder {
         Builder {
             document,
@@ -55,68 +56,68 @@
         }
     }
 
-    /// How many endpoints each pool has.
+    /// Sets the number of endpoints in each pool.
     #[must_use]
     pub fn endpoints(self, endpoints: usize) -> Builder {
         Builder { endpoints, ..self }
     }
 
-    /// How many entries there are.
+    /// Sets the number of entries.
     #[must_use]
     pub fn entries(self, entries: usize) -> Builder {
         Builder { entries, ..self }
     }
 
-    /// Without an administration process: the first document is appended to
-    /// the log directly.
+    /// Starts no administration process; the document is appended to the log
+    /// directly.
     #[must_use]
     pub fn without_admin(self) -> Builder {
         Builder { has_admin: false, ..self }
     }
 
-    /// More flags of the log.
+    /// Adds command-line flags of the log.
     #[must_use]
     pub fn log_flags(mut self, flags: &[&str]) -> Builder {
         self.log_flags.extend(owned(flags));
         self
     }
 
-    /// More flags of the list.
+    /// Adds command-line flags of the list.
     #[must_use]
     pub fn list_flags(mut self, flags: &[&str]) -> Builder {
         self.list_flags.extend(owned(flags));
         self
     }
 
-    /// More flags of the endpoints of a pool.
+    /// Adds command-line flags of the endpoints of a pool.
     #[must_use]
     pub fn pool_flags(mut self, pool: &str, flags: &[&str]) -> Builder {
         self.pool_flags.entry(pool.to_owned()).or_default().extend(owned(flags));
         self
     }
 
-    /// More flags of the entries.
+    /// Adds command-line flags of the entries.
     #[must_use]
     pub fn entry_flags(mut self, flags: &[&str]) -> Builder {
         self.entry_flags.extend(owned(flags));
         self
     }
 
-    /// One more variable of the entries' environment.
+    /// Adds an environment variable of the entries.
     #[must_use]
     pub fn entry_env(mut self, name: &str, value: &str) -> Builder {
         self.entry_env.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// Each entry records its first life into `NAME.trace` in this folder.
+    /// Makes each entry record its first incarnation to `NAME.trace` in this directory.
     #[must_use]
     pub fn traces(self, folder: impl Into<PathBuf>) -> Builder {
         Builder { traces: Some(folder.into()), ..self }
     }
 
-    /// Starts everything; returns when every entry is ready, with the first
-    /// document in force and all its peers known.
+    /// Starts all processes; returns when every entry is ready, has the first
+    /// document in force and lists all its peers.
     ///
     /// # Errors
     /// If a binary is missing, or a process does not start or become ready.
@@ -133,7 +134,7 @@
             endpoints,
             entries: BTreeMap::new(),
         };
-        // Entries find every endpoint with their first look at the list.
+        // The list has all endpoints before the entries first read it.
         system.update_list().await?;
         system.entries = self.start_entries(&system)?;
         system.update_list().await?;
--- a/crates/test-support/src/processes/control.rs
+++ b/crates/test-support/src/processes/control.rs
@@ -1,4 +1,4 @@
-//! What a test tells the platform and the endpoints, and reads of them.
+//! Operations on the platform, the administration process and the endpoints.
 
 use std::sync::Arc;
 
@@ -24,9 +24,9 @@
     processes::{ADMIN, AUTHOR, System, TOKEN, builder},
 };
 
-/// The list and the log.
+/// Operations on the list, the log and the administration process.
 impl System {
-    /// The truth about instances and endpoints.
+    /// The listing of the running entries and endpoints, without the list's faults.
     pub fn listing(&self) -> Listing {
         let endpoints = self.endpoints.iter();
         let instances = self.entries.iter();
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Tells the list the truth.
+    /// Sets the list to [`System::listing`].
     ///
     /// # Errors
     /// If the list cannot be reached.
@@ -44,10 +44,10 @@
         self.http.put(&self.list.addr, "/control/list", &self.listing()).await
     }
 
-    /// Marks an endpoint or an entry in the list.
+    /// Sets the presence of an endpoint or an entry in the list.
     ///
     /// # Errors
-    /// If there is none, or the list cannot be reached.
+    /// If the system has no such process, or the list cannot be reached.
     pub async fn set_presence(&mut self, name: &str, presence: Presence) -> Result<()> {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.presence = presence;
@@ -59,10 +59,10 @@
         self.update_list().await
     }
 
-    /// Publishes through the administration process.
+    /// Publishes a document through the first administration process.
     ///
     /// # Errors
-    /// If there is none, or it does not accept.
+    /// If there is no administration process, or it rejects the request.
     pub async fn publish(
         &self,
         id: &str,
@@ -72,10 +72,10 @@
         self.publish_by(ADMIN, id, base, document).await
     }
 
-    /// Publishes through one of several administration processes.
+    /// Publishes a document through one of several administration processes.
     ///
     /// # Errors
-    /// If there is no such process, or it does not accept.
+    /// If there is no such administration process, or it rejects the request.
     pub async fn publish_by(
         &self,
         admin: &str,
@@ -89,21 +89,21 @@
         self.http.post_as(TOKEN, &admin.addr, "/v1/config/publish", &body).await
     }
 
-    /// Starts one more administration process.
+    /// Starts another administration process.
     ///
     /// # Errors
-    /// If it does not start.
+    /// If the process does not start.
     pub async fn add_admin(&mut self, name: &str) -> Result<()> {
         let admin = builder::start_admin(self, name)?;
         self.admins.insert(name.to_owned(), admin);
         Ok(())
     }
 
-    /// Orders through the administration process that an endpoint gets no new
-    /// work.
+    /// Drains an endpoint through the administration process, so that it gets no new
+    /// calls.
     ///
     /// # Errors
-    /// If there is none, or it does not accept.
+    /// If there is no administration process, or it rejects the request.
     pub async fn drain(&self, endpoint: &str) -> Result<DrainReply> {
         let admin = self.admins.get(ADMIN).ok_or(Error::NoAdmin)?;
         let body = DrainBody { author: AUTHOR.into(), incarnation: None };
@@ -111,11 +111,11 @@
         self.http.post_as(TOKEN, &admin.addr, &path, &body).await
     }
 
-    /// Orders through the administration process that a data centre is evacuated, or
-    /// takes that back.
+    /// Starts or ends the evacuation of a data centre through the administration
+    /// process.
     ///
     /// # Errors
-    /// If there is none, or it does not accept.
+    /// If there is no administration process, or it rejects the request.
     pub async fn evacuate(&self, data_centre: &str, is_over: bool) -> Result<EvacuationReply> {
         let admin = self.admins.get(ADMIN).ok_or(Error::NoAdmin)?;
         let body = EvacuationBody { author: AUTHOR.into(), is_over };
@@ -123,10 +123,11 @@
         self.http.post_as(TOKEN, &admin.addr, &path, &body).await
     }
 
-    /// Appends a publish to the log, without anybody's check.
+    /// Appends a publish to the log directly, without the administration process's
+    /// checks.
     ///
     /// # Errors
-    /// If the log does not acknowledge it.
+    /// If the log does not acknowledge the append.
     pub async fn append_publish(
         &self,
         id: &str,
@@ -147,23 +148,23 @@
         })
     }
 
-    /// Sets the faults of the log.
+    /// Replaces the faults of the log.
     ///
     /// # Errors
-    /// If it cannot be reached.
+    /// If the process cannot be reached.
     pub async fn set_log_faults(&self, faults: &LogFaults) -> Result<()> {
         self.http.put(&self.log.addr, "/control/faults", faults).await
     }
 
-    /// Sets the faults of the list.
+    /// Replaces the faults of the list.
     ///
     /// # Errors
-    /// If it cannot be reached.
+    /// If the process cannot be reached.
     pub async fn set_list_faults(&self, faults: &ListFaults) -> Result<()> {
         self.http.put(&self.list.addr, "/control/faults", faults).await
     }
 
-    /// The offset of the next append to a stream of the log.
+    /// Offset that the next append to a stream of the log will get.
     ///
     /// # Errors
     /// If the log cannot be reached.
@@ -172,29 +173,29 @@
         Ok(state.streams.get(stream.name()).map_or(0, |stream| stream.next))
     }
 
-    /// Where the log stands.
+    /// Reads the state of the log.
     ///
     /// # Errors
-    /// If it cannot be reached.
+    /// If the process cannot be reached.
     pub async fn log_state(&self) -> Result<LogState> {
         self.http.get_json(&self.log.addr, "/control/state").await
     }
 }
 
-/// Endpoints and what they ran.
+/// Operations on endpoints, and the calls they recorded.
 impl System {
-    /// Sets the faults of an endpoint.
+    /// Replaces the faults of an endpoint.
     ///
     /// # Errors
-    /// If there is none, or it cannot be reached.
+    /// If the system has no such endpoint, or it cannot be reached.
     pub async fn set_faults(&self, name: &str, faults: &EndpointFaults) -> Result<()> {
         self.http.put(self.addr(name)?, "/control/faults", faults).await
     }
 
-    /// Sets the faults of every endpoint of a pool.
+    /// Replaces the faults of all endpoints of a pool.
     ///
     /// # Errors
-    /// If one cannot be reached.
+    /// If an endpoint cannot be reached.
     pub async fn set_pool_faults(&self, pool: &str, faults: &EndpointFaults) -> Result<()> {
         for name in self.pool(pool) {
             self.set_faults(&name, faults).await?;
@@ -202,16 +203,16 @@
         Ok(())
     }
 
-    /// Every call that an endpoint took in.
+    /// All calls that an endpoint has recorded.
     ///
     /// # Errors
-    /// If there is none, or it cannot be reached.
+    /// If the system has no such endpoint, or it cannot be reached.
     pub async fn calls(&self, name: &str) -> Result<Vec<CallRecord>> {
         let body: CallsBody = self.http.get_json(self.addr(name)?, "/control/calls").await?;
         Ok(body.calls)
     }
 
-    /// Every call that every endpoint took in, with the endpoint's name.
+    /// All calls that all endpoints have recorded, with the endpoint's name.
     ///
     /// # Errors
     /// If an endpoint cannot be reached.
@@ -224,14 +225,14 @@
         Ok(found)
     }
 
-    /// Whether a stage of the first document may be repeated.
+    /// Whether a stage of the first document is repeatable.
     pub fn is_repeatable(&self, stage: &str) -> bool {
         let pipelines = self.document.pipelines.iter();
         let mut stages = pipelines.flat_map(|pipeline| &pipeline.stages);
         stages.find(|known| &*known.name == stage).is_none_or(|known| known.repeatable)
     }
 
-    /// Every call for one request, over all endpoints, with the endpoint's name.
+    /// All recorded calls for one request, with the endpoint's name.
     ///
     /// # Errors
     /// If an endpoint cannot be reached.
@@ -242,7 +243,8 @@
         Ok(calls)
     }
 
-    /// The one right output of a pipeline of the first document.
+    /// The only correct output of a pipeline of the first document for this request;
+    /// `None` if the document has no such pipeline.
     pub fn expected(&self, pipeline: &str, id: &str, input: &str) -> Option<String> {
         let pipeline = self.document.pipeline(pipeline)?;
         answer::expected(&self.document, pipeline, &fixture::key(id), input)
--- a/crates/test-support/src/processes/node.rs
+++ b/crates/test-support/src/processes/node.rs
@@ -1,4 +1,4 @@
-//! One process of a system, and what the list says of it.
+//! A process of a system, and its entry in the list.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
     process::{Process, Spec},
 };
 
-/// What a process prints before the address it serves on.
+/// Prefix of the line in which a process prints the address it serves on.
 const LISTENING: &str = "listening ";
-/// What an entry prints before the address for its peers.
+/// Prefix of the line in which an entry prints the address for its peers.
 const PEERS: &str = "peers ";
 
-/// A process and how it was started.
+/// A running process with its command line and address.
 #[derive(Debug)]
 pub(super) struct Node {
     pub(super) spec: Spec,
--- a/crates/test-support/src/system.rs
+++ b/crates/test-support/src/system.rs
@@ -1,10 +1,10 @@
-//! One ntex system for all tests of a process.
+//! One ntex system that all tests of a process share.
 //!
-//! A test of its own with a system, and a few servers with one each, ends as
-//! many systems as it began. The heap is damaged now and then where many of
-//! them end in one process, which the shipped programs never do: each has one,
-//! and ends with it. Tests therefore share one that runs as long as the process
-//! does, and so do the servers that they start.
+//! If each test and each of its servers had its own system, many systems would
+//! end in one process, which occasionally corrupts the heap. The shipped
+//! programs are not affected: each has one system and exits with it. Tests
+//! therefore share one system that runs as long as the process, and so do the
+//! servers that they start.
 
 use std::{
     any::Any,
@@ -20,7 +20,7 @@
 
 type Test = Box<dyn FnOnce() -> LocalBoxFuture<'static, ()> + Send>;
 
-/// A server of a test, which runs as long as the process does.
+/// A server of a test; it runs until the process ends.
 #[derive(Debug)]
 pub struct Served {
     addr: SocketAddr,
@@ -30,7 +30,7 @@
     /// Starts a server on a free port.
     ///
     /// # Panics
-    /// If there is none.
+    /// If no port is free, or the server cannot be started.
     pub fn start(start: impl FnOnce(TcpListener) -> io::Result<Server>) -> Served {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("it is bound");
@@ -38,21 +38,21 @@
         Served { addr }
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
 
-/// Runs a test on the system that all share.
+/// Runs a test on the shared system.
 ///
 /// # Panics
-/// If the test does.
+/// If the test panics.
 pub fn run<F: Future<Output = ()> + 'static>(test: impl FnOnce() -> F + Send + 'static) {
     let (done, ended) = sync::channel();
     let test: Test = Box::new(move || {
         let guarded = AssertUnwindSafe(async move { test().await }).catch_unwind();
-        // The test's thread waits for as long as it takes.
+        // The receiver is not dropped before: the test's thread waits without a timeout.
         guarded.map(move |end| drop(done.send(end))).boxed_local()
     });
     system().unbounded_send(test).expect("the system runs as long as the process");
@@ -61,7 +61,7 @@
     }
 }
 
-/// What a test said when it panicked.
+/// The message of a panic.
 fn message(panic: &dyn Any) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no message")
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -1,4 +1,4 @@
-//! Bounded waits for an event.
+//! Waits for an event, with a timeout.
 
 use std::time::{Duration, Instant};
 
@@ -6,16 +6,15 @@
 
 use crate::error::{Error, Result};
 
-/// Pause between two looks.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long an event may take that should come soon. Far above what it takes
-/// on a busy machine: running out of it is a failure, never a measurement.
+/// Timeout for an event that should occur soon. It is far longer than the event
+/// takes on a busy host, so that a timeout always means a failure.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Looks until there is something to see.
+/// Calls `poll` until it returns a value.
 ///
 /// # Errors
-/// [`Error::Timeout`] once `timeout` has passed.
+/// [`Error::Timeout`] after `timeout`; `what` describes the event.
 pub async fn until<T>(
     what: &str,
     timeout: Duration,
--- a/crates/test-support/tests/processes.rs
+++ b/crates/test-support/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The process fixture itself: what it starts, signals, lists and reads.
+//! Tests of the process fixture itself: starting, signals, list and records.
 
 #![allow(clippy::unwrap_used)]
 
@@ -60,7 +60,7 @@
 }
 
 #[ntex::test]
-async fn a_terminated_entry_ends_by_itself() {
+async fn a_terminated_entry_exits_by_itself() {
     let mut system = Builder::default().without_admin().start().await.unwrap();
     system.set_presence("entry-2", Presence::Leaving).await.unwrap();
     system.terminate("entry-2").unwrap();
--- a/crates/testsuite/examples/record.rs
+++ b/crates/testsuite/examples/record.rs
@@ -1,7 +1,8 @@
-//! Records the traces of `crates/testsuite/traces` anew, from real processes
-//! under faults: `cargo run -p peatdeck-testsuite --example record FOLDER`.
+//! Records new versions of the traces in `crates/testsuite/traces` from real
+//! processes under faults:
+//! `cargo run -p peatdeck-testsuite --example record FOLDER`.
 //!
-//! The `expect` lines are written by hand behind what this records.
+//! The `expect` lines are then appended by hand.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,11 +18,11 @@
 };
 use peatdeck_wire::{admin::EntryStatus, caller::RequestBody};
 
-/// Deadline of requests that are to run out of time.
+/// Deadline of requests that should expire.
 const SHORT_MS: i64 = 1_500;
-/// Delay of a stage that is to outlast the grace of a stop.
+/// Delay of a stage that should outlast the grace period of a stop.
 const SLOW_MS: u64 = 1_500;
-/// Pause of a caller before it sends a request again.
+/// Pause of a caller before it retries a request.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
 #[ntex::main]
@@ -36,7 +37,7 @@
     drain(folder).await;
 }
 
-/// Starts a system, runs a scenario, and keeps the trace of `entry-1`.
+/// Starts a system, runs a scenario, and stores the trace of `entry-1`.
 async fn record(folder: &Path, name: &str, builder: Builder, run: impl AsyncFnOnce(&mut System)) {
     let own = folder.join(name);
     fs::create_dir_all(&own).unwrap();
@@ -48,7 +49,7 @@
     fs::remove_dir_all(own).unwrap();
 }
 
-/// A neighbour is killed while its ledger call runs; the caller retries here.
+/// `entry-2` is killed while its ledger call runs; the caller retries at `entry-1`.
 async fn killed_peer(folder: &Path) {
     record(folder, "killed-neighbour", Builder::default(), async |system| {
         let hang = EndpointFaults { hang: true, ..Default::default() };
@@ -75,8 +76,8 @@
     .await;
 }
 
-/// A second version is published, and one that lost the race; then the log is
-/// out for a while.
+/// A second version is published and another publish on the same base is
+/// rejected; then the log has an outage.
 async fn log_out(folder: &Path) {
     record(folder, "log-out", Builder::default().entries(1), async |system| {
         send_and_print(system, TICKET, &fixture::once("before", "input")).await;
@@ -104,7 +105,7 @@
     .await;
 }
 
-/// An engine cuts its stream in the middle; another goes on.
+/// An engine cuts its stream in the middle; another one resumes it.
 async fn cut_stream(folder: &Path) {
     let builder = Builder::default().entries(1).entry_flags(&["--trace-content", "keep"]);
     record(folder, "cut-stream", builder, async |system| {
@@ -141,7 +142,7 @@
     .await;
 }
 
-/// Every endpoint of a pool refuses, or is gone.
+/// All endpoints of a pool refuse calls, or have been killed.
 async fn refused(folder: &Path) {
     record(folder, "refused", Builder::default().entries(1), async |system| {
         let busy = EndpointFaults { refuse: Some(RefuseReason::Busy), ..Default::default() };
@@ -165,7 +166,7 @@
     .await;
 }
 
-/// Endpoints leave, by the list and by their own word, then the entry stops.
+/// Endpoints leave, as the list or they themselves report; then the entry stops.
 async fn drain(folder: &Path) {
     record(folder, "drain", Builder::default().entries(1), async |system| {
         send_and_print(system, CERTIFICATE, &fixture::request("before", "input")).await;
--- a/crates/testsuite/tests/testsuite/claims.rs
+++ b/crates/testsuite/tests/testsuite/claims.rs
@@ -1,5 +1,6 @@
-//! At most one run, and the truth about it, when the entry that claimed is
-//! killed or frozen, or when the log loses answers.
+//! A request that is not idempotent runs at most once, and callers get a true
+//! outcome, when the entry that claimed it is killed or frozen, or when the
+//! log loses replies.
 
 use std::time::{Duration, Instant};
 
@@ -17,9 +18,9 @@
 
 use crate::support::{Bench, as_repeat};
 
-/// How long the log holds its answers back where a claim must not be read.
+/// Delay of the log's replies in tests where the entry must not read its claim back.
 const HELD_MS: u64 = 3_000;
-/// How long the ledger works where its reply must not be read.
+/// Duration of a ledger call in tests where the entry must not read its reply.
 const SLOW_MS: u64 = 1_000;
 
 async fn start() -> Bench {
@@ -30,14 +31,14 @@
     EndpointFaults { hang: true, ..EndpointFaults::default() }
 }
 
-/// Ledger calls of a request that ran.
+/// Number of ledger calls that ran for a request.
 async fn ledger_runs(bench: &Bench, id: &str) -> usize {
     let calls = bench.system.calls_for(id).await.unwrap();
     calls.iter().filter(|(_, call)| &*call.stage == "ledger" && call.ran()).count()
 }
 
-/// A request whose claim stands in the log and cannot be read back: `entry-1`
-/// is frozen before it can run it.
+/// Sends a request to `entry-1` and freezes it after its claim is in the log,
+/// but before it can read the claim back and run the request.
 async fn freeze_claimed(
     bench: &mut Bench,
     body: &RequestBody,
@@ -52,8 +53,8 @@
     pending
 }
 
-/// The first entry is dead: a repeat through the other one is told `told`,
-/// the ledger's record shows `runs`.
+/// After `entry-1` was killed, a retry through `entry-2` has the outcome
+/// `expected`, and the ledger recorded `runs` calls.
 async fn check_after_kill(bench: Bench, body: &RequestBody, expected: &str, runs: usize) {
     bench.check("entry-2", TICKET, &as_repeat(body), expected).await;
     assert_eq!(ledger_runs(&bench, &body.id).await, runs);
@@ -104,7 +105,7 @@
     let pending = bench.send("entry-1", TICKET, &body);
     let at_ledger = |call: &_| is_ledger(call, CallState::Running);
     bench.wait_calls("killed-after", "the ledger call", at_ledger).await;
-    // Frozen, so that the reply is written and never read.
+    // Freezes the entry, so that the ledger writes its reply and the entry never reads it.
     bench.system.freeze("entry-1").unwrap();
     let is_done = |call: &_| is_ledger(call, CallState::Finished);
     bench.wait_calls("killed-after", "the ledger's reply", is_done).await;
@@ -131,7 +132,7 @@
 }
 
 #[ntex::test]
-async fn a_repeat_is_told_that_the_request_still_runs() {
+async fn a_repeat_is_refused_while_the_request_still_runs() {
     let bench = start().await;
     let body = fixture::once("running", "trailer 7");
     let slow = EndpointFaults { delay_ms: SLOW_MS, ..EndpointFaults::default() };
@@ -169,21 +170,22 @@
     let start = Instant::now();
     let pending = freeze_claimed(&mut bench, &body).await;
     bench.check("entry-2", TICKET, &as_repeat(&body), "502 may_have_run/claimed_elsewhere").await;
-    // The condition of this test, not its proof.
+    // Sleeps until the deadline has passed; the checks below don't depend on the exact time.
     time::sleep(deadline.saturating_sub(start.elapsed())).await;
     let claims = bench.system.log_next(Stream::Claims).await.unwrap();
     bench.system.thaw("entry-1").unwrap();
     assert_eq!(pending.response().await.to_string(), "503 not_run/claim_unknown");
     bench.wait_log(Stream::Claims, claims).await;
     assert_eq!(ledger_runs(&bench, "frozen-late").await, 0);
-    // The key is free: the repeat runs, once.
+    // The key is free again: the retry runs, once.
     let longer = RequestBody { deadline_ms: 20_000, ..as_repeat(&body) };
     bench.check("entry-2", TICKET, &longer, "200 answered").await;
     assert_eq!(ledger_runs(&bench, "frozen-late").await, 1);
     bench.finish().await;
 }
 
-/// Requests go on, each once, while the log does this to appended claims.
+/// Each request is answered and runs once while the log has these faults on
+/// the stream of claims.
 async fn check_claims(id: &str, faults: LogFaults) {
     let bench = start().await;
     let stream = Some(Stream::Claims.name().into());
@@ -198,7 +200,7 @@
 }
 
 #[ntex::test]
-async fn a_claim_whose_answer_is_lost_counts_once() {
+async fn a_claim_whose_reply_is_lost_counts_once() {
     let faults = LogFaults { lose_chance: 0.5, seed: 7, ..LogFaults::default() };
     check_claims("lost-answer", faults).await;
 }
@@ -211,13 +213,13 @@
 }
 
 #[ntex::test]
-async fn a_claim_that_lands_late_and_twice_counts_once() {
+async fn a_claim_that_is_appended_late_and_twice_counts_once() {
     let faults = LogFaults { lose_appends: 4, land_ms: 1_500, ..LogFaults::default() };
     check_claims("landed-late", faults).await;
 }
 
 #[ntex::test]
-async fn a_claim_that_was_lost_whole_is_appended_again() {
+async fn a_claim_whose_append_was_dropped_is_appended_again() {
     let faults = LogFaults { drop_appends: 4, ..LogFaults::default() };
     check_claims("dropped", faults).await;
 }
--- a/crates/testsuite/tests/testsuite/config.rs
+++ b/crates/testsuite/tests/testsuite/config.rs
@@ -1,5 +1,5 @@
-//! One chain of versions: through races of operators, lost answers, restarts
-//! and the passing of the log's retention.
+//! All entries go through the same sequence of versions, despite concurrent
+//! publishes, lost replies, restarts and records dropped by the log's retention.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -22,12 +22,11 @@
 use crate::support::Bench;
 
 const RACES: u64 = 50;
-/// The race behind which an entry is started again.
+/// The race after which an entry is restarted.
 const RESTART: u64 = 25;
-/// How often the watch looks.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The first document with one more pipeline, whose name shows the version.
+/// The fixture's document with one more pipeline, whose name identifies the version.
 fn document_with(pipeline: &str) -> Document {
     let mut document = fixture::document();
     let mut more = document.pipeline(CERTIFICATE).unwrap().clone();
@@ -36,18 +35,17 @@
     document
 }
 
-/// Looks at the entries' versions without a pause, and keeps the highest of
-/// each life: one that goes back shows.
-struct Watch {
+/// Polls the versions in force at all entries and records each decrease.
+struct VersionWatch {
     http: Http,
     addrs: RefCell<BTreeMap<String, String>>,
     seen: RefCell<BTreeMap<String, Version>>,
     wrong: RefCell<Vec<String>>,
 }
 
-impl Watch {
-    fn start(bench: &Bench) -> Rc<Watch> {
-        let watch = Rc::new(Watch {
+impl VersionWatch {
+    fn start(bench: &Bench) -> Rc<VersionWatch> {
+        let watch = Rc::new(VersionWatch {
             http: bench.system.http.clone(),
             addrs: RefCell::default(),
             seen: RefCell::default(),
@@ -58,7 +56,7 @@
         watch
     }
 
-    /// Takes in the addresses of entries that were started again.
+    /// Updates the addresses after an entry was restarted.
     fn update_addrs(&self, bench: &Bench) {
         let entries = bench.system.entries().into_iter();
         let addr = |name: String| (name.clone(), bench.system.addr(&name).unwrap().to_owned());
@@ -70,7 +68,7 @@
             let addrs = self.addrs.borrow().clone();
             for (name, addr) in addrs {
                 let status: Result<EntryStatus> = self.http.get_json(&addr, "/v1/status").await;
-                // A version is only in force at an entry that is ready.
+                // An entry that is not ready has no version in force.
                 if let Some(status) = status.ok().filter(|status| status.ready) {
                     self.note(&name, status.version);
                 }
@@ -90,7 +88,7 @@
     }
 }
 
-/// The version of an accepted publish, or what the loser is told.
+/// The version of an accepted publish, or the error of a rejected one.
 fn publish_result(response: Result<PublishReply>) -> std::result::Result<Version, ApiError> {
     match response {
         Ok(reply) => Ok(reply.version),
@@ -99,7 +97,7 @@
     }
 }
 
-/// Two operators publish on `base` at once. Gives the winner's pipeline.
+/// Two operators publish on `base` concurrently. Returns the accepted pipeline.
 async fn race(bench: &Bench, base: Version) -> String {
     let [one, two] = ["one", "two"].map(|operator| format!("race-{base}-{operator}"));
     let (first, second) = (document_with(&one), document_with(&two));
@@ -121,7 +119,7 @@
     winner
 }
 
-/// Every entry serves the winner's pipeline and not the loser's.
+/// Checks that every entry serves the accepted pipeline and not the rejected one.
 async fn check_in_force(bench: &Bench, base: Version, winner: &str) {
     bench.system.wait_version(base + 1).await.unwrap();
     for entry in bench.system.entries() {
@@ -135,12 +133,12 @@
 }
 
 #[ntex::test]
-async fn of_two_operators_who_race_one_wins_and_no_entry_ever_goes_back() {
+async fn one_of_two_concurrent_publishes_is_accepted_and_no_version_ever_decreases() {
     let log = ["--retain-ms", "6000"];
     let builder = Builder::default().log_flags(&log).entry_flags(&["--retention", "6"]);
     let mut bench = Bench::start(builder).await;
     bench.system.add_admin("admin-2").await.unwrap();
-    let watch = Watch::start(&bench);
+    let watch = VersionWatch::start(&bench);
     for base in 1..=RACES {
         let winner = race(&bench, base).await;
         check_in_force(&bench, base, &winner).await;
@@ -151,13 +149,13 @@
             check_in_force(&bench, base, &winner).await;
         }
     }
-    // The retention has passed: the first records are gone.
+    // Waits until the log's retention has dropped the records of the races.
     let earliest = async || {
         let state = bench.system.log_state().await.ok()?;
         let earliest = state.streams.get(Stream::Config.name())?.earliest;
         (earliest > RACES).then_some(())
     };
-    wait::until("the races' records being gone", TIMEOUT, earliest).await.unwrap();
+    wait::until("the expiry of the races' records", TIMEOUT, earliest).await.unwrap();
     for entry in ["entry-1", "entry-2"] {
         bench.system.restart(entry).await.unwrap();
         watch.update_addrs(&bench);
@@ -168,8 +166,8 @@
     bench.finish().await;
 }
 
-/// A publish whose answers are lost counts once, also when it is sent again.
-/// At the end the log holds that many records.
+/// A publish takes effect once although replies to its appends are lost and it
+/// is sent again. At the end the log holds `records` records.
 async fn check_publish(faults: LogFaults, records: u64) {
     let bench = Bench::start(Builder::default()).await;
     let stream = Some(Stream::Config.name().into());
@@ -183,7 +181,7 @@
     let reply = bench.system.publish("third", 2, &document_with("third")).await.unwrap();
     assert_eq!(reply.version, 3);
     bench.system.wait_version(3).await.unwrap();
-    // A record that lands late may still have been on its way.
+    // A delayed append may not have taken effect yet.
     bench.wait_log(Stream::Config, records - 1).await;
     let reply = bench.system.publish("second", 1, &document).await.unwrap();
     assert_eq!(reply.version, 2);
@@ -194,7 +192,7 @@
 }
 
 #[ntex::test]
-async fn a_publish_whose_answer_is_lost_counts_once() {
+async fn a_publish_whose_reply_is_lost_counts_once() {
     check_publish(LogFaults { lose_appends: 1, ..LogFaults::default() }, 3).await;
 }
 
@@ -205,18 +203,19 @@
 }
 
 #[ntex::test]
-async fn a_publish_that_lands_late_and_twice_counts_once() {
+async fn a_publish_that_is_appended_late_and_twice_counts_once() {
     let faults = LogFaults { lose_appends: 1, land_ms: 1_500, ..LogFaults::default() };
     check_publish(faults, 4).await;
 }
 
 #[ntex::test]
-async fn a_publish_that_was_lost_whole_is_appended_again() {
+async fn a_publish_whose_append_was_dropped_is_appended_again() {
     check_publish(LogFaults { drop_appends: 1, ..LogFaults::default() }, 3).await;
 }
 
-/// The configuration outlives its first record also when the answers to
-/// snapshots are lost: an entry without peers starts from the log alone.
+/// Snapshots keep the configuration after the log has dropped the publish,
+/// although replies to their appends are lost. The entry has no peers, so it
+/// reads the configuration from the log alone after each restart.
 async fn check_snapshots(faults: LogFaults) {
     let log = ["--retain-ms", "4000"];
     let builder = Builder::default().entries(1).log_flags(&log).entry_flags(&["--retention", "4"]);
@@ -231,7 +230,7 @@
             let config = state.streams.get(Stream::Config.name())?;
             (config.earliest >= next).then_some(())
         };
-        wait::until("the records being gone", TIMEOUT, expired).await.unwrap();
+        wait::until("the expiry of the records", TIMEOUT, expired).await.unwrap();
         bench.system.restart("entry-1").await.unwrap();
         bench.system.wait_ready("entry-1").await.unwrap();
         assert_eq!(bench.system.status("entry-1").await.unwrap().version, 2);
@@ -242,7 +241,7 @@
 }
 
 #[ntex::test]
-async fn snapshots_whose_answers_are_lost_keep_the_configuration() {
+async fn snapshots_whose_replies_are_lost_keep_the_configuration() {
     let faults = LogFaults { lose_chance: 0.7, seed: 3, ..LogFaults::default() };
     check_snapshots(faults).await;
 }
--- a/crates/testsuite/tests/testsuite/drain.rs
+++ b/crates/testsuite/tests/testsuite/drain.rs
@@ -1,5 +1,5 @@
-//! An endpoint that is leaving gets no new work after a few seconds, and its
-//! work in flight ends whole.
+//! An endpoint that is leaving gets no new calls after a few seconds, and its
+//! calls in flight run to their end.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -20,15 +20,15 @@
     support::{Bench, requests},
 };
 
-/// A leaving endpoint gets nothing new after this.
+/// Time after which a leaving endpoint must not get new calls.
 const FEW_SECONDS: Duration = Duration::from_secs(5);
-/// How far the list lags.
+/// Delay of changes to the list.
 const LAG_MS: u64 = 1_500;
-/// How often the list wavers between the newest listing and the one before.
+/// Interval at which the list alternates between the newest listing and the one before.
 const FLAP_MS: u64 = 700;
-/// How long the ledger works.
+/// Duration of a ledger call.
 const LEDGER_MS: u64 = 2_000;
-/// With a deadline that is short enough for hedges.
+/// The deadline is short enough for hedges.
 const LIGHT: Work = Work {
     pipeline: CERTIFICATE,
     prefix: "light",
@@ -42,13 +42,13 @@
     u64::try_from(since.as_millis()).unwrap()
 }
 
-/// When the newest call of an endpoint came, and how many came.
+/// Arrival time of an endpoint's newest call, and the number of its calls.
 async fn arrivals(bench: &Bench, endpoint: &str) -> (u64, usize) {
     let calls = bench.system.calls(endpoint).await.unwrap();
     (calls.iter().map(|call| call.arrived_ms).max().unwrap_or_default(), calls.len())
 }
 
-/// Makes the other endpoints fail and straggle, so that calls are repeated
+/// Makes the other endpoints fail or respond late, so that calls are retried
 /// and hedged.
 async fn disturb(bench: &Bench) {
     let cut = EndpointFaults { cut_after: Some(0), calls: Some(2), ..EndpointFaults::default() };
@@ -58,11 +58,11 @@
 }
 
 #[ntex::test]
-async fn an_endpoint_that_a_wavering_list_names_as_leaving_gets_nothing_new() {
+async fn an_endpoint_that_an_unstable_list_marks_as_leaving_gets_no_new_calls() {
     let mut bench = Bench::start(Builder::default().endpoints(3)).await;
-    let wavering =
+    let unstable =
         ListFaults { lag_ms: Some(LAG_MS), flap_ms: Some(FLAP_MS), ..ListFaults::default() };
-    bench.system.set_list_faults(&wavering).await.unwrap();
+    bench.system.set_list_faults(&unstable).await.unwrap();
     let load = Load::start(&bench, LIGHT).await;
     load.wait_more(100).await;
     assert!(arrivals(&bench, "encode-1").await.1 > 0);
@@ -88,7 +88,7 @@
 }
 
 #[ntex::test]
-async fn the_work_in_flight_at_a_leaving_endpoint_ends_whole() {
+async fn calls_in_flight_at_a_leaving_endpoint_finish() {
     let mut bench = Bench::start(Builder::default()).await;
     let slow = EndpointFaults { delay_ms: LEDGER_MS, ..EndpointFaults::default() };
     bench.system.set_pool_faults("ledger", &slow).await.unwrap();
@@ -138,23 +138,29 @@
     );
     assert_eq!(arrivals(&bench, "encode-1").await.1, before);
 
-    // Its next life is another endpoint.
+    // The drain does not apply to the next incarnation.
     bench.system.restart("encode-1").await.unwrap();
     let back = |status: &peatdeck_wire::admin::EntryStatus| {
         let mut endpoints = status.endpoints.iter();
         endpoints.any(|known| &*known.endpoint == "encode-1" && &*known.state == "usable")
     };
-    bench.system.wait_status("entry-2", "encode-1 in use again", TIMEOUT, back).await.unwrap();
+    bench
+        .system
+        .wait_status("entry-2", "encode-1 being usable again", TIMEOUT, back)
+        .await
+        .unwrap();
     let poll = async || {
         bench.request_all(CERTIFICATE, requests("next-life", 1)).await;
         (arrivals(&bench, "encode-1").await.1 > 0).then_some(())
     };
-    peatdeck_test_support::wait::until("a call in the next life", TIMEOUT, poll).await.unwrap();
+    peatdeck_test_support::wait::until("a call in the next incarnation", TIMEOUT, poll)
+        .await
+        .unwrap();
     bench.finish().await;
 }
 
 #[ntex::test]
-async fn an_endpoint_that_says_itself_that_it_leaves_gets_nothing_new() {
+async fn an_endpoint_that_reports_itself_as_leaving_gets_no_new_calls() {
     let bench = Bench::start(Builder::default()).await;
     let leaving = EndpointFaults {
         refuse: Some(RefuseReason::Leaving),
@@ -162,8 +168,8 @@
         ..EndpointFaults::default()
     };
     bench.system.set_faults("encode-1", &leaving).await.unwrap();
-    // The one that is refused is answered by another endpoint; the other entry
-    // hears of it from its peer, and the list says otherwise.
+    // The refused call is retried at another endpoint. The other entry learns that
+    // the endpoint is leaving by gossip, although the list still has it as live.
     let responses = bench.request_all(CERTIFICATE, requests("refused", 20)).await;
     assert!(
         responses.iter().all(|response| response.output().is_some()),
@@ -181,9 +187,9 @@
     bench.finish().await;
 }
 
-/// Endpoints of the fixture stand by turns in two data centres.
+/// The fixture assigns endpoints to two data centres in turn.
 #[ntex::test]
-async fn an_evacuated_data_centre_gets_nothing_also_after_an_entrys_restart() {
+async fn an_evacuated_data_centre_gets_no_calls_also_after_an_entry_restart() {
     let mut bench = Bench::start(Builder::default()).await;
     bench.system.evacuate("dc-1", false).await.unwrap();
     let evacuated = |status: &peatdeck_wire::admin::EntryStatus| {
@@ -191,13 +197,21 @@
         endpoints.any(|known| &*known.endpoint == "encode-1" && &*known.state == "evacuated")
     };
     for entry in ["entry-1", "entry-2"] {
-        bench.system.wait_status(entry, "it is evacuated", TIMEOUT, evacuated).await.unwrap();
+        bench
+            .system
+            .wait_status(entry, "encode-1 being evacuated", TIMEOUT, evacuated)
+            .await
+            .unwrap();
     }
     let (_, before) = arrivals(&bench, "encode-1").await;
     bench.request_all(CERTIFICATE, requests("evacuated", 20)).await;
     bench.system.restart("entry-1").await.unwrap();
     bench.system.wait_ready("entry-1").await.unwrap();
-    bench.system.wait_status("entry-1", "it knows", TIMEOUT, evacuated).await.unwrap();
+    bench
+        .system
+        .wait_status("entry-1", "encode-1 being evacuated", TIMEOUT, evacuated)
+        .await
+        .unwrap();
     let responses = bench.request_all(CERTIFICATE, requests("restarted", 20)).await;
     assert!(
         responses.iter().all(|response| response.endpoint("encode") == Some("encode-2")),
@@ -210,6 +224,6 @@
         bench.request_all(CERTIFICATE, requests("back", 4)).await;
         (arrivals(&bench, "encode-1").await.1 > before).then_some(())
     };
-    peatdeck_test_support::wait::until("a call once it is over", TIMEOUT, poll).await.unwrap();
+    peatdeck_test_support::wait::until("a call after the evacuation", TIMEOUT, poll).await.unwrap();
     bench.finish().await;
 }
--- a/crates/testsuite/tests/testsuite/invalid.rs
+++ b/crates/testsuite/tests/testsuite/invalid.rs
@@ -1,4 +1,5 @@
-//! Input that is wrong: a typed error with its remedy each, and nothing runs.
+//! Each kind of invalid input gets an error with its own code and a remedy, and
+//! nothing runs.
 
 use std::{env, fs, process};
 
@@ -18,14 +19,14 @@
 
 use crate::support::Bench;
 
-/// The longest body that the entries take here.
+/// Largest request body that the entries of this test accept.
 const MAX_BODY: usize = 4_096;
 
 fn body() -> Value {
     serde_json::to_value(fixture::once("invalid", "trailer")).unwrap()
 }
 
-/// A body with one field set, or taken out.
+/// A body with one field set.
 fn with(field: &str, value: Value) -> String {
     let mut body = body();
     body[field] = value;
@@ -39,7 +40,7 @@
 }
 
 #[ntex::test]
-async fn a_request_that_is_wrong_gets_its_error_and_does_not_run() {
+async fn an_invalid_request_gets_its_error_and_does_not_run() {
     let bench = Bench::start(Builder::default().entry_flags(&["--max-body", "4096"])).await;
     let long = "x".repeat(129);
     let cases = [
@@ -74,7 +75,7 @@
     bench.finish().await;
 }
 
-/// Publishes as an operator with that token would.
+/// Publishes with the given token; expects an error body.
 async fn publish(bench: &Bench, token: Option<&str>, document: &Value) -> (Reply, ApiError) {
     let body = json!({ "id": "wrong", "base": 1, "author": "test", "document": document });
     let addr = bench.system.addr("admin").unwrap();
@@ -90,7 +91,7 @@
     assert!(!error.remedy.is_empty(), "{error:?}");
 }
 
-/// A document that the checker refuses at one place.
+/// Publishes the fixture's document with a change that makes it invalid at `place`.
 async fn check_problem(bench: &Bench, change: impl FnOnce(&mut Document), place: &str) {
     let mut document = fixture::document();
     change(&mut document);
@@ -104,7 +105,7 @@
 }
 
 #[ntex::test]
-async fn a_publish_that_is_wrong_gets_its_error_and_changes_nothing() {
+async fn an_invalid_publish_gets_its_error_and_changes_nothing() {
     let bench = Bench::start(Builder::default()).await;
     let document = serde_json::to_value(fixture::document()).unwrap();
     check_publish(&bench, None, &document, "401 unauthorized").await;
@@ -131,8 +132,8 @@
     let spec = Spec::new("check", "peatdeck").args(["check", path.to_str().unwrap()]);
     let mut check = Process::start(&spec).unwrap();
     let status = check.wait(TIMEOUT).await.unwrap();
-    let said = async || Some(check.log()).filter(|log| log.contains("help:"));
-    let log = wait::until("the error's remedy", TIMEOUT, said).await.unwrap();
+    let error_log = async || Some(check.log()).filter(|log| log.contains("help:"));
+    let log = wait::until("the error's remedy", TIMEOUT, error_log).await.unwrap();
     fs::remove_file(&path).unwrap();
     assert_eq!(status.code(), Some(3), "{log}");
     assert!(log.contains("unknown field `wieght`") && log.contains(":3:1"), "{log}");
--- a/crates/testsuite/tests/testsuite/load.rs
+++ b/crates/testsuite/tests/testsuite/load.rs
@@ -1,4 +1,5 @@
-//! Callers behind a balancer, who go on until they are told to stop.
+//! Background load: callers that send requests to ready entries, as a load
+//! balancer would.
 
 use std::{cell::Cell, cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -12,22 +13,22 @@
 
 use crate::support::Bench;
 
-/// How often the balancer asks the entries whether they are ready.
+/// Interval of the balancer's readiness checks.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause of a caller between two requests.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// Callers that send requests until the end.
+/// Callers that send requests until [`Load::finish`].
 pub struct Load {
     shared: Rc<Shared>,
     callers: Vec<rt::JoinHandle<()>>,
 }
 
-/// What a load sends.
+/// Kind of requests that a load sends, and number of callers.
 #[derive(Clone, Copy)]
 pub struct Work {
     pub pipeline: &'static str,
-    /// Start of the requests' ids.
+    /// Prefix of the requests' ids.
     pub prefix: &'static str,
     pub idempotent: bool,
     pub callers: usize,
@@ -45,7 +46,7 @@
 }
 
 impl Load {
-    /// Starts callers over all entries of a system.
+    /// Starts callers that spread their requests over all ready entries of a system.
     pub async fn start(bench: &Bench, work: Work) -> Load {
         let shared = Rc::new(Shared {
             addrs: RefCell::default(),
@@ -64,14 +65,14 @@
         Load { callers, ..load }
     }
 
-    /// Takes in the addresses of entries that were started again.
+    /// Updates the addresses after an entry was restarted.
     pub fn update_addrs(&self, bench: &Bench) {
         let entries = bench.system.entries().into_iter();
         let addr = |name: String| (name.clone(), bench.system.addr(&name).unwrap().to_owned());
         *self.shared.addrs.borrow_mut() = entries.map(addr).collect();
     }
 
-    /// Waits until so many more requests have ended.
+    /// Waits until `count` more requests have been started.
     pub async fn wait_more(&self, count: usize) {
         let until = self.shared.count.get() + count;
         let poll = async || (self.shared.count.get() >= until).then_some(());
@@ -79,7 +80,7 @@
         peatdeck_test_support::wait::until(&what, Duration::from_secs(60), poll).await.unwrap();
     }
 
-    /// Ends it once each request under way has ended.
+    /// Stops the callers and waits for their current requests.
     pub async fn finish(self) {
         self.shared.stop.set(true);
         for caller in self.callers {
@@ -129,7 +130,8 @@
     }
 }
 
-/// Sends a request until it is told something else than that an entry stops.
+/// Sends a request, and retries it at another entry while the response says that
+/// the entry is stopping.
 async fn request(shared: &Shared, turn: usize, body: RequestBody) {
     for attempt in 0.. {
         let Some(addr) = shared.choose(turn + attempt) else { return };
--- a/crates/testsuite/tests/testsuite/main.rs
+++ b/crates/testsuite/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests across crates, a module a feature.
+//! Tests across crates, one module for each feature.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/testsuite/tests/testsuite/outage.rs
+++ b/crates/testsuite/tests/testsuite/outage.rs
@@ -1,4 +1,4 @@
-//! The log is out, or everything is.
+//! Outages of the log alone, and of the log and all peers.
 
 use std::time::{Duration, Instant};
 
@@ -11,15 +11,15 @@
 
 use crate::support::{Bench, as_repeat};
 
-/// How long an instance may hear neither the log nor a peer before it is
-/// unready, and a little more.
+/// Slightly longer than the time without contact to the log or a peer after
+/// which an instance is unready.
 const PAST_ISOLATION: Duration = Duration::from_secs(7);
 
 fn outage() -> LogFaults {
     LogFaults { outage: true, ..LogFaults::default() }
 }
 
-/// Two entries that have noticed that the log is out.
+/// Starts a system whose entries have all failed to read the log.
 async fn start_out(builder: Builder) -> Bench {
     let bench = Bench::start(builder).await;
     bench.set_log(outage()).await;
@@ -41,7 +41,7 @@
             let body = fixture::once(&format!("once-{turn}-{entry}"), "ticket");
             let response = bench.check(entry, TICKET, &body, "503 not_run/claim_unknown").await;
             assert!(response.retry_after.is_some(), "{response:?}");
-            // At once: far below the deadline, at which it is told anyway.
+            // The refusal comes at once, not only at the deadline, when it would come anyway.
             assert!(response.elapsed < Duration::from_secs(5), "{response:?}");
             let calls = bench.system.calls_for(&body.id).await.unwrap();
             assert_eq!(calls, [], "{} was reported not to have run", body.id);
@@ -59,7 +59,7 @@
 }
 
 #[ntex::test]
-async fn a_repeat_in_an_outage_is_not_told_that_nothing_ran() {
+async fn a_repeat_in_an_outage_is_not_reported_as_not_run() {
     let bench = Bench::start(Builder::default()).await;
     let body = fixture::once("ran-before", "ticket");
     bench.check("entry-1", TICKET, &body, "200 answered").await;
@@ -93,7 +93,7 @@
 }
 
 #[ntex::test]
-async fn an_entry_that_is_cut_off_goes_unready_and_comes_back() {
+async fn an_isolated_entry_becomes_unready_and_recovers() {
     let mut bench = start_out(Builder::default()).await;
     bench.system.freeze("entry-2").unwrap();
     let is_unready = |status: &peatdeck_wire::admin::EntryStatus| !status.ready;
@@ -103,7 +103,7 @@
     bench.check("entry-1", CERTIFICATE, &body, "503 not_run/not_ready").await;
     let body = fixture::once("cut-off-once", "ticket");
     bench.check("entry-1", TICKET, &body, "503 not_run/not_ready").await;
-    // A peer is enough to know what is in force.
+    // Contact to one peer suffices to learn the version in force.
     bench.system.thaw("entry-2").unwrap();
     bench.system.wait_ready("entry-1").await.unwrap();
     let body = fixture::request("back", "licence");
--- a/crates/testsuite/tests/testsuite/pages.rs
+++ b/crates/testsuite/tests/testsuite/pages.rs
@@ -1,4 +1,4 @@
-//! Reference pages say what the code says.
+//! The reference pages agree with the code.
 
 #![allow(clippy::unwrap_used)]
 
@@ -48,7 +48,7 @@
     assert!(missing.is_empty(), "docs/reference/metrics.md must name {missing:?}");
 }
 
-/// A whole `Outcome` of each kind that a caller can be told.
+/// An `Outcome` of each kind of refusal and uncertainty.
 fn outcomes() -> Vec<Outcome> {
     let refusals = [
         RefusalKind::Infeasible,
@@ -61,7 +61,7 @@
         RefusalKind::ClaimUnknown,
         RefusalKind::ClaimHorizon,
     ];
-    let doubts = [
+    let uncertainties = [
         UncertaintyKind::TimedOut,
         UncertaintyKind::StageFailed,
         UncertaintyKind::InProgress,
@@ -70,12 +70,13 @@
         UncertaintyKind::EarlierUnknown,
     ];
     let refusal = |kind| Outcome::NotRun(Refusal { kind, retry_after: Duration::ZERO });
-    let doubt = |kind| Outcome::MayHaveRun(Uncertainty { kind, stage: None, retry_after: None });
-    refusals.into_iter().map(refusal).chain(doubts.into_iter().map(doubt)).collect()
+    let uncertainty =
+        |kind| Outcome::MayHaveRun(Uncertainty { kind, stage: None, retry_after: None });
+    refusals.into_iter().map(refusal).chain(uncertainties.into_iter().map(uncertainty)).collect()
 }
 
 #[test]
-fn runbook_has_every_code_of_a_refusal_or_doubt() {
+fn runbook_has_every_code_of_a_refusal_or_uncertainty() {
     let page = page("runbook.md");
     let codes = outcomes().into_iter().map(|outcome| outcome::code(&outcome));
     let missing: Vec<_> = codes.filter(|code| !page.contains(&format!("`{code}`"))).collect();
@@ -90,8 +91,8 @@
     assert!(missing.is_empty(), "docs/runbook.md must name {missing:?}");
 }
 
-/// Instances that are not ready, each for another reason: one that was just
-/// started, one that stops, and one that has heard nothing for long.
+/// Instances that are not ready, each for another reason: one that has just
+/// started, one that is stopping, and one that has been isolated for a minute.
 fn unready() -> [Instance; 3] {
     let identity = Identity {
         name: "entry-1".into(),
@@ -101,7 +102,7 @@
     let start = || Instance::new(identity.clone(), Settings::default(), 1);
     let mut stopping = start();
     stopping.handle(Duration::ZERO, Input::Stop);
-    let mut cut_off = start();
+    let mut isolated = start();
     let peer = InstanceEntry {
         name: "entry-2".into(),
         peer_addr: "10.0.0.2:7400".into(),
@@ -110,20 +111,20 @@
         presence: Presence::Live,
     };
     let listing = Listing { instances: vec![peer], endpoints: Vec::new() };
-    cut_off.handle(Duration::ZERO, Input::Listed(listing));
-    cut_off.handle(Duration::from_secs(60), Input::Tick);
-    [start(), stopping, cut_off]
+    isolated.handle(Duration::ZERO, Input::Listed(listing));
+    isolated.handle(Duration::from_secs(60), Input::Tick);
+    [start(), stopping, isolated]
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_lead_to_existing_files() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut pages = Vec::new();
     for folder in ["", "docs", "docs/design", "docs/reference"] {
         pages.extend(markdown_in(&root.join(folder)));
     }
     let broken: Vec<_> = pages.iter().flat_map(|page| broken_links(page)).collect();
-    assert!(broken.is_empty(), "these links lead nowhere: {broken:#?}");
+    assert!(broken.is_empty(), "these links are broken: {broken:#?}");
 }
 
 fn markdown_in(folder: &Path) -> Vec<PathBuf> {
@@ -132,7 +133,7 @@
     paths.filter(|path| path.extension().is_some_and(|kind| kind == "md")).collect()
 }
 
-/// Links to files that are not there, each with its page.
+/// Links of a page to files that don't exist, with the path of the page.
 fn broken_links(page: &Path) -> Vec<String> {
     let text = fs::read_to_string(page).expect("the page can be read");
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split_once(')'));
--- a/crates/testsuite/tests/testsuite/path.rs
+++ b/crates/testsuite/tests/testsuite/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: callers, entries, four pools of endpoints, and back.
+//! Requests pass from callers through the entries to four pools of endpoints and back.
 
 use std::collections::HashSet;
 
@@ -10,10 +10,10 @@
 
 use crate::support::{self, Bench};
 
-/// Requests over both entries.
+/// Requests in all, spread over both entries.
 const REQUESTS: usize = 200;
 
-/// The document without the pool and the pipeline that the path does not need.
+/// The fixture's document without pool `ledger` and the pipeline that uses it.
 fn four_pools() -> Document {
     let mut document = fixture::document();
     document.pools.retain(|pool| &*pool.name != "ledger");
--- a/crates/testsuite/tests/testsuite/replay.rs
+++ b/crates/testsuite/tests/testsuite/replay.rs
@@ -1,5 +1,6 @@
-//! Traces recorded from real processes under faults, against what is stated
-//! of them: `examples/record.rs` has the scenarios.
+//! Replays of traces that were recorded from real processes under faults give
+//! the recorded actions and satisfy the traces' `expect` lines.
+//! `examples/record.rs` has the scenarios.
 
 use std::{fs, path::Path};
 
@@ -7,10 +8,10 @@
 use peatdeck_core::trace::{self, Report};
 use serde_json::{Value, json};
 
-/// What all traces may take, in bytes.
+/// Limit on the size of all traces together.
 const MAX_BYTES: usize = 200_000;
 
-/// The traces' names and texts, by name.
+/// Names and texts of all traces, sorted by name.
 fn traces() -> Vec<(String, String)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
     let paths = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
@@ -29,8 +30,8 @@
     report.faults.iter().map(|found| format!("line {}: {}", found.line, found.fault)).collect()
 }
 
-/// The trace with its lines changed by `change`, which is given each line's
-/// JSON and says whether it is done.
+/// The trace with one line altered: `change` gets the JSON of each line in turn
+/// until it returns true.
 fn altered(text: &str, mut change: impl FnMut(&mut Value) -> bool) -> String {
     let mut is_done = false;
     let lines = text.lines().map(|line| {
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn every_recorded_trace_gives_the_same_answers_again() {
+fn every_recorded_trace_replays_with_the_same_answers() {
     let traces = traces();
     assert!(traces.iter().map(|(_, text)| text.len()).sum::<usize>() < MAX_BYTES);
     let seen: Vec<String> = traces
@@ -103,7 +104,8 @@
     }
 }
 
-/// Replays `cut-stream` with one record changed; gives the first fault's head.
+/// Replays `cut-stream` with one record altered, and compares the first fault up
+/// to its first parenthesis.
 fn check_cut_stream(change: impl FnMut(&mut Value) -> bool, expected: Expect) {
     let traces = traces();
     let (_, text) = traces.iter().find(|(name, _)| name == "cut-stream").unwrap();
--- a/crates/testsuite/tests/testsuite/replies.rs
+++ b/crates/testsuite/tests/testsuite/replies.rs
@@ -1,5 +1,6 @@
-//! Replies that are late, doubled, cut, out of order or of another request:
-//! callers only ever get their own whole answers.
+//! Callers get complete answers to their own requests although endpoints send
+//! replies that are late, duplicated, truncated, out of order or of another
+//! request.
 
 use futures::StreamExt;
 use peatdeck_standin::{
@@ -16,23 +17,23 @@
 
 use crate::support::{self, Bench, as_repeat};
 
-/// Requests of each burst.
+/// Number of requests in each burst.
 const BURST: usize = 40;
-/// Their deadline.
+/// Deadline of the requests in a burst.
 const DEADLINE_MS: i64 = 3_000;
 
 fn faults(calls: u32) -> EndpointFaults {
     EndpointFaults { calls: Some(calls), ..EndpointFaults::default() }
 }
 
-/// A burst whose deadline is short enough for hedges.
+/// Requests of a burst, whose deadline is short enough for hedges.
 fn requests(prefix: &str) -> impl Iterator<Item = RequestBody> {
     let bodies = support::requests(prefix, BURST);
     bodies.map(|body| RequestBody { deadline_ms: DEADLINE_MS, ..body })
 }
 
-/// Sends a burst while one endpoint misbehaves for some calls; all callers
-/// get their own whole answer, and a counter shows that it was noticed.
+/// Sends a burst while one endpoint has a fault for some calls. Checks that all
+/// callers get a complete answer and that a counter has recorded the fault.
 async fn check(bench: &Bench, endpoint: &str, faults: EndpointFaults, name: &str, counter: &str) {
     let before = count(bench, counter).await;
     bench.system.set_faults(endpoint, &faults).await.unwrap();
@@ -46,7 +47,7 @@
     assert!(after > before, "{name}: no {counter}");
 }
 
-/// A counter over both entries.
+/// Sum of a counter over both entries.
 async fn count(bench: &Bench, counter: &str) -> u64 {
     bench.counter("entry-1", counter).await + bench.counter("entry-2", counter).await
 }
@@ -54,7 +55,7 @@
 #[ntex::test]
 async fn callers_get_their_own_answers_from_services_that_misbehave() {
     let bench = Bench::start(Builder::default()).await;
-    // So that the endpoint has calls of other requests to mix up.
+    // The endpoint needs earlier calls whose replies it can send by mistake.
     bench.request_all(CERTIFICATE, requests("warm")).await;
     let of_other = EndpointFaults { wrong_echo: true, ..faults(2) };
     check(&bench, "rerank-1", of_other, "of-other", "echo_mismatch").await;
@@ -79,7 +80,7 @@
     check(&bench, "generate-2", doubled, "doubled", "duplicate_pieces").await;
     let reordered = EndpointFaults { reorder: true, ..faults(4) };
     check(&bench, "generate-2", reordered, "reordered", "answered").await;
-    // Put in order again, not thrown away and generated anew.
+    // The entry has reordered the pieces instead of restarting the generation.
     assert_eq!(count(&bench, "torn_streams").await, 0);
     let cut = EndpointFaults { cut_after: Some(3), ..faults(2) };
     check(&bench, "generate-2", cut, "cut", "resumes").await;
@@ -87,7 +88,7 @@
 }
 
 #[ntex::test]
-async fn a_cut_generation_goes_on_at_another_engine() {
+async fn a_truncated_generation_resumes_at_another_engine() {
     let bench = Bench::start(Builder::default()).await;
     let cut = EndpointFaults { cut_after: Some(3), ..faults(1) };
     bench.system.set_pool_faults("generate", &cut).await.unwrap();
@@ -97,7 +98,7 @@
     let mut engines: Vec<_> =
         calls.into_iter().filter(|(_, call)| &*call.stage == "generate").collect();
     engines.sort_by_key(|(_, call)| call.echo.attempt);
-    // Both engines cut after three pieces; each call goes on behind the last.
+    // Both engines cut after three pieces; each call resumes after the pieces received so far.
     let resumed: Vec<u32> = engines.iter().map(|(_, call)| call.resumed).collect();
     assert!(resumed.len() > 1, "{engines:?}");
     assert!(resumed.iter().zip(0..).all(|(held, idx)| *held == 3 * idx), "{engines:?}");
@@ -106,7 +107,7 @@
 }
 
 #[ntex::test]
-async fn a_ledger_reply_of_another_request_is_never_passed_on() {
+async fn a_ledger_reply_of_another_request_is_never_forwarded() {
     let bench = Bench::start(Builder::default()).await;
     for idx in 0..4 {
         let body = fixture::once(&format!("first-{idx}"), "ticket");
@@ -119,7 +120,7 @@
         bench.check("entry-1", TICKET, &body, "502 may_have_run/stage_failed").await;
         bench.check("entry-2", TICKET, &as_repeat(&body), "502 may_have_run/stage_failed").await;
     }
-    // Neither of the two is trusted now.
+    // Both ledger endpoints are excluded now.
     let body = fixture::once("third", "ticket");
     bench.check("entry-1", TICKET, &body, "503 not_run/no_endpoint").await;
     bench.finish().await;
@@ -131,7 +132,7 @@
 }
 
 #[ntex::test]
-async fn a_caller_that_goes_away_cancels_idempotent_work() {
+async fn a_caller_that_disconnects_cancels_idempotent_work() {
     let builder = Builder::default().pool_flags("generate", &["--token-ms", "2000"]);
     let bench = Bench::start(builder).await;
     let body = fixture::request("gone", "licence");
@@ -150,13 +151,13 @@
     bench.wait_calls("gone-streamed", what, is_at("generate", CallState::Cancelled)).await;
     for entry in ["entry-1", "entry-2"] {
         let idle = |status: &peatdeck_wire::admin::EntryStatus| status.running == 0;
-        bench.system.wait_status(entry, "nothing held", TIMEOUT, idle).await.unwrap();
+        bench.system.wait_status(entry, "no active requests", TIMEOUT, idle).await.unwrap();
     }
     bench.finish().await;
 }
 
 #[ntex::test]
-async fn a_caller_that_goes_away_leaves_a_ticket_to_its_end() {
+async fn a_caller_that_disconnects_does_not_cancel_a_ticket() {
     let bench = Bench::start(Builder::default()).await;
     let slow = EndpointFaults { delay_ms: 500, ..EndpointFaults::default() };
     bench.system.set_pool_faults("ledger", &slow).await.unwrap();
--- a/crates/testsuite/tests/testsuite/settings_page.rs
+++ b/crates/testsuite/tests/testsuite/settings_page.rs
@@ -1,8 +1,8 @@
-//! The settings page holds the `--help` of every program and command.
+//! The settings page contains the `--help` text of every program and command.
 
 use bpaf::{Args, OptionParser};
 
-/// The help of a command line, as `program command --help` prints it.
+/// The help text that `program command --help` prints.
 fn help<T>(program: &str, options: &OptionParser<T>, command: Option<&str>) -> String {
     let args: Vec<&str> = command.into_iter().chain(["--help"]).collect();
     let failure = options
@@ -15,7 +15,7 @@
     lines.join("\n").trim_end().to_owned()
 }
 
-/// Names of the commands that a help text lists.
+/// Names of the commands listed in a help text.
 fn commands(help: &str) -> Vec<String> {
     let indented = help.lines().filter_map(|line| line.strip_prefix("    "));
     let names = indented.filter_map(|line| line.split_once("  "));
@@ -26,7 +26,7 @@
         .collect()
 }
 
-/// What the page must hold of one program.
+/// Sections that the page must contain for one program.
 fn blocks<T>(program: &str, options: OptionParser<T>) -> Vec<String> {
     let top = help(program, &options, None);
     let mut blocks = vec![block(program, &top)];
--- a/crates/testsuite/tests/testsuite/stop.rs
+++ b/crates/testsuite/tests/testsuite/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request and loses none.
+//! A planned stop of an entry neither interrupts nor loses a request.
 
 use futures::StreamExt;
 use peatdeck_standin::faults::EndpointFaults;
@@ -14,10 +14,10 @@
     support::Bench,
 };
 
-/// How long the ledger works: longer than an entry's grace and the time that
-/// its last responses have to leave.
+/// Duration of a ledger call: longer than an entry's grace period plus the time
+/// for sending its last responses.
 const LEDGER_MS: u64 = 9_000;
-/// Time of a token, so that a stream takes as long.
+/// Time per token, so that a stream also outlasts the entry's grace period.
 const TOKEN_MS: &str = "1400";
 const CERTIFICATES: Work = Work {
     pipeline: CERTIFICATE,
@@ -29,7 +29,7 @@
 const TICKETS: Work =
     Work { pipeline: TICKET, prefix: "ticket", idempotent: false, callers: 3, ..CERTIFICATES };
 
-/// Everybody was answered, or told by an entry that stops to go to another.
+/// Checks that each request was answered, or refused because the entry is stopping.
 fn check_tally(bench: &Bench) {
     let tally = bench.callers.tally();
     let is_known =
@@ -37,7 +37,7 @@
     assert!(tally.keys().all(is_known), "{tally:?}");
 }
 
-/// Tells an entry to stop and waits for its end by itself.
+/// Sends SIGTERM to an entry and waits until it exits with code 0.
 async fn stop(bench: &mut Bench, entry: &str) {
     bench.system.terminate(entry).unwrap();
     let process = bench.system.process(entry).unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[ntex::test]
-async fn an_entry_that_stops_under_load_ends_what_it_holds() {
+async fn an_entry_that_stops_under_load_finishes_its_active_requests() {
     let mut bench = Bench::start(Builder::default()).await;
     let slow = EndpointFaults { delay_ms: LEDGER_MS, ..EndpointFaults::default() };
     bench.system.set_pool_faults("ledger", &slow).await.unwrap();
@@ -65,7 +65,7 @@
 }
 
 #[ntex::test]
-async fn a_stream_goes_on_to_its_end_mark_while_its_entry_stops() {
+async fn a_stream_continues_to_its_end_event_while_its_entry_stops() {
     let builder = Builder::default().pool_flags("generate", &["--token-ms", TOKEN_MS]);
     let mut bench = Bench::start(builder).await;
     let body = RequestBody { stream: true, ..fixture::request("streamed", "licence") };
--- a/crates/testsuite/tests/testsuite/support.rs
+++ b/crates/testsuite/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! A system of processes with callers that check what they are told.
+//! A system of processes together with callers that check their responses.
 
 use std::{
     sync::{Condvar, Mutex, PoisonError},
@@ -16,7 +16,7 @@
 };
 use peatdeck_wire::caller::RequestBody;
 
-/// Systems that run at once. Each is some fifteen processes.
+/// Number of systems that run concurrently; each has some fifteen processes.
 const SYSTEMS: usize = 2;
 
 /// A running system and its callers.
@@ -27,7 +27,7 @@
 }
 
 impl Bench {
-    /// Starts a system once there is a place for it.
+    /// Starts a system once fewer than [`SYSTEMS`] run.
     pub async fn start(builder: Builder) -> Bench {
         let permit = SystemPermit::acquire();
         let system = builder.start().await.unwrap();
@@ -35,17 +35,17 @@
         Bench { system, callers, _permit: permit }
     }
 
-    /// Sends a request; it goes on by itself.
+    /// Sends a request in the background.
     pub fn send(&self, entry: &str, pipeline: &str, body: &RequestBody) -> Pending {
         self.callers.send(&self.system, entry, pipeline, body).unwrap()
     }
 
-    /// Sends a request and waits for what its caller is told.
+    /// Sends a request and waits for the response.
     pub async fn request(&self, entry: &str, pipeline: &str, body: &RequestBody) -> CallerResponse {
         self.send(entry, pipeline, body).response().await
     }
 
-    /// Sends a request, waits, and compares what its caller is told.
+    /// Sends a request, waits for the response and compares its summary with `expected`.
     pub async fn check(
         &self,
         entry: &str,
@@ -58,7 +58,7 @@
         response
     }
 
-    /// Sends requests by turns to the entries, all at once, and waits for all.
+    /// Sends requests concurrently, to the entries in turn, and waits for all responses.
     pub async fn request_all(
         &self,
         pipeline: &str,
@@ -73,7 +73,7 @@
         future::join_all(sent).await
     }
 
-    /// Waits for calls of one request that are as asked for.
+    /// Waits until calls of a request match, and returns them.
     pub async fn wait_calls(
         &self,
         id: &str,
@@ -88,7 +88,7 @@
         wait::until(what, wait::TIMEOUT, poll).await.unwrap()
     }
 
-    /// Waits until a stream of the log holds records behind an offset.
+    /// Waits until a stream of the log has a record at `offset`.
     pub async fn wait_log(&self, stream: Stream, offset: u64) {
         let poll = async || {
             let next = self.system.log_next(stream).await.ok()?;
@@ -97,13 +97,13 @@
         wait::until(&format!("a record behind {offset}"), wait::TIMEOUT, poll).await.unwrap();
     }
 
-    /// Waits until an entry has noticed that the log is out.
+    /// Waits until an entry has failed to read the log four more times.
     pub async fn wait_log_read_failures(&self, entry: &str) {
         let before = self.counter(entry, "log_read_failures").await;
         self.wait_counter(entry, "log_read_failures", before + 4).await;
     }
 
-    /// Waits until a counter of an entry has reached a value.
+    /// Waits until a counter of an entry is at least `value`.
     pub async fn wait_counter(&self, entry: &str, name: &str, value: u64) {
         let what = format!("{name} of {entry} at {value}");
         let matches = |status: &peatdeck_wire::admin::EntryStatus| {
@@ -112,13 +112,13 @@
         self.system.wait_status(entry, &what, wait::TIMEOUT, matches).await.unwrap();
     }
 
-    /// A counter of an entry.
+    /// Value of a counter of an entry; 0 if the entry has no such counter.
     pub async fn counter(&self, entry: &str, name: &str) -> u64 {
         let status = self.system.status(entry).await.unwrap();
         status.counters.get(name).copied().unwrap_or_default()
     }
 
-    /// Waits until every entry sees an endpoint as leaving.
+    /// Waits until every entry reports an incarnation of an endpoint as leaving.
     pub async fn wait_leaving(&self, endpoint: &str, incarnation: u64, timeout: Duration) {
         for entry in self.system.entries() {
             let what = format!("{endpoint} leaving at {entry}");
@@ -132,42 +132,41 @@
         }
     }
 
-    /// Mends the log.
+    /// Reverts the log's faults.
     pub async fn clear_log_faults(&self) {
         self.set_log(LogFaults::default()).await;
     }
 
-    /// Sets the log's faults.
+    /// Replaces the log's faults.
     pub async fn set_log(&self, faults: LogFaults) {
         self.system.set_log_faults(&faults).await.unwrap();
     }
 
-    /// Ends the test: everything that callers were told has to be true by the
-    /// records of the stand-ins.
+    /// Ends the test: checks all responses against the records of the stand-ins.
     pub async fn finish(self) {
         let wrong = self.callers.check(&self.system).await.unwrap();
         assert!(wrong.is_empty(), "{:?}\n{}", self.callers.tally(), wrong.join("\n"));
     }
 }
 
-/// Idempotent requests `PREFIX-0`… with inputs of their own.
+/// Idempotent requests `PREFIX-0`…, each with its own input.
 pub fn requests(prefix: &str, count: usize) -> impl Iterator<Item = RequestBody> {
     (0..count).map(move |idx| fixture::request(&format!("{prefix}-{idx}"), &format!("input {idx}")))
 }
 
-/// The same request, sent again because its outcome is not known.
+/// The same request marked as a repeat, as a caller sends it when the outcome is unknown.
 pub fn as_repeat(body: &RequestBody) -> RequestBody {
     RequestBody { repeat: true, ..body.clone() }
 }
 
-/// A place among the systems that run at once.
+/// Permit to run one of [`SYSTEMS`] systems, returned on drop.
 struct SystemPermit;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static SYSTEM_ENDED: Condvar = Condvar::new();
 
 impl SystemPermit {
-    /// Waits for a place. Each test has a thread of its own.
+    /// Blocks until a permit is free; each test runs in its own thread.
     fn acquire() -> SystemPermit {
         let taken = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let mut taken = SYSTEM_ENDED
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -1,8 +1,9 @@
-//! Switches one mechanism off in a scratch copy of the repository.
+//! Disables one mechanism in a scratch copy of the repository.
 //!
-//! Each ablation is one replacement in one file, listed in `ablations.toml`. It
-//! is applied to a copy, never to this checkout; both are then built and played
-//! against each other. A test applies none but looks whether each still fits.
+//! Each ablation replaces one text in one file, as listed in `ablations.toml`. It
+//! is applied to a copy, never to this checkout; both are then built and
+//! compared. A test checks that each ablation still matches the code, without
+//! applying it.
 
 use std::{
     fs, io,
@@ -13,18 +14,18 @@
 
 const LIST: &str = include_str!("../ablations.toml");
 
-/// A mechanism that can be switched off.
+/// A mechanism that can be disabled.
 #[derive(Debug, Deserialize)]
 pub struct Ablation {
-    /// Its name.
+    /// Name on the command line.
     pub name: String,
-    /// What is switched off.
+    /// Description of the mechanism that is disabled.
     pub what: String,
-    /// The file, from the root of the repository.
+    /// Path of the file, relative to the root of the repository.
     pub file: PathBuf,
-    /// The text that is replaced; it stands in the file once.
+    /// The text that is replaced; it must occur in the file exactly once.
     pub from: String,
-    /// What stands there instead.
+    /// The replacement.
     pub to: String,
 }
 
@@ -36,30 +37,30 @@
 /// Why an ablation was not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// There is none of that name.
+    /// No ablation has that name.
     #[error("there is no ablation `{0}`; `cargo xtask ablate` lists them")]
     Unknown(String),
-    /// The text is not there, or more than once.
+    /// The text to replace does not occur exactly once in the file.
     #[error(
-        "`{name}` does not fit {file}: its text stands there {count} times; bring it up to date"
+        "`{name}` does not match {file}: its text occurs there {count} times; update the ablation"
     )]
-    Misfit {
-        /// The ablation.
+    Mismatch {
+        /// Name of the ablation.
         name: String,
         /// The file.
         file: PathBuf,
-        /// How often the text stands there.
+        /// How often the text occurs.
         count: usize,
     },
-    /// The copy is this checkout.
-    #[error("{0} is this checkout; give a copy of it")]
-    NoCopy(PathBuf),
+    /// The given copy is this checkout itself.
+    #[error("{0} is this checkout; give the path of a copy")]
+    SameCheckout(PathBuf),
     /// A file cannot be read or written.
     #[error("{file}: {source}; check that it is a checkout of this repository")]
     Io {
         /// The file.
         file: PathBuf,
-        /// What the system said.
+        /// The underlying error.
         source: io::Error,
     },
 }
@@ -67,7 +68,7 @@
 /// All ablations.
 ///
 /// # Panics
-/// If the list of this build is no TOML.
+/// If the list that was compiled in is not valid.
 pub fn list() -> Vec<Ablation> {
     let list: List = toml::from_str(LIST).expect("a test reads the list");
     list.ablation
@@ -76,7 +77,7 @@
 /// Prints all ablations.
 ///
 /// # Errors
-/// None; the type is what all chores have.
+/// None; all commands have this return type.
 pub fn print() -> Result<(), Error> {
     for Ablation { name, what, .. } in list() {
         println!("{name:18} {what}");
@@ -87,12 +88,12 @@
 /// Applies an ablation to a copy of the repository.
 ///
 /// # Errors
-/// Any [`Error`]; nothing is changed then.
+/// Any [`Error`]; the copy is unchanged unless writing the file fails.
 pub fn run(root: &Path, name: &str, copy: &Path) -> Result<(), Error> {
     let unknown = || Error::Unknown(name.to_owned());
     let ablation = list().into_iter().find(|known| known.name == name).ok_or_else(unknown)?;
     if canonical(copy)? == canonical(root)? {
-        return Err(Error::NoCopy(copy.to_owned()));
+        return Err(Error::SameCheckout(copy.to_owned()));
     }
     let text = ablation.apply(copy)?;
     let file = copy.join(&ablation.file);
@@ -100,7 +101,7 @@
 }
 
 impl Ablation {
-    /// The text of the file with the mechanism switched off.
+    /// Returns the text of the file with the mechanism disabled.
     ///
     /// # Errors
     /// Any [`Error`].
@@ -110,7 +111,7 @@
             fs::read_to_string(&file).map_err(|source| Error::Io { file: file.clone(), source })?;
         let count = text.matches(&self.from).count();
         if count != 1 {
-            return Err(Error::Misfit { name: self.name.clone(), file, count });
+            return Err(Error::Mismatch { name: self.name.clone(), file, count });
         }
         Ok(text.replace(&self.from, &self.to))
     }
--- a/crates/xtask/src/capacity.rs
+++ b/crates/xtask/src/capacity.rs
@@ -1,15 +1,15 @@
-//! The arithmetic of `docs/CAPACITY.md`, recomputed from `docs/capacity.toml`.
+//! Recomputes the figures of `docs/CAPACITY.md` from `docs/capacity.toml`.
 //!
-//! The data file holds three kinds of entry, each with a name that formulas
-//! may use:
+//! The data file has three kinds of entries, each with a name that formulas can
+//! use:
 //!
-//! - a **size**: given from outside, or assumed;
-//! - a **slope**: a figure that was measured, with the command and the range;
-//! - a **line**: a formula over sizes, slopes and earlier lines.
+//! - a **size**: an input that is given or assumed;
+//! - a **slope**: a measured figure, with the command and the range;
+//! - a **line**: a formula of sizes, slopes and earlier lines.
 //!
-//! [`Sheet::evaluate`] works the lines out in order and derives what each
-//! rests on. [`page`] writes the results into the page between markers, so the
-//! page states no result that the data file does not give.
+//! [`Sheet::evaluate`] evaluates the lines in order and derives the basis of each
+//! result. [`page`] writes the results between markers of the page, so that the
+//! page has no result that does not follow from the data file.
 
 pub mod page;
 pub mod quantity;
@@ -22,12 +22,12 @@
 
 use serde::Deserialize;
 
-/// The data file, from the root of the repository.
+/// Path of the data file, relative to the root of the repository.
 pub const DATA: &str = "docs/capacity.toml";
-/// The page, from the root of the repository.
+/// Path of the page, relative to the root of the repository.
 pub const PAGE: &str = "docs/CAPACITY.md";
 
-/// What can go wrong.
+/// Why the page could not be recomputed or does not agree with the data file.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A file cannot be read or written.
@@ -35,49 +35,49 @@
     File {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The underlying cause.
         source: io::Error,
     },
-    /// The data file is not what is expected.
+    /// The data file is not valid.
     #[error("{DATA} cannot be read: {0}; mend the entry")]
     Data(#[from] toml::de::Error),
     /// Two entries share a name.
     #[error("{DATA} names `{0}` twice; rename one")]
     Duplicate(String),
-    /// A formula cannot be worked out.
+    /// A formula cannot be evaluated.
     #[error(
         "{DATA}: formula of `{name}`: {reason}; use names that stand above it and plain arithmetic"
     )]
     Formula {
-        /// The line.
+        /// Name of the line.
         name: String,
-        /// Why.
+        /// The underlying cause.
         reason: String,
     },
-    /// A marker in the page names nothing.
+    /// A marker in the page has a name that the data file does not define.
     #[error("{PAGE} has a marker for `{0}`, which {DATA} does not name; add it or drop the marker")]
     Marker(String),
-    /// A marker in the page is not closed.
+    /// A marker in the page has no closing marker.
     #[error("{PAGE} has a marker for `{0}` without its end; add the closing marker")]
     Unclosed(String),
-    /// The page shows figures that the data file does not give.
+    /// The page has figures that do not follow from the data file.
     #[error("{PAGE} and {DATA} have drifted apart; run `cargo xtask capacity`")]
     Drift,
 }
 
-/// A size: given from outside, or assumed.
+/// An input that is given or assumed.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Its name in formulas.
+    /// Name in formulas.
     pub name: String,
-    /// Its value in the base unit.
+    /// Value in the base unit.
     pub value: f64,
-    /// Its unit.
+    /// Base unit, such as `B` or `s`.
     pub unit: String,
-    /// What it is.
+    /// Description in the page.
     pub what: String,
-    /// Whether nobody has given or measured it.
+    /// Whether the value is neither given nor measured.
     #[serde(default)]
     pub assumed: bool,
 }
@@ -86,44 +86,44 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
-    /// Its name in formulas.
+    /// Name in formulas.
     pub name: String,
-    /// Its value in the base unit.
+    /// Value in the base unit.
     pub value: f64,
-    /// Its unit.
+    /// Base unit, such as `B` or `s`.
     pub unit: String,
-    /// What it is.
+    /// Description in the page.
     pub what: String,
     /// The command that measured it.
     pub command: String,
-    /// The range it was measured over.
+    /// The range in which it was measured.
     pub range: String,
-    /// When.
+    /// Date of the measurement.
     pub date: String,
-    /// Whether the page uses it beyond that range.
+    /// Whether the page uses the figure beyond that range.
     #[serde(default)]
     pub extrapolated: bool,
 }
 
-/// A result.
+/// A computed result.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// Its name in formulas and markers.
+    /// Name in formulas and markers.
     pub name: String,
-    /// The table it stands in; none where only other formulas use it.
+    /// The table that shows it; `None` if only other formulas use it.
     #[serde(default)]
     pub table: Option<String>,
-    /// What it is.
+    /// Description in the page.
     pub what: String,
-    /// How it is worked out.
+    /// Expression over the names of other entries.
     pub formula: String,
-    /// Its unit.
+    /// Base unit, such as `B` or `s`.
     pub unit: String,
-    /// The entry it must stay under.
+    /// Name of the entry that it must not exceed.
     #[serde(default)]
     pub limit: Option<String>,
-    /// The mechanism that carries it.
+    /// The mechanism that causes or handles this load.
     #[serde(default)]
     pub by: String,
 }
@@ -132,54 +132,54 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sheet {
-    /// Sizes.
+    /// Entries `size`.
     #[serde(rename = "size", default)]
     pub sizes: Vec<Size>,
-    /// Slopes.
+    /// Entries `slope`.
     #[serde(rename = "slope", default)]
     pub slopes: Vec<Slope>,
-    /// Lines, in the order of their dependence.
+    /// Entries `line`; each uses only names of sizes, slopes and earlier lines.
     #[serde(rename = "line", default)]
     pub lines: Vec<Line>,
 }
 
-/// What a value rests on, the weakest of all that goes into it.
+/// How reliable a value is; a result has the least reliable basis of its inputs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Basis {
-    /// Sizes that were given.
+    /// All inputs are given.
     Given,
-    /// Measurements within their range.
+    /// Measurements are used within their range.
     Measured,
-    /// Measurements used beyond their range.
+    /// Measurements are used beyond their range.
     Extrapolated,
-    /// A size that was assumed.
+    /// A size is assumed.
     Assumed,
 }
 
-/// A value that was worked out.
+/// A value with its unit and basis.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Value {
-    /// The value in the base unit.
+    /// Amount in the base unit.
     pub amount: f64,
-    /// Its unit.
+    /// Base unit, such as `B` or `s`.
     pub unit: String,
-    /// What it rests on.
+    /// The least reliable basis of its inputs.
     pub basis: Basis,
 }
 
-/// Every value by name.
+/// All values by name.
 pub type Values = BTreeMap<String, Value>;
 
 impl Sheet {
-    /// Reads the data file's text.
+    /// Parses the text of the data file.
     ///
     /// # Errors
-    /// [`Error::Data`] if it is not what is expected.
+    /// [`Error::Data`] if it is not valid.
     pub fn parse(text: &str) -> Result<Sheet, Error> {
         Ok(toml::from_str(text)?)
     }
 
-    /// Works every line out.
+    /// Evaluates all lines.
     ///
     /// # Errors
     /// [`Error::Duplicate`] or [`Error::Formula`].
@@ -237,7 +237,7 @@
     Ok((amount, basis))
 }
 
-/// The names that a formula uses.
+/// All identifiers in a formula.
 fn names(formula: &str) -> BTreeSet<&str> {
     formula
         .split(|c: char| !c.is_ascii_alphanumeric() && c != '_')
@@ -245,10 +245,10 @@
         .collect()
 }
 
-/// Recomputes the page under `root`; with `check`, only compares.
+/// Recomputes the page of the repository at `root`; with `check`, only compares it.
 ///
 /// # Errors
-/// Any [`Error`]; [`Error::Drift`] where a check finds a difference.
+/// Any [`Error`]; [`Error::Drift`] if the check finds a difference.
 pub fn run(root: &Path, check: bool) -> Result<(), Error> {
     let sheet = Sheet::parse(&read(&root.join(DATA))?)?;
     let path = root.join(PAGE);
--- a/crates/xtask/src/capacity/page.rs
+++ b/crates/xtask/src/capacity/page.rs
@@ -1,8 +1,8 @@
-//! Writes results into the page.
+//! Updates the results in the page.
 //!
-//! A table stands between `<!-- table NAME -->` and `<!-- end -->`; the names
-//! `sizes` and `slopes` give the inputs, any other name the lines of that
-//! table. A single figure stands between `<!--=NAME-->` and `<!--/-->`.
+//! A table is enclosed in `<!-- table NAME -->` and `<!-- end -->`; the names
+//! `sizes` and `slopes` show the inputs, any other name the lines of that
+//! table. A single figure is enclosed in `<!--=NAME-->` and `<!--/-->`.
 
 use std::fmt::Write as _;
 
@@ -17,7 +17,7 @@
 /// Ends a figure.
 const FIGURE_END: &str = "<!--/-->";
 
-/// The page with every table and figure worked out anew.
+/// Returns the page with all tables and figures recomputed.
 ///
 /// # Errors
 /// Any [`Error`] of the data file or of the page's markers.
@@ -32,7 +32,7 @@
     })
 }
 
-/// Replaces what stands between each opening marker and its end.
+/// Replaces the text between each opening marker and its closing marker.
 fn replace(
     page: &str,
     open: &str,
--- a/crates/xtask/src/capacity/quantity.rs
+++ b/crates/xtask/src/capacity/quantity.rs
@@ -1,11 +1,11 @@
-//! Amounts as people read them: three significant digits, a fitting unit.
+//! Formats amounts with three significant digits and a suitable unit prefix.
 
 /// Prefixes of large amounts.
 const LARGE: [(f64, &str); 4] = [(1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k")];
 /// Prefixes of small amounts.
 const SMALL: [(f64, &str); 4] = [(1.0, ""), (1e-3, "m"), (1e-6, "µ"), (1e-9, "n")];
 
-/// An amount with its unit.
+/// Formats an amount with its unit.
 ///
 /// `B` and `B/s` get a decimal prefix, `s` one for small amounts, `core` is
 /// shown in percent of a core and `share` in percent. Any other unit is shown
@@ -28,7 +28,8 @@
     }
 }
 
-/// Three significant digits; whole numbers with thousands apart.
+/// Formats a number with three significant digits, and whole numbers with thousands
+/// separators.
 pub fn digits(amount: f64) -> String {
     if amount == 0.0 {
         return "0".to_owned();
--- a/crates/xtask/src/demo.rs
+++ b/crates/xtask/src/demo.rs
@@ -1,9 +1,9 @@
-//! `cargo xtask demo`: one request through a whole system on this machine.
+//! `cargo xtask demo`: one request through a whole system on this host.
 //!
-//! Builds the binaries, starts the stand-ins for log, list and endpoints, two
+//! It builds the binaries, starts the stand-ins for log, list and endpoints, two
 //! entries and the administration process, publishes the sample configuration,
-//! sends one request, and shows its answer with a line for each stage. Every
-//! process has ended when it returns.
+//! sends one request, and prints its answer with a line for each stage. All
+//! processes have ended when it returns.
 
 use std::{env, fs, path::Path, process::Command};
 
@@ -15,25 +15,25 @@
 };
 use peatdeck_wire::caller::{AnswerBody, RequestBody};
 
-/// The sample configuration.
+/// Path of the sample configuration, relative to the root of the repository.
 const SAMPLE: &str = "examples/wash-fleet.toml";
-/// The pipeline that is shown.
+/// The pipeline of the request.
 const PIPELINE: &str = "certificate-draft";
-/// The entry that gets the request.
+/// The entry that receives the request.
 const ENTRY: &str = "entry-1";
 
-/// The demo went wrong.
+/// Why the demo failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The binaries could not be built.
-    #[error("the binaries were not built; mend what `cargo build --workspace` reports")]
+    #[error("the binaries were not built; fix the errors of `cargo build --workspace`")]
     Build,
-    /// The sample configuration could not be read.
+    /// The sample configuration could not be read or is not valid.
     #[error("{path} cannot be read: {cause}; restore it from the repository")]
     Sample {
         /// Its path.
         path: String,
-        /// Why.
+        /// The underlying cause.
         cause: String,
     },
     /// A file could not be read or written.
@@ -41,18 +41,18 @@
     File {
         /// The file.
         path: String,
-        /// Why.
+        /// The underlying cause.
         cause: String,
     },
-    /// The system did not come up or a call to it failed.
+    /// The system did not start, or a request to it failed.
     #[error(transparent)]
     System(#[from] SystemError),
-    /// The request was not answered whole.
+    /// The request was not answered.
     #[error("the request ended with status {status}: {body}; the body says what to do")]
     Unanswered {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The body.
+        /// The response's body.
         body: String,
     },
 }
@@ -60,7 +60,7 @@
 /// Runs the demo.
 ///
 /// # Errors
-/// If anything of it goes wrong; the message says what to do.
+/// Any [`Error`]; the message says what to do.
 pub fn run(root: &Path) -> Result<(), Error> {
     build(root)?;
     let document = sample(root)?;
@@ -80,7 +80,7 @@
     }
 }
 
-/// The sample configuration.
+/// Reads the sample configuration.
 pub(crate) fn sample(root: &Path) -> Result<Document, Error> {
     let path = root.join(SAMPLE);
     let fail = |cause: String| Error::Sample { path: path.display().to_string(), cause };
@@ -93,7 +93,7 @@
     let system = Builder::new(document).start().await?;
     describe(&system);
     let request = request();
-    println!("Asking {ENTRY} for `{PIPELINE}` …");
+    println!("Sending a request for `{PIPELINE}` to {ENTRY} …");
     let reply = system.request(ENTRY, PIPELINE, &request).await?;
     let Some(answer) = reply.json::<AnswerBody>().filter(|_| reply.status == 200) else {
         return Err(Error::Unanswered { status: reply.status, body: reply.text() });
@@ -104,7 +104,7 @@
     Ok(())
 }
 
-/// Says what runs.
+/// Prints how many processes run, and the version in force.
 pub(crate) fn describe(system: &System) {
     let listing = system.listing();
     println!(
--- a/crates/xtask/src/lib.rs
+++ b/crates/xtask/src/lib.rs
@@ -1,12 +1,12 @@
-//! Project chores, run as `cargo xtask <chore>`.
+//! Development tasks of this project, run as `cargo xtask <task>`.
 //!
-//! - [`ablate`]: switches one mechanism off in a copy of the repository.
+//! - [`ablate`]: disables one mechanism in a copy of the repository.
 //! - [`capacity`]: recomputes the tables of `docs/CAPACITY.md`.
-//! - [`demo`]: a request through a whole system on this machine.
-//! - [`regress`]: plays folders of site files and prints what fell.
-//! - [`soak`]: relay instances under faults, as processes.
-//! - [`up`]: the same system, kept running to be tried by hand.
-//! - [`walk`]: runs the README's commands and writes what they print into it.
+//! - [`demo`]: sends a request through a whole system on this host.
+//! - [`regress`]: runs a simulator on directories of site files and prints regressions.
+//! - [`soak`]: runs relay processes under faults.
+//! - [`up`]: starts the demo's system and keeps it running for manual use.
+//! - [`walk`]: runs the README's commands and updates their output in it.
 
 pub mod ablate;
 pub mod capacity;
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! `cargo xtask <chore>`.
+//! `cargo xtask <task>`.
 
 use std::{env, fmt::Display, path::Path, process::ExitCode};
 
@@ -36,7 +36,6 @@
     }
 }
 
-/// The root of the repository.
 fn root() -> &'static Path {
     Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
 }
--- a/crates/xtask/src/regress.rs
+++ b/crates/xtask/src/regress.rs
@@ -1,8 +1,9 @@
-//! Plays the site files of some folders and prints one table with what fell.
+//! Runs a simulator on all site files of some directories and prints a table that
+//! marks regressions.
 //!
-//! Each site is scored and hunted with the given program, one after the other;
-//! with an earlier checkout, the days of each site are also played in both, the
-//! same seeds, no processor time charged.
+//! For each site in turn, the given program runs its `score` and `hunt` commands.
+//! With `--base`, it also runs the standard days of each site in this and in an
+//! earlier checkout, with the same seeds and without charging processor time.
 
 use std::{
     fmt::{self, Display},
@@ -11,37 +12,37 @@
     process::Command,
 };
 
-/// Days of a hunt on a site of fewer machines than [`LARGE`].
-const DAYS: u32 = 40;
-/// Days of a hunt on a larger one.
+/// Days of a hunt on a site with fewer than [`LARGE_SITE`] machines.
+const SMALL_SITE_DAYS: u32 = 40;
+/// Days of a hunt on a larger site.
 const LARGE_DAYS: u32 = 8;
-/// Machines from which on a site is a large one.
-const LARGE: u32 = 60;
-/// A fall of worth by more is one.
-const NOISE: f64 = 0.03;
-/// The first seed of days that are played in two checkouts.
+/// Smallest number of machines of a large site.
+const LARGE_SITE: u32 = 60;
+/// A mean loss of worth above this counts as a regression; smaller ones are noise.
+const MAX_WORTH_LOSS: f64 = 0.03;
+/// The seed of days that run in both checkouts.
 const FIRST_SEED: u32 = 1000;
 
-/// Why nothing was played.
+/// Why the run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The arguments are off.
+    /// The arguments are wrong.
     #[error("{0}; give the program, folders of site files, and perhaps `--base CHECKOUT`")]
     Usage(&'static str),
-    /// A file or program cannot be used.
+    /// A directory cannot be read or a program cannot be run.
     #[error("{file}: {source}; check the path")]
     Io {
-        /// The file.
+        /// Path of the directory or program.
         file: PathBuf,
-        /// What the system said.
+        /// The underlying error.
         source: io::Error,
     },
-    /// Something fell.
-    #[error("{0} of the sites fell; the table names them")]
-    Fell(usize),
+    /// That many sites show a regression.
+    #[error("{0} sites show a regression; the table marks them")]
+    Regressed(usize),
 }
 
-/// What is asked for.
+/// Command-line arguments.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Args {
     program: PathBuf,
@@ -50,10 +51,10 @@
 }
 
 impl Args {
-    /// Reads them.
+    /// Parses the arguments.
     ///
     /// # Errors
-    /// [`Error::Usage`].
+    /// [`Error::Usage`] if an argument is missing.
     pub fn read(args: &[&str]) -> Result<Args, Error> {
         let mut args = args.iter();
         let program = args.next().ok_or(Error::Usage("no program is given"))?.into();
@@ -73,27 +74,27 @@
     }
 }
 
-/// One site's row of the table.
+/// The results of one site, as a row of the table.
 #[derive(Debug, Default)]
 pub struct Row {
-    /// The site's name.
+    /// File name of the site, without its extension.
     pub site: String,
-    /// Whether its gate was passed; `None` if the score did not end.
+    /// Whether the score passed its gate; `None` if the score printed no verdict.
     pub gate: Option<bool>,
-    /// Mean worth of its standard days with trouble.
+    /// Mean worth of the standard days, without the quiet ones.
     pub worth: Option<f64>,
-    /// Days hunted, and those with a broken rule.
+    /// Days of the hunt, and how many of them violated a rule; `None` if it did not end.
     pub hunt: Option<(u32, u32)>,
-    /// Mean difference to the earlier checkout.
-    pub less: Option<f64>,
+    /// Mean difference in worth to the earlier checkout; negative if worth was lost.
+    pub difference: Option<f64>,
 }
 
 impl Row {
-    /// Whether it shows something that must not be.
-    pub fn fell(&self) -> bool {
+    /// Whether a result is missing, failed, or worse than in the earlier checkout.
+    pub fn has_regressed(&self) -> bool {
         self.gate != Some(true)
             || self.hunt.is_none_or(|(_, broken)| broken > 0)
-            || self.less.is_some_and(|less| less < -NOISE)
+            || self.difference.is_some_and(|difference| difference < -MAX_WORTH_LOSS)
     }
 }
 
@@ -102,13 +103,14 @@
         let gate = self.gate.map_or("not ended", |passed| if passed { "passed" } else { "FAILED" });
         let worth = self.worth.map_or("-".to_owned(), |worth| format!("{worth:.3}"));
         let hunt = self.hunt.map_or("-".to_owned(), |(days, broken)| format!("{broken} of {days}"));
-        let less = self.less.map_or("-".to_owned(), |less| format!("{less:+.3}"));
-        let fell = if self.fell() { "  <- look" } else { "" };
-        write!(f, "{:24} {gate:10} {worth:>6} {hunt:>9} {less:>7}{fell}", self.site)
+        let difference =
+            self.difference.map_or("-".to_owned(), |difference| format!("{difference:+.3}"));
+        let mark = if self.has_regressed() { "  <- look" } else { "" };
+        write!(f, "{:24} {gate:10} {worth:>6} {hunt:>9} {difference:>7}{mark}", self.site)
     }
 }
 
-/// Plays all site files and prints the table.
+/// Runs all site files and prints the table.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -121,9 +123,9 @@
     }
     println!("\n{:24} {:10} {:>6} {:>9} {:>7}", "site", "gate", "worth", "broken", "pairs");
     rows.iter().for_each(|row| println!("{row}"));
-    match rows.iter().filter(|row| row.fell()).count() {
+    match rows.iter().filter(|row| row.has_regressed()).count() {
         0 => Ok(()),
-        count => Err(Error::Fell(count)),
+        count => Err(Error::Regressed(count)),
     }
 }
 
@@ -147,12 +149,12 @@
     let score = output(root, &args.program, &["score", &file(), "--why", "regression run"])?;
     let worths = worths(&score);
     let days = match machines(&score) {
-        Some(machines) if machines < LARGE => DAYS,
+        Some(machines) if machines < LARGE_SITE => SMALL_SITE_DAYS,
         _ => LARGE_DAYS,
     };
     let (days, why) = (days.to_string(), "regression run");
     let hunt = output(root, &args.program, &["hunt", &file(), "--days", &days, "--why", why])?;
-    let less = match &args.base {
+    let difference = match &args.base {
         Some(base) => compare(root, base, args, site, &worths)?,
         None => None,
     };
@@ -161,11 +163,11 @@
         gate: gate(&score),
         worth: mean(worths.iter().filter(|(day, _)| !day.starts_with("quiet")).map(|(_, it)| *it)),
         hunt: broken(&hunt),
-        less,
+        difference,
     })
 }
 
-/// The mean difference of the standard days' worth to another checkout.
+/// The mean difference in the standard days' worth to the checkout at `base`.
 fn compare(
     root: &Path,
     base: &Path,
@@ -198,7 +200,7 @@
     (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
 }
 
-/// The standard days of a score and their worth: `NAME N/N SCORE WORTH …`.
+/// Reads the standard days and their worth from a score's lines `NAME N/N SCORE WORTH …`.
 pub fn worths(text: &str) -> Vec<(String, f64)> {
     let row = |line: &str| {
         let mut words = line.split_whitespace();
@@ -210,19 +212,20 @@
     text.lines().filter_map(row).collect()
 }
 
-/// How many machines of ours a site has.
+/// Reads the number of the relay's own machines at a site from a score.
 pub fn machines(text: &str) -> Option<u32> {
     let row = text.lines().find(|line| line.starts_with("quiet-"))?;
     row.split_whitespace().nth(1)?.split_once('/')?.0.parse().ok()
 }
 
-/// Whether a score's gate was passed.
+/// Reads from a score whether its gate was passed; `None` if there is no verdict.
 pub fn gate(text: &str) -> Option<bool> {
     let verdict = text.lines().find_map(|line| line.strip_prefix("GATE "))?;
     Some(verdict.starts_with("passed"))
 }
 
-/// Days of a hunt, and how many broke a rule: `N days on SITE, N with a rule …`.
+/// Reads the days of a hunt, and how many violated a rule, from its line
+/// `N days on SITE, N with a rule broken`.
 pub fn broken(text: &str) -> Option<(u32, u32)> {
     let line = text.lines().find(|line| line.contains(" with a rule broken"))?;
     let (days, rest) = line.split_once(" days on ")?;
--- a/crates/xtask/src/soak.rs
+++ b/crates/xtask/src/soak.rs
@@ -1,16 +1,16 @@
-//! `cargo xtask soak`: builds the relay and soaks it with faults.
+//! `cargo xtask soak`: builds the relay and runs its soak test with faults.
 
 use std::{
     path::Path,
     process::{Command, ExitStatus},
 };
 
-/// Seconds that one seed takes beside its faults: start, calm and end.
-const BESIDE: u64 = 12;
-/// Seconds of faults in one seed.
-const FAULTS: u64 = 12;
+/// Seconds for each seed in addition to its faults: start, recovery and end.
+const OVERHEAD_SECONDS: u64 = 12;
+/// Seconds of faults for each seed.
+const FAULT_SECONDS: u64 = 12;
 
-/// Why a soak failed.
+/// Why a soak test failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A program could not be started.
@@ -18,21 +18,23 @@
     Start {
         /// The program.
         program: String,
-        /// What the system said.
+        /// The underlying error.
         cause: std::io::Error,
     },
     /// The build failed.
-    #[error("the build failed; mend what it says")]
+    #[error("the build failed; fix the errors it reports")]
     Build,
-    /// A promise was broken.
-    #[error("a promise was broken; its seed and the place of its logs are above")]
-    Broken,
+    /// The soak test found a violation.
+    #[error(
+        "the soak test found a violation; its seed and the directory of its logs are printed above"
+    )]
+    Violated,
     /// The flags are wrong.
-    #[error("`{0}` is not a flag of the soak; use --seed N and --minutes M")]
+    #[error("`{0}` is not a flag of `soak`; use --seed N and --minutes M")]
     Flag(String),
 }
 
-/// Soaks for so many minutes, or one seed if none are given.
+/// Runs the soak test for about the given minutes, or for one seed by default.
 ///
 /// # Errors
 /// Any [`Error`].
@@ -43,7 +45,7 @@
             ["--seed", value] => seed = Some((*value).to_owned()),
             ["--minutes", value] => {
                 let minutes: u64 = value.parse().map_err(|_| Error::Flag((*value).to_owned()))?;
-                seeds = (minutes * 60 / (FAULTS + BESIDE)).max(1);
+                seeds = (minutes * 60 / (FAULT_SECONDS + OVERHEAD_SECONDS)).max(1);
             }
             other => return Err(Error::Flag(other.join(" "))),
         }
@@ -56,12 +58,12 @@
     let target = root.join("target/debug");
     let mut soak = Command::new(target.join("peatdeck-soak"));
     soak.arg("--binary").arg(target.join("peatdeck-edge"));
-    soak.args(["--seconds", &FAULTS.to_string(), "--seeds", &seeds.to_string()]);
+    soak.args(["--seconds", &FAULT_SECONDS.to_string(), "--seeds", &seeds.to_string()]);
     if let Some(seed) = seed {
         soak.args(["--seed", &seed]);
     }
     let soaked = call(&mut soak)?;
-    if soaked.success() { Ok(()) } else { Err(Error::Broken) }
+    if soaked.success() { Ok(()) } else { Err(Error::Violated) }
 }
 
 fn call(command: &mut Command) -> Result<ExitStatus, Error> {
--- a/crates/xtask/src/up.rs
+++ b/crates/xtask/src/up.rs
@@ -1,7 +1,7 @@
-//! `cargo xtask up`: the demo's system, kept running to be tried by hand.
+//! `cargo xtask up`: keeps the demo's system running for manual use.
 //!
-//! Starts what [`demo`] starts, writes the addresses as shell variables to a
-//! file, and ends every process on a line of input or its end.
+//! It starts the same system as [`demo`], writes the addresses as shell variables
+//! to a file, and ends all processes on a line of input or end of file.
 
 use std::{env, fs, io, path::Path};
 
@@ -10,25 +10,25 @@
 
 use crate::demo::{self, Error};
 
-/// Where the variables are written, from the root of the repository.
+/// Path of the file with the variables, relative to the root of the repository.
 const VARIABLES: &str = "target/up.env";
 
 /// Runs the system until a line of input.
 ///
 /// # Errors
-/// If it does not come up; the message says what to do.
+/// If the system does not start; the message says what to do.
 pub fn run(root: &Path) -> Result<(), Error> {
     with_system(root, |root, system| {
-        tell(root, system)?;
+        write_variables(root, system)?;
         wait_for_line();
         Ok(())
     })
 }
 
-/// Starts the system, does something with it, and ends it.
+/// Starts the system, calls `work` with it, and ends it.
 ///
 /// # Errors
-/// If it does not come up, or what is done with it fails.
+/// If the system does not start, or `work` fails.
 pub fn with_system(
     root: &Path,
     work: impl FnOnce(&Path, &System) -> Result<(), Error> + 'static,
@@ -36,7 +36,7 @@
     demo::build(root)?;
     let document = demo::sample(root)?;
     let root = root.to_owned();
-    let whole = async move {
+    let run = async move {
         let system = Builder::new(document).start().await?;
         demo::describe(&system);
         work(&root, &system)?;
@@ -44,10 +44,10 @@
         println!("Every process has ended.");
         Ok(())
     };
-    rt::System::build().name("up").build(rt::DefaultRuntime).block_on(whole)
+    rt::System::build().name("up").build(rt::DefaultRuntime).block_on(run)
 }
 
-fn tell(root: &Path, system: &System) -> Result<(), Error> {
+fn write_variables(root: &Path, system: &System) -> Result<(), Error> {
     let path = root.join(VARIABLES);
     let fail = |cause: io::Error| Error::File {
         path: path.display().to_string(),
@@ -60,10 +60,10 @@
     Ok(())
 }
 
-/// Shell variables by which the system is reached.
+/// Shell commands that set the variables for the system's addresses.
 ///
 /// # Errors
-/// If a process of it is missing.
+/// If a process of the system is missing.
 pub fn variables(system: &System) -> Result<String, Error> {
     let binary = env::current_exe().unwrap_or_default();
     let folder = binary.parent().unwrap_or(Path::new("."));
@@ -76,7 +76,6 @@
     ))
 }
 
-/// Waits for a line on standard input, or its end.
 fn wait_for_line() {
     io::stdin().read_line(&mut String::new()).ok();
 }
--- a/crates/xtask/src/walk.rs
+++ b/crates/xtask/src/walk.rs
@@ -1,10 +1,10 @@
-//! `cargo xtask walk`: runs the commands that the README shows, and writes
-//! what they print into it.
+//! `cargo xtask walk`: runs the commands in the README and updates their output
+//! in it.
 //!
 //! In a block that begins with "```console", a line that begins with `$ ` is a
-//! command and the lines with `> ` behind it go on with it; all others are
-//! output and are replaced. The commands run in order, in one shell after the
-//! other, from the root of the repository, against the system of [`up`].
+//! command, and the lines that begin with `> ` after it continue it; all other
+//! lines are output and are replaced. The commands run in order, each in its own
+//! shell, in the root of the repository, against the system of [`up`].
 
 use std::{
     env, fs,
@@ -14,7 +14,7 @@
 
 use crate::{demo::Error, up};
 
-/// The page, from the root of the repository.
+/// Path of the page, relative to the root of the repository.
 const PAGE: &str = "README.md";
 /// Begins a block of commands.
 const OPEN: &str = "```console\n";
@@ -22,15 +22,15 @@
 const CLOSE: &str = "```";
 /// Begins a command.
 const PROMPT: &str = "$ ";
-/// Begins a further line of a command.
-const MORE: &str = "> ";
-/// Who the operator of the page is.
+/// Begins a continuation line of a command.
+const CONTINUATION: &str = "> ";
+/// Author of the operator's actions in the page.
 const AUTHOR: &str = "mair";
 
-/// Runs the page's commands and writes their output.
+/// Runs the page's commands and updates their output.
 ///
 /// # Errors
-/// If the system does not come up, or the page cannot be read or written.
+/// If the system does not start, or the page cannot be read or written.
 pub fn run(root: &Path) -> Result<(), Error> {
     let path = root.join(PAGE);
     up::with_system(root, move |root, system| {
@@ -46,10 +46,10 @@
     Error::File { path: path.display().to_string(), cause: error.to_string() }
 }
 
-/// The page with the output of each command in it, as `run` gives it.
+/// Returns the page with the output that `run` returns for each command.
 ///
 /// # Errors
-/// Those of `run`.
+/// Any error of `run`.
 pub fn replace<E>(page: &str, mut run: impl FnMut(&str) -> Result<String, E>) -> Result<String, E> {
     let mut out = String::new();
     let mut rest = page;
@@ -68,9 +68,9 @@
     Ok(out)
 }
 
-/// A command as the page shows it, without blanks at the ends of lines.
+/// A command as the page shows it, without trailing white space.
 fn shown(command: &str) -> String {
-    let text = command.replace('\n', &format!("\n{MORE}"));
+    let text = command.replace('\n', &format!("\n{CONTINUATION}"));
     text.lines().map(str::trim_end).collect::<Vec<_>>().join("\n")
 }
 
@@ -82,7 +82,7 @@
         if let Some(command) = line.strip_prefix(PROMPT) {
             commands.push(command.to_owned());
             is_open = true;
-        } else if let (Some(more), true) = (line.strip_prefix(MORE.trim_end()), is_open) {
+        } else if let (Some(more), true) = (line.strip_prefix(CONTINUATION.trim_end()), is_open) {
             let last = commands.last_mut().expect("a command is open");
             last.push('\n');
             last.push_str(more.strip_prefix(' ').unwrap_or(more));
@@ -93,7 +93,7 @@
     commands
 }
 
-/// What a command prints, errors included, with its exit code if it fails.
+/// Output of a command including standard error, with its exit code if it fails.
 fn shell(root: &Path, variables: &str, command: &str) -> std::io::Result<String> {
     let script = format!("exec 2>&1\n{variables}\nexport PEATDECK_AUTHOR={AUTHOR}\n{command}\n");
     let output = Command::new("sh").arg("-c").arg(script).current_dir(root).output()?;
--- a/crates/xtask/tests/capacity.rs
+++ b/crates/xtask/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page: its arithmetic, and that page and data agree.
+//! The capacity page agrees with its data file, and its figures are computed correctly.
 
 #![allow(clippy::unwrap_used)]
 
