--- a/crates/xtask/tests/regress.rs
+++ b/crates/xtask/tests/regress.rs
@@ -1,4 +1,4 @@
-//! What is read of scores and hunts, and what counts as a fall.
+//! Parsing of the simulator's output, and which results count as regressions.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,22 +32,22 @@
 }
 
 #[test]
-fn what_falls_is_marked() {
-    let sound = || Row {
+fn a_regressed_site_is_marked() {
+    let passing = || Row {
         site: "small".to_owned(),
         gate: Some(true),
         worth: Some(0.7),
         hunt: Some((40, 0)),
-        less: Some(-0.03),
+        difference: Some(-0.03),
     };
     let rows = [
-        sound(),
-        Row { gate: Some(false), ..sound() },
-        Row { gate: None, worth: None, ..sound() },
-        Row { hunt: Some((40, 1)), ..sound() },
-        Row { hunt: None, ..sound() },
-        Row { less: Some(-0.031), ..sound() },
-        Row { less: None, ..sound() },
+        passing(),
+        Row { gate: Some(false), ..passing() },
+        Row { gate: None, worth: None, ..passing() },
+        Row { hunt: Some((40, 1)), ..passing() },
+        Row { hunt: None, ..passing() },
+        Row { difference: Some(-0.031), ..passing() },
+        Row { difference: None, ..passing() },
     ];
     let table = rows.iter().map(|row| format!("{row}\n")).collect::<String>();
     expect![[r#"
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn arguments_that_are_off_are_named() {
+fn wrong_arguments_are_named() {
     let text = |args: &[&str]| Args::read(args).unwrap_err().to_string();
     assert!(text(&[]).starts_with("no program is given"));
     assert!(text(&["program"]).starts_with("no folder is given"));
--- a/crates/xtask/tests/walk.rs
+++ b/crates/xtask/tests/walk.rs
@@ -1,4 +1,4 @@
-//! The README's blocks of commands and their output.
+//! Replacement of the output in the README's blocks of commands.
 
 use expect_test::expect;
 use xtask::walk;
