--- a/crates/admin/tests/testsuite/publish.rs
+++ b/crates/admin/tests/testsuite/publish.rs
@@ -67,7 +67,7 @@
 #[peatdeck_macros::on_system]
 async fn a_conflict_seen_only_in_the_log_is_reported() {
     let bench = Bench::start().await;
-    bench.platform.overtake(&ConfigRecord::Publish(Publish {
+    bench.platform.append_before_next(&ConfigRecord::Publish(Publish {
         id: "p-1".into(),
         base: 0,
         author: "ann".into(),
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -1,4 +1,4 @@
-//! Bounded waits for an event.
+//! Waits for an event, with a timeout.
 
 use std::time::{Duration, Instant};
 
@@ -6,29 +6,28 @@
 
 use crate::error::{Error, Result};
 
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(10);
-/// How long an event may take that should come soon. Far above what it takes
-/// on a busy machine: running out of it is a failure, never a measurement.
-pub const BOUND: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Timeout for an event that should occur soon. It is far longer than the event
+/// takes on a busy host, so that a timeout always means a failure.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Looks until there is something to see.
+/// Calls `poll` until it returns a value.
 ///
 /// # Errors
-/// [`Error::Late`] once `bound` has passed.
+/// [`Error::Timeout`] after `timeout`; `what` describes the event.
 pub async fn until<T>(
     what: &str,
-    bound: Duration,
-    mut look: impl AsyncFnMut() -> Option<T>,
+    timeout: Duration,
+    mut poll: impl AsyncFnMut() -> Option<T>,
 ) -> Result<T> {
     let start = Instant::now();
     loop {
-        if let Some(seen) = look().await {
+        if let Some(seen) = poll().await {
             return Ok(seen);
         }
-        if start.elapsed() >= bound {
-            return Err(Error::Late { what: what.to_owned(), bound });
+        if start.elapsed() >= timeout {
+            return Err(Error::Timeout { what: what.to_owned(), timeout });
         }
-        time::sleep(PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/testsuite/tests/testsuite/path.rs
+++ b/crates/testsuite/tests/testsuite/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: callers, entries, four pools of endpoints, and back.
+//! Requests pass from callers through the entries to four pools of endpoints and back.
 
 use std::collections::HashSet;
 
@@ -10,10 +10,10 @@
 
 use crate::support::{self, Bench};
 
-/// Requests over both entries.
+/// Requests in all, spread over both entries.
 const REQUESTS: usize = 200;
 
-/// The document without the pool and the pipeline that the path does not need.
+/// The fixture's document without pool `ledger` and the pipeline that uses it.
 fn four_pools() -> Document {
     let mut document = fixture::document();
     document.pools.retain(|pool| &*pool.name != "ledger");
@@ -24,8 +24,8 @@
 #[ntex::test]
 async fn requests_over_two_entries_get_their_own_answers() {
     let bench = Bench::start(Builder::new(four_pools())).await;
-    let told = bench.ask_many(CERTIFICATE, support::requests("path", REQUESTS)).await;
-    let outputs: HashSet<_> = told.iter().filter_map(|one| one.output()).collect();
+    let responses = bench.request_all(CERTIFICATE, support::requests("path", REQUESTS)).await;
+    let outputs: HashSet<_> = responses.iter().filter_map(|one| one.output()).collect();
     assert_eq!(outputs.len(), REQUESTS, "{:?}", bench.callers.tally());
     for pool in ["encode", "retrieve", "rerank", "generate"] {
         for endpoint in bench.system.pool(pool) {
