--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -33,7 +33,7 @@
     #[error("{0}")]
     Malformed(String),
     /// The body exceeds the limit, given in bytes.
-    #[error("the body exceeds {0} bytes")]
+    #[error("the body takes more than {0} bytes")]
     TooLarge(usize),
     /// The configuration document is invalid.
     #[error("the document has {} problem(s), the first: {}", .0.len(), first(.0))]
@@ -47,7 +47,7 @@
         winner: VersionInForce,
     },
     /// The log holds a different publish with the same id.
-    #[error("the log already holds publish `{0}` with another document, base or author")]
+    #[error("publish `{0}` stands in the log with another document, base or author")]
     IdReused(Arc<str>),
     /// The platform's list does not contain the endpoint.
     #[error("the platform's list has no endpoint `{0}`")]
@@ -73,7 +73,7 @@
     ListUnavailable(String),
     /// The log no longer holds the records that determine the configuration in force.
     #[error(
-        "the log holds neither a snapshot nor its first record, so the configuration in force cannot be determined; nothing was appended"
+        "the log keeps neither a snapshot nor its first record, so nobody can tell from it what is in force; nothing was appended"
     )]
     NoState,
     /// The log determines the configuration in force, so there is nothing to restore.
@@ -100,20 +100,16 @@
         known: Version,
     },
     /// The publish may have been appended.
-    #[error("unknown: publish `{0}` may have taken effect; the log did not confirm it in time")]
+    #[error("unknown: publish `{0}` may have taken effect, and the log did not say in time")]
     Unknown(Arc<str>),
     /// The restore may have been appended.
-    #[error("unknown: restore `{0}` may have taken effect; the log did not confirm it in time")]
+    #[error("unknown: restore `{0}` may have taken effect, and the log did not say in time")]
     RestoreUnknown(Arc<str>),
     /// The drain may have been appended.
-    #[error(
-        "unknown: the drain of `{0}` may have taken effect; the log did not confirm it in time"
-    )]
+    #[error("unknown: the drain of `{0}` may have taken effect, and the log did not say in time")]
     DrainUnknown(EndpointName),
     /// The evacuation, or its end, may have been appended.
-    #[error(
-        "unknown: the evacuation order for `{0}` may have taken effect; the log did not confirm it in time"
-    )]
+    #[error("unknown: the order for `{0}` may have taken effect, and the log did not say in time")]
     EvacuationUnknown(DataCentre),
 }
 
@@ -152,39 +148,39 @@
             Error::NoRoute => "see the reference of the administration API".into(),
             Error::Malformed(_) => "correct the request and send it again".into(),
             Error::TooLarge(_) => "shorten policies or remove what is unused".into(),
-            Error::Invalid(_) => "correct every problem listed and publish again".into(),
+            Error::Invalid(_) => "mend every problem listed and publish again".into(),
             Error::Conflict { winner, .. } => format!(
                 "fetch version {version} (`peatdeck show`), apply the change to it and publish it with a new id and base {version}",
                 version = winner.version
             ).into(),
             Error::IdReused(_) => "publish with a new id".into(),
             Error::UnknownEndpoint(_) => {
-                "check the name; a new endpoint appears in the list after some seconds".into()
+                "check the name; a new endpoint shows in the list after some seconds".into()
             }
-            Error::OutdatedIncarnation { .. } => "omit the incarnation to drain the current one".into(),
+            Error::OutdatedIncarnation { .. } => "leave the incarnation out to drain the present one".into(),
             Error::UnknownPublish(_) => {
-                "if an append of it may still be in flight, publish again with the same id: it takes effect once".into()
+                "if an append of it may still be on its way, publish again with the same id: it counts once".into()
             }
-            Error::LogUnavailable(_) => "send the request again when the platform's log is available".into(),
-            Error::ListUnavailable(_) => "send the request again when the platform's list is available".into(),
+            Error::LogUnavailable(_) => "send it again when the platform's log is back".into(),
+            Error::ListUnavailable(_) => "send it again when the platform's list is back".into(),
             Error::NoState => {
-                "wait until an instance that still has the configuration appends a snapshot, then send the request again; if no instance has it, restore it (`peatdeck restore FILE --version N`)".into()
+                "wait for an entry that still has the configuration: it appends a snapshot; then send it again. If none has it any more, restore it (`peatdeck restore FILE --version N`)".into()
             }
             Error::Unknown(id) => format!(
-                "request the verdict on `{id}` (GET /v1/config/verdict/{id}, `peatdeck show --verdict {id}`), or publish again with the same id: it takes effect once"
+                "ask for the verdict of `{id}` (GET /v1/config/verdict/{id}, `peatdeck show --verdict {id}`), or publish again with the same id: it counts once"
             ).into(),
             Error::NotLost(winner) => {
                 format!("publish on base {} instead", winner.version).into()
             }
             Error::StillInForce { .. } => {
-                "wait for its snapshot, or stop the instance if its version is not the one to continue from; then send the restore again".into()
+                "wait for its snapshot, or stop it if its version is not the one to go on from; then send it again".into()
             }
             Error::OldVersion { known, .. } => format!("restore with version {known} or a newer one").into(),
             Error::RestoreUnknown(_) => {
-                "send the restore again with the same id: it takes effect once".into()
+                "send the restore again with the same id: it counts once".into()
             }
-            Error::DrainUnknown(_) => "send the drain again: it takes effect once".into(),
-            Error::EvacuationUnknown(_) => "send the order again: it takes effect once".into(),
+            Error::DrainUnknown(_) => "send the drain again: it counts once".into(),
+            Error::EvacuationUnknown(_) => "send the order again: it counts once".into(),
         }
     }
 
--- a/crates/admin/src/ops/evacuate.rs
+++ b/crates/admin/src/ops/evacuate.rs
@@ -31,7 +31,7 @@
 ) -> Result<EvacuationReply, Error> {
     publish::check_text("data centre", &data_centre)?;
     if data_centre.trim().is_empty() {
-        return Err(Error::Malformed("the name of the data centre is blank".to_owned()));
+        return Err(Error::Malformed("the data centre's name has only blanks".to_owned()));
     }
     publish::check_text("author", &body.author)?;
     let order = Evacuation { data_centre, is_over: body.is_over, author: body.author };
--- a/crates/admin/src/ops/restore.rs
+++ b/crates/admin/src/ops/restore.rs
@@ -41,9 +41,7 @@
     publish::check_text("author", &body.author)?;
     publish::check_document(ctx, &body.document)?;
     let Some(version) = body.version.checked_add(1) else {
-        return Err(Error::Malformed(
-            "`version` is the maximum, so no version can follow it".to_owned(),
-        ));
+        return Err(Error::Malformed("`version` is the largest number there is".to_owned()));
     };
     ctx.reader.catch_up().await.map_err(|cause| Error::LogUnavailable(cause.to_string()))?;
     let is_effective = match ctx.reader.inspect(|state| is_restored(state, &body.id)) {
--- a/crates/admin/src/ops/status.rs
+++ b/crates/admin/src/ops/status.rs
@@ -131,7 +131,7 @@
 /// Runs one round of polling. Returns whether no instance is missing.
 async fn poll_instances(ctx: &Context, version: Version, rollout: &mut Rollout) -> bool {
     let Ok(listing) = ctx.list.read().await else {
-        let reason = "the platform's list is unavailable, so the live instances are not known";
+        let reason = "the platform's list is out; it is not known who should answer";
         rollout.missing = vec![MissingInstance { instance: "*".into(), reason: reason.into() }];
         return false;
     };
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -141,7 +141,7 @@
 fn query<T: DeserializeOwned>(req: &HttpRequest) -> Result<T, Error> {
     match types::Query::<T>::from_query(req.query_string()) {
         Ok(query) => Ok(query.into_inner()),
-        Err(cause) => Err(Error::Malformed(format!("the query is invalid: {cause}"))),
+        Err(cause) => Err(Error::Malformed(format!("the query is not readable: {cause}"))),
     }
 }
 
@@ -154,7 +154,7 @@
     let mut body = Vec::new();
     while let Some(chunk) = payload.next().await {
         let chunk =
-            chunk.map_err(|cause| Error::Malformed(format!("the body is incomplete: {cause}")))?;
+            chunk.map_err(|cause| Error::Malformed(format!("the body broke off: {cause}")))?;
         if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(Error::TooLarge(MAX_BODY_BYTES));
         }
--- a/crates/admin/tests/testsuite/drain.rs
+++ b/crates/admin/tests/testsuite/drain.rs
@@ -40,7 +40,7 @@
     let bench = Bench::start().await;
     expect![[r#"
         404
-        {"code":"unknown_endpoint","message":"the platform's list has no endpoint `engine-1`","remedy":"check the name; a new endpoint appears in the list after some seconds"}
+        {"code":"unknown_endpoint","message":"the platform's list has no endpoint `engine-1`","remedy":"check the name; a new endpoint shows in the list after some seconds"}
     "#]]
     .assert_eq(&bench.post(PATH, json!({"author": "mair"})).await);
 }
@@ -52,7 +52,7 @@
     let body = json!({"author": "mair", "incarnation": 2});
     expect![[r#"
         409
-        {"code":"other_incarnation","message":"endpoint `engine-1` is in incarnation 3, not 2","remedy":"omit the incarnation to drain the current one"}
+        {"code":"other_incarnation","message":"endpoint `engine-1` is in incarnation 3, not 2","remedy":"leave the incarnation out to drain the present one"}
     "#]]
     .assert_eq(&bench.post(PATH, body).await);
 }
--- a/crates/admin/tests/testsuite/publish.rs
+++ b/crates/admin/tests/testsuite/publish.rs
@@ -108,7 +108,7 @@
     assert_eq!(bench.platform.state().records.len(), 1);
     expect![[r#"
         409
-        {"code":"id_reused","message":"the log already holds publish `p-1` with another document, base or author","remedy":"publish with a new id"}
+        {"code":"id_reused","message":"publish `p-1` stands in the log with another document, base or author","remedy":"publish with a new id"}
     "#]]
     .assert_eq(&bench.publish("p-1", 1, OTHER).await);
 }
@@ -149,11 +149,11 @@
     expect![[r#"
         503
         Retry-After: 5
-        {"code":"unknown","detail":{"id":"p-1","kind":"unknown"},"message":"unknown: publish `p-1` may have taken effect; the log did not confirm it in time","remedy":"request the verdict on `p-1` (GET /v1/config/verdict/p-1, `peatdeck show --verdict p-1`), or publish again with the same id: it takes effect once"}
+        {"code":"unknown","detail":{"id":"p-1","kind":"unknown"},"message":"unknown: publish `p-1` may have taken effect, and the log did not say in time","remedy":"ask for the verdict of `p-1` (GET /v1/config/verdict/p-1, `peatdeck show --verdict p-1`), or publish again with the same id: it counts once"}
     "#]].assert_eq(&bench.publish("p-1", 0, TEAM).await);
     expect![[r#"
         404
-        {"code":"unknown_publish","message":"the log holds no publish `p-1`","remedy":"if an append of it may still be in flight, publish again with the same id: it takes effect once"}
+        {"code":"unknown_publish","message":"the log holds no publish `p-1`","remedy":"if an append of it may still be on its way, publish again with the same id: it counts once"}
     "#]].assert_eq(&bench.get("/v1/config/verdict/p-1").await);
 }
 
@@ -172,7 +172,7 @@
     let source = "[[team]]\nname = \"\"\nweight = 0\n";
     expect![[r#"
         422
-        {"code":"invalid_document","detail":{"kind":"invalid","problems":[{"message":"the name is empty","path":{"field":"name","steps":[{"index":0,"name":"","table":"team"}]},"remedy":"give it a name"},{"message":"the weight is 0, so the team would never get a share","path":{"field":"weight","steps":[{"index":0,"name":"","table":"team"}]},"remedy":"set `weight` to 1 or more, or remove the team"}]},"message":"the document has 2 problem(s), the first: team \"\" name: the name is empty","remedy":"correct every problem listed and publish again"}
+        {"code":"invalid_document","detail":{"kind":"invalid","problems":[{"message":"the name is empty","path":{"field":"name","steps":[{"index":0,"name":"","table":"team"}]},"remedy":"give it a name"},{"message":"the weight is 0, so the team would never get a share","path":{"field":"weight","steps":[{"index":0,"name":"","table":"team"}]},"remedy":"set `weight` to 1 or more, or remove the team"}]},"message":"the document has 2 problem(s), the first: team \"\" name: the name is empty","remedy":"mend every problem listed and publish again"}
     "#]]
     .assert_eq(&bench.publish("p-1", 0, source).await);
     assert!(bench.platform.state().records.is_empty());
@@ -213,7 +213,7 @@
     let large = json!({"document": "x".repeat(1024 * 1024)});
     expect![[r#"
         413
-        {"code":"too_large","message":"the body exceeds 1048576 bytes","remedy":"shorten policies or remove what is unused"}
+        {"code":"too_large","message":"the body takes more than 1048576 bytes","remedy":"shorten policies or remove what is unused"}
     "#]]
     .assert_eq(&bench.post("/v1/config/check", large).await);
 }
--- a/crates/admin/tests/testsuite/restore.rs
+++ b/crates/admin/tests/testsuite/restore.rs
@@ -74,7 +74,7 @@
     let _one = bench.platform.add_instance("entry-1");
     expect![[r#"
         409
-        {"code":"still_held","message":"instance `entry-1` still has version 2 in force, so it is not lost; nothing was appended","remedy":"wait for its snapshot, or stop the instance if its version is not the one to continue from; then send the restore again"}
+        {"code":"still_held","message":"instance `entry-1` still has version 2 in force, so it is not lost; nothing was appended","remedy":"wait for its snapshot, or stop it if its version is not the one to go on from; then send it again"}
     "#]].assert_eq(&restore(&bench, "r-1", 2).await);
     bench.platform.state().list_out = true;
     let answer = restore(&bench, "r-1", 2).await;
--- a/crates/admin/tests/testsuite/show.rs
+++ b/crates/admin/tests/testsuite/show.rs
@@ -44,7 +44,7 @@
     expect![[r#"
         503
         Retry-After: 5
-        {"code":"no_state","message":"the log holds neither a snapshot nor its first record, so the configuration in force cannot be determined; nothing was appended","remedy":"wait until an instance that still has the configuration appends a snapshot, then send the request again; if no instance has it, restore it (`peatdeck restore FILE --version N`)"}
+        {"code":"no_state","message":"the log keeps neither a snapshot nor its first record, so nobody can tell from it what is in force; nothing was appended","remedy":"wait for an entry that still has the configuration: it appends a snapshot; then send it again. If none has it any more, restore it (`peatdeck restore FILE --version N`)"}
     "#]].assert_eq(&late.get("/v1/config").await);
     let answer = late.publish("p-3", 1, TEAM).await;
     assert!(answer.contains("\"code\":\"no_state\""), "{answer}");
--- a/crates/cli/tests/testsuite/check.rs
+++ b/crates/cli/tests/testsuite/check.rs
@@ -139,7 +139,7 @@
             :          ^^^^^|^^^^^
             :               `-- here
             `----
-          help: correct the script, then check again
+          help: mend the script, then check again
     "#]]).await;
 }
 
--- a/crates/cli/tests/testsuite/drain.rs
+++ b/crates/cli/tests/testsuite/drain.rs
@@ -25,7 +25,7 @@
     expect![[r#"
         exit 1
           x the platform's list has no endpoint `engine-9` (unknown_endpoint)
-          help: check the name; a new endpoint appears in the list after some seconds
+          help: check the name; a new endpoint shows in the list after some seconds
     "#]]
     .assert_eq(&answer);
 }
--- a/crates/cli/tests/testsuite/publish.rs
+++ b/crates/cli/tests/testsuite/publish.rs
@@ -66,9 +66,9 @@
     let args = [&PUBLISH[..], &["--base", "0", &file]].concat();
     expect![[r#"
         exit 5
-          x unknown: publish `p-1` may have taken effect; the log did not confirm it in time (unknown)
-          help: request the verdict on `p-1` (GET /v1/config/verdict/p-1, `peatdeck show --verdict p-1`),
-                or publish again with the same id: it takes effect once
+          x unknown: publish `p-1` may have taken effect, and the log did not say in time (unknown)
+          help: ask for the verdict of `p-1` (GET /v1/config/verdict/p-1, `peatdeck show --verdict p-1`),
+                or publish again with the same id: it counts once
     "#]].assert_eq(&bench.run(&args).await);
 }
 
--- a/crates/cli/tests/testsuite/restore.rs
+++ b/crates/cli/tests/testsuite/restore.rs
@@ -18,10 +18,10 @@
     let publish = ["publish", "--author", "mair", "--base", "12", "--id", "p-1", &file];
     expect![[r#"
         exit 1
-          x the log holds neither a snapshot nor its first record, so the configuration in force cannot be
-          | determined; nothing was appended (no_state)
-          help: wait until an instance that still has the configuration appends a snapshot, then send the
-                request again; if no instance has it, restore it (`peatdeck restore FILE --version N`)
+          x the log keeps neither a snapshot nor its first record, so nobody can tell from it what is in
+          | force; nothing was appended (no_state)
+          help: wait for an entry that still has the configuration: it appends a snapshot; then send it
+                again. If none has it any more, restore it (`peatdeck restore FILE --version N`)
     "#]].assert_eq(&bench.run(&publish).await);
     let restore = ["restore", "--author", "ann", "--version", "11", "--id", "r-1", &file];
     expect![[r#"
--- a/crates/cli/tests/testsuite/show.rs
+++ b/crates/cli/tests/testsuite/show.rs
@@ -97,8 +97,7 @@
     expect![[r#"
         exit 1
           x the log holds no publish `p-2` (unknown_publish)
-          help: if an append of it may still be in flight, publish again with the same id: it takes effect
-                once
+          help: if an append of it may still be on its way, publish again with the same id: it counts once
     "#]].assert_eq(&bench.run(&["show", "--verdict", "p-2"]).await);
 }
 
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -42,7 +42,7 @@
         cause: String,
     },
     /// The connection was closed during the request or the response.
-    #[error("the connection to {addr} was closed: {cause}; the request may have taken effect")]
+    #[error("the connection to {addr} was cut: {cause}; the request may have taken effect")]
     Cut {
         /// The address.
         addr: String,
@@ -50,7 +50,7 @@
         cause: String,
     },
     /// No complete response arrived in time.
-    #[error("{addr} sent no complete response in time; the request may have taken effect")]
+    #[error("{addr} gave no whole response in time; the request may have taken effect")]
     TimedOut {
         /// The address.
         addr: String,
@@ -65,7 +65,7 @@
     },
     /// The response does not conform to the interface, or the request body could
     /// not be serialised.
-    #[error("{addr} sent an invalid response: {cause}; check the versions on both sides")]
+    #[error("{addr} answered with something unreadable: {cause}; check both sides' versions")]
     Malformed {
         /// The address.
         addr: String,
--- a/crates/client/tests/client/log.rs
+++ b/crates/client/tests/client/log.rs
@@ -62,7 +62,7 @@
         &server.addr,
         append(&server.addr).await,
         expect![
-            "log: the connection to ADDR was closed: Failed to connect to host: Connector has been disconnected; the request may have taken effect (unsent: false)"
+            "log: the connection to ADDR was cut: Failed to connect to host: Connector has been disconnected; the request may have taken effect (unsent: false)"
         ],
     );
 }
--- a/crates/core/src/check.rs
+++ b/crates/core/src/check.rs
@@ -227,7 +227,7 @@
 
     fn policy(&mut self, policy: &Policy, compile: impl Fn(&str) -> Result<(), String>) {
         let Err(cause) = compile(&policy.script) else { return };
-        self.report(Some("script"), cause, "correct the script, then check again");
+        self.report(Some("script"), cause, "mend the script, then check again");
     }
 
     /// Checks the names of all tables of one kind: each must be well-formed and unique.
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -204,7 +204,7 @@
             return Ok(None);
         }
         let kind = value.type_name();
-        read(value).map(Some).ok_or_else(|| format!("`{function}` returned a value of type {kind}"))
+        read(value).map(Some).ok_or_else(|| format!("`{function}` gave a value of type {kind}"))
     }
 
     fn try_samples(&self) -> Result<(), Error> {
--- a/crates/core/tests/testsuite/check.rs
+++ b/crates/core/tests/testsuite/check.rs
@@ -212,7 +212,7 @@
         "fn admit() { true }",
         "broken",
         expect![[r#"
-            policy "gate" script: line 1: not a program; correct the script, then check again
+            policy "gate" script: line 1: not a program; mend the script, then check again
         "#]],
     );
 }
--- a/crates/core/tests/testsuite/policy.rs
+++ b/crates/core/tests/testsuite/policy.rs
@@ -97,7 +97,7 @@
     check_error(
         "fn admit(ctx) { \"yes\" }",
         expect![
-            "the policy's function `admit` fails on sample facts (`admit` returned a value of type string); correct it and check again"
+            "the policy's function `admit` fails on sample facts (`admit` gave a value of type string); correct it and check again"
         ],
     );
 }
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -66,13 +66,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     /// The header with the request's id is missing.
-    #[error("the request has no id; send a new one with each attempt")]
+    #[error("the request has no id; send one that is new for each attempt")]
     Id,
     /// The header with the deadline is not a number.
-    #[error("the deadline is not a whole number of milliseconds; correct or omit it")]
+    #[error("the deadline is not a whole number of milliseconds; send one, or leave it out")]
     Deadline,
     /// The `Host` header is missing.
-    #[error("the request has no host; send the header `Host`")]
+    #[error("the request names no host; send the header `Host`")]
     Host,
 }
 
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -144,8 +144,8 @@
 
 fn body_error(driver: &Driver, id: &str, error: &BodyError) -> Response {
     let (status, reason) = match error {
-        BodyError::TooLarge => (413, "the body is larger than allowed; send a smaller one"),
-        BodyError::NoMemory => (503, "the memory for bodies is exhausted; nothing ran; retry"),
+        BodyError::TooLarge => (413, "the body is larger than allowed; send less"),
+        BodyError::NoMemory => (503, "no memory is left for bodies; nothing ran; send it again"),
         BodyError::Incomplete => (400, "the body ended early; send the request again"),
     };
     driver.metrics.count("relay.bodies_rejected", 1);
@@ -198,7 +198,7 @@
             io.close();
             std::future::pending().await
         }
-        None => io::Error::other("the stream ended early"),
+        None => io::Error::other("the stream is not whole"),
     }
 }
 
--- a/crates/relay/src/operators.rs
+++ b/crates/relay/src/operators.rs
@@ -63,7 +63,7 @@
         (&Method::DELETE, Some(name)) => release(&queries, name).await,
         _ => text_response(
             StatusCode::NOT_FOUND,
-            "use GET /quarantine or DELETE /quarantine/FINGERPRINT",
+            "ask GET /quarantine, or DELETE /quarantine/FINGERPRINT",
         ),
     };
     Ok(response)
@@ -88,24 +88,23 @@
 
 async fn release(queries: &mpsc::UnboundedSender<Query>, name: &str) -> Response {
     let Some(content) = Fingerprint::parse(name) else {
-        let help = "not a fingerprint; copy one from GET /quarantine";
+        let help = "that is no fingerprint; take one from GET /quarantine";
         return text_response(StatusCode::BAD_REQUEST, help);
     };
     let (tx, rx) = oneshot::channel();
     // If the event loop has ended, `rx` returns an error.
     queries.unbounded_send(Query::Release(content, tx)).ok();
     match rx.await {
-        Ok(true) => text_response(
-            StatusCode::ACCEPTED,
-            "released here; other instances follow within seconds",
-        ),
-        Ok(false) => text_response(StatusCode::NOT_FOUND, "the content is not quarantined here"),
+        Ok(true) => {
+            text_response(StatusCode::ACCEPTED, "released here; the others follow in seconds")
+        }
+        Ok(false) => text_response(StatusCode::NOT_FOUND, "it is not held back here"),
         Err(_) => stopping_response(),
     }
 }
 
 fn stopping_response() -> Response {
-    text_response(StatusCode::SERVICE_UNAVAILABLE, "the instance is stopping; use another one")
+    text_response(StatusCode::SERVICE_UNAVAILABLE, "the instance is stopping; ask another one")
 }
 
 fn text_response(status: StatusCode, text: &str) -> Response {
