--- a/crates/relay/tests/relay/standins.rs
+++ b/crates/relay/tests/relay/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins: a store in memory, endpoints that follow a script, callers that
+//! Test doubles: a store in memory, endpoints that follow a script, callers that
 //! write and read raw bytes.
 
 mod clock;
@@ -35,37 +35,38 @@
 
 use crate::link::SlowLink;
 
-pub use clock::LeapingClock;
+pub use clock::JumpingClock;
 pub use endpoint::{
-    Conn, Desk, Reply, ask, chunk, get, read_reply, request, send, stream_head, whole,
+    Conn, Reply, ScriptedEndpoint, event_chunk, exchange, full_reply, get, read_reply,
+    request_head, send, stream_head,
 };
 pub use store::MemoryStore;
 
-/// Whatever a test waits for comes within this time, or never.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// How long tests wait for something before they fail.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What operators ordered, as the store holds it: under `evacuate/` a data centre;
-/// else a configuration, a version with blanks before it that make it large.
-fn read_act(record: &Record) -> Result<Option<OperatorCommand>, String> {
+/// Reads a record of the operators. A key under `evacuate/` names a data centre; any other record
+/// is a configuration, whose value is the version after any number of blanks as padding.
+fn read_command(record: &Record) -> Result<Option<OperatorCommand>, String> {
     if let Some(name) = record.key.strip_prefix("evacuate/") {
         let name = Arc::from(name);
-        let act = if record.value.is_some() {
+        let command = if record.value.is_some() {
             OperatorCommand::Evacuate(name)
         } else {
             OperatorCommand::Restore(name)
         };
-        return Ok(Some(act));
+        return Ok(Some(command));
     }
     let Some(value) = &record.value else { return Ok(None) };
     let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
-    let version = text.trim_start().parse().map_err(|_| format!("`{text}` is no version"))?;
+    let version = text.trim_start().parse().map_err(|_| format!("`{text}` is not a version"))?;
     Ok(Some(OperatorCommand::Configure(config(version))))
 }
 
 fn read_endpoint(record: &Record) -> Result<Change, String> {
     let Some(value) = &record.value else { return Ok(Change::Removed(record.key.clone())) };
     let text = String::from_utf8_lossy(value).into_owned();
-    let (service, addr) = text.split_once(' ').ok_or("an entry has a service and an address")?;
+    let (service, addr) = text.split_once(' ').ok_or("the entry lacks a service or an address")?;
     Ok(Change::Put(Entry {
         name: record.key.clone(),
         incarnation: Incarnation(1),
@@ -78,7 +79,8 @@
     }))
 }
 
-/// The configuration of all tests: a route for each kind, and one with a stage.
+/// The configuration of all tests. It has a route for each kind, one with a stage, and one that
+/// is unique to the version.
 fn config(version: u64) -> Config {
     let kinds = [
         ("idempotent", RequestKind::Idempotent),
@@ -89,7 +91,8 @@
     ];
     let mut routes: Vec<_> = kinds.into_iter().map(|(name, kind)| route(name, kind)).collect();
     routes.push(route(&format!("since-{version}"), RequestKind::Idempotent));
-    let plain = Service { connections: 800, engine: None, pieces: None, cold_interval: None };
+    let request_service =
+        Service { connections: 800, engine: None, pieces: None, cold_interval: None };
     let pieces = Pieces {
         slots: 1,
         queue: 2,
@@ -99,12 +102,15 @@
         room: 1 << 20,
         lease: Duration::from_secs(60),
     };
-    let maker = Service { pieces: Some(pieces), ..plain.clone() };
+    let piece_service = Service { pieces: Some(pieces), ..request_service.clone() };
     let team = Team { name: Arc::from("markets"), priority: None };
     Config {
         version,
         routes: routes.into_iter().map(Arc::new).collect(),
-        services: HashMap::from([(Arc::from("desk"), plain), (Arc::from("maker"), maker)]),
+        services: HashMap::from([
+            (Arc::from("desk"), request_service),
+            (Arc::from("maker"), piece_service),
+        ]),
         keys: Some(HashMap::from([(Arc::from("key-1"), team)])),
         limits: Limits { max_body: 1 << 16, idle_timeout: Duration::from_secs(15) },
     }
@@ -128,51 +134,51 @@
     }
 }
 
-/// A relay instance on a thread of its own.
+/// A relay instance that runs on its own thread.
 pub struct Relay {
     pub front: SocketAddr,
     pub ready: SocketAddr,
     pub metrics: SocketAddr,
     pub peers: SocketAddr,
-    told: UnboundedSender<Control>,
+    control: UnboundedSender<Control>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-/// How a relay instance is started.
-pub struct Starter {
+/// Configures and starts a relay instance.
+pub struct RelayBuilder {
     name: Arc<str>,
     store: MemoryStore,
     seeds: Vec<SocketAddr>,
     policy: Option<Arc<str>>,
-    strength: u32,
+    millicores: u32,
     link: Option<SlowLink>,
-    clock: LeapingClock,
+    clock: JumpingClock,
 }
 
-impl Starter {
-    /// A clock that the test has leap.
-    pub fn clock(self, clock: &LeapingClock) -> Starter {
-        Starter { clock: clock.clone(), ..self }
+impl RelayBuilder {
+    /// Sets a clock that the test can advance.
+    pub fn clock(self, clock: &JumpingClock) -> RelayBuilder {
+        RelayBuilder { clock: clock.clone(), ..self }
     }
 
-    /// The addresses of peers that it is told of at its start.
-    pub fn seeds(self, seeds: &[SocketAddr]) -> Starter {
-        Starter { seeds: seeds.to_vec(), ..self }
+    /// Sets the addresses of peers that the instance contacts at its start.
+    pub fn seeds(self, seeds: &[SocketAddr]) -> RelayBuilder {
+        RelayBuilder { seeds: seeds.to_vec(), ..self }
     }
 
-    /// The file of its policy.
-    pub fn policy(self, policy: Arc<str>) -> Starter {
-        Starter { policy: Some(policy), ..self }
+    /// Sets the path of the policy script.
+    pub fn policy(self, policy: Arc<str>) -> RelayBuilder {
+        RelayBuilder { policy: Some(policy), ..self }
     }
 
-    /// Its processor's share, in thousandths of a core.
-    pub fn strength(self, strength: u32) -> Starter {
-        Starter { strength, ..self }
+    /// Sets the CPU share in thousandths of a core.
+    pub fn millicores(self, millicores: u32) -> RelayBuilder {
+        RelayBuilder { millicores, ..self }
     }
 
-    /// Has its peers reach it over a link.
-    pub fn behind(self, link: &SlowLink) -> Starter {
-        Starter { link: Some(link.clone()), ..self }
+    /// Makes peers reach the instance over a link.
+    pub fn behind_link(self, link: &SlowLink) -> RelayBuilder {
+        RelayBuilder { link: Some(link.clone()), ..self }
     }
 
     pub fn start(self) -> Relay {
@@ -194,7 +200,7 @@
             min_instances: 1,
             grace: Duration::from_secs(60),
             body_memory: 1 << 24,
-            millicores: self.strength,
+            millicores: self.millicores,
             policy: self.policy,
             connections: 200,
         };
@@ -204,16 +210,16 @@
         settings.metrics = listeners.metrics.local_addr().unwrap();
         settings.peers = listeners.peers.local_addr().unwrap();
         if let Some(link) = &self.link {
-            settings.peers = link.to(settings.peers);
+            settings.peers = link.listen_for(settings.peers);
         }
         let Settings { front, ready, metrics, peers, .. } = settings.clone();
-        let (told, signals) = unbounded();
+        let (control, signals) = unbounded();
         let (store, clock) = (self.store, self.clock);
         let thread = thread::spawn(move || {
             let surroundings = move |_pool| Platform {
                 dialect: native::dialect(),
                 store: store.client(),
-                read_command: read_act,
+                read_command,
                 read_endpoint,
                 dropped_lines: Rc::new(|| 0),
             };
@@ -222,30 +228,30 @@
             let run = server::run_on(listeners, settings, signals, surroundings, clock);
             system.block_on(run).unwrap();
         });
-        Relay { front, ready, metrics, peers, told, thread: Some(thread) }
+        Relay { front, ready, metrics, peers, control, thread: Some(thread) }
     }
 }
 
 impl Relay {
     pub fn start(name: &str, store: &MemoryStore, seeds: &[SocketAddr]) -> Relay {
-        Relay::with(name, store).seeds(seeds).start()
+        Relay::builder(name, store).seeds(seeds).start()
     }
 
-    /// One that is started once all is said of it.
-    pub fn with(name: &str, store: &MemoryStore) -> Starter {
-        Starter {
+    /// Configures an instance that [`RelayBuilder::start`] then starts.
+    pub fn builder(name: &str, store: &MemoryStore) -> RelayBuilder {
+        RelayBuilder {
             name: Arc::from(name),
             store: store.clone(),
             seeds: Vec::new(),
             policy: None,
-            strength: 250,
+            millicores: 250,
             link: None,
-            clock: LeapingClock::default(),
+            clock: JumpingClock::default(),
         }
     }
 
-    pub fn tell(&self, told: Control) {
-        self.told.unbounded_send(told).unwrap();
+    pub fn send_control(&self, control: Control) {
+        self.control.unbounded_send(control).unwrap();
     }
 
     pub fn wait_ready(&self) {
@@ -256,7 +262,7 @@
         endpoint::get(self.ready, "/ready").status
     }
 
-    /// A counter of the instance; 0 if it never counted.
+    /// Value of a counter of the instance; 0 if it was never incremented.
     pub fn counter(&self, name: &str) -> u64 {
         let text = endpoint::get(self.metrics, "/metrics").body;
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
@@ -268,40 +274,40 @@
     }
 }
 
-/// A relay with one store, ready to serve.
+/// A ready relay instance and its store.
 pub struct Site {
     pub store: MemoryStore,
     pub relay: Relay,
 }
 
 impl Site {
-    /// Starts with endpoints of the service `desk` that follow these scripts.
-    pub fn start(desks: &[Desk]) -> Site {
+    /// Starts an instance with these endpoints of the service `desk`.
+    pub fn start(endpoints: &[ScriptedEndpoint]) -> Site {
         let store = MemoryStore::default();
         store.put(TableName::Config, "config", b"1".to_vec());
-        for (idx, desk) in desks.iter().enumerate() {
-            store.enlist(&format!("desk-{idx}"), "desk", desk.addr);
+        for (idx, endpoint) in endpoints.iter().enumerate() {
+            store.add_endpoint(&format!("desk-{idx}"), "desk", endpoint.addr);
         }
         let relay = Relay::start("own", &store, &[]);
         relay.wait_ready();
         Site { store, relay }
     }
 
-    pub fn ask(&self, path: &str) -> Reply {
-        ask(self.relay.front, path, "")
+    pub fn exchange(&self, path: &str) -> Reply {
+        exchange(self.relay.front, path, "")
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds. Panics after [`TIMEOUT`].
 pub fn wait_for(what: &str, holds: impl Fn() -> bool) {
     let (tx, rx) = mpsc::channel::<()>();
     let pause = Duration::from_millis(10);
-    for _ in 0..(PATIENCE.as_millis() / pause.as_millis()) {
+    for _ in 0..(TIMEOUT.as_millis() / pause.as_millis()) {
         if holds() {
             return;
         }
         rx.recv_timeout(pause).ok();
     }
     drop(tx);
-    panic!("it never came about that {what}");
+    panic!("timed out waiting until {what}");
 }
--- a/crates/test-support/src/callers.rs
+++ b/crates/test-support/src/callers.rs
@@ -1,12 +1,11 @@
-//! Callers that remember what they were told, and whether it was true.
+//! Callers that record their responses, so that a test can check them.
 //!
-//! Every request of a test goes through [`Callers::send`]. At the test's end
-//! [`Callers::check`] compares what all of them were told with what the
-//! stand-ins recorded:
+//! Every request of a test is sent by [`Callers::send`]. At the end of the test
+//! [`Callers::check`] compares all responses with the records of the stand-ins:
 //!
-//! - an answer is the one right answer of that request and input;
-//! - of a request that was told "not run", nothing ran. A caller that sends an
-//!   id again and marks it as a repeat is told so of the earlier attempts too;
+//! - an answer has the only correct output for that request and input;
+//! - after the response "not run", no call of the request has run. If the request
+//!   was marked as a repeat, this holds for earlier requests with its id too;
 //! - a request that is not idempotent ran at most once.
 
 use std::{
@@ -25,78 +24,80 @@
 
 use crate::{error::Result, fixture, http::Http, processes::System};
 
-/// What a caller was told, and when.
+/// A response as its caller received it, or its absence.
 #[derive(Debug, Clone)]
-pub struct Told {
-    /// The status; 0 where no whole response came.
+pub struct CallerResponse {
+    /// The HTTP status; 0 if no complete response was received.
     pub status: u16,
     /// The `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
-    /// The response.
-    pub what: What,
-    /// Time from the sending to the end of the response.
-    pub took: Duration,
+    /// The decoded body.
+    pub content: ResponseContent,
+    /// Time from sending the request to the end of the response.
+    pub elapsed: Duration,
 }
 
-/// A response.
+/// The body of a response.
 #[derive(Debug, Clone)]
-pub enum What {
-    /// A whole answer.
+pub enum ResponseContent {
+    /// A complete answer.
     Answered(AnswerBody),
     /// Any other outcome.
     Failed(ErrorBody),
-    /// No whole response, or one of no known form.
+    /// No complete response was received, or its body has an unknown form; the text says which.
     Lost(String),
 }
 
-impl Told {
-    /// The output of a whole answer.
+impl CallerResponse {
+    /// The output of a complete answer.
     pub fn output(&self) -> Option<&str> {
-        match &self.what {
-            What::Answered(body) => Some(&body.output),
-            What::Failed(_) | What::Lost(_) => None,
+        match &self.content {
+            ResponseContent::Answered(body) => Some(&body.output),
+            ResponseContent::Failed(_) | ResponseContent::Lost(_) => None,
         }
     }
 
-    /// The endpoint that ran a stage of a whole answer.
+    /// The endpoint that ran a stage, if the request was answered.
     pub fn endpoint(&self, stage: &str) -> Option<&str> {
-        let What::Answered(body) = &self.what else { return None };
+        let ResponseContent::Answered(body) = &self.content else { return None };
         let line = body.stages.iter().find(|line| &*line.stage == stage)?;
         Some(&line.endpoint)
     }
 
-    /// The remedy of any other outcome.
+    /// The remedy given with any other outcome.
     pub fn remedy(&self) -> Option<&str> {
-        match &self.what {
-            What::Failed(body) => Some(&body.remedy),
-            What::Answered(_) | What::Lost(_) => None,
+        match &self.content {
+            ResponseContent::Failed(body) => Some(&body.remedy),
+            ResponseContent::Answered(_) | ResponseContent::Lost(_) => None,
         }
     }
 
-    /// Whether the caller was told that nothing ran.
+    /// Whether the response says that nothing ran.
     pub fn is_not_run(&self) -> bool {
-        matches!(&self.what, What::Failed(body) if &*body.outcome == NOT_RUN)
+        matches!(&self.content, ResponseContent::Failed(body) if &*body.outcome == NOT_RUN)
     }
 }
 
-/// `200 answered`, `503 not_run/claim_unknown` or `lost`.
-impl fmt::Display for Told {
+/// Formats a summary such as `200 answered`, `503 not_run/claim_unknown` or `lost`.
+impl fmt::Display for CallerResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.what {
-            What::Answered(_) => write!(f, "{} answered", self.status),
-            What::Failed(body) => write!(f, "{} {}/{}", self.status, body.outcome, body.code),
-            What::Lost(_) => write!(f, "lost"),
+        match &self.content {
+            ResponseContent::Answered(_) => write!(f, "{} answered", self.status),
+            ResponseContent::Failed(body) => {
+                write!(f, "{} {}/{}", self.status, body.outcome, body.code)
+            }
+            ResponseContent::Lost(_) => write!(f, "lost"),
         }
     }
 }
 
-/// One sending of a request.
+/// A request that was sent once, with its response.
 #[derive(Debug)]
 struct Sent {
     body: RequestBody,
     expected: Option<String>,
     at_ms: u64,
-    told: Option<(u64, Told)>,
+    response: Option<(u64, CallerResponse)>,
 }
 
 /// All callers of a test.
@@ -105,7 +106,7 @@
     caller: Caller,
 }
 
-/// Sends requests to any address; what it is told counts with the others'.
+/// Sends requests to any address; its responses are checked with those of all callers.
 #[derive(Debug, Clone)]
 pub struct Caller {
     http: Http,
@@ -113,45 +114,45 @@
     sent: Rc<RefCell<Vec<Sent>>>,
 }
 
-/// A request on its way.
+/// A request whose response may not have been received yet.
 #[derive(Debug)]
-pub struct Pending(rt::JoinHandle<Told>);
+pub struct Pending(rt::JoinHandle<CallerResponse>);
 
 impl Pending {
-    /// Waits for what the caller is told.
-    pub async fn told(self) -> Told {
+    /// Waits for the response.
+    pub async fn response(self) -> CallerResponse {
         self.0.await.expect("the task is only ended by its own end")
     }
 
-    /// Goes away: closes the connection without waiting for an answer.
-    pub fn leave(self) {
+    /// Closes the connection without waiting for the response.
+    pub fn disconnect(self) {
         self.0.cancel();
     }
 
-    /// Whether the caller was told already.
-    pub fn is_told(&self) -> bool {
+    /// Whether the response has been received.
+    pub fn is_complete(&self) -> bool {
         self.0.is_finished()
     }
 }
 
 impl Caller {
-    /// Sends a request to an address. It goes on by itself.
+    /// Sends a request to an address in the background.
     pub fn send(&self, addr: &str, pipeline: &str, body: &RequestBody) -> Pending {
         let expected = self.expected(pipeline, body);
-        let sent = Sent { body: body.clone(), expected, at_ms: now_ms(), told: None };
+        let sent = Sent { body: body.clone(), expected, at_ms: now_ms(), response: None };
         let idx = self.sent.borrow().len();
         self.sent.borrow_mut().push(sent);
         let (caller, addr, body) = (self.clone(), addr.to_owned(), body.clone());
         let path = format!("/v1/pipelines/{pipeline}/requests");
         Pending(rt::spawn(async move {
-            let told = exchange(&caller.http, &addr, &path, &body).await;
-            caller.sent.borrow_mut()[idx].told = Some((now_ms(), told.clone()));
-            told
+            let response = exchange(&caller.http, &addr, &path, &body).await;
+            caller.sent.borrow_mut()[idx].response = Some((now_ms(), response.clone()));
+            response
         }))
     }
 
-    /// The one right output, by the document that was published first. A
-    /// pipeline that came later has the stages of the first one.
+    /// The only correct output, computed from the document that was published first.
+    /// Pipelines that a test adds have the same stages as its first pipeline.
     fn expected(&self, pipeline: &str, body: &RequestBody) -> Option<String> {
         let document = &self.document;
         let pipeline = document.pipeline(pipeline).or(document.pipelines.first())?;
@@ -160,18 +161,18 @@
 }
 
 impl Callers {
-    /// Callers of a system that have sent nothing yet.
+    /// Creates the callers of a system.
     pub fn new(system: &System) -> Callers {
         let document = Rc::new(system.document.clone());
         Callers { caller: Caller { http: system.http.clone(), document, sent: Rc::default() } }
     }
 
-    /// One of them, to be moved into a task.
+    /// A caller that a task can own.
     pub fn caller(&self) -> Caller {
         self.caller.clone()
     }
 
-    /// Sends a request to an entry. It goes on by itself.
+    /// Sends a request to an entry in the background.
     ///
     /// # Errors
     /// If there is no such entry.
@@ -185,27 +186,32 @@
         Ok(self.caller.send(system.addr(entry)?, pipeline, body))
     }
 
-    /// How many were told something that `is_so` holds of.
-    pub fn count(&self, is_so: impl Fn(&Told) -> bool) -> usize {
+    /// Number of received responses that match.
+    pub fn count(&self, matches: impl Fn(&CallerResponse) -> bool) -> usize {
         let sent = self.caller.sent.borrow();
-        sent.iter().filter(|one| one.told.as_ref().is_some_and(|(_, told)| is_so(told))).count()
+        sent.iter()
+            .filter(|one| one.response.as_ref().is_some_and(|(_, response)| matches(response)))
+            .count()
     }
 
-    /// How many were told what, over all of them.
+    /// Number of requests for each summary of a response; `nothing` while there is none.
     pub fn tally(&self) -> BTreeMap<String, usize> {
         let mut tally = BTreeMap::new();
         for one in self.caller.sent.borrow().iter() {
-            let told = one.told.as_ref().map_or("nothing".to_owned(), |(_, told)| told.to_string());
-            *tally.entry(told).or_default() += 1;
+            let response = one
+                .response
+                .as_ref()
+                .map_or("nothing".to_owned(), |(_, response)| response.to_string());
+            *tally.entry(response).or_default() += 1;
         }
         tally
     }
 
-    /// Everything that callers were told and that was not true, by the
-    /// records of every endpoint of the system.
+    /// Describes each response that contradicts the records of the system's
+    /// endpoints.
     ///
     /// # Errors
-    /// If a record cannot be had.
+    /// If an endpoint's records cannot be read.
     pub async fn check(&self, system: &System) -> Result<Vec<String>> {
         let runs = runs(system).await?;
         let sent = self.caller.sent.borrow();
@@ -217,17 +223,17 @@
         for (id, sent) in by_id {
             let runs = runs.get(id).map_or(&[][..], Vec::as_slice);
             wrong.extend(wrong_answers(id, &sent));
-            wrong.extend(untrue_not_run(id, &sent, runs));
+            wrong.extend(false_not_run(id, &sent, runs));
             wrong.extend(ran_twice(system, id, &sent, runs));
         }
         Ok(wrong)
     }
 }
 
-/// A call that ran: where, and its record.
+/// The endpoint and the record of a call that ran.
 type Run = (String, CallRecord);
 
-/// Calls that ran, by the request's id.
+/// All calls that ran, by the request's id.
 async fn runs(system: &System) -> Result<BTreeMap<Arc<str>, Vec<Run>>> {
     let mut runs: BTreeMap<Arc<str>, Vec<Run>> = BTreeMap::new();
     for (endpoint, call) in system.all_calls().await? {
@@ -240,26 +246,30 @@
 
 fn wrong_answers(id: &str, sent: &[&Sent]) -> Vec<String> {
     let answered = sent.iter().filter_map(|one| {
-        let output = one.told.as_ref()?.1.output()?;
+        let output = one.response.as_ref()?.1.output()?;
         let is_right = Some(output) == one.expected.as_deref();
         (!is_right).then(|| format!("{id}: answered `{output}`, not `{:?}`", one.expected))
     });
     answered.collect()
 }
 
-fn untrue_not_run(id: &str, sent: &[&Sent], runs: &[Run]) -> Vec<String> {
+fn false_not_run(id: &str, sent: &[&Sent], runs: &[Run]) -> Vec<String> {
     let mut wrong = Vec::new();
     for one in sent {
-        let Some((told_ms, told)) = one.told.as_ref().filter(|(_, told)| told.is_not_run()) else {
+        let Some((received_ms, response)) =
+            one.response.as_ref().filter(|(_, response)| response.is_not_run())
+        else {
             continue;
         };
         for (endpoint, call) in runs {
             let started_ms = call.started_ms.unwrap_or_default();
-            let is_earlier = one.body.repeat && started_ms < *told_ms;
-            let is_own = !sent.iter().any(|other| other.explains(started_ms));
+            let is_earlier = one.body.repeat && started_ms < *received_ms;
+            let is_own = !sent.iter().any(|other| other.may_have_started(started_ms));
             if is_earlier || is_own {
-                wrong
-                    .push(format!("{id}: told {told}, but stage {} ran at {endpoint}", call.stage));
+                wrong.push(format!(
+                    "{id}: response {response}, but stage {} ran at {endpoint}",
+                    call.stage
+                ));
             }
         }
     }
@@ -267,15 +277,15 @@
 }
 
 impl Sent {
-    /// Whether a call that started then may be one of this sending.
-    fn explains(&self, started_ms: u64) -> bool {
-        let is_not_run = self.told.as_ref().is_some_and(|(_, told)| told.is_not_run());
+    /// Whether a call that started at `started_ms` may belong to this request.
+    fn may_have_started(&self, started_ms: u64) -> bool {
+        let is_not_run = self.response.as_ref().is_some_and(|(_, response)| response.is_not_run());
         !is_not_run && self.at_ms <= started_ms
     }
 }
 
-/// Each attempt of a stage at most once, and a stage that may not be repeated
-/// once altogether.
+/// Reports calls that ran twice: each attempt of a stage may run once, and a stage
+/// that is not repeatable may run once in all.
 fn ran_twice(system: &System, id: &str, sent: &[&Sent], runs: &[Run]) -> Vec<String> {
     if sent.iter().any(|one| one.body.idempotent) {
         return Vec::new();
@@ -291,21 +301,21 @@
     wrong
 }
 
-async fn exchange(http: &Http, addr: &str, path: &str, body: &RequestBody) -> Told {
+async fn exchange(http: &Http, addr: &str, path: &str, body: &RequestBody) -> CallerResponse {
     let start = Instant::now();
     let reply = http.post(addr, path, body).await;
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     let reply = match reply {
         Ok(reply) => reply,
         Err(error) => {
-            let what = What::Lost(error.to_string());
-            return Told { status: 0, retry_after: None, what, took };
+            let content = ResponseContent::Lost(error.to_string());
+            return CallerResponse { status: 0, retry_after: None, content, elapsed };
         }
     };
-    let answer = reply.json().map(What::Answered).filter(|_| reply.status == 200);
-    let other = || reply.json().map(What::Failed).filter(|_| reply.status != 200);
-    let what = answer.or_else(other).unwrap_or_else(|| What::Lost(reply.text()));
-    Told { status: reply.status, retry_after: reply.retry_after, what, took }
+    let answer = reply.json().map(ResponseContent::Answered).filter(|_| reply.status == 200);
+    let other = || reply.json().map(ResponseContent::Failed).filter(|_| reply.status != 200);
+    let content = answer.or_else(other).unwrap_or_else(|| ResponseContent::Lost(reply.text()));
+    CallerResponse { status: reply.status, retry_after: reply.retry_after, content, elapsed }
 }
 
 fn now_ms() -> u64 {
--- a/crates/testsuite/examples/record.rs
+++ b/crates/testsuite/examples/record.rs
@@ -1,7 +1,8 @@
-//! Records the traces of `crates/testsuite/traces` anew, from real processes
-//! under faults: `cargo run -p peatdeck-testsuite --example record FOLDER`.
+//! Records new versions of the traces in `crates/testsuite/traces` from real
+//! processes under faults:
+//! `cargo run -p peatdeck-testsuite --example record FOLDER`.
 //!
-//! The `expect` lines are written by hand behind what this records.
+//! The `expect` lines are then appended by hand.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,22 +14,22 @@
 use peatdeck_test_support::{
     fixture::{self, CERTIFICATE, TICKET},
     processes::{System, builder::Builder},
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::{admin::EntryStatus, caller::RequestBody};
 
-/// Deadline of requests that are to run out of time.
+/// Deadline of requests that should expire.
 const SHORT_MS: i64 = 1_500;
-/// Delay of a stage that is to outlast the grace of a stop.
+/// Delay of a stage that should outlast the grace period of a stop.
 const SLOW_MS: u64 = 1_500;
-/// Pause of a caller before it sends a request again.
+/// Pause of a caller before it retries a request.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
 #[ntex::main]
 async fn main() {
     let folder = std::env::args().nth(1).expect("give the folder for the traces");
     let folder = Path::new(&folder);
-    killed_neighbour(folder).await;
+    killed_peer(folder).await;
     log_out(folder).await;
     cut_stream(folder).await;
     wrong_echo(folder).await;
@@ -36,7 +37,7 @@
     drain(folder).await;
 }
 
-/// Starts a system, runs a scenario, and keeps the trace of `entry-1`.
+/// Starts a system, runs a scenario, and stores the trace of `entry-1`.
 async fn record(folder: &Path, name: &str, builder: Builder, run: impl AsyncFnOnce(&mut System)) {
     let own = folder.join(name);
     fs::create_dir_all(&own).unwrap();
@@ -48,19 +49,19 @@
     fs::remove_dir_all(own).unwrap();
 }
 
-/// A neighbour is killed while its ledger call runs; the caller retries here.
-async fn killed_neighbour(folder: &Path) {
+/// `entry-2` is killed while its ledger call runs; the caller retries at `entry-1`.
+async fn killed_peer(folder: &Path) {
     record(folder, "killed-neighbour", Builder::default(), async |system| {
         let hang = EndpointFaults { hang: true, ..Default::default() };
         system.set_pool_faults("ledger", &hang).await.unwrap();
         let body = fixture::once("paid", "input");
         let asked = system.request("entry-2", TICKET, &body);
         let run = async {
-            let look = async || {
+            let poll = async || {
                 let calls = system.calls_for("paid").await.ok()?;
                 calls.iter().any(|(name, _)| name.starts_with("ledger")).then_some(())
             };
-            wait::until("the ledger call", BOUND, look).await.unwrap();
+            wait::until("the ledger call", TIMEOUT, poll).await.unwrap();
         };
         let (asked, run) = (Box::pin(asked), Box::pin(run));
         let left = futures::future::select(asked, run).await;
@@ -68,18 +69,18 @@
         drop(left);
         system.kill("entry-2").unwrap();
         system.set_pool_faults("ledger", &EndpointFaults::default()).await.unwrap();
-        tell(system, TICKET, &RequestBody { repeat: true, ..body }).await;
-        tell(system, TICKET, &fixture::once("other", "input")).await;
-        tell(system, CERTIFICATE, &fixture::request("read", "input")).await;
+        send_and_print(system, TICKET, &RequestBody { repeat: true, ..body }).await;
+        send_and_print(system, TICKET, &fixture::once("other", "input")).await;
+        send_and_print(system, CERTIFICATE, &fixture::request("read", "input")).await;
     })
     .await;
 }
 
-/// A second version is published, and one that lost the race; then the log is
-/// out for a while.
+/// A second version is published and another publish on the same base is
+/// rejected; then the log has an outage.
 async fn log_out(folder: &Path) {
     record(folder, "log-out", Builder::default().entries(1), async |system| {
-        tell(system, TICKET, &fixture::once("before", "input")).await;
+        send_and_print(system, TICKET, &fixture::once("before", "input")).await;
         let document = system.document.clone();
         system.append_publish("second", 1, &document).await.unwrap();
         system.append_publish("late", 1, &document).await.unwrap();
@@ -87,11 +88,11 @@
         let out = LogFaults { outage: true, ..Default::default() };
         system.set_log_faults(&out).await.unwrap();
         let body = RequestBody { deadline_ms: SHORT_MS, ..fixture::once("during", "input") };
-        tell(system, TICKET, &body).await;
-        tell(system, TICKET, &fixture::once("at-once", "input")).await;
-        tell(system, CERTIFICATE, &fixture::request("read", "input")).await;
+        send_and_print(system, TICKET, &body).await;
+        send_and_print(system, TICKET, &fixture::once("at-once", "input")).await;
+        send_and_print(system, CERTIFICATE, &fixture::request("read", "input")).await;
         system.set_log_faults(&LogFaults::default()).await.unwrap();
-        let look = async || {
+        let poll = async || {
             let reply = system.request("entry-1", TICKET, &fixture::once("during", "input")).await;
             let taken = reply.ok().filter(|reply| reply.status == 200);
             if taken.is_none() {
@@ -99,24 +100,29 @@
             }
             taken
         };
-        wait::until("claims being taken again", BOUND, look).await.unwrap();
+        wait::until("claims being taken again", TIMEOUT, poll).await.unwrap();
     })
     .await;
 }
 
-/// An engine cuts its stream in the middle; another goes on.
+/// An engine cuts its stream in the middle; another one resumes it.
 async fn cut_stream(folder: &Path) {
     let builder = Builder::default().entries(1).entry_flags(&["--trace-content", "keep"]);
     record(folder, "cut-stream", builder, async |system| {
         let cut = EndpointFaults { cut_after: Some(4), calls: Some(1), ..Default::default() };
         system.set_pool_faults("generate", &cut).await.unwrap();
         for id in ["first", "second", "third"] {
-            tell(system, CERTIFICATE, &fixture::request(id, "input")).await;
+            send_and_print(system, CERTIFICATE, &fixture::request(id, "input")).await;
         }
         let cut = EndpointFaults { cut_after: Some(1), ..Default::default() };
         system.set_pool_faults("ledger", &cut).await.unwrap();
-        tell(system, TICKET, &fixture::once("paid", "input")).await;
-        tell(system, TICKET, &RequestBody { repeat: true, ..fixture::once("paid", "input") }).await;
+        send_and_print(system, TICKET, &fixture::once("paid", "input")).await;
+        send_and_print(
+            system,
+            TICKET,
+            &RequestBody { repeat: true, ..fixture::once("paid", "input") },
+        )
+        .await;
     })
     .await;
 }
@@ -128,37 +134,42 @@
         system.set_faults("encode-1", &wrong).await.unwrap();
         system.set_faults("generate-2", &wrong).await.unwrap();
         for id in ["first", "second", "third", "fourth"] {
-            tell(system, CERTIFICATE, &fixture::request(id, id)).await;
+            send_and_print(system, CERTIFICATE, &fixture::request(id, id)).await;
         }
         system.set_pool_faults("ledger", &wrong).await.unwrap();
-        tell(system, TICKET, &fixture::once("paid", "input")).await;
+        send_and_print(system, TICKET, &fixture::once("paid", "input")).await;
     })
     .await;
 }
 
-/// Every endpoint of a pool refuses, or is gone.
+/// All endpoints of a pool refuse calls, or have been killed.
 async fn refused(folder: &Path) {
     record(folder, "refused", Builder::default().entries(1), async |system| {
         let busy = EndpointFaults { refuse: Some(RefuseReason::Busy), ..Default::default() };
         system.set_pool_faults("encode", &busy).await.unwrap();
         let body = RequestBody { deadline_ms: SHORT_MS, ..fixture::request("read", "input") };
-        tell(system, CERTIFICATE, &body).await;
+        send_and_print(system, CERTIFICATE, &body).await;
         let body = RequestBody { deadline_ms: SHORT_MS, ..fixture::once("paid", "input") };
-        tell(system, TICKET, &body).await;
+        send_and_print(system, TICKET, &body).await;
         system.set_pool_faults("encode", &EndpointFaults::default()).await.unwrap();
-        tell(system, TICKET, &RequestBody { repeat: true, ..fixture::once("paid", "input") }).await;
+        send_and_print(
+            system,
+            TICKET,
+            &RequestBody { repeat: true, ..fixture::once("paid", "input") },
+        )
+        .await;
         system.kill("rerank-1").unwrap();
         system.kill("rerank-2").unwrap();
         let body = RequestBody { deadline_ms: SHORT_MS, ..fixture::request("late", "input") };
-        tell(system, CERTIFICATE, &body).await;
+        send_and_print(system, CERTIFICATE, &body).await;
     })
     .await;
 }
 
-/// Endpoints leave, by the list and by their own word, then the entry stops.
+/// Endpoints leave, as the list or they themselves report; then the entry stops.
 async fn drain(folder: &Path) {
     record(folder, "drain", Builder::default().entries(1), async |system| {
-        tell(system, CERTIFICATE, &fixture::request("before", "input")).await;
+        send_and_print(system, CERTIFICATE, &fixture::request("before", "input")).await;
         let leaving = Some(RefuseReason::Leaving);
         let leaving = EndpointFaults { refuse: leaving, ..Default::default() };
         system.set_faults("ledger-1", &leaving).await.unwrap();
@@ -169,10 +180,10 @@
             let mut endpoints = status.endpoints.iter();
             endpoints.any(|known| &*known.endpoint == "encode-1" && &*known.state == "leaving")
         };
-        system.wait_status("entry-1", what, BOUND, left).await.unwrap();
+        system.wait_status("entry-1", what, TIMEOUT, left).await.unwrap();
         for id in ["one", "two", "three", "four"] {
-            tell(system, TICKET, &fixture::once(&format!("pay-{id}"), "input")).await;
-            tell(system, CERTIFICATE, &fixture::request(id, "input")).await;
+            send_and_print(system, TICKET, &fixture::once(&format!("pay-{id}"), "input")).await;
+            send_and_print(system, CERTIFICATE, &fixture::request(id, "input")).await;
         }
         let slow = EndpointFaults { delay_ms: SLOW_MS, ..Default::default() };
         system.set_pool_faults("retrieve", &slow).await.unwrap();
@@ -180,19 +191,19 @@
         let held = fixture::request("held", "input");
         let held = system.request("entry-1", CERTIFICATE, &held);
         let late = async {
-            let look = async || system.calls_for("held").await.ok().filter(|calls| calls.len() > 1);
-            wait::until("the held request's second stage", BOUND, look).await.unwrap();
+            let poll = async || system.calls_for("held").await.ok().filter(|calls| calls.len() > 1);
+            wait::until("the held request's second stage", TIMEOUT, poll).await.unwrap();
             terminate(pid);
-            let look = async || {
+            let poll = async || {
                 let body = fixture::request("late", "input");
                 let reply = system.request("entry-1", TICKET, &body).await;
                 reply.ok().filter(|reply| reply.status == 503)
             };
-            wait::until("the end of the grace", BOUND, look).await.unwrap();
+            wait::until("the end of the grace", TIMEOUT, poll).await.unwrap();
         };
         let (held, ()) = futures::join!(held, late);
         println!("held: {}", held.unwrap().status);
-        system.process("entry-1").unwrap().wait(BOUND).await.unwrap();
+        system.process("entry-1").unwrap().wait(TIMEOUT).await.unwrap();
     })
     .await;
 }
@@ -202,7 +213,7 @@
     assert!(status.unwrap().success());
 }
 
-async fn tell(system: &System, pipeline: &str, body: &RequestBody) {
+async fn send_and_print(system: &System, pipeline: &str, body: &RequestBody) {
     let reply = system.request("entry-1", pipeline, body).await.unwrap();
     println!("{}: {}", body.id, reply.status);
 }
--- a/crates/testsuite/tests/testsuite/invalid.rs
+++ b/crates/testsuite/tests/testsuite/invalid.rs
@@ -1,4 +1,5 @@
-//! Input that is wrong: a typed error with its remedy each, and nothing runs.
+//! Each kind of invalid input gets an error with its own code and a remedy, and
+//! nothing runs.
 
 use std::{env, fs, process};
 
@@ -8,7 +9,7 @@
     http::Reply,
     process::{Process, Spec},
     processes::{TOKEN, builder::Builder},
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::{
     admin::{ApiError, ErrorDetail},
@@ -18,14 +19,14 @@
 
 use crate::support::Bench;
 
-/// The longest body that the entries take here.
+/// Largest request body that the entries of this test accept.
 const MAX_BODY: usize = 4_096;
 
 fn body() -> Value {
     serde_json::to_value(fixture::once("invalid", "trailer")).unwrap()
 }
 
-/// A body with one field set, or taken out.
+/// A body with one field set.
 fn with(field: &str, value: Value) -> String {
     let mut body = body();
     body[field] = value;
@@ -39,7 +40,7 @@
 }
 
 #[ntex::test]
-async fn a_request_that_is_wrong_gets_its_error_and_does_not_run() {
+async fn an_invalid_request_gets_its_error_and_does_not_run() {
     let bench = Bench::start(Builder::default().entry_flags(&["--max-body", "4096"])).await;
     let long = "x".repeat(129);
     let cases = [
@@ -62,11 +63,11 @@
         (CERTIFICATE, with("prioriti", 1.into()), "400 unknown_field"),
     ];
     let addr = bench.system.addr("entry-1").unwrap().to_owned();
-    for (pipeline, body, told) in cases {
+    for (pipeline, body, expected) in cases {
         let path = format!("/v1/pipelines/{pipeline}/requests");
         let reply = bench.system.http.post_text(None, &addr, &path, body).await.unwrap();
         let error: ErrorBody = reply.json().unwrap();
-        assert_eq!(format!("{} {}", reply.status, error.code), told, "{error:?}");
+        assert_eq!(format!("{} {}", reply.status, error.code), expected, "{error:?}");
         assert_eq!(&*error.outcome, "invalid", "{error:?}");
         assert!(!error.remedy.is_empty() && !error.message.is_empty(), "{error:?}");
     }
@@ -74,7 +75,7 @@
     bench.finish().await;
 }
 
-/// Publishes as an operator with that token would.
+/// Publishes with the given token; expects an error body.
 async fn publish(bench: &Bench, token: Option<&str>, document: &Value) -> (Reply, ApiError) {
     let body = json!({ "id": "wrong", "base": 1, "author": "test", "document": document });
     let addr = bench.system.addr("admin").unwrap();
@@ -84,13 +85,13 @@
     (reply, error)
 }
 
-async fn check_publish(bench: &Bench, token: Option<&str>, document: &Value, told: &str) {
+async fn check_publish(bench: &Bench, token: Option<&str>, document: &Value, expected: &str) {
     let (reply, error) = publish(bench, token, document).await;
-    assert_eq!(format!("{} {}", reply.status, error.code), told, "{error:?}");
+    assert_eq!(format!("{} {}", reply.status, error.code), expected, "{error:?}");
     assert!(!error.remedy.is_empty(), "{error:?}");
 }
 
-/// A document that the checker refuses at one place.
+/// Publishes the fixture's document with a change that makes it invalid at `place`.
 async fn check_problem(bench: &Bench, change: impl FnOnce(&mut Document), place: &str) {
     let mut document = fixture::document();
     change(&mut document);
@@ -104,7 +105,7 @@
 }
 
 #[ntex::test]
-async fn a_publish_that_is_wrong_gets_its_error_and_changes_nothing() {
+async fn an_invalid_publish_gets_its_error_and_changes_nothing() {
     let bench = Bench::start(Builder::default()).await;
     let document = serde_json::to_value(fixture::document()).unwrap();
     check_publish(&bench, None, &document, "401 unauthorized").await;
@@ -130,9 +131,9 @@
     fs::write(&path, "[[team]]\nname = \"bala\"\nwieght = 2\n").unwrap();
     let spec = Spec::new("check", "peatdeck").args(["check", path.to_str().unwrap()]);
     let mut check = Process::start(&spec).unwrap();
-    let status = check.wait(BOUND).await.unwrap();
-    let said = async || Some(check.log()).filter(|log| log.contains("help:"));
-    let log = wait::until("the error's remedy", BOUND, said).await.unwrap();
+    let status = check.wait(TIMEOUT).await.unwrap();
+    let error_log = async || Some(check.log()).filter(|log| log.contains("help:"));
+    let log = wait::until("the error's remedy", TIMEOUT, error_log).await.unwrap();
     fs::remove_file(&path).unwrap();
     assert_eq!(status.code(), Some(3), "{log}");
     assert!(log.contains("unknown field `wieght`") && log.contains(":3:1"), "{log}");
