--- a/crates/core/examples/pool/world.rs
+++ b/crates/core/examples/pool/world.rs
@@ -207,9 +207,9 @@
         let service = latency.quantile(0.5).unwrap_or_default();
         let guess = || admission::expected_wait(ahead, slots, service);
         let wait = drain.time_to_drain(self.now, ahead).unwrap_or_else(guess);
-        let (work, min_work) = (timing::work(&[latency]), timing::min_work(&[latency]));
+        let (work, least_work) = (timing::work(&[latency]), timing::min_work(&[latency]));
         let left = self.deadline();
-        let estimate = Estimate { left, wait, work, min_work, share: Share::default() };
+        let estimate = Estimate { left, wait, work, min_work: least_work, share: Share::default() };
         let fits = admission::decide(&estimate).is_ok();
         if !fits && !probe.is_due(self.now) {
             return None;
