--- a/crates/core/examples/pool/world.rs
+++ b/crates/core/examples/pool/world.rs
@@ -62,7 +62,7 @@
     service: [f64; MAX_ATTEMPTS],
     calls: Vec<usize>,
     done: bool,
-    /// Whether it was admitted as a probe although the estimate exceeds its deadline.
+    /// Whether it was admitted as a probe although its estimate does not fit its deadline.
     probe: bool,
 }
 
--- a/crates/test-support/src/fixture.rs
+++ b/crates/test-support/src/fixture.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// A pool with the default cost.
+/// A pool with cost 1 that is not fenced.
 pub fn pool(name: &str, kind: PoolKind) -> Pool {
     Pool { name: name.into(), kind, cost: 1.0, fenced: false }
 }
--- a/crates/xtask/src/capacity.rs
+++ b/crates/xtask/src/capacity.rs
@@ -123,7 +123,7 @@
     /// Name of the entry that it must not exceed.
     #[serde(default)]
     pub limit: Option<String>,
-    /// The mechanism that causes or handles this load.
+    /// The mechanism that carries this load; may be empty.
     #[serde(default)]
     pub by: String,
 }
--- a/crates/xtask/src/regress.rs
+++ b/crates/xtask/src/regress.rs
@@ -212,7 +212,7 @@
     text.lines().filter_map(row).collect()
 }
 
-/// Reads the number of the relay's own machines at a site from a score.
+/// Reads the number of own machines of a site from the column `own/srv` of a score.
 pub fn machines(text: &str) -> Option<u32> {
     let row = text.lines().find(|line| line.starts_with("quiet-"))?;
     row.split_whitespace().nth(1)?.split_once('/')?.0.parse().ok()
