--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -66,7 +66,7 @@
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
-        retry_budget: budget,
+        retry_budget,
         min_instances: 74,
         millicores: 120,
     };
--- a/crates/standin/tests/testsuite/list.rs
+++ b/crates/standin/tests/testsuite/list.rs
@@ -9,7 +9,7 @@
     faults::ListFaults,
     listings::{Lag, Listings},
 };
-use peatdeck_test_support::wait::{self, BOUND};
+use peatdeck_test_support::wait::{self, TIMEOUT};
 
 use crate::support::Standin;
 
@@ -86,7 +86,7 @@
     list.set_list("old").await;
     list.set_list("new").await;
     let look = async || (list.shown().await == "new").then_some(());
-    wait::until("the new listing", BOUND, look).await.unwrap();
+    wait::until("the new listing", TIMEOUT, look).await.unwrap();
 }
 
 #[ntex::test]
--- a/crates/standin/tests/testsuite/log.rs
+++ b/crates/standin/tests/testsuite/log.rs
@@ -11,7 +11,7 @@
 use peatdeck_test_support::{
     error::Result,
     http::Reply,
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::platform::{AppendBody, AppendReply, ReadReply};
 
@@ -67,10 +67,10 @@
     let read = log.read(0, 60_000);
     let append = async {
         let waits = async || (log.log_state().await.counts.waiting == 1).then_some(());
-        wait::until("a waiting read", BOUND, waits).await.unwrap();
+        wait::until("a waiting read", TIMEOUT, waits).await.unwrap();
         log.append_ok("x").await
     };
-    let both = time::timeout(BOUND, future::join(read, append)).await;
+    let both = time::timeout(TIMEOUT, future::join(read, append)).await;
     let (read, _) = both.expect("the append ends the read before its own limit");
     assert_eq!(read.json::<ReadReply>().unwrap().records.len(), 1);
 }
@@ -134,7 +134,7 @@
     assert!(log.append("late").await.is_err());
     log.append_ok("early").await;
     let landed = async || Some(log.data().await).filter(|data| data.len() == 2);
-    let data = wait::until("the late record", BOUND, landed).await.unwrap();
+    let data = wait::until("the late record", TIMEOUT, landed).await.unwrap();
     assert_eq!(data, ["early", "late"]);
 }
 
@@ -169,10 +169,10 @@
     let read = log.read(1, 60_000);
     let outage = async {
         let waits = async || (log.log_state().await.counts.waiting == 1).then_some(());
-        wait::until("a waiting read", BOUND, waits).await.unwrap();
+        wait::until("a waiting read", TIMEOUT, waits).await.unwrap();
         log.set_faults(&LogFaults { outage: true, ..LogFaults::default() }).await;
     };
-    let both = time::timeout(BOUND, future::join(read, outage)).await;
+    let both = time::timeout(TIMEOUT, future::join(read, outage)).await;
     let (read, ()) = both.expect("the outage ends the read before its own limit");
     assert_eq!(read.status, 503);
     assert_eq!(log.append("y").await.unwrap().status, 503);
--- a/crates/standin/tests/testsuite/service.rs
+++ b/crates/standin/tests/testsuite/service.rs
@@ -13,7 +13,7 @@
     calls::CallState::{Cancelled, Cut, Finished, Running},
     faults::EndpointFaults,
 };
-use peatdeck_test_support::wait::BOUND;
+use peatdeck_test_support::wait::TIMEOUT;
 use peatdeck_wire::endpoint::{CallBody, ReplyBody};
 
 use crate::support::{Standin, call, check_refused, key};
@@ -145,7 +145,7 @@
     let head = "POST /v1/call HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     let kind = "content-type: application/json";
     let mut stream = TcpStream::connect(&service.addr).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let length = json.len();
     write!(stream, "{head}{kind}\r\ncontent-length: {length}\r\n\r\n{json}").unwrap();
     stream
--- a/crates/standin/tests/testsuite/support.rs
+++ b/crates/standin/tests/testsuite/support.rs
@@ -16,7 +16,7 @@
 use peatdeck_test_support::{
     http::{Http, Reply},
     process::{Process, Spec},
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::endpoint::{CallBody, CancelBody, EngineLine, RefusalBody};
 use serde::Serialize;
@@ -82,13 +82,13 @@
             let calls = self.calls().await;
             calls.iter().map(|call| call.state).eq(states.iter().copied()).then_some(())
         };
-        wait::until(&what, BOUND, look).await.unwrap();
+        wait::until(&what, TIMEOUT, look).await.unwrap();
     }
 }
 
 /// The lines of a stream, and whether its body was complete.
 pub async fn read_lines(response: ClientResponse) -> (Vec<EngineLine>, bool) {
-    time::timeout(BOUND, read_to_end(response)).await.expect("the stream ends")
+    time::timeout(TIMEOUT, read_to_end(response)).await.expect("the stream ends")
 }
 
 async fn read_to_end(mut response: ClientResponse) -> (Vec<EngineLine>, bool) {
