--- a/crates/cli/tests/testsuite/publish.rs
+++ b/crates/cli/tests/testsuite/publish.rs
@@ -121,16 +121,14 @@
     let bench = Bench::start(name).await;
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let url = format!("http://{}", listener.local_addr().expect("a bound address"));
-    std::thread::spawn(move || {
-        replies.into_iter().try_for_each(|reply| serve_one(&listener, reply))
-    });
+    std::thread::spawn(move || replies.into_iter().try_for_each(|reply| serve(&listener, reply)));
     let file = bench.file("fleet.toml", TEAM);
     let args = [&PUBLISH[..], &["--admin", &url, "--base", "0", &file]].concat();
     support::run(bench.token.clone(), &args).await
 }
 
 /// Reads one complete request, sends the reply and closes the connection.
-fn serve_one(listener: &TcpListener, reply: &str) -> std::io::Result<()> {
+fn serve(listener: &TcpListener, reply: &str) -> std::io::Result<()> {
     let (mut stream, _) = listener.accept()?;
     let mut request = BufReader::new(stream.try_clone()?);
     let mut length = 0;
@@ -152,7 +150,7 @@
 const CUT: &str = "";
 const GATEWAY: &str =
     "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 4\r\nConnection: close\r\n\r\noops";
-const LOG_OUT: &str = "HTTP/1.1 503 Out\r\nContent-Length: 43\r\nConnection: close\r\n\r\n\
+const LOG_UNAVAILABLE: &str = "HTTP/1.1 503 Out\r\nContent-Length: 43\r\nConnection: close\r\n\r\n\
                        {\"code\":\"log_out\",\"message\":\"\",\"remedy\":\"\"}";
 
 #[peatdeck_macros::on_system]
@@ -170,7 +168,7 @@
 
 #[peatdeck_macros::on_system]
 async fn a_later_refusal_does_not_hide_an_earlier_unknown_result() {
-    let answer = publish_to("publish-doubt", [CUT, LOG_OUT, LOG_OUT]).await;
+    let answer = publish_to("publish-doubt", [CUT, LOG_UNAVAILABLE, LOG_UNAVAILABLE]).await;
     assert!(answer.starts_with("exit 5\n"), "{answer}");
 }
 
