--- a/crates/standin/src/calls.rs
+++ b/crates/standin/src/calls.rs
@@ -12,7 +12,7 @@
 
 use crate::answer;
 
-/// One call, numbered by the endpoint from 0.
+/// Number of a call at its endpoint, counted from 0.
 #[id]
 #[derive(Copy, Serialize, Deserialize)]
 pub struct CallSeq(pub u64);
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -205,12 +205,12 @@
         }
     }
 
-    async fn delay(&self) {
+    async fn delay_request(&self) {
         let delay_ms = reply::lock(&self.state).faults.delay_ms;
         pause(delay_ms).await;
     }
 
-    async fn delay_answer(&self) {
+    async fn delay_response(&self) {
         let answer_ms = reply::lock(&self.state).faults.answer_ms;
         pause(answer_ms).await;
     }
@@ -250,7 +250,7 @@
         None
     }
 
-    fn append_outcome(&mut self, stream: &str) -> AppendOutcome {
+    fn decide_outcome(&mut self, stream: &str) -> AppendOutcome {
         if self.faults.stream.as_deref().is_some_and(|only| only != stream) {
             return AppendOutcome::Acknowledge;
         }
@@ -299,14 +299,14 @@
     stream: types::Path<String>,
     body: types::Json<AppendBody>,
 ) -> HttpResponse {
-    log.delay().await;
+    log.delay_request().await;
     let outcome = {
         let now = log.clock.now();
         let mut state = reply::lock(&log.state);
         if let Some(status) = state.reject(now) {
             return HttpResponse::new(status);
         }
-        let outcome = state.append_outcome(&stream);
+        let outcome = state.decide_outcome(&stream);
         state.count(outcome);
         outcome
     };
@@ -314,7 +314,7 @@
     match outcome {
         AppendOutcome::Acknowledge => {
             let offset = log.append(&stream, data);
-            log.delay_answer().await;
+            log.delay_response().await;
             reply::json(StatusCode::OK, &AppendReply { offset })
         }
         AppendOutcome::Lose => append_unacknowledged(&req, &log, &stream, data).await,
@@ -354,12 +354,12 @@
     stream: types::Path<String>,
     query: types::Query<ReadQuery>,
 ) -> HttpResponse {
-    log.delay().await;
+    log.delay_request().await;
     let Some(read) = log.poll(&stream, &query).await else {
         return reply::unavailable();
     };
     reply::lock(&log.state).counts.reads += 1;
-    log.delay_answer().await;
+    log.delay_response().await;
     reply::json(StatusCode::OK, &read)
 }
 
