--- a/crates/admin/tests/testsuite/drain.rs
+++ b/crates/admin/tests/testsuite/drain.rs
@@ -27,7 +27,7 @@
 async fn a_drain_sent_again_is_not_appended_again() {
     let bench = Bench::start().await;
     bench.platform.list_endpoint("engine-1", 3);
-    bench.platform.state().append_faults.push_back(AppendFault::LoseAnswer);
+    bench.platform.state().append_faults.push_back(AppendFault::LoseReply);
     for _ in 0..2 {
         let answer = bench.post(PATH, json!({"author": "mair"})).await;
         assert!(answer.starts_with("200"), "{answer}");
@@ -61,7 +61,7 @@
 async fn a_log_that_does_not_say_leaves_the_drain_unknown() {
     let bench = Bench::start().await;
     bench.platform.list_endpoint("engine-1", 3);
-    bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
+    bench.platform.state().append_faults.extend([AppendFault::Drop; 100]);
     let answer = bench.post(PATH, json!({"author": "mair"})).await;
     assert!(answer.starts_with("503\nRetry-After: 5\n"), "{answer}");
     assert!(answer.contains("\"code\":\"unknown\""), "{answer}");
--- a/crates/admin/tests/testsuite/evacuate.rs
+++ b/crates/admin/tests/testsuite/evacuate.rs
@@ -35,7 +35,7 @@
 #[peatdeck_macros::on_system]
 async fn an_order_that_holds_is_not_appended_again() {
     let bench = Bench::start().await;
-    bench.platform.state().append_faults.push_back(AppendFault::LoseAnswer);
+    bench.platform.state().append_faults.push_back(AppendFault::LoseReply);
     for _ in 0..2 {
         let answer = bench.post(PATH, json!({"author": "mair"})).await;
         assert!(answer.starts_with("200"), "{answer}");
@@ -59,7 +59,7 @@
 #[peatdeck_macros::on_system]
 async fn a_log_that_does_not_say_leaves_the_order_unknown() {
     let bench = Bench::start().await;
-    bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
+    bench.platform.state().append_faults.extend([AppendFault::Drop; 100]);
     let answer = bench.post(PATH, json!({"author": "mair"})).await;
     assert!(answer.starts_with("503\nRetry-After: 5\n"), "{answer}");
     assert!(answer.contains("\"code\":\"unknown\""), "{answer}");
--- a/crates/admin/tests/testsuite/publish.rs
+++ b/crates/admin/tests/testsuite/publish.rs
@@ -84,7 +84,7 @@
 #[peatdeck_macros::on_system]
 async fn a_lost_answer_is_settled_by_reading() {
     let bench = Bench::start().await;
-    bench.platform.state().append_faults.push_back(AppendFault::LoseAnswer);
+    bench.platform.state().append_faults.push_back(AppendFault::LoseReply);
     let answer = bench.publish("p-1", 0, TEAM).await;
     assert!(answer.starts_with("200"), "{answer}");
     assert_eq!(bench.platform.state().records.len(), 1);
@@ -93,7 +93,7 @@
 #[peatdeck_macros::on_system]
 async fn an_append_without_effect_or_answer_is_sent_again() {
     let bench = Bench::start().await;
-    bench.platform.state().append_faults.push_back(AppendFault::Swallow);
+    bench.platform.state().append_faults.push_back(AppendFault::Drop);
     let answer = bench.publish("p-1", 0, TEAM).await;
     assert!(answer.starts_with("200"), "{answer}");
     assert_eq!(bench.platform.state().records.len(), 1);
@@ -134,7 +134,7 @@
 #[peatdeck_macros::on_system]
 async fn a_log_over_its_rate_means_nothing_was_published() {
     let bench = Bench::start().await;
-    bench.platform.state().append_faults.push_back(AppendFault::OverRate);
+    bench.platform.state().append_faults.push_back(AppendFault::RateLimit);
     let answer = bench.publish("p-1", 0, TEAM).await;
     assert!(answer.starts_with("503\nRetry-After: 5\n"), "{answer}");
     assert!(answer.contains("\"code\":\"log_out\""), "{answer}");
@@ -145,7 +145,7 @@
 #[peatdeck_macros::on_system]
 async fn a_log_that_does_not_say_leaves_the_publish_unknown() {
     let bench = Bench::start().await;
-    bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
+    bench.platform.state().append_faults.extend([AppendFault::Drop; 100]);
     expect![[r#"
         503
         Retry-After: 5
@@ -160,7 +160,7 @@
 #[peatdeck_macros::on_system]
 async fn a_log_that_cannot_be_read_is_not_written() {
     let bench = Bench::start().await;
-    bench.platform.state().reads_out = true;
+    bench.platform.state().has_read_outage = true;
     let answer = bench.publish("p-1", 0, TEAM).await;
     assert!(answer.contains("\"code\":\"log_out\""), "{answer}");
     assert!(bench.platform.state().records.is_empty());
--- a/crates/admin/tests/testsuite/restore.rs
+++ b/crates/admin/tests/testsuite/restore.rs
@@ -76,7 +76,7 @@
         409
         {"code":"still_held","message":"instance `entry-1` still has version 2 in force, so it is not lost; nothing was appended","remedy":"wait for its snapshot, or stop the instance if its version is not the one to continue from; then send the restore again"}
     "#]].assert_eq(&restore(&bench, "r-1", 2).await);
-    bench.platform.state().list_out = true;
+    bench.platform.state().has_list_outage = true;
     let answer = restore(&bench, "r-1", 2).await;
     assert!(answer.contains("\"code\":\"list_out\""), "{answer}");
     assert_eq!(bench.platform.state().records.len(), 2);
@@ -85,7 +85,7 @@
 #[peatdeck_macros::on_system]
 async fn a_restore_sent_twice_or_without_an_answer_counts_once() {
     let bench = lost().await;
-    bench.platform.state().append_faults.push_back(AppendFault::LoseAnswer);
+    bench.platform.state().append_faults.push_back(AppendFault::LoseReply);
     let first = restore(&bench, "r-1", 2).await;
     assert!(first.starts_with("200"), "{first}");
     assert_eq!(restore(&bench, "r-1", 2).await, first);
--- a/crates/admin/tests/testsuite/show.rs
+++ b/crates/admin/tests/testsuite/show.rs
@@ -26,7 +26,7 @@
 async fn an_outage_of_the_log_is_said_and_hides_nothing() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
-    bench.platform.state().reads_out = true;
+    bench.platform.state().has_read_outage = true;
     let answer = bench.get("/v1/config").await;
     assert!(answer.starts_with("200"), "{answer}");
     assert!(answer.contains("\"confirmed\":false"), "{answer}");
@@ -118,7 +118,7 @@
 {"entries":[{"counters":{},"data_centre":"dc1","endpoints":[],"incarnation":1,"instance":"entry-1","outcomes":[],"peers":[],"ready":true,"reasons":[],"running":0,"version":0}],"missing":[{"instance":"entry-2","reason":"no connection to 127.0.0.1:1: Connection refused (os error 111); check the address and that the service runs"}]}
 "#;
     assert_eq!(bench.get("/v1/status").await, expected);
-    bench.platform.state().list_out = true;
+    bench.platform.state().has_list_outage = true;
     let answer = bench.get("/v1/status").await;
     assert!(answer.contains("\"code\":\"list_out\""), "{answer}");
 }
--- a/crates/admin/tests/testsuite/token.rs
+++ b/crates/admin/tests/testsuite/token.rs
@@ -47,10 +47,10 @@
     let bench = Bench::start().await;
     let live = support::answer(bench.bare(Method::GET, "/livez"), None).await;
     assert_eq!(live, "200\nlive\n");
-    bench.platform.state().reads_out = true;
+    bench.platform.state().has_read_outage = true;
     let ready = support::answer(bench.bare(Method::GET, "/readyz"), None).await;
     assert!(ready.starts_with("503\nnot ready: "), "{ready}");
-    bench.platform.state().reads_out = false;
+    bench.platform.state().has_read_outage = false;
     let ready = support::answer(bench.bare(Method::GET, "/readyz"), None).await;
     assert_eq!(ready, "200\nready\n");
 }
--- a/crates/cli/tests/testsuite/publish.rs
+++ b/crates/cli/tests/testsuite/publish.rs
@@ -61,7 +61,7 @@
 #[peatdeck_macros::on_system]
 async fn what_is_unknown_is_not_called_a_failure() {
     let bench = Bench::start("publish-unknown").await;
-    bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
+    bench.platform.state().append_faults.extend([AppendFault::Drop; 100]);
     let file = bench.file("fleet.toml", TEAM);
     let args = [&PUBLISH[..], &["--base", "0", &file]].concat();
     expect![[r#"
--- a/crates/cli/tests/testsuite/show.rs
+++ b/crates/cli/tests/testsuite/show.rs
@@ -128,7 +128,7 @@
 async fn an_outage_is_said_in_the_file_and_by_the_exit_code() {
     let bench = Bench::start("show-outage").await;
     bench.run(&["show"]).await;
-    bench.platform.state().reads_out = true;
+    bench.platform.state().has_read_outage = true;
     expect![[r#"
         exit 6
         # version 0
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -30,11 +30,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendFault {
     /// The append takes effect, but its reply is an internal error.
-    LoseAnswer,
+    LoseReply,
     /// The append has no effect, and the reply doesn't say so.
-    Swallow,
+    Drop,
     /// The append is refused with "too many requests" and has no effect.
-    OverRate,
+    RateLimit,
 }
 
 /// Handle of the platform's state, shared with its servers.
@@ -52,10 +52,10 @@
     pub append_faults: VecDeque<AppendFault>,
     /// Record of another writer that is appended just before the next append.
     pub competing_record: Option<Arc<str>>,
-    /// Whether reads are refused.
-    pub reads_out: bool,
-    /// Whether the list is refused.
-    pub list_out: bool,
+    /// Whether reads of the log fail with status 503.
+    pub has_read_outage: bool,
+    /// Whether requests to the list fail with status 503.
+    pub has_list_outage: bool,
     /// The listing that the list returns.
     pub listing: Listing,
     /// Counts of outcomes that each instance reports in its status.
@@ -154,9 +154,9 @@
     state.records.extend(competing_record);
     let fault = state.append_faults.pop_front();
     match fault {
-        Some(AppendFault::OverRate) => return HttpResponse::TooManyRequests().finish(),
-        Some(AppendFault::Swallow) => return HttpResponse::ServiceUnavailable().finish(),
-        Some(AppendFault::LoseAnswer) | None => {}
+        Some(AppendFault::RateLimit) => return HttpResponse::TooManyRequests().finish(),
+        Some(AppendFault::Drop) => return HttpResponse::ServiceUnavailable().finish(),
+        Some(AppendFault::LoseReply) | None => {}
     }
     let offset = state.records.len() as u64;
     state.records.push(Arc::clone(&body.data));
@@ -178,7 +178,7 @@
     while platform.state().records.len() <= range.from && Instant::now() < end {
         ntex::time::sleep(POLL_INTERVAL).await;
     }
-    if platform.state().reads_out {
+    if platform.state().has_read_outage {
         return HttpResponse::ServiceUnavailable().finish();
     }
     let state = platform.state();
@@ -199,7 +199,7 @@
 
 async fn list(platform: types::State<Platform>) -> HttpResponse {
     let state = platform.state();
-    if state.list_out {
+    if state.has_list_outage {
         return HttpResponse::ServiceUnavailable().finish();
     }
     HttpResponse::Ok().json(&state.listing)
--- a/crates/testsuite/src/lib.rs
+++ b/crates/testsuite/src/lib.rs
@@ -1,1 +1,1 @@
-//! Placeholder.
+//! Empty library: this package has tests across crates.
