--- a/crates/admin/tests/testsuite/drain.rs
+++ b/crates/admin/tests/testsuite/drain.rs
@@ -11,7 +11,7 @@
 const PATH: &str = "/v1/endpoints/engine-1/drain";
 
 #[peatdeck_macros::on_system]
-async fn a_drain_holds_for_the_listed_incarnation() {
+async fn a_drain_applies_to_the_listed_incarnation() {
     let bench = Bench::start().await;
     bench.platform.list_endpoint("engine-1", 3);
     expect![[r#"
@@ -40,7 +40,7 @@
     let bench = Bench::start().await;
     expect![[r#"
         404
-        {"code":"unknown_endpoint","message":"the platform's list has no endpoint `engine-1`","remedy":"check the name; a new endpoint appears in the list after some seconds"}
+        {"code":"unknown_endpoint","message":"the platform's list has no endpoint `engine-1`","remedy":"check the name; a new endpoint shows in the list after some seconds"}
     "#]]
     .assert_eq(&bench.post(PATH, json!({"author": "mair"})).await);
 }
@@ -52,13 +52,13 @@
     let body = json!({"author": "mair", "incarnation": 2});
     expect![[r#"
         409
-        {"code":"other_incarnation","message":"endpoint `engine-1` is in incarnation 3, not 2","remedy":"omit the incarnation to drain the current one"}
+        {"code":"other_incarnation","message":"endpoint `engine-1` is in incarnation 3, not 2","remedy":"leave the incarnation out to drain the present one"}
     "#]]
     .assert_eq(&bench.post(PATH, body).await);
 }
 
 #[peatdeck_macros::on_system]
-async fn a_log_that_does_not_say_leaves_the_drain_unknown() {
+async fn an_unconfirmed_append_leaves_the_drain_unknown() {
     let bench = Bench::start().await;
     bench.platform.list_endpoint("engine-1", 3);
     bench.platform.state().append_faults.extend([AppendFault::Drop; 100]);
--- a/crates/admin/tests/testsuite/publish.rs
+++ b/crates/admin/tests/testsuite/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing: accepted, refused, in conflict, and settled after lost answers.
+//! Publishing: accepted, refused, in conflict, and confirmed after lost responses.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,7 +18,7 @@
 const OTHER: &str = "[[team]]\nname = \"other\"\n";
 
 #[peatdeck_macros::on_system]
-async fn an_accepted_publish_says_where_it_is_in_force() {
+async fn an_accepted_publish_reports_where_it_is_in_force() {
     let bench = Bench::start().await;
     let _one = bench.platform.add_instance("entry-1");
     bench.platform.list_instance("entry-2", "127.0.0.1:1");
@@ -53,9 +53,9 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn racing_publishes_have_one_winner() {
+async fn one_of_two_concurrent_publishes_is_accepted() {
     let bench = Bench::start().await;
-    let another = bench.another().await;
+    let another = bench.another_api().await;
     let (one, two) =
         futures::future::join(bench.publish("p-1", 0, TEAM), another.publish("p-2", 0, OTHER))
             .await;
@@ -65,7 +65,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_conflict_seen_only_in_the_log_is_told() {
+async fn a_conflict_seen_only_in_the_log_is_reported() {
     let bench = Bench::start().await;
     bench.platform.append_before_next(&ConfigRecord::Publish(Publish {
         id: "p-1".into(),
@@ -82,7 +82,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_lost_answer_is_settled_by_reading() {
+async fn an_append_with_a_lost_response_is_confirmed_by_reading() {
     let bench = Bench::start().await;
     bench.platform.state().append_faults.push_back(AppendFault::LoseReply);
     let answer = bench.publish("p-1", 0, TEAM).await;
@@ -91,7 +91,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn an_append_without_effect_or_answer_is_sent_again() {
+async fn an_append_without_effect_or_response_is_sent_again() {
     let bench = Bench::start().await;
     bench.platform.state().append_faults.push_back(AppendFault::Drop);
     let answer = bench.publish("p-1", 0, TEAM).await;
@@ -103,18 +103,18 @@
 async fn a_publish_sent_twice_counts_once() {
     let bench = Bench::start().await;
     let first = bench.publish("p-1", 0, TEAM).await;
-    let again = bench.another().await.publish("p-1", 0, TEAM).await;
+    let again = bench.another_api().await.publish("p-1", 0, TEAM).await;
     assert_eq!(first, again);
     assert_eq!(bench.platform.state().records.len(), 1);
     expect![[r#"
         409
-        {"code":"id_reused","message":"the log already holds publish `p-1` with another document, base or author","remedy":"publish with a new id"}
+        {"code":"id_reused","message":"publish `p-1` stands in the log with another document, base or author","remedy":"publish with a new id"}
     "#]]
     .assert_eq(&bench.publish("p-1", 1, OTHER).await);
 }
 
 #[peatdeck_macros::on_system]
-async fn a_record_that_stands_twice_counts_once() {
+async fn a_duplicate_record_counts_once() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
     let record = bench.platform.state().records[0].clone();
@@ -143,17 +143,17 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_log_that_does_not_say_leaves_the_publish_unknown() {
+async fn an_unconfirmed_append_leaves_the_publish_unknown() {
     let bench = Bench::start().await;
     bench.platform.state().append_faults.extend([AppendFault::Drop; 100]);
     expect![[r#"
         503
         Retry-After: 5
-        {"code":"unknown","detail":{"id":"p-1","kind":"unknown"},"message":"unknown: publish `p-1` may have taken effect; the log did not confirm it in time","remedy":"request the verdict on `p-1` (GET /v1/config/verdict/p-1, `peatdeck show --verdict p-1`), or publish again with the same id: it takes effect once"}
+        {"code":"unknown","detail":{"id":"p-1","kind":"unknown"},"message":"unknown: publish `p-1` may have taken effect, and the log did not say in time","remedy":"ask for the verdict of `p-1` (GET /v1/config/verdict/p-1, `peatdeck show --verdict p-1`), or publish again with the same id: it counts once"}
     "#]].assert_eq(&bench.publish("p-1", 0, TEAM).await);
     expect![[r#"
         404
-        {"code":"unknown_publish","message":"the log holds no publish `p-1`","remedy":"if an append of it may still be in flight, publish again with the same id: it takes effect once"}
+        {"code":"unknown_publish","message":"the log holds no publish `p-1`","remedy":"if an append of it may still be on its way, publish again with the same id: it counts once"}
     "#]].assert_eq(&bench.get("/v1/config/verdict/p-1").await);
 }
 
@@ -172,7 +172,7 @@
     let source = "[[team]]\nname = \"\"\nweight = 0\n";
     expect![[r#"
         422
-        {"code":"invalid_document","detail":{"kind":"invalid","problems":[{"message":"the name is empty","path":{"field":"name","steps":[{"index":0,"name":"","table":"team"}]},"remedy":"give it a name"},{"message":"the weight is 0, so the team would never get a share","path":{"field":"weight","steps":[{"index":0,"name":"","table":"team"}]},"remedy":"set `weight` to 1 or more, or remove the team"}]},"message":"the document has 2 problem(s), the first: team \"\" name: the name is empty","remedy":"correct every problem listed and publish again"}
+        {"code":"invalid_document","detail":{"kind":"invalid","problems":[{"message":"the name is empty","path":{"field":"name","steps":[{"index":0,"name":"","table":"team"}]},"remedy":"give it a name"},{"message":"the weight is 0, so the team would never get a share","path":{"field":"weight","steps":[{"index":0,"name":"","table":"team"}]},"remedy":"set `weight` to 1 or more, or remove the team"}]},"message":"the document has 2 problem(s), the first: team \"\" name: the name is empty","remedy":"mend every problem listed and publish again"}
     "#]]
     .assert_eq(&bench.publish("p-1", 0, source).await);
     assert!(bench.platform.state().records.is_empty());
@@ -213,7 +213,7 @@
     let large = json!({"document": "x".repeat(1024 * 1024)});
     expect![[r#"
         413
-        {"code":"too_large","message":"the body exceeds 1048576 bytes","remedy":"shorten policies or remove what is unused"}
+        {"code":"too_large","message":"the body takes more than 1048576 bytes","remedy":"shorten policies or remove what is unused"}
     "#]]
     .assert_eq(&bench.post("/v1/config/check", large).await);
 }
--- a/crates/admin/tests/testsuite/restore.rs
+++ b/crates/admin/tests/testsuite/restore.rs
@@ -1,4 +1,5 @@
-//! Restoring: only where nobody knows what was in force, and then once.
+//! Restoring: only if neither the log nor an instance has the version in force,
+//! and then once.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,12 +18,12 @@
 const TEAM: &str = "[[team]]\nname = \"bala\"\n";
 
 /// An API that starts when all records have expired and no instance runs.
-async fn lost() -> Bench {
+async fn start_without_state() -> Bench {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
     bench.publish("p-2", 1, TEAM).await;
     bench.platform.state().earliest = 2;
-    bench.another().await
+    bench.another_api().await
 }
 
 async fn restore(bench: &Bench, id: &str, version: u64) -> String {
@@ -32,8 +33,8 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn publishing_is_impossible_before_and_possible_after() {
-    let bench = lost().await;
+async fn publishing_works_only_after_the_restore() {
+    let bench = start_without_state().await;
     let before = bench.publish("p-3", 2, TEAM).await;
     assert!(before.contains("\"code\":\"no_state\""), "{before}");
     expect![[r#"
@@ -42,12 +43,12 @@
     "#]]
     .assert_eq(&restore(&bench, "r-1", 2).await);
     assert_eq!(bench.platform.state().records.len(), 3);
-    for api in [&bench, &bench.another().await] {
+    for api in [&bench, &bench.another_api().await] {
         let config = api.get("/v1/config").await;
         assert!(config.contains("\"author\":\"ann\",\"confirmed\":true"), "{config}");
         assert!(config.contains("\"publish\":\"r-1\",\"version\":3"), "{config}");
     }
-    let after = bench.another().await.publish("p-3", 3, TEAM).await;
+    let after = bench.another_api().await.publish("p-3", 3, TEAM).await;
     assert!(after.starts_with("200") && after.contains("\"version\":4"), "{after}");
     expect![[r#"
         200
@@ -56,7 +57,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_restore_is_refused_while_the_log_tells_what_is_in_force() {
+async fn a_restore_is_refused_while_the_log_holds_the_version_in_force() {
     let bench = Bench::start().await;
     let empty = restore(&bench, "r-1", 0).await;
     assert!(empty.contains("\"code\":\"not_lost\""), "{empty}");
@@ -70,11 +71,11 @@
 
 #[peatdeck_macros::on_system]
 async fn a_restore_is_refused_while_an_instance_has_a_version() {
-    let bench = lost().await;
+    let bench = start_without_state().await;
     let _one = bench.platform.add_instance("entry-1");
     expect![[r#"
         409
-        {"code":"still_held","message":"instance `entry-1` still has version 2 in force, so it is not lost; nothing was appended","remedy":"wait for its snapshot, or stop the instance if its version is not the one to continue from; then send the restore again"}
+        {"code":"still_held","message":"instance `entry-1` still has version 2 in force, so it is not lost; nothing was appended","remedy":"wait for its snapshot, or stop it if its version is not the one to go on from; then send it again"}
     "#]].assert_eq(&restore(&bench, "r-1", 2).await);
     bench.platform.state().has_list_outage = true;
     let answer = restore(&bench, "r-1", 2).await;
@@ -84,20 +85,20 @@
 
 #[peatdeck_macros::on_system]
 async fn a_restore_sent_twice_or_without_an_answer_counts_once() {
-    let bench = lost().await;
+    let bench = start_without_state().await;
     bench.platform.state().append_faults.push_back(AppendFault::LoseReply);
     let first = restore(&bench, "r-1", 2).await;
     assert!(first.starts_with("200"), "{first}");
     assert_eq!(restore(&bench, "r-1", 2).await, first);
-    assert_eq!(restore(&bench.another().await, "r-1", 2).await, first);
+    assert_eq!(restore(&bench.another_api().await, "r-1", 2).await, first);
     assert_eq!(bench.platform.state().records.len(), 3);
     let second = restore(&bench, "r-2", 2).await;
     assert!(second.contains("\"code\":\"not_lost\""), "{second}");
 }
 
 #[peatdeck_macros::on_system]
-async fn of_two_restores_at_once_the_first_record_counts() {
-    let bench = lost().await;
+async fn of_two_concurrent_restores_the_first_record_counts() {
+    let bench = start_without_state().await;
     bench.platform.append_before_next(&ConfigRecord::Snapshot(Snapshot {
         as_of: Some(1),
         version: 8,
@@ -111,15 +112,15 @@
         409
         {"code":"not_lost","detail":{"author":"mair","kind":"conflict","publish":"r-0","version":8},"message":"version 8 is in force, so there is nothing to restore; this restore has no effect","remedy":"publish on base 8 instead"}
     "#]].assert_eq(&restore(&bench, "r-1", 2).await);
-    let config = bench.another().await.get("/v1/config").await;
+    let config = bench.another_api().await.get("/v1/config").await;
     assert!(config.contains("\"version\":8"), "{config}");
 }
 
 #[peatdeck_macros::on_system]
-async fn a_restore_does_not_go_back_behind_a_version_that_was_read() {
+async fn a_restore_cannot_go_below_a_version_that_was_read() {
     let bench = Bench::start().await;
     bench.publish("p-1", 0, TEAM).await;
-    let another = bench.another().await;
+    let another = bench.another_api().await;
     another.publish("p-2", 1, TEAM).await;
     another.publish("p-3", 2, TEAM).await;
     bench.platform.state().earliest = 3;
@@ -132,8 +133,8 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn what_is_restored_is_checked_as_a_publish_is() {
-    let bench = lost().await;
+async fn a_restored_document_is_checked_like_a_published_one() {
+    let bench = start_without_state().await;
     let body = json!({"id": "r-1", "version": 2, "author": "ann",
         "document": {"team": [{"name": "bala", "weight": 0}]}});
     let answer = bench.post("/v1/config/restore", body).await;
--- a/crates/cli/tests/testsuite/burn.rs
+++ b/crates/cli/tests/testsuite/burn.rs
@@ -1,4 +1,4 @@
-//! The report on service-level burn.
+//! The error budget burn report.
 
 use expect_test::{Expect, expect};
 use peatdeck::ops::burn::{self, Kind, page, plot};
@@ -42,7 +42,7 @@
 }
 
 fn report(lines: &[(u64, u64, &str)]) -> burn::Report {
-    let document: Document = toml::from_str(FLEET).expect("the test writes TOML");
+    let document: Document = toml::from_str(FLEET).expect("valid TOML");
     let instances = vec!["entry-1".into()];
     let missing =
         vec![MissingInstance { instance: "entry-<2>".into(), reason: "no \"answer\"".into() }];
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn without_requests_nothing_burns() {
+fn without_requests_there_is_no_burn_rate() {
     check(
         &[],
         expect![[r#"
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_lasting_loss_is_a_slow_burn() {
+fn a_sustained_miss_rate_is_a_slow_burn() {
     check(
         &[
             (1800, 93, "ticket bala answered"),
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn requests_that_are_wrong_in_themselves_count_neither_way() {
+fn invalid_requests_count_neither_as_hits_nor_as_misses() {
     let report = report(&[(60, 5, "ticket bala key_reused"), (60, 1, "ticket bala answered")]);
     assert_eq!(report.invalid, 5);
     assert_eq!(report.rows[1].requests, 1);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn codes_are_known_by_their_kind() {
+fn codes_are_mapped_to_their_kind() {
     let codes = ["answered", "infeasible", "claim_horizon", "timed_out", "unknown_team", "new"];
     let kinds = codes.map(burn::kind);
     let expected =
@@ -168,7 +168,7 @@
     assert_eq!(kinds, expected);
 }
 
-const MORNING: [(u64, u64, &str); 8] = [
+const OUTCOMES: [(u64, u64, &str); 8] = [
     (60, 180, "ticket bala answered"),
     (60, 20, "ticket bala infeasible"),
     (60, 6, "ticket corwen timed_out encode"),
@@ -181,7 +181,7 @@
 
 #[test]
 fn the_page_is_whole_and_safe() {
-    let html = page::render(&report(&MORNING));
+    let html = page::render(&report(&OUTCOMES));
     let body = html.split_once("</style>").expect("a style").1;
     expect![[r#"
 
@@ -255,7 +255,7 @@
         </html>
     "#]].assert_eq(body);
     for outside in ["http:", "https:", "<script", "src="] {
-        assert!(!html.contains(outside), "the page needs nothing but itself: {outside}");
+        assert!(!html.contains(outside), "the page refers to something outside it: {outside}");
     }
 }
 
@@ -267,11 +267,11 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn the_command_gathers_from_all_instances() {
+async fn the_command_sums_the_counts_of_all_instances() {
     let bench = Bench::start("burn").await;
     let file = bench.file("fleet.toml", FLEET);
     bench.run(&["publish", "--author", "mair", &file]).await;
-    bench.platform.state().outcomes = rows(&MORNING);
+    bench.platform.state().outcomes = rows(&OUTCOMES);
     let _one = bench.platform.add_instance("entry-1");
     let _two = bench.platform.add_instance("entry-2");
     bench.platform.list_instance("entry-3", "127.0.0.1:1");
@@ -306,7 +306,7 @@
 }
 
 #[peatdeck_macros::on_system]
-async fn a_page_that_cannot_be_written_is_told() {
+async fn a_page_that_cannot_be_written_is_reported() {
     let bench = Bench::start("burn-write").await;
     let answer = bench.run(&["burn", "--html", "/nowhere/burn.html"]).await;
     expect![[r#"
--- a/crates/load/src/table.rs
+++ b/crates/load/src/table.rs
@@ -1,4 +1,4 @@
-//! Reports as tables for people.
+//! Formats reports as text tables.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-fn share(name: &str, share: &Share, got: Option<&f64>, f: &mut Formatter<'_>) -> fmt::Result {
+fn share(name: &str, share: &Share, ratio: Option<&f64>, f: &mut Formatter<'_>) -> fmt::Result {
     write!(
         f,
         "{name:<28} {:>8} {:>9} {:>8} {:>8} {:>10.2}%",
@@ -54,8 +54,8 @@
         share.not_run,
         PERCENT * share.attainment(),
     )?;
-    match got {
-        Some(got) => writeln!(f, " {got:>9.3}"),
+    match ratio {
+        Some(ratio) => writeln!(f, " {ratio:>9.3}"),
         None => writeln!(f),
     }
 }
@@ -89,7 +89,7 @@
 
 fn costs(report: &Report, f: &mut Formatter<'_>) -> fmt::Result {
     let Some(waste) = report.waste else {
-        return writeln!(f, "\nno records of the endpoints: cost and waste not known");
+        return writeln!(f, "\nno records of the endpoints: cost and waste unknown");
     };
     write!(f, "\n{:<34} {:>7} {:>13}", "stage work", "calls", "ms/in time")?;
     for usage in USES {
@@ -126,7 +126,7 @@
 
 fn violations(report: &Report, f: &mut Formatter<'_>) -> fmt::Result {
     if let Some(unread) = &report.blind {
-        writeln!(f, "records are not whole (no records of: {})", unread.join(", "))?;
+        writeln!(f, "records are incomplete (no records of: {})", unread.join(", "))?;
     }
     if report.violations.is_empty() {
         return writeln!(f, "violations: none");
@@ -138,5 +138,5 @@
     Ok(())
 }
 
-/// Turns a share into a percentage.
+/// Factor from a share to a percentage.
 const PERCENT: f64 = 100.0;
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,8 +1,8 @@
-//! What an endpoint answers, derived from the call alone.
+//! Outputs of endpoints, derived from the call alone.
 //!
 //! Any two calls that differ in stage, request or input differ in their
-//! output. A test or a load run can therefore compute the one right answer of
-//! a pipeline with [`expected`] and compare.
+//! output. A test or a load run can therefore compute the one correct output of
+//! a pipeline with [`expected_output`] and compare.
 
 use peatdeck_core::{
     document::{Document, Pipeline, PoolKind, Stage},
@@ -10,7 +10,7 @@
 };
 use xxhash_rust::xxh3;
 
-/// Tokens that an engine generates at the most when a call names no limit.
+/// Maximum number of tokens that an engine generates when a call sets no limit.
 pub const DEFAULT_TOKENS: u32 = 16;
 
 /// The output of a service for one call.
@@ -20,7 +20,7 @@
 }
 
 /// The tokens of an engine for one call, in order; their concatenation is the
-/// output. Between half of `max` and `max`, at least one.
+/// output. Their number is between half of `max` and `max`, and at least one.
 pub fn tokens(stage: &str, request: &RequestId, input: &str, max: Option<u32>) -> Vec<String> {
     let digest = digest(stage, request, input);
     let count = token_count(digest, max.unwrap_or(DEFAULT_TOKENS));
@@ -31,7 +31,7 @@
 
 /// The output of a whole pipeline: each stage's output is the next one's
 /// input. `None` if a stage names a pool that the document does not have.
-pub fn expected(
+pub fn expected_output(
     document: &Document,
     pipeline: &Pipeline,
     request: &RequestId,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Digest of an input, as call records give it.
+/// Digest of an input, as stored in call records.
 pub fn input_hash(input: &str) -> u64 {
     xxh3::xxh3_64(input.as_bytes())
 }
@@ -70,8 +70,8 @@
 fn token_count(digest: u64, max: u32) -> u32 {
     let max = max.max(1);
     let least = max.div_ceil(2);
-    let spread = u64::from(max - least + 1);
-    let extra = u32::try_from(digest % spread).unwrap_or(0);
+    let range = u64::from(max - least + 1);
+    let extra = u32::try_from(digest % range).unwrap_or(0);
     least + extra
 }
 
--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! What engines and services share: places, records, faults, load, cancel.
+//! What engines and services share: slots, call records, faults, load reports
+//! and cancellation.
 
 use std::{
     sync::{Arc, Mutex},
@@ -17,10 +18,10 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    calls::{CallBook, CallState},
+    calls::{CallHistory, CallState},
     faults::EndpointFaults,
     load::LaggedLoad,
-    places::{Places, Ticket},
+    places::{Slots, Ticket},
     prefix::PrefixCache,
     reply,
 };
@@ -35,7 +36,7 @@
 #[data]
 #[derive(Bpaf)]
 pub struct Settings {
-    /// Its name
+    /// Name of the endpoint
     #[bpaf(
         long("name"),
         env("PEATDECK_NAME"),
@@ -44,7 +45,7 @@
         display_fallback
     )]
     pub name: String,
-    /// Its life; larger after a restart
+    /// Incarnation of the endpoint; larger after each restart
     #[bpaf(
         long("incarnation"),
         env("PEATDECK_INCARNATION"),
@@ -53,13 +54,13 @@
         display_fallback
     )]
     pub incarnation: u64,
-    /// Calls that run at once
+    /// Calls that run concurrently
     #[bpaf(long("places"), env("PEATDECK_PLACES"), argument("N"), fallback(8), display_fallback)]
     pub places: u32,
-    /// Calls that wait inside; beyond them it is busy
+    /// Calls that may queue; further calls are refused as busy
     #[bpaf(long("queue"), env("PEATDECK_QUEUE"), argument("N"), fallback(16), display_fallback)]
     pub queue: u32,
-    /// Time of a call, of an engine's prompt, in milliseconds
+    /// Time that a service's call or an engine's prefill takes, in milliseconds
     #[bpaf(
         long("call-ms"),
         env("PEATDECK_CALL_MS"),
@@ -68,7 +69,7 @@
         display_fallback
     )]
     pub call_ms: f64,
-    /// Time of a token, in milliseconds; engines only
+    /// Time to generate a token, in milliseconds; engines only
     #[bpaf(
         long("token-ms"),
         env("PEATDECK_TOKEN_MS"),
@@ -77,7 +78,7 @@
         display_fallback
     )]
     pub token_ms: f64,
-    /// Share by which each further running call slows a token; engines only
+    /// Share by which each further running call slows down a token; engines only
     #[bpaf(
         long("batch-cost"),
         env("PEATDECK_BATCH_COST"),
@@ -104,7 +105,7 @@
         display_fallback
     )]
     pub load_lag_ms: u64,
-    /// Call records that are kept
+    /// Number of call records that are kept
     #[bpaf(
         long("keep-calls"),
         env("PEATDECK_KEEP_CALLS"),
@@ -118,38 +119,38 @@
 /// Body of `GET /control/state`.
 #[message]
 pub struct EndpointState {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Its life.
+    /// Incarnation of the endpoint.
     pub incarnation: Incarnation,
-    /// Its load as it is now, without lag.
+    /// Current load, without the lag of load reports.
     pub load: Load,
-    /// Calls refused.
+    /// Number of calls refused since the start.
     pub refused: u64,
-    /// Calls kept in the record that were finished.
+    /// Number of kept call records that finished.
     pub finished: usize,
-    /// Calls kept in the record that were cancelled.
+    /// Number of kept call records that were cancelled.
     pub cancelled: usize,
-    /// Calls kept in the record that were cut.
+    /// Number of kept call records whose reply was cut.
     pub cut: usize,
     /// Faults that are set.
     pub faults: EndpointFaults,
 }
 
-/// An endpoint's state.
+/// An engine or a service: its settings, slots and calls.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its settings.
+    /// Settings from the command line.
     pub settings: Settings,
     name: Arc<str>,
     clock: SystemClock,
-    places: Arc<Places>,
+    slots: Arc<Slots>,
     state: Mutex<State>,
 }
 
 #[derive(Debug)]
 struct State {
-    book: CallBook,
+    history: CallHistory,
     active: SlotMap<ActiveKey, Active>,
     faults: EndpointFaults,
     load: LaggedLoad,
@@ -168,68 +169,68 @@
     cancel: oneshot::Sender<()>,
 }
 
-/// A call that was taken in, its place to be, and the sign to stop.
+/// A call that was accepted, its ticket for a slot, and its cancel signal.
 #[derive(Debug)]
-pub struct Taken {
+pub struct AcceptedCall {
     /// The call.
     pub call: Call,
-    /// Its place in the queue.
+    /// A slot, or the call's position in the queue.
     pub ticket: Ticket,
-    /// Resolves when somebody cancels the call.
+    /// Resolves with `Ok` when the caller cancels the call.
     pub cancelled: oneshot::Receiver<()>,
 }
 
 impl Endpoint {
-    /// An idle endpoint.
+    /// Creates an idle endpoint.
     pub fn new(settings: Settings) -> Arc<Endpoint> {
-        let places = Places::new(settings.places, settings.queue);
+        let slots = Slots::new(settings.places, settings.queue);
         let lag = Duration::from_millis(settings.load_lag_ms);
         let state = State {
-            book: CallBook::new(settings.keep_calls),
+            history: CallHistory::new(settings.keep_calls),
             active: SlotMap::with_key(),
             faults: EndpointFaults::default(),
-            load: LaggedLoad::new(lag, load_of(&places)),
+            load: LaggedLoad::new(lag, load_of(&slots)),
             prefixes: PrefixCache::new(settings.prefixes),
             refused: 0,
         };
         let name = Arc::from(settings.name.as_str());
         let clock = SystemClock::new();
-        Arc::new(Endpoint { settings, name, clock, places, state: Mutex::new(state) })
+        Arc::new(Endpoint { settings, name, clock, slots, state: Mutex::new(state) })
     }
 
-    /// Takes a call in, or says why not.
+    /// Accepts and records a call.
     ///
     /// # Errors
-    /// If a fault refuses it or if the queue is full.
-    pub fn take(self: &Arc<Endpoint>, body: CallBody) -> Result<Taken, RefuseReason> {
+    /// The reason of the refusal, if a fault refuses the call or the queue is full.
+    pub fn accept(self: &Arc<Endpoint>, body: CallBody) -> Result<AcceptedCall, RefuseReason> {
         let faults = reply::lock(&self.state).next_faults();
         if let Some(reason) = faults.refuse {
             return Err(self.refuse(reason));
         }
-        let Some(ticket) = self.places.enter() else {
+        let Some(ticket) = self.slots.enter() else {
             return Err(self.refuse(RefuseReason::Busy));
         };
         let (cancel, cancelled) = oneshot::channel();
         let mut state = reply::lock(&self.state);
-        let seq = state.book.arrived(&body, self.now_ms());
+        let seq = state.history.record_arrival(&body, self.now_ms());
         let key = state.active.insert(Active { echo: body.echo.clone(), cancel });
         drop(state);
-        self.note_load();
+        self.record_load();
         let call = Call::new(self.clone(), key, seq, body, faults);
-        Ok(Taken { call, ticket, cancelled })
+        Ok(AcceptedCall { call, ticket, cancelled })
     }
 
-    /// The load as it is reported.
-    pub fn reported(&self) -> Load {
+    /// The load that is reported to callers, with its lag.
+    pub fn reported_load(&self) -> Load {
         reply::lock(&self.state).load.report(self.clock.now())
     }
 
-    /// Calls that run now.
+    /// Number of calls that run now.
     pub fn running(&self) -> u32 {
-        self.places.running()
+        self.slots.running()
     }
 
-    /// Whether the prompt's prefix was cached.
+    /// Whether the prompt's prefix was cached; it is cached from now on.
     pub fn touch_prefix(&self, prompt: &str) -> bool {
         reply::lock(&self.state).prefixes.touch(prompt)
     }
@@ -239,9 +240,9 @@
         reason
     }
 
-    fn note_load(&self) {
-        let load = load_of(&self.places);
-        reply::lock(&self.state).load.note(self.clock.now(), load);
+    fn record_load(&self) {
+        let load = load_of(&self.slots);
+        reply::lock(&self.state).load.record(self.clock.now(), load);
     }
 
     fn now_ms(&self) -> u64 {
@@ -261,11 +262,11 @@
         EndpointState {
             name: self.name.clone(),
             incarnation: Incarnation(self.settings.incarnation),
-            load: load_of(&self.places),
+            load: load_of(&self.slots),
             refused: state.refused,
-            finished: state.book.count(CallState::Finished),
-            cancelled: state.book.count(CallState::Cancelled),
-            cut: state.book.count(CallState::Cut),
+            finished: state.history.count(CallState::Finished),
+            cancelled: state.history.count(CallState::Cancelled),
+            cut: state.history.count(CallState::Cut),
             faults: state.faults.clone(),
         }
     }
@@ -282,7 +283,7 @@
 }
 
 impl State {
-    /// The faults that hold for one more call.
+    /// The faults that apply to the next call; counts that call.
     fn next_faults(&mut self) -> EndpointFaults {
         let faults = self.faults.clone();
         if let Some(calls) = &mut self.faults.calls {
@@ -300,6 +301,6 @@
     }
 }
 
-fn load_of(places: &Places) -> Load {
-    Load { running: places.running(), queued: places.waiting(), places: places.limit(), age_ms: 0 }
+fn load_of(slots: &Slots) -> Load {
+    Load { running: slots.running(), queued: slots.waiting(), places: slots.limit(), age_ms: 0 }
 }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The log service.
+//! The platform's log service, over HTTP.
 
 use std::{
     collections::BTreeMap,
@@ -24,9 +24,9 @@
     streams::{Retention, StreamState, Streams},
 };
 
-/// Records that one read gives at the most.
-const MAX_READ: usize = 10_000;
-/// The longest that one read waits.
+/// Maximum number of records that one read returns.
+const MAX_READ_RECORDS: usize = 10_000;
+/// Longest time that one read waits for a record.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Settings of the log service.
@@ -42,7 +42,7 @@
         display_fallback
     )]
     pub retain_ms: u64,
-    /// Records of a stream that are kept
+    /// Number of records kept for each stream
     #[bpaf(
         long("retain-count"),
         env("PEATDECK_RETAIN_COUNT"),
@@ -51,10 +51,10 @@
         display_fallback
     )]
     pub retain_count: usize,
-    /// Appends a second, over all streams; 0 for no limit
+    /// Appends per second, over all streams; 0 for no limit
     #[bpaf(long("rate"), env("PEATDECK_RATE"), argument("N"), fallback(500), display_fallback)]
     pub rate: u32,
-    /// Appends at once, before the rate limits them
+    /// Appends accepted in a burst before the rate limit applies
     #[bpaf(long("burst"), env("PEATDECK_BURST"), argument("N"), fallback(100), display_fallback)]
     pub burst: u32,
 }
@@ -62,15 +62,15 @@
 /// Body of `GET /control/state`.
 #[message]
 pub struct LogState {
-    /// Where each stream stands.
+    /// Oldest and next offset of each stream.
     pub streams: BTreeMap<Arc<str>, StreamState>,
-    /// What became of appends and reads.
+    /// Numbers of appends and reads by outcome.
     pub counts: Counts,
     /// Faults that are set.
     pub faults: LogFaults,
 }
 
-/// What became of appends and reads.
+/// Numbers of appends and reads by outcome, since the start.
 #[message]
 #[derive(Copy, Default)]
 pub struct Counts {
@@ -78,19 +78,19 @@
     pub appended: u64,
     /// Appends that took effect without an acknowledgement.
     pub lost: u64,
-    /// Appends that left nothing.
+    /// Appends dropped by a fault, without effect.
     pub dropped: u64,
-    /// Appends over the rate.
+    /// Appends refused because of the rate limit.
     pub limited: u64,
-    /// Requests turned away by an outage.
+    /// Appends and reads rejected by a fault.
     pub rejected: u64,
     /// Reads answered.
     pub reads: u64,
-    /// Reads that wait for a record now.
+    /// Reads that currently wait for a record.
     pub waiting: u64,
 }
 
-/// The log service's state.
+/// The log service: its streams, rate limit and faults.
 #[derive(Debug)]
 pub struct Log {
     clock: SystemClock,
@@ -107,25 +107,25 @@
     counts: Counts,
 }
 
-/// A read that waits; counted until it is dropped.
-struct Waiting<'a>(&'a Log);
+/// A read that waits for a record; it is counted as waiting until it is dropped.
+struct WaitingRead<'a>(&'a Log);
 
-impl<'a> Waiting<'a> {
-    fn new(log: &'a Log) -> Waiting<'a> {
+impl<'a> WaitingRead<'a> {
+    fn new(log: &'a Log) -> WaitingRead<'a> {
         reply::lock(&log.state).counts.waiting += 1;
-        Waiting(log)
+        WaitingRead(log)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingRead<'_> {
     fn drop(&mut self) {
         reply::lock(&self.0.state).counts.waiting -= 1;
     }
 }
 
-/// What becomes of one append.
+/// What happens to one append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum AppendOutcome {
     Acknowledge,
     Lose,
     Drop,
@@ -142,11 +142,11 @@
 }
 
 fn default_max() -> usize {
-    MAX_READ
+    MAX_READ_RECORDS
 }
 
 impl Log {
-    /// A log without streams.
+    /// Creates a log without streams.
     pub fn new(settings: &Settings) -> Arc<Log> {
         let age = Duration::from_millis(settings.retain_ms);
         let retention = Retention { age, count: settings.retain_count };
@@ -176,7 +176,7 @@
         offset
     }
 
-    /// `None` in an outage.
+    /// Reads records without waiting; `None` in an outage.
     fn read(&self, stream: &str, query: &ReadQuery) -> Option<ReadReply> {
         let now_ms = self.now_ms();
         let mut state = reply::lock(&self.state);
@@ -184,11 +184,11 @@
             state.counts.rejected += 1;
             return None;
         }
-        let max = query.max.min(MAX_READ);
+        let max = query.max.min(MAX_READ_RECORDS);
         Some(state.streams.read(stream, query.from, max, now_ms))
     }
 
-    /// Reads, and waits for a record if there is none yet.
+    /// Reads records, and waits for one if there is none yet. `None` in an outage.
     async fn poll(&self, stream: &str, query: &ReadQuery) -> Option<ReadReply> {
         let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
         let until = time::Instant::now() + wait;
@@ -198,7 +198,7 @@
             if !read.records.is_empty() {
                 return Some(read);
             }
-            let _waiting = Waiting::new(self);
+            let _waiting = WaitingRead::new(self);
             if time::timeout_at(until, changed).await.is_err() {
                 return self.read(stream, query);
             }
@@ -210,7 +210,7 @@
         pause(delay_ms).await;
     }
 
-    async fn hold_answer(&self) {
+    async fn delay_answer(&self) {
         let answer_ms = reply::lock(&self.state).faults.answer_ms;
         pause(answer_ms).await;
     }
@@ -237,43 +237,43 @@
 }
 
 impl State {
-    /// Turns an append away, where an outage or the rate asks for it.
-    fn turn_away(&mut self, now: Duration) -> Option<StatusCode> {
+    /// The error status of an append that an outage or the rate limit rejects.
+    fn reject(&mut self, now: Duration) -> Option<StatusCode> {
         if self.faults.outage || self.faults.reject_appends {
             self.counts.rejected += 1;
             return Some(StatusCode::SERVICE_UNAVAILABLE);
         }
-        if !self.bucket.take(now) {
+        if !self.bucket.try_take(now) {
             self.counts.limited += 1;
             return Some(StatusCode::TOO_MANY_REQUESTS);
         }
         None
     }
 
-    fn fate(&mut self, stream: &str) -> Fate {
+    fn append_outcome(&mut self, stream: &str) -> AppendOutcome {
         if self.faults.stream.as_deref().is_some_and(|only| only != stream) {
-            return Fate::Acknowledge;
+            return AppendOutcome::Acknowledge;
         }
         if self.faults.drop_appends > 0 {
             self.faults.drop_appends -= 1;
-            return Fate::Drop;
+            return AppendOutcome::Drop;
         }
         if self.faults.lose_appends > 0 {
             self.faults.lose_appends -= 1;
-            return Fate::Lose;
+            return AppendOutcome::Lose;
         }
         let chance = self.faults.lose_chance.clamp(0.0, 1.0);
         if chance > 0.0 && self.random.random_bool(chance) {
-            return Fate::Lose;
+            return AppendOutcome::Lose;
         }
-        Fate::Acknowledge
+        AppendOutcome::Acknowledge
     }
 
-    fn count(&mut self, fate: Fate) {
-        match fate {
-            Fate::Acknowledge => self.counts.appended += 1,
-            Fate::Lose => self.counts.lost += 1,
-            Fate::Drop => self.counts.dropped += 1,
+    fn count(&mut self, outcome: AppendOutcome) {
+        match outcome {
+            AppendOutcome::Acknowledge => self.counts.appended += 1,
+            AppendOutcome::Lose => self.counts.lost += 1,
+            AppendOutcome::Drop => self.counts.dropped += 1,
         }
     }
 }
@@ -284,7 +284,7 @@
     }
 }
 
-/// Adds the log service's resources.
+/// Adds the routes of the log service.
 pub fn configure(cfg: &mut web::ServiceConfig, log: Arc<Log>) {
     cfg.state(log)
         .route("/v1/streams/{stream}/records", web::post().to(append))
@@ -300,30 +300,35 @@
     body: types::Json<AppendBody>,
 ) -> HttpResponse {
     log.delay().await;
-    let fate = {
+    let outcome = {
         let now = log.clock.now();
         let mut state = reply::lock(&log.state);
-        if let Some(status) = state.turn_away(now) {
+        if let Some(status) = state.reject(now) {
             return HttpResponse::new(status);
         }
-        let fate = state.fate(&stream);
-        state.count(fate);
-        fate
+        let outcome = state.append_outcome(&stream);
+        state.count(outcome);
+        outcome
     };
     let data = body.into_inner().data;
-    match fate {
-        Fate::Acknowledge => {
+    match outcome {
+        AppendOutcome::Acknowledge => {
             let offset = log.append(&stream, data);
-            log.hold_answer().await;
+            log.delay_answer().await;
             reply::json(StatusCode::OK, &AppendReply { offset })
         }
-        Fate::Lose => lose(&req, &log, &stream, data).await,
-        Fate::Drop => reply::hang_up(&req).await,
+        AppendOutcome::Lose => append_unacknowledged(&req, &log, &stream, data).await,
+        AppendOutcome::Drop => reply::close_unanswered(&req).await,
     }
 }
 
-/// Lets the append take effect, now or later, and its answer go missing.
-async fn lose(req: &HttpRequest, log: &Arc<Log>, stream: &str, data: Arc<str>) -> HttpResponse {
+/// Appends the record, now or later as the faults say, and loses the response.
+async fn append_unacknowledged(
+    req: &HttpRequest,
+    log: &Arc<Log>,
+    stream: &str,
+    data: Arc<str>,
+) -> HttpResponse {
     let (land_ms, lose_by) = {
         let state = reply::lock(&log.state);
         (state.faults.land_ms, state.faults.lose_by)
@@ -339,7 +344,7 @@
         });
     }
     match lose_by {
-        LoseBy::Close => reply::hang_up(req).await,
+        LoseBy::Close => reply::close_unanswered(req).await,
         LoseBy::Error => HttpResponse::InternalServerError().finish(),
     }
 }
@@ -354,7 +359,7 @@
         return reply::unavailable();
     };
     reply::lock(&log.state).counts.reads += 1;
-    log.hold_answer().await;
+    log.delay_answer().await;
     reply::json(StatusCode::OK, &read)
 }
 
--- a/crates/standin/src/places.rs
+++ b/crates/standin/src/places.rs
@@ -1,4 +1,4 @@
-//! Places to run in, and the bounded queue before them.
+//! Slots for running calls, and the bounded queue for them.
 
 use std::sync::{
     Arc,
@@ -7,40 +7,40 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// How many calls run at once and how many may wait.
+/// Slots for concurrent calls and a bounded queue of waiting ones.
 #[derive(Debug)]
-pub struct Places {
+pub struct Slots {
     free: Arc<Semaphore>,
     limit: u32,
     queue: u32,
     waiting: AtomicU32,
 }
 
-/// A place that is held; dropping it frees the place.
+/// A slot that is in use; dropping it frees the slot.
 #[derive(Debug)]
-pub struct Place {
+pub struct Slot {
     _permit: OwnedSemaphorePermit,
 }
 
-/// A position in the queue, or already a place.
+/// A slot, or a position in the queue for one.
 #[derive(Debug)]
 pub enum Ticket {
-    /// A place was free.
-    Placed(Place),
-    /// It waits.
-    Waiting(Waiting),
+    /// A slot was free.
+    Ready(Slot),
+    /// The call waits in the queue.
+    Waiting(QueuePosition),
 }
 
 /// A position in the queue; dropping it leaves the queue.
 #[derive(Debug)]
-pub struct Waiting {
-    places: Arc<Places>,
+pub struct QueuePosition {
+    slots: Arc<Slots>,
 }
 
-impl Places {
-    /// `limit` places and room for `queue` waiting calls.
-    pub fn new(limit: u32, queue: u32) -> Arc<Places> {
-        Arc::new(Places {
+impl Slots {
+    /// Creates `limit` slots and a queue for `queue` calls.
+    pub fn new(limit: u32, queue: u32) -> Arc<Slots> {
+        Arc::new(Slots {
             free: Arc::new(Semaphore::new(limit as usize)),
             limit,
             queue,
@@ -48,55 +48,55 @@
         })
     }
 
-    /// A place, or a position in the queue; `None` when that is full.
-    pub fn enter(self: &Arc<Places>) -> Option<Ticket> {
+    /// Takes a slot or a position in the queue; `None` when the queue is full.
+    pub fn enter(self: &Arc<Slots>) -> Option<Ticket> {
         if let Ok(permit) = self.free.clone().try_acquire_owned() {
-            return Some(Ticket::Placed(Place { _permit: permit }));
+            return Some(Ticket::Ready(Slot { _permit: permit }));
         }
         if self.waiting() >= self.queue {
             return None;
         }
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        Some(Ticket::Waiting(Waiting { places: self.clone() }))
+        Some(Ticket::Waiting(QueuePosition { slots: self.clone() }))
     }
 
-    /// Places in all.
+    /// Number of slots, free and in use.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Places that are held.
+    /// Number of slots in use.
     pub fn running(&self) -> u32 {
         let free = u32::try_from(self.free.available_permits()).unwrap_or(u32::MAX);
         self.limit.saturating_sub(free)
     }
 
-    /// Calls in the queue.
+    /// Number of calls in the queue.
     pub fn waiting(&self) -> u32 {
         self.waiting.load(Ordering::Relaxed)
     }
 }
 
 impl Ticket {
-    /// Waits for the place, first come first served.
-    pub async fn place(self) -> Place {
+    /// Waits for the slot, in order of arrival.
+    pub async fn slot(self) -> Slot {
         match self {
-            Ticket::Placed(place) => place,
-            Ticket::Waiting(waiting) => waiting.place().await,
+            Ticket::Ready(slot) => slot,
+            Ticket::Waiting(position) => position.slot().await,
         }
     }
 }
 
-impl Waiting {
-    async fn place(self) -> Place {
-        let free = self.places.free.clone();
+impl QueuePosition {
+    async fn slot(self) -> Slot {
+        let free = self.slots.free.clone();
         let permit = free.acquire_owned().await.expect("the semaphore is never closed");
-        Place { _permit: permit }
+        Slot { _permit: permit }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuePosition {
     fn drop(&mut self) {
-        self.places.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.slots.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/standin/tests/testsuite/log.rs
+++ b/crates/standin/tests/testsuite/log.rs
@@ -1,4 +1,4 @@
-//! The log service over HTTP, right and broken.
+//! The log service over HTTP, with and without faults.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +11,7 @@
 use peatdeck_test_support::{
     error::Result,
     http::Reply,
-    wait::{self, BOUND},
+    wait::{self, TIMEOUT},
 };
 use peatdeck_wire::platform::{AppendBody, AppendReply, ReadReply};
 
@@ -50,7 +50,7 @@
 }
 
 #[ntex::test]
-async fn appends_that_race_leave_no_gap() {
+async fn concurrent_appends_leave_no_gap() {
     let log = start().await;
     let data: Vec<String> = (0..50).map(|idx| idx.to_string()).collect();
     let mut offsets = future::join_all(data.iter().map(|data| log.append_ok(data))).await;
@@ -67,11 +67,11 @@
     let read = log.read(0, 60_000);
     let append = async {
         let waits = async || (log.log_state().await.counts.waiting == 1).then_some(());
-        wait::until("a waiting read", BOUND, waits).await.unwrap();
+        wait::until("a waiting read", TIMEOUT, waits).await.unwrap();
         log.append_ok("x").await
     };
-    let both = time::timeout(BOUND, future::join(read, append)).await;
-    let (read, _) = both.expect("the read woke long before its own limit");
+    let both = time::timeout(TIMEOUT, future::join(read, append)).await;
+    let (read, _) = both.expect("the append ends the read before its own limit");
     assert_eq!(read.json::<ReadReply>().unwrap().records.len(), 1);
 }
 
@@ -86,21 +86,21 @@
 #[ntex::test]
 async fn appends_over_the_rate_are_refused_and_leave_nothing() {
     let log = Standin::start(&["log", "--rate", "1", "--burst", "2"]).await;
-    let mut taken = 0;
+    let mut accepted = 0;
     let refused = loop {
         let reply = log.append("x").await.unwrap();
         if reply.status != 200 {
             break reply.status;
         }
-        taken += 1;
-        assert!(taken < 100, "no append was refused");
+        accepted += 1;
+        assert!(accepted < 100, "no append was refused");
     };
     assert_eq!(refused, 429);
-    assert_eq!(log.data().await.len(), taken);
+    assert_eq!(log.data().await.len(), accepted);
 }
 
 #[ntex::test]
-async fn a_lost_answer_leaves_the_record() {
+async fn an_append_with_a_lost_response_leaves_the_record() {
     let log = start().await;
     log.set_faults(&LogFaults { lose_appends: 1, ..LogFaults::default() }).await;
     assert!(log.append("lost").await.is_err());
@@ -109,7 +109,7 @@
 }
 
 #[ntex::test]
-async fn a_lost_answer_can_be_an_error() {
+async fn a_lost_response_can_be_an_error() {
     let log = start().await;
     let faults = LogFaults { lose_appends: 1, lose_by: LoseBy::Error, ..LogFaults::default() };
     log.set_faults(&faults).await;
@@ -127,19 +127,19 @@
 }
 
 #[ntex::test]
-async fn a_lost_append_can_land_behind_later_ones() {
+async fn a_lost_append_can_take_effect_after_later_ones() {
     let log = start().await;
     let faults = LogFaults { lose_appends: 1, land_ms: 3_000, ..LogFaults::default() };
     log.set_faults(&faults).await;
     assert!(log.append("late").await.is_err());
     log.append_ok("early").await;
     let landed = async || Some(log.data().await).filter(|data| data.len() == 2);
-    let data = wait::until("the late record", BOUND, landed).await.unwrap();
+    let data = wait::until("the late record", TIMEOUT, landed).await.unwrap();
     assert_eq!(data, ["early", "late"]);
 }
 
 #[ntex::test]
-async fn losses_keep_to_the_stream_that_is_named() {
+async fn losses_affect_only_the_configured_stream() {
     let log = start().await;
     let faults = LogFaults { lose_appends: 1, stream: Some("b".into()), ..LogFaults::default() };
     log.set_faults(&faults).await;
@@ -147,7 +147,7 @@
 }
 
 #[ntex::test]
-async fn losses_by_chance_repeat_with_their_seed() {
+async fn random_losses_repeat_with_their_seed() {
     let log = start().await;
     let mut rounds = Vec::new();
     for _ in 0..2 {
@@ -169,11 +169,11 @@
     let read = log.read(1, 60_000);
     let outage = async {
         let waits = async || (log.log_state().await.counts.waiting == 1).then_some(());
-        wait::until("a waiting read", BOUND, waits).await.unwrap();
+        wait::until("a waiting read", TIMEOUT, waits).await.unwrap();
         log.set_faults(&LogFaults { outage: true, ..LogFaults::default() }).await;
     };
-    let both = time::timeout(BOUND, future::join(read, outage)).await;
-    let (read, ()) = both.expect("the read ended long before its own limit");
+    let both = time::timeout(TIMEOUT, future::join(read, outage)).await;
+    let (read, ()) = both.expect("the outage ends the read before its own limit");
     assert_eq!(read.status, 503);
     assert_eq!(log.append("y").await.unwrap().status, 503);
     log.set_faults(&LogFaults::default()).await;
@@ -181,7 +181,7 @@
 }
 
 #[ntex::test]
-async fn reads_and_appends_fail_apart() {
+async fn reads_and_appends_can_fail_separately() {
     let log = start().await;
     log.set_faults(&LogFaults { reject_appends: true, ..LogFaults::default() }).await;
     assert_eq!(log.append("x").await.unwrap().status, 503);
--- a/crates/test-support/src/processes/control.rs
+++ b/crates/test-support/src/processes/control.rs
@@ -247,6 +247,6 @@
     /// `None` if the document has no such pipeline.
     pub fn expected(&self, pipeline: &str, id: &str, input: &str) -> Option<String> {
         let pipeline = self.document.pipeline(pipeline)?;
-        answer::expected(&self.document, pipeline, &fixture::key(id), input)
+        answer::expected_output(&self.document, pipeline, &fixture::key(id), input)
     }
 }
--- a/crates/testsuite/tests/testsuite/claims.rs
+++ b/crates/testsuite/tests/testsuite/claims.rs
@@ -34,7 +34,7 @@
 /// Number of ledger calls that ran for a request.
 async fn ledger_runs(bench: &Bench, id: &str) -> usize {
     let calls = bench.system.calls_for(id).await.unwrap();
-    calls.iter().filter(|(_, call)| &*call.stage == "ledger" && call.ran()).count()
+    calls.iter().filter(|(_, call)| &*call.stage == "ledger" && call.has_run()).count()
 }
 
 /// Sends a request to `entry-1` and freezes it after its claim is in the log,
@@ -77,7 +77,7 @@
     let body = fixture::once("killed-before", "trailer 2");
     bench.system.set_pool_faults("encode", &hang()).await.unwrap();
     let pending = bench.send("entry-1", TICKET, &body);
-    bench.wait_calls("killed-before", "the encode call", |call| call.ran()).await;
+    bench.wait_calls("killed-before", "the encode call", |call| call.has_run()).await;
     bench.system.kill("entry-1").unwrap();
     assert_eq!(pending.response().await.to_string(), "lost");
     check_after_kill(bench, &body, "502 may_have_run/claimed_elsewhere", 0).await;
