--- a/crates/core/examples/batch_cost.rs
+++ b/crates/core/examples/batch_cost.rs
@@ -61,7 +61,8 @@
 }
 
 fn relay(room: u64) -> Relay {
-    let budget = RetryBudgetConfig { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
+    let retry_budget =
+        RetryBudgetConfig { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
     let settings = Settings {
         name: Arc::from("own"),
         data_centre: Arc::from("dc-0"),
