--- a/crates/admin/tests/testsuite/evacuate.rs
+++ b/crates/admin/tests/testsuite/evacuate.rs
@@ -35,7 +35,7 @@
 #[peatdeck_macros::on_system]
 async fn an_evacuation_in_force_is_not_appended_again() {
     let bench = Bench::start().await;
-    bench.platform.state().append_faults.push_back(AppendFault::LoseAnswer);
+    bench.platform.state().append_faults.push_back(AppendFault::LoseReply);
     for _ in 0..2 {
         let answer = bench.post(PATH, json!({"author": "mair"})).await;
         assert!(answer.starts_with("200"), "{answer}");
@@ -59,7 +59,7 @@
 #[peatdeck_macros::on_system]
 async fn an_unconfirmed_append_leaves_the_evacuation_unknown() {
     let bench = Bench::start().await;
-    bench.platform.state().append_faults.extend([AppendFault::Swallow; 100]);
+    bench.platform.state().append_faults.extend([AppendFault::Drop; 100]);
     let answer = bench.post(PATH, json!({"author": "mair"})).await;
     assert!(answer.starts_with("503\nRetry-After: 5\n"), "{answer}");
     assert!(answer.contains("\"code\":\"unknown\""), "{answer}");
--- a/crates/cli/tests/testsuite/show.rs
+++ b/crates/cli/tests/testsuite/show.rs
@@ -127,7 +127,7 @@
 async fn an_outage_shows_in_the_file_and_the_exit_code() {
     let bench = Bench::start("show-outage").await;
     bench.run(&["show"]).await;
-    bench.platform.state().reads_out = true;
+    bench.platform.state().has_read_outage = true;
     expect![[r#"
         exit 6
         # version 0
